--- /dev/null
+++ b/cmd/lilacrill/golden_test.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/admin"
+	"lilacrill/internal/golden"
+	"lilacrill/wire"
+)
+
+// adminAnswers has something to answer for each view, with all fields set.
+func adminAnswers() map[wire.AdminView]any {
+	answers := map[wire.AdminView]any{
+		wire.ViewControllers: new([]wire.AdminController),
+		wire.ViewTeams:       new([]wire.AdminTeam),
+		wire.ViewMachines:    new([]wire.AdminMachine),
+		wire.ViewJobs:        new([]wire.AdminJob),
+		wire.ViewSettings:    new(wire.AdminSettings),
+		wire.ViewMetrics:     new(wire.AdminMetrics),
+		wire.ViewRollout:     new(wire.AdminRollout),
+		wire.ViewShares:      new(wire.AdminShares),
+	}
+	for _, answer := range answers {
+		filler := golden.NewFiller(2)
+		filler.Fill(answer)
+	}
+	return answers
+}
+
+// recordingAPI stands in for a controller's administration API: it writes down what is
+// asked, one line each, and answers changes like views.
+type recordingAPI struct {
+	answers  map[wire.AdminView]any
+	requests bytes.Buffer
+}
+
+func (a *recordingAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	fmt.Fprintf(&a.requests, "%s %s [%s] %s\n", r.Method, r.URL, r.Header.Get("Authorization"), body)
+	answer, ok := a.answers[wire.AdminView(strings.TrimPrefix(r.URL.Path, admin.Prefix+"/"))]
+	if !ok {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	if err := json.NewEncoder(w).Encode(answer); err != nil {
+		panic(err) // the answers are constants
+	}
+}
+
+// TestGoldenAdminCommands runs every admin command and holds what it asks the controller
+// and what it prints.
+func TestGoldenAdminCommands(t *testing.T) {
+	t.Setenv(admin.TokenVariable, "secret")
+	answers := adminAnswers()
+	commands := map[string][]string{
+		"set":                   {"set", "spare_share=0.2", "affinity=enforced"},
+		"set-version":           {"set", "--version", "7", "idle_s=20"},
+		"rollout-activate":      {"rollout", "activate", "3"},
+		"rollout-exclude":       {"rollout", "exclude", "rig-2", "--reason", "its host burnt"},
+		"rollout-include":       {"rollout", "include", "rig-2", "--version", "7"},
+		"shares-move":           {"shares", "move", "4", "rig-1", "--epoch", "7"},
+		"shares-move-any-epoch": {"shares", "move", shareNumber(answers), "rig-1"},
+		"shares-drain":          {"shares", "drain", "rig-1", "--reason", "new disks"},
+		"shares-end-drain":      {"shares", "end-drain", "rig-1"},
+	}
+	require.Len(t, answers, len(wire.AdminViews))
+	for _, view := range wire.AdminViews {
+		commands[string(view)] = []string{string(view)}
+	}
+	for name, args := range commands {
+		t.Run(name, func(t *testing.T) {
+			api := &recordingAPI{answers: answers}
+			server := httptest.NewServer(api)
+			defer server.Close()
+			addr := strings.TrimPrefix(server.URL, "http://")
+			out := runRoot(t, append([]string{"admin", "--addr", addr}, args...)...)
+			golden.Compare(t, "admin-"+name+".txt", []byte(api.requests.String()+"\n"+out))
+		})
+	}
+}
+
+// shareNumber is the number of a share that the view of shares has.
+func shareNumber(answers map[wire.AdminView]any) string {
+	return fmt.Sprint(answers[wire.ViewShares].(*wire.AdminShares).Shares[0].Share)
+}
+
+// TestGoldenCheck holds what the check of a settings file prints, warnings included.
+func TestGoldenCheck(t *testing.T) {
+	out := runRoot(t, "check", golden.Path("settings.toml"), "--features", golden.Path("features.toml"))
+	golden.Compare(t, "check.txt", []byte(out))
+}
+
+// TestGoldenNames holds the names that the administration API is called by.
+func TestGoldenNames(t *testing.T) {
+	golden.Compare(t, "admin-names.txt", []byte(admin.Prefix+"\n"+admin.TokenVariable))
+}
+
+// runRoot runs the command line and returns what it prints.
+func runRoot(t *testing.T, args ...string) string {
+	t.Helper()
+	var out bytes.Buffer
+	root := rootCommand()
+	root.SetOut(&out)
+	root.SetArgs(args)
+	require.NoError(t, root.Execute())
+	return out.String()
+}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,66 @@
+package config
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/golden"
+)
+
+// TestGoldenSettings reads a settings file and a features file that name every field, and
+// holds what is read out of them.
+func TestGoldenSettings(t *testing.T) {
+	features, err := LoadFeatures(golden.Path("features.toml"))
+	require.NoError(t, err)
+	golden.Compare(t, "features-values.json", golden.Values(t, features))
+
+	settings, err := Load(golden.Path("settings.toml"))
+	require.NoError(t, err)
+	require.Equal(t, DefaultFeatures(), settings.Features)
+	settings.Features = features
+	golden.Compare(t, "settings-values.json", golden.Values(t, settings))
+}
+
+// TestGoldenOperatorSettings writes operators' settings with all fields set, by default
+// and with none set, and reads the first back in each way that there is.
+func TestGoldenOperatorSettings(t *testing.T) {
+	var filled Operator
+	filler := golden.NewFiller(1)
+	golden.Use(filler, func(int) Affinity { return AffinityEnforced })
+	filler.Fill(&filled)
+	compareJSON(t, "operator-settings.json", filled)
+	compareJSON(t, "operator-settings.default.json", DefaultOperator())
+	compareJSON(t, "operator-settings.zero.json", Operator{})
+
+	text := golden.Read(t, "operator-settings.json")
+	changed, err := DefaultOperator().With(text)
+	require.NoError(t, err)
+	require.Equal(t, filled, changed)
+	stored, err := ReadOperator(text)
+	require.NoError(t, err)
+	require.Equal(t, filled, stored.Operator)
+	compareJSON(t, "operator-settings.json", stored)
+
+	stored.later = map[string]json.RawMessage{"later": json.RawMessage(`{"x":[1,2]}`)}
+	compareJSON(t, "operator-settings.later.json", stored)
+	again, err := ReadOperator(golden.Read(t, "operator-settings.later.json"))
+	require.NoError(t, err)
+	require.Equal(t, stored, again)
+}
+
+// TestGoldenWords holds the words that fields of the files may have.
+func TestGoldenWords(t *testing.T) {
+	compareJSON(t, "words.json", map[string]any{
+		"activation": []Activation{ActivationManual, ActivationAutomatic},
+		"affinity":   []Affinity{AffinityPreferred, AffinityEnforced},
+	})
+}
+
+func compareJSON(t *testing.T, name string, v any) {
+	t.Helper()
+	text, err := json.Marshal(v)
+	require.NoError(t, err)
+	golden.Compare(t, name, text)
+}
--- /dev/null
+++ b/internal/golden/filler.go
@@ -0,0 +1,93 @@
+package golden
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+
+	"lilacrill/wire"
+)
+
+// Filler gives every field of a value something that is not its zero value. What it
+// writes depends only on the type, so that it is the same in every run.
+type Filler struct {
+	count  int
+	length int
+	makers map[reflect.Type]func(number int) reflect.Value
+}
+
+// NewFiller makes a filler that fills slices with length elements and knows the types
+// of wire that allow only some values.
+func NewFiller(length int) *Filler {
+	f := &Filler{length: length, makers: map[reflect.Type]func(int) reflect.Value{}}
+	Use(f, func(n int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`{"n":%d}`, n)) })
+	Use(f, func(n int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", n)) })
+	Use(f, func(int) wire.Format { return 3 })
+	Use(f, func(int) wire.Shape { return wire.ShapeGang })
+	Use(f, func(int) wire.Rank { return wire.RankHigh })
+	Use(f, func(int) wire.Status { return wire.StatusRunning })
+	Use(f, func(int) wire.TaskState { return wire.TaskExited })
+	Use(f, func(int) wire.Cause { return wire.CauseHalted })
+	Use(f, func(int) wire.Verb { return wire.VerbLaunch })
+	Use(f, func(int) wire.MachineStatus { return wire.MachineRunning })
+	return f
+}
+
+// Use has the filler make values of type T in a way of their own, from a number that is
+// different each time.
+func Use[T any](f *Filler, makeValue func(number int) T) {
+	f.makers[reflect.TypeFor[T]()] = func(number int) reflect.Value { return reflect.ValueOf(makeValue(number)) }
+}
+
+// Fill fills the value that target points to.
+func (f *Filler) Fill(target any) { f.fill(reflect.ValueOf(target).Elem()) }
+
+func (f *Filler) fill(v reflect.Value) {
+	if makeValue, ok := f.makers[v.Type()]; ok {
+		v.Set(makeValue(f.next()))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.next()))
+	case reflect.Uint64:
+		v.SetUint(uint64(f.next()))
+	case reflect.Float64:
+		v.SetFloat(float64(f.next()) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.next()))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f.fill(v.Field(i))
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), f.length, f.length))
+		for i := range f.length {
+			f.fill(v.Index(i))
+		}
+	case reflect.Map:
+		f.fillMap(v)
+	default:
+		panic(fmt.Sprintf("golden: no way to fill a value of type %v", v.Type()))
+	}
+}
+
+// fillMap makes a map of one entry.
+func (f *Filler) fillMap(v reflect.Value) {
+	key := reflect.New(v.Type().Key()).Elem()
+	f.fill(key)
+	element := reflect.New(v.Type().Elem()).Elem()
+	f.fill(element)
+	v.Set(reflect.MakeMap(v.Type()))
+	v.SetMapIndex(key, element)
+}
+
+func (f *Filler) next() int {
+	f.count++
+	return f.count
+}
--- /dev/null
+++ b/internal/record/golden_test.go
@@ -0,0 +1,139 @@
+package record
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/golden"
+	"lilacrill/wire"
+)
+
+// goldenRecord is a kind of record under the key where it stands.
+type goldenRecord struct {
+	name string
+	key  string
+	make func() any
+	// elements is how many elements the record's lists have.
+	elements int
+	// compresses says that the filled record is large enough to be compressed.
+	compresses bool
+}
+
+// manyElements makes a record with lists large enough to be compressed.
+const manyElements = 60
+
+// goldenRecords has every kind of record, and those that may be compressed in both sizes.
+func goldenRecords() []goldenRecord {
+	newJob, newPage := func() any { return new(Job) }, func() any { return new(Page) }
+	return []goldenRecord{
+		{"job", JobKey("wk-000412"), newJob, 2, false},
+		{"job-large", JobKey("wk-000412"), newJob, manyElements, true},
+		{"over", JobKey("wk-000412"), func() any { return new(Over) }, 2, false},
+		{"final", FinalKey("wk-000412"), func() any { return new(Final) }, 2, false},
+		{"node", NodeKey("rig-0"), func() any { return new(Node) }, 2, false},
+		{"returns", ReturnsKey, func() any { return new(Returns) }, 2, false},
+		{"images", ImageKey(3), func() any { return new(Images) }, 2, false},
+		{"page", PageKey("vision", "east", 1), newPage, 1, false},
+		{"page-large", PageKey("vision", "east", 1), newPage, 5, true},
+		{"rollout", RolloutKey, func() any { return new(Rollout) }, 2, false},
+		{"member", MemberKey("rig-0"), func() any { return new(Member) }, 2, false},
+		{"shares", SharesKey, func() any { return new(Shares) }, 2, false},
+		{"share", ShareKey(7), func() any { return new(Share) }, 2, false},
+		{"baton", TokenKey, func() any { return new(wire.FencingToken) }, 2, false},
+		{"buyer", BuyerKey, func() any { return new(wire.FencingToken) }, 2, false},
+	}
+}
+
+// fillRecord gives a record something in every field.
+func fillRecord(target any, elements int) {
+	filler := golden.NewFiller(elements)
+	golden.Use(filler, func(n int) TaskSet { return Span(n, n+1).With(Span(n+2, n+5)) })
+	golden.Use(filler, func(int) Halt { return HaltAtOnce })
+	golden.Use(filler, func(int) ShareStep { return ShareProposed })
+	filler.Fill(target)
+}
+
+// TestGoldenRecords writes every kind of record in every format, with all fields set and
+// with none. A plain value has to come out as it is stored; so does the plain JSON within a
+// compressed one, whose other bytes are the compressor's. Stored values are read back.
+func TestGoldenRecords(t *testing.T) {
+	for format := Oldest; format <= Newest; format++ {
+		for _, r := range goldenRecords() {
+			name := fmt.Sprintf("format-%d/%s", format, r.name)
+			t.Run(name, func(t *testing.T) {
+				filled := r.make()
+				fillRecord(filled, r.elements)
+				written := Encode(format, r.key, filled)
+				require.Equal(t, r.compresses && format >= FormatCompressed, isString(written))
+				compareValues(t, name+".json", written)
+
+				back := r.make()
+				require.NoError(t, Decode(golden.Read(t, name+".json"), bound, back))
+				require.Equal(t, filled, back)
+
+				golden.Compare(t, name+".zero.json", Encode(format, r.key, r.make()))
+			})
+		}
+	}
+}
+
+// compareValues requires a value to be as the golden file has it, apart from how well it
+// is compressed.
+func compareValues(t *testing.T, name string, written json.RawMessage) {
+	if !isString(written) {
+		golden.Compare(t, name, written)
+		return
+	}
+	if golden.Updating() {
+		golden.Write(t, name, written)
+	}
+	stored := json.RawMessage(golden.Read(t, name))
+	require.True(t, isString(stored), name)
+	require.Equal(t, string(expandValue(t, stored)), string(expandValue(t, written)), name)
+}
+
+// expandValue is the plain JSON within a compressed value.
+func expandValue(t *testing.T, value json.RawMessage) []byte {
+	var packed []byte
+	require.NoError(t, json.Unmarshal(value, &packed))
+	text, err := expand(packed, bound)
+	require.NoError(t, err)
+	return text
+}
+
+// TestGoldenLines writes the lines between controllers in every format, with all fields
+// set, and reads them back.
+func TestGoldenLines(t *testing.T) {
+	for format := Oldest; format <= Newest; format++ {
+		var line wire.PeerLine
+		filler := golden.NewFiller(2)
+		golden.Use(filler, func(int) wire.Format { return format })
+		filler.Fill(&line)
+		written, err := EncodeLine(&line)
+		require.NoError(t, err)
+		name := fmt.Sprintf("format-%d/sibling-line.json", format)
+		golden.Compare(t, name, written)
+		back, err := DecodeLine(golden.Read(t, name))
+		require.NoError(t, err)
+		require.Equal(t, &line, back)
+	}
+}
+
+// TestGoldenKeys holds where records stand, and the words and numbers in them.
+func TestGoldenKeys(t *testing.T) {
+	text, err := json.MarshalIndent(map[string]any{
+		"fixed":    []string{RootKey, TokenKey, BuyerKey, SettingsKey, ReturnsKey, RolloutKey, SharesKey},
+		"prefixes": []string{NodePrefix, JobPrefix, FinalPrefix, PagePrefix, ImagePrefix, MemberPrefix, SharePrefix},
+		"made": []string{JobKey("wk-000412"), FinalKey("wk-000412"), NodeKey("rig-0"), MemberKey("rig-0"), ImageKey(3), ShareKey(7),
+			PageKey("vision", "east", 1)},
+		"load":       LoadPrefixes,
+		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatShares, Oldest, Newest},
+		"halt":       []Halt{HaltNo, HaltSave, HaltAtOnce},
+		"share-step": []ShareStep{ShareProposed, ShareReleased},
+	}, "", "  ")
+	require.NoError(t, err)
+	golden.Compare(t, "keys.json", text)
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,215 @@
+package wire_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/fastjson"
+	"lilacrill/internal/golden"
+	"lilacrill/wire"
+)
+
+// message is a type that goes over the wire, with the name of its golden files.
+type message struct {
+	name string
+	make func() any
+}
+
+func messageOf[T any](name string) message { return message{name, func() any { return new(T) }} }
+
+// messages has every exported struct type of the package.
+var messages = []message{
+	messageOf[wire.JobSpec]("job-spec"),
+	messageOf[wire.JobStatus]("job-status"),
+	messageOf[wire.Problem]("error"),
+	messageOf[wire.TaskID]("load-id"),
+	messageOf[wire.TaskReport]("load-report"),
+	messageOf[wire.Report]("rig-report"),
+	messageOf[wire.Order]("order"),
+	messageOf[wire.ReportAnswer]("hello-answer"),
+	messageOf[wire.Redirect]("hello-redirect"),
+	messageOf[wire.DoRequest]("do-request"),
+	messageOf[wire.MachineType]("rigtype"),
+	messageOf[wire.Catalogue]("catalog"),
+	messageOf[wire.Hire]("hire"),
+	messageOf[wire.Machines]("rig-names"),
+	messageOf[wire.ListedMachine]("listed-host"),
+	messageOf[wire.MachineList]("hosts"),
+	messageOf[wire.Entry]("kv-entry"),
+	messageOf[wire.EntryList]("kv-entries"),
+	messageOf[wire.Condition]("multi-if"),
+	messageOf[wire.Change]("multi-then"),
+	messageOf[wire.Transaction]("multi"),
+	messageOf[wire.TransactionAnswer]("multi-answer"),
+	messageOf[wire.LogEntry]("follow-log"),
+	messageOf[wire.Feed]("follow"),
+	messageOf[wire.PeerLine]("sibling-line"),
+	messageOf[wire.Attestation]("sibling-vouch"),
+	messageOf[wire.Echo]("sibling-vouch-heard"),
+	messageOf[wire.Withdrawal]("sibling-vouch-withdrawn"),
+	messageOf[wire.Heard]("sibling-heard"),
+	messageOf[wire.HandOff]("sibling-hand-off"),
+	messageOf[wire.RoomOffer]("sibling-room"),
+	messageOf[wire.AdminController]("admin-controllers"),
+	messageOf[wire.AdminTeam]("admin-teams"),
+	messageOf[wire.AdminMachine]("admin-machines"),
+	messageOf[wire.AdminJob]("admin-jobs"),
+	messageOf[wire.AdminSettings]("admin-settings"),
+	messageOf[wire.AdminMetrics]("admin-metrics"),
+	messageOf[wire.AdminLatency]("admin-metrics-times"),
+	messageOf[wire.AdminRollout]("admin-rollout"),
+	messageOf[wire.AdminRolloutController]("admin-rollout-controllers"),
+	messageOf[wire.AdminRolloutChange]("admin-rollout-change"),
+	messageOf[wire.AdminShares]("admin-shares"),
+	messageOf[wire.AdminShare]("admin-shares-share"),
+	messageOf[wire.AdminShareChange]("admin-shares-change"),
+}
+
+// viewList is the name of the list that repeats the views.
+const viewList = "admin-view-all"
+
+// enumValues are the words that enumerated fields may hold, by what they are of.
+var enumValues = map[string]any{
+	"job-shape":   []wire.Shape{wire.ShapeArray, wire.ShapeGang, wire.ShapeService},
+	"job-rank":    []wire.Rank{wire.RankCritical, wire.RankHigh, wire.RankNormal, wire.RankBestEffort},
+	"job-status":  []wire.Status{wire.StatusPending, wire.StatusRunning, wire.StatusDone, wire.StatusWithdrawn},
+	"host-status": []wire.MachineStatus{wire.MachineBooting, wire.MachineRunning, wire.MachineFailed},
+	"load-status": []wire.TaskState{wire.TaskPulling, wire.TaskWaiting, wire.TaskRunning, wire.TaskFlushing, wire.TaskExited},
+	"load-cause": []wire.Cause{wire.CauseDone, wire.CauseHalted, wire.CausePeers, wire.CauseIncomplete, wire.CauseError,
+		wire.CauseNoRoom, wire.CauseInUse, wire.CauseUnknown},
+	"order-verb": []wire.Verb{wire.VerbLaunch, wire.VerbStop, wire.VerbClear},
+	"admin-view": []wire.AdminView{wire.ViewControllers, wire.ViewTeams, wire.ViewMachines, wire.ViewJobs, wire.ViewSettings,
+		wire.ViewMetrics, wire.ViewRollout, wire.ViewShares},
+	viewList: wire.AdminViews,
+	"limits": []int{wire.MaxTasks, wire.MaxBody, wire.MaxHire, wire.MaxReturn, wire.MaxList},
+}
+
+// TestGoldenMessages writes every message with all fields set and reads it back with both
+// decoders; then it writes it with none set.
+func TestGoldenMessages(t *testing.T) {
+	for _, m := range messages {
+		t.Run(m.name, func(t *testing.T) {
+			filled := m.make()
+			golden.NewFiller(2).Fill(filled)
+			text, err := json.Marshal(filled)
+			require.NoError(t, err)
+			golden.Compare(t, m.name+".json", text)
+
+			strict := json.NewDecoder(bytes.NewReader(text))
+			strict.DisallowUnknownFields()
+			back := m.make()
+			require.NoError(t, strict.Decode(back))
+			require.Equal(t, filled, back)
+			back = m.make()
+			require.NoError(t, fastjson.Unmarshal(text, back))
+			require.Equal(t, filled, back)
+
+			empty, err := json.Marshal(m.make())
+			require.NoError(t, err)
+			golden.Compare(t, m.name+".zero.json", empty)
+		})
+	}
+}
+
+// TestGoldenParsers gives golden messages to the functions that check what they read.
+func TestGoldenParsers(t *testing.T) {
+	var spec wire.JobSpec
+	golden.NewFiller(2).Fill(&spec)
+	parsedSpec, err := wire.ParseJob(golden.Read(t, "job-spec.json"))
+	require.NoError(t, err)
+	require.Equal(t, spec, parsedSpec)
+
+	var report wire.Report
+	golden.NewFiller(2).Fill(&report)
+	parsedReport, err := wire.ParseReport(golden.Read(t, "rig-report.json"))
+	require.NoError(t, err)
+	require.Equal(t, &report, parsedReport)
+}
+
+// TestGoldenEnumValues holds the words of enumerated fields, and the limits.
+func TestGoldenEnumValues(t *testing.T) {
+	text, err := json.MarshalIndent(enumValues, "", "  ")
+	require.NoError(t, err)
+	golden.Compare(t, "enum-values.json", text)
+}
+
+// TestGoldenIsComplete requires every exported struct type of the package to have a
+// golden message, and every exported constant that is a word to be among the golden values.
+func TestGoldenIsComplete(t *testing.T) {
+	var covered []string
+	for _, m := range messages {
+		covered = append(covered, reflect.TypeOf(m.make()).Elem().Name())
+	}
+	structs, words := declarations(t)
+	require.ElementsMatch(t, structs, covered)
+	require.NotEmpty(t, words)
+	require.ElementsMatch(t, words, enumWords(t))
+}
+
+// enumWords lists the words of the golden enum values, each field's once.
+func enumWords(t *testing.T) (words []string) {
+	var values map[string][]any
+	require.NoError(t, json.Unmarshal(golden.Read(t, "enum-values.json"), &values))
+	delete(values, viewList)
+	for _, list := range values {
+		for _, value := range list {
+			if word, ok := value.(string); ok {
+				words = append(words, word)
+			}
+		}
+	}
+	return words
+}
+
+// declarations lists the exported struct types of the package's source, and the values
+// of its exported constants that are strings.
+func declarations(t *testing.T) (structs, words []string) {
+	entries, err := os.ReadDir(".")
+	require.NoError(t, err)
+	for _, entry := range entries {
+		name := entry.Name()
+		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		require.NoError(t, err)
+		ast.Inspect(file, func(node ast.Node) bool {
+			switch node := node.(type) {
+			case *ast.FuncDecl:
+				return false
+			case *ast.TypeSpec:
+				if _, ok := node.Type.(*ast.StructType); ok && node.Name.IsExported() {
+					structs = append(structs, node.Name.Name)
+				}
+			case *ast.ValueSpec:
+				words = append(words, exportedWords(t, node)...)
+			}
+			return true
+		})
+	}
+	return structs, words
+}
+
+// exportedWords lists the strings that a declaration gives to exported names.
+func exportedWords(t *testing.T, spec *ast.ValueSpec) (words []string) {
+	for i, value := range spec.Values {
+		literal, ok := value.(*ast.BasicLit)
+		if !ok || literal.Kind != token.STRING || !spec.Names[i].IsExported() {
+			continue
+		}
+		word, err := strconv.Unquote(literal.Value)
+		require.NoError(t, err)
+		words = append(words, word)
+	}
+	return words
+}
