--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -36,29 +35,18 @@
 	return answers
 }
 
-// recordingAPI stands in for a controller's administration API: it writes down what is
-// asked, one line each, and answers changes like views.
-type recordingAPI struct {
-	answers  map[wire.AdminView]any
-	requests bytes.Buffer
-}
-
-func (a *recordingAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	fmt.Fprintf(&a.requests, "%s %s [%s] %s\n", r.Method, r.URL, r.Header.Get("Authorization"), body)
-	answer, ok := a.answers[wire.AdminView(strings.TrimPrefix(r.URL.Path, admin.Prefix+"/"))]
-	if !ok {
-		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(answer); err != nil {
-		panic(err) // the answers are constants
+// encodeAnswers has the views, and the changes that are answered like them, by method
+// and path.
+func encodeAnswers(t *testing.T, answers map[wire.AdminView]any) map[string]string {
+	bodies := map[string]string{}
+	for view, answer := range answers {
+		body, err := json.Marshal(answer)
+		require.NoError(t, err)
+		for _, method := range []string{http.MethodGet, http.MethodPatch} {
+			bodies[method+" "+admin.Prefix+"/"+string(view)] = string(body)
+		}
 	}
+	return bodies
 }
 
 // TestGoldenAdminCommands runs every admin command and holds what it asks the controller
@@ -83,12 +71,12 @@
 	}
 	for name, args := range commands {
 		t.Run(name, func(t *testing.T) {
-			api := &recordingAPI{answers: answers}
+			api := &golden.Recorder{Answers: encodeAnswers(t, answers)}
 			server := httptest.NewServer(api)
 			defer server.Close()
 			addr := strings.TrimPrefix(server.URL, "http://")
 			out := runRoot(t, append([]string{"admin", "--addr", addr}, args...)...)
-			golden.Compare(t, "admin-"+name+".txt", []byte(api.requests.String()+"\n"+out))
+			golden.Compare(t, "admin-"+name+".txt", []byte(string(api.Requests())+"\n"+out))
 		})
 	}
 }
--- /dev/null
+++ b/internal/cloud/golden_test.go
@@ -0,0 +1,66 @@
+package cloud
+
+import (
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/core"
+	"lilacrill/internal/golden"
+	"lilacrill/wire"
+)
+
+// TestGoldenRequests holds what is sent to the cloud, and reads answers with all fields set.
+func TestGoldenRequests(t *testing.T) {
+	var catalogue wire.Catalogue
+	var machines wire.MachineList
+	var names wire.Machines
+	golden.NewFiller(2).Fill(&catalogue)
+	golden.NewFiller(2).Fill(&machines)
+	golden.NewFiller(2).Fill(&names)
+	machines.More = false
+	recorder := &golden.Recorder{Answers: map[string]string{
+		"GET /catalog":       encode(t, catalogue),
+		"GET /hosts":         encode(t, machines),
+		"POST /hosts":        encode(t, names),
+		"POST /hosts/return": `{}`,
+	}}
+	server := httptest.NewServer(recorder)
+	defer server.Close()
+	client := New(&config.Settings{
+		Services: config.Services{Cloud: strings.TrimPrefix(server.URL, "http://")},
+		Cluster:  config.Cluster{Cloud: config.Cloud{RPS: 100}, Quota: config.Quota{Sockets: 500}},
+	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+
+	read := make(chan core.CatalogueRead, 1)
+	client.Catalogue(func(r core.CatalogueRead) { read <- r })
+	require.Equal(t, core.CatalogueRead{Outcome: core.Done, Catalogue: catalogue}, <-read)
+
+	listed := make(chan core.Listed, 1)
+	client.List(func(r core.Listed) { listed <- r })
+	require.Equal(t, core.Listed{Outcome: core.Done, Machines: machines.Machines}, <-listed)
+
+	var hire wire.Hire
+	golden.NewFiller(2).Fill(&hire)
+	hired := make(chan core.Hired, 1)
+	client.Hire(hire, func(r core.Hired) { hired <- r })
+	require.Equal(t, core.Hired{Outcome: core.Done, Names: names.Names}, <-hired)
+
+	returned := make(chan core.GivenBack, 1)
+	client.Return(names.Names, func(r core.GivenBack) { returned <- r })
+	require.Equal(t, core.GivenBack{Outcome: core.Done}, <-returned)
+
+	golden.Compare(t, "requests.txt", recorder.Requests())
+}
+
+func encode(t *testing.T, v any) string {
+	text, err := json.Marshal(v)
+	require.NoError(t, err)
+	return string(text)
+}
