--- a/cmd/lilacrill/admin.go
+++ b/cmd/lilacrill/admin.go
@@ -46,7 +46,7 @@
 		wire.ViewJobs:        "List the jobs that are not over, and why tasks wait",
 		wire.ViewSettings:    "Read the operators' settings and their version",
 		wire.ViewMetrics:     "Read counters and latencies",
-		wire.ViewShares:      "Show which controller owns which share of the machines, and what moves",
+		wire.ViewShards:      "Show which controller owns which share of the machines, and what moves",
 		wire.ViewRollout:     "Show which format of records is in force, and what the next one waits for",
 	}
 	views := map[wire.AdminView]*cobra.Command{}
@@ -70,7 +70,7 @@
 		cmd.AddCommand(views[v])
 	}
 	addRolloutCommands(views[wire.ViewRollout], client)
-	addShareCommands(views[wire.ViewShares], client)
+	addShareCommands(views[wire.ViewShards], client)
 	var version uint64
 	set := &cobra.Command{
 		Use:   "set NAME=VALUE...",
--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -132,7 +132,7 @@
 	})
 	g.Go(func() error { return server.New(e.set, e, os.Getenv(admin.TokenVariable), e.log).Serve(public) })
 	g.Go(func() error {
-		return e.mesh.Serve(peers, func(l *wire.PeerLine) { e.offer(core.PeerSaid{Line: l}) })
+		return e.mesh.Serve(peers, func(l *wire.PeerMessage) { e.offer(core.PeerSaid{Line: l}) })
 	})
 	g.Go(func() error { e.mesh.Send(ctx); return nil })
 	g.Go(func() error { e.state.Serve(ctx.Done()); return nil })
--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -26,7 +26,7 @@
 		wire.ViewSettings:    new(wire.AdminSettings),
 		wire.ViewMetrics:     new(wire.AdminMetrics),
 		wire.ViewRollout:     new(wire.AdminRollout),
-		wire.ViewShares:      new(wire.AdminShares),
+		wire.ViewShards:      new(wire.AdminShards),
 	}
 	for _, answer := range answers {
 		filler := golden.NewFiller(2)
@@ -83,7 +83,7 @@
 
 // shareNumber is the number of a share that the view of shares has.
 func shareNumber(answers map[wire.AdminView]any) string {
-	return fmt.Sprint(answers[wire.ViewShares].(*wire.AdminShares).Shares[0].Share)
+	return fmt.Sprint(answers[wire.ViewShards].(*wire.AdminShards).Shards[0].Shard)
 }
 
 // TestGoldenCheck holds what the check of a settings file prints, warnings included.
--- a/cmd/lilacrill/load_bench_test.go
+++ b/cmd/lilacrill/load_bench_test.go
@@ -154,13 +154,13 @@
 	l.pollEvery.Store(int64(usualPoll))
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	types := []wire.MachineType{
-		{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.3, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: size.zones},
-		{Name: "c16", Cores: 16, MemGB: 64, Rate: 1.1, MarketPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: size.zones},
+		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: size.zones},
+		{Name: "c16", Cores: 16, MemGB: 64, OnDemandPrice: 1.1, SpotPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: size.zones},
 	}
 	l.state = standin.NewStateServer()
 	l.state.NotePlacements(l.history)
 	state := httptest.NewServer(l.state)
-	cloud := httptest.NewServer(standin.CloudServer{Types: types, Listed: func() []wire.ListedMachine { return l.workers.Listed() },
+	cloud := httptest.NewServer(standin.CloudServer{Types: types, Listed: func() []wire.CloudMachine { return l.workers.Listed() },
 		Return: func(names []wire.MachineID) { l.workers.Return(names) }})
 	var peers []string
 	for range size.controllers {
--- a/cmd/lilacrill/load_shares_test.go
+++ b/cmd/lilacrill/load_shares_test.go
@@ -37,9 +37,9 @@
 }
 
 // shares is what a controller says of the shares.
-func (l *load) shares(i int) (wire.AdminShares, error) {
-	var v wire.AdminShares
-	answer, err := admin.NewClient(l.addrs[i], loadToken).View(wire.ViewShares)
+func (l *load) shares(i int) (wire.AdminShards, error) {
+	var v wire.AdminShards
+	answer, err := admin.NewClient(l.addrs[i], loadToken).View(wire.ViewShards)
 	if err == nil {
 		err = json.Unmarshal(answer, &v)
 	}
@@ -50,10 +50,10 @@
 func (l *load) awaitShares() {
 	require.Eventually(l.b, func() bool {
 		v, err := l.shares(0)
-		if err != nil || len(v.Shares) != share.Count {
+		if err != nil || len(v.Shards) != share.Count {
 			return false
 		}
-		for _, s := range v.Shares {
+		for _, s := range v.Shards {
 			if !s.Alive || s.To != "" {
 				return false
 			}
@@ -73,11 +73,11 @@
 		case <-time.After(time.Duration(random.IntN(60)) * time.Millisecond):
 		}
 		v, err := s.shares(asked)
-		if err != nil || len(v.Shares) == 0 {
+		if err != nil || len(v.Shards) == 0 {
 			continue
 		}
-		moved := v.Shares[random.IntN(len(v.Shares))]
-		_, err = admin.NewClient(s.addrs[asked], loadToken).ChangeShares(wire.AdminShareChange{Move: &moved.Share, Epoch: moved.Epoch,
+		moved := v.Shards[random.IntN(len(v.Shards))]
+		_, err = admin.NewClient(s.addrs[asked], loadToken).ChangeShares(wire.AdminShardChange{Move: &moved.Shard, Epoch: moved.Epoch,
 			To: fmt.Sprint("node-", random.IntN(s.size.controllers))})
 		if err != nil {
 			s.refused.Add(1)
--- a/cmd/lilacrill/load_users_test.go
+++ b/cmd/lilacrill/load_users_test.go
@@ -13,7 +13,7 @@
 
 func (l *load) submitServices() {
 	for n := range l.size.services {
-		spec := l.job(wire.ShapeService, wire.RankCritical, []int{3, 6, 8, 9}[n%4])
+		spec := l.job(wire.ShapeService, wire.PriorityCritical, []int{3, 6, 8, 9}[n%4])
 		spec.Image = fmt.Sprint("service-", n%12)
 		go l.submit(spec, 0)
 	}
@@ -27,14 +27,14 @@
 }
 
 func (l *load) arrayJob(tasks int) wire.JobSpec {
-	spec := l.job(wire.ShapeArray, wire.RankNormal, tasks)
+	spec := l.job(wire.ShapeArray, wire.PriorityNormal, tasks)
 	spec.Image = fmt.Sprint("array-", spec.ID[len(spec.ID)-1:])
 	return spec
 }
 
-func (l *load) job(shape wire.Shape, rank wire.Rank, tasks int) wire.JobSpec {
+func (l *load) job(shape wire.Shape, rank wire.Priority, tasks int) wire.JobSpec {
 	n := l.jobs.Add(1)
-	return wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: string(shape), Team: fmt.Sprint("team-", n%4), Shape: shape, Rank: rank,
+	return wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: string(shape), Team: fmt.Sprint("team-", n%4), Shape: shape, Priority: rank,
 		Tasks: tasks, Cores: 1, MemGB: 2, ImageGB: 1, RuntimeS: 25}
 }
 
@@ -84,7 +84,7 @@
 		}
 		l.answered.record(time.Since(polled))
 		l.history.Add(standin.HistoryEvent{Kind: standin.UserTold, Job: spec.ID, Status: s.Status, Asked: polled})
-		if s.Status.Final() {
+		if s.Status.IsTerminal() {
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 	if spec.Zone != "" {
 		zone = spec.Zone
 	}
-	return map[string]any{"yard": zone, "id": spec.ID, "jobclass": spec.Class, "crew": spec.Team, "shape": spec.Shape, "rank": spec.Rank, "loads": spec.Tasks,
+	return map[string]any{"yard": zone, "id": spec.ID, "jobclass": spec.Class, "crew": spec.Team, "shape": spec.Shape, "rank": spec.Priority, "loads": spec.Tasks,
 		"cores": spec.Cores, "accelerators": 0, "mem_gb": spec.MemGB, "kit": spec.Image, "size_gb": spec.ImageGB, "together": false, "apart": false,
 		"loaners": false, "runtime_s": spec.RuntimeS, "savepoint_s": 0, "stash_s": 0}
 }
--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -56,7 +56,7 @@
 	c := &cluster{state: standin.NewStateServer()}
 	state := httptest.NewServer(c.state)
 	cloud := httptest.NewServer(standin.CloudServer{Types: []wire.MachineType{
-		{Name: "c4", Cores: 4, MemGB: 16, Rate: 1, MarketPrice: 0.5, StartupS: 1, Zones: []string{"east"}}}})
+		{Name: "c4", Cores: 4, MemGB: 16, OnDemandPrice: 1, SpotPrice: 0.5, StartupS: 1, Zones: []string{"east"}}}})
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	t.Cleanup(func() {
@@ -145,8 +145,8 @@
 	}
 
 	// A worker reports and does as it is told: whatever is launched is done.
-	done := map[wire.TaskID]wire.TaskReport{}
-	r := wire.Report{Machine: "m-1", Addr: freeAddr(t), Type: "c4", Zone: "east", Session: 1}
+	done := map[wire.TaskID]wire.TaskStatus{}
+	r := wire.Heartbeat{Machine: "m-1", Addr: freeAddr(t), Type: "c4", Zone: "east", AgentEpoch: 1}
 	deadline := time.Now().Add(patient)
 	for status := ""; status != string(wire.StatusDone); {
 		require.True(t, time.Now().Before(deadline), "never done")
@@ -158,12 +158,12 @@
 		b, err := json.Marshal(r)
 		require.NoError(t, err)
 		if code, text, _ := c.call(t, 0, "POST", "/hello", string(b)); code == 200 {
-			var a wire.ReportAnswer
+			var a wire.HeartbeatResponse
 			require.NoError(t, json.Unmarshal([]byte(text), &a))
 			r.Token = max(r.Token, a.Token)
-			for _, o := range a.Orders {
+			for _, o := range a.Commands {
 				if o.Verb == wire.VerbLaunch {
-					done[o.Task] = wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
+					done[o.Task] = wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: wire.CauseDone}
 				}
 			}
 		}
@@ -282,7 +282,7 @@
 	require.ErrorContains(t, err, "409: shares are dormant")
 	_, err = c.adminCommand("rollout", "activate", "3")
 	require.NoError(t, err)
-	shares := func() (v wire.AdminShares) {
+	shares := func() (v wire.AdminShards) {
 		out, err := c.adminCommand("shares")
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal([]byte(out), &v))
@@ -303,11 +303,11 @@
 	require.Contains(t, c.until(t, 0, "PATCH", path, `{"move":3,"to":"rig-1","epoch":99}`, 409, auth...), "stale epoch")
 	require.Contains(t, c.until(t, 0, "PATCH", path, `{"end_drain":"rig-1"}`, 409, auth...), "not drained")
 
-	before := shares().Shares[3]
+	before := shares().Shards[3]
 	to := map[string]string{"rig-0": "rig-1", "rig-1": "rig-0"}[before.Owner]
 	_, err = c.adminCommand("shares", "move", "3", to)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { now := shares().Shares[3]; return now.Owner == to && now.Epoch == before.Epoch+1 }, patient, 50*time.Millisecond)
+	require.Eventually(t, func() bool { now := shares().Shards[3]; return now.Owner == to && now.Epoch == before.Epoch+1 }, patient, 50*time.Millisecond)
 	_, err = c.adminCommand("shares", "move", "3", before.Owner, "--epoch", fmt.Sprint(before.Epoch))
 	require.ErrorContains(t, err, "stale epoch")
 
--- a/cmd/lilacrill/shares.go
+++ b/cmd/lilacrill/shares.go
@@ -13,7 +13,7 @@
 
 // addShareCommands adds the subcommands that move shares and drain controllers.
 func addShareCommands(parent *cobra.Command, client func() (*admin.Client, error)) {
-	change := func(cmd *cobra.Command, c wire.AdminShareChange) error {
+	change := func(cmd *cobra.Command, c wire.AdminShardChange) error {
 		return runChange(cmd, client, func(api *admin.Client) (json.RawMessage, error) {
 			if c.Move != nil && !cmd.Flags().Changed("epoch") {
 				var err error
@@ -38,8 +38,8 @@
 			if err != nil {
 				return fmt.Errorf("%q: want the number of a share", args[0])
 			}
-			id := wire.ShareID(n)
-			return change(cmd, wire.AdminShareChange{Move: &id, To: args[1], Epoch: wire.Epoch(epoch)})
+			id := wire.ShardID(n)
+			return change(cmd, wire.AdminShardChange{Move: &id, To: args[1], Epoch: wire.ShardEpoch(epoch)})
 		},
 	}
 	move.Flags().Uint64Var(&epoch, "epoch", 0, "the `EPOCH` that the move was decided in; by default the present one")
@@ -49,7 +49,7 @@
 		Short: "Have a controller hand over all its shares and get none",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return change(cmd, wire.AdminShareChange{Drain: args[0], Reason: reason})
+			return change(cmd, wire.AdminShardChange{Drain: args[0], Reason: reason})
 		},
 	}
 	drain.Flags().StringVar(&reason, "reason", "", "why")
@@ -58,7 +58,7 @@
 		Short: "Let a drained controller have shares again",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return change(cmd, wire.AdminShareChange{EndDrain: args[0]})
+			return change(cmd, wire.AdminShardChange{EndDrain: args[0]})
 		},
 	}
 	parent.AddCommand(move, drain, endDrain)
@@ -66,18 +66,18 @@
 
 // shareEpoch reads the present epoch of a share; 0 if there is no such share, which the
 // controller then says.
-func shareEpoch(api *admin.Client, id wire.ShareID) (wire.Epoch, error) {
-	answer, err := api.View(wire.ViewShares)
+func shareEpoch(api *admin.Client, id wire.ShardID) (wire.ShardEpoch, error) {
+	answer, err := api.View(wire.ViewShards)
 	if err != nil {
 		return 0, err
 	}
-	var now wire.AdminShares
+	var now wire.AdminShards
 	if err := json.Unmarshal(answer, &now); err != nil {
 		return 0, fmt.Errorf("answer not understood: %w", err)
 	}
-	for i := range now.Shares {
-		if now.Shares[i].Share == id {
-			return now.Shares[i].Epoch, nil
+	for i := range now.Shards {
+		if now.Shards[i].Shard == id {
+			return now.Shards[i].Epoch, nil
 		}
 	}
 	return 0, nil
--- a/cmd/lilacrill/shares_bench_test.go
+++ b/cmd/lilacrill/shares_bench_test.go
@@ -85,9 +85,9 @@
 }
 
 // owners is the owner of each share, as the state service has it.
-func (l *load) owners() map[wire.ShareID]record.Share {
-	owners := map[wire.ShareID]record.Share{}
-	for id := range wire.ShareID(share.Count) {
+func (l *load) owners() map[wire.ShardID]record.Share {
+	owners := map[wire.ShardID]record.Share{}
+	for id := range wire.ShardID(share.Count) {
 		for _, e := range l.state.Entries(record.ShareKey(id)) {
 			var s record.Share
 			if e.Key == record.ShareKey(id) && json.Unmarshal(e.Value, &s) == nil {
@@ -102,14 +102,14 @@
 func (s *shuffled) measureMoves() {
 	var took []time.Duration
 	for n := range 20 {
-		id := wire.ShareID(n)
+		id := wire.ShardID(n)
 		before := s.owners()[id]
 		to := 0
 		for fmt.Sprint("node-", to) == before.Owner.Label {
 			to++
 		}
 		from := time.Now()
-		_, err := admin.NewClient(s.addrs[0], loadToken).ChangeShares(wire.AdminShareChange{Move: &id, Epoch: before.Epoch, To: fmt.Sprint("node-", to)})
+		_, err := admin.NewClient(s.addrs[0], loadToken).ChangeShares(wire.AdminShardChange{Move: &id, Epoch: before.Epoch, To: fmt.Sprint("node-", to)})
 		if err != nil {
 			continue // the balance moves it just now
 		}
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -118,7 +118,7 @@
 		}
 		spec := u.arrayJob(1 + n%u.size.arrayTasks)
 		if n%4 == 3 {
-			spec.Shape, spec.Rank, spec.Tasks = wire.ShapeGang, wire.RankHigh, 1+n%3
+			spec.Shape, spec.Priority, spec.Tasks = wire.ShapeGang, wire.PriorityHigh, 1+n%3
 		}
 		spec.Zone = []string{"", "", u.size.zones[0]}[n%3]
 		go u.submit(spec, time.Second+time.Duration(n%7)*longest/7)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -63,8 +63,8 @@
 		}
 		return ask(c, func(r core.RequestID) core.Input { return core.RolloutAsked{Request: r, Change: change} })
 	})
-	group.Patch("/"+string(wire.ViewShares), func(c fiber.Ctx) error {
-		change, err := wire.ParseAdminShareChange(c.Body())
+	group.Patch("/"+string(wire.ViewShards), func(c fiber.Ctx) error {
+		change, err := wire.ParseAdminShardChange(c.Body())
 		if err != nil {
 			return refuse(c, http.StatusBadRequest, err.Error())
 		}
@@ -83,5 +83,5 @@
 }
 
 func refuse(c fiber.Ctx, status int, why string) error {
-	return c.Status(status).JSON(wire.Problem{Error: why})
+	return c.Status(status).JSON(wire.ErrorResponse{Error: why})
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -39,13 +39,13 @@
 }
 
 // ChangeShares moves a share, drains a controller or ends a drain.
-func (c *Client) ChangeShares(change wire.AdminShareChange) (json.RawMessage, error) {
-	return c.call(http.MethodPatch, wire.ViewShares, change)
+func (c *Client) ChangeShares(change wire.AdminShardChange) (json.RawMessage, error) {
+	return c.call(http.MethodPatch, wire.ViewShards, change)
 }
 
 func (c *Client) call(method string, v wire.AdminView, body any) (json.RawMessage, error) {
 	var answer json.RawMessage
-	var problem wire.Problem
+	var problem wire.ErrorResponse
 	into := map[int]any{http.StatusOK: &answer}
 	for _, status := range []int{400, 401, 403, 404, 409, 503} {
 		into[status] = &problem
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -31,9 +31,9 @@
 // Price is what the offer costs an hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
-		return o.Type.MarketPrice
+		return o.Type.SpotPrice
 	}
-	return o.Type.Rate
+	return o.Type.OnDemandPrice
 }
 
 // Key names an offer.
@@ -84,10 +84,10 @@
 			continue
 		}
 		if k := slices.IndexFunc(out, func(p Purchase) bool { return p.Offer.Key() == best.Key() }); k >= 0 {
-			number = min(number, wire.MaxHire-out[k].Number)
+			number = min(number, wire.MaxProvision-out[k].Number)
 			out[k].Number += number
 		} else {
-			number = min(number, wire.MaxHire)
+			number = min(number, wire.MaxProvision)
 			out = append(out, Purchase{best, number})
 		}
 		for range number {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 )
 
 func offers() []Offer {
-	small := wire.MachineType{Name: "small", Cores: 4, MemGB: 16, Rate: 4, MarketPrice: 1}
-	large := wire.MachineType{Name: "large", Cores: 16, Accelerators: 2, MemGB: 64, Rate: 40, MarketPrice: 12}
+	small := wire.MachineType{Name: "small", Cores: 4, MemGB: 16, OnDemandPrice: 4, SpotPrice: 1}
+	large := wire.MachineType{Name: "large", Cores: 16, Accelerators: 2, MemGB: 64, OnDemandPrice: 40, SpotPrice: 12}
 	var out []Offer
 	for _, t := range []wire.MachineType{small, large} {
 		for _, zone := range []string{"a", "b"} {
@@ -47,7 +47,7 @@
 			require.False(t, seen[p.Offer.Key()], "asked twice")
 			seen[p.Offer.Key()] = true
 			require.True(t, anySpot || !p.Offer.Spot)
-			require.LessOrEqual(t, p.Number, wire.MaxHire)
+			require.LessOrEqual(t, p.Number, wire.MaxProvision)
 			h := p.Offer.Host("", 300)
 			room = room.Plus(h.Total, float64(p.Number))
 		}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -84,7 +84,7 @@
 		var r core.Listed
 		after := ""
 		for {
-			q := url.Values{"page": {strconv.Itoa(wire.MaxList)}}
+			q := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
 			if after != "" {
 				q.Set("after", after)
 			}
@@ -106,10 +106,10 @@
 const noCapacity = "no capacity"
 
 // Hire rents machines.
-func (c *Client) Hire(h wire.Hire, then func(core.Hired)) {
+func (c *Client) Hire(h wire.ProvisionRequest, then func(core.Hired)) {
 	go func() {
-		var names wire.Machines
-		var problem wire.Problem
+		var names wire.MachineNames
+		var problem wire.ErrorResponse
 		status, outcome := c.call(http.MethodPost, "/hosts", h, map[int]any{200: &names, 503: &problem})
 		then(core.Hired{Outcome: outcome, Names: names.Names,
 			Refused: status == http.StatusServiceUnavailable && problem.Error == noCapacity})
@@ -119,7 +119,7 @@
 // Return gives machines back.
 func (c *Client) Return(names []wire.MachineID, then func(core.GivenBack)) {
 	go func() {
-		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.Machines{Names: names}, nil)
+		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: names}, nil)
 		then(core.GivenBack{Outcome: outcome})
 	}()
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -20,7 +20,7 @@
 func TestGoldenRequests(t *testing.T) {
 	var catalogue wire.Catalogue
 	var machines wire.MachineList
-	var names wire.Machines
+	var names wire.MachineNames
 	golden.NewFiller(2).Fill(&catalogue)
 	golden.NewFiller(2).Fill(&machines)
 	golden.NewFiller(2).Fill(&names)
@@ -46,7 +46,7 @@
 	client.List(func(r core.Listed) { listed <- r })
 	require.Equal(t, core.Listed{Outcome: core.Done, Machines: machines.Machines}, <-listed)
 
-	var hire wire.Hire
+	var hire wire.ProvisionRequest
 	golden.NewFiller(2).Fill(&hire)
 	hired := make(chan core.Hired, 1)
 	client.Hire(hire, func(r core.Hired) { hired <- r })
--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -58,7 +58,7 @@
 	case wire.ViewRollout:
 		c.viewRollout(in.Request)
 		return
-	case wire.ViewShares:
+	case wire.ViewShards:
 		c.viewShares(in.Request)
 		return
 	default:
@@ -124,7 +124,7 @@
 			c.refuse(in.Request, http.StatusBadRequest, err.Error(), 0)
 			return
 		case in.Change.Version != c.version:
-			c.reply(in.Request, http.StatusConflict, wire.Problem{Error: "stale version: read the settings again"})
+			c.reply(in.Request, http.StatusConflict, wire.ErrorResponse{Error: "stale version: read the settings again"})
 			return
 		}
 		c.commit(ClassAccept, wire.Transaction{
@@ -135,7 +135,7 @@
 			case Done:
 				c.reply(in.Request, http.StatusOK, c.viewSettings())
 			case Conflict:
-				c.reply(in.Request, http.StatusConflict, wire.Problem{Error: "stale version: read the settings again"})
+				c.reply(in.Request, http.StatusConflict, wire.ErrorResponse{Error: "stale version: read the settings again"})
 			default:
 				c.unavailable(in.Request, "state service unavailable; read the settings to see whether they were stored")
 			}
@@ -144,16 +144,16 @@
 }
 
 func (c *Core) viewControllers() []wire.AdminController {
-	out := []wire.AdminController{{Label: c.settings.Label, Boot: c.boot, Alive: true, Buyer: c.buyer == c.boot, Self: true,
-		State: c.stateFresh(), Heard: true, Hears: true, Isolated: c.isolated(), Revision: c.feed, Token: c.token,
-		InStepS: c.now.Sub(c.inStep).Seconds(), KnownS: c.now.Sub(c.known()).Seconds(), Renews: c.now.Sub(c.known()) <= c.cancelSlack(),
-		LateS: c.lag * TickEvery.Seconds()}}
+	out := []wire.AdminController{{Label: c.settings.Label, Incarnation: c.boot, Alive: true, Provisioner: c.buyer == c.boot, Self: true,
+		StoreReachable: c.stateFresh(), HeardFrom: true, HearsUs: true, Isolated: c.isolated(), Revision: c.feed, Token: c.token,
+		StoreLagS: c.now.Sub(c.inStep).Seconds(), CancellationLagS: c.now.Sub(c.known()).Seconds(), RenewsLeases: c.now.Sub(c.known()) <= c.cancelSlack(),
+		TimerLagS: c.lag * TickEvery.Seconds()}}
 	for _, s := range c.settings.Siblings {
 		boot, alive := c.nodes[s.Label]
 		p := c.peers[s.Label]
-		out = append(out, wire.AdminController{Label: s.Label, Boot: boot, Alive: alive, Buyer: alive && c.buyer == boot,
-			State: p != nil && p.fresh && c.now.Sub(p.heard) < 3*heartbeatEvery,
-			Heard: p != nil && c.now.Sub(p.heard) <= peerSilence, Hears: p != nil && c.now.Sub(p.echoed) <= echoSilence,
+		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.buyer == boot,
+			StoreReachable: p != nil && p.fresh && c.now.Sub(p.heard) < 3*heartbeatEvery,
+			HeardFrom:      p != nil && c.now.Sub(p.heard) <= peerSilence, HearsUs: p != nil && c.now.Sub(p.echoed) <= echoSilence,
 			Isolated: c.isolatedNodes[s.Label]})
 	}
 	return out
@@ -165,14 +165,14 @@
 		s := &c.settings.Cluster.Teams[i]
 		t := c.teamOf(s.Name)
 		v := wire.AdminTeam{Name: s.Name, Owner: c.teamOwner(s.Name), CPUsGuaranteed: s.CPUs, CPUsMax: s.CPUsMax,
-			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementPaused: !c.after(t.placeFrom)}
+			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.after(t.placeFrom)}
 		var used placement.Amount
 		for _, p := range t.pages {
 			for k := range p.entries {
 				used = used.Plus(p.entries[k].need(), float64(p.entries[k].Tasks.Len()))
 			}
 		}
-		v.CPUs, v.GPUs = used.Cores, used.Accelerators
+		v.CPUsUsed, v.GPUsUsed = used.Cores, used.Accelerators
 		for _, j := range c.jobs {
 			if j.spec.Team == s.Name {
 				v.Jobs++
@@ -200,8 +200,8 @@
 		}
 		v := wire.AdminMachine{ID: m.id, Type: m.kind, Zone: m.zone, Spot: m.spot, Status: m.status,
 			SilentS: c.now.Sub(c.lastSign(m)).Seconds(), Faulty: !c.after(m.badUntil), Reserved: m.reserved,
-			Late: m.unborn() && m.status == wire.MachineBooting && !c.bootExpected(m), Recalled: m.recallAt != 0}
-		v.Leaving = c.leaving[m.id].why
+			ProvisioningLate: m.unborn() && m.status == wire.MachineBooting && !c.bootExpected(m), PreemptionNotice: m.recallAt != 0}
+		v.TerminationReason = c.leaving[m.id].why
 		for _, e := range m.entries {
 			v.Tasks += e.Tasks.Len()
 		}
@@ -217,8 +217,8 @@
 	out := []wire.AdminJob{}
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		v := wire.AdminJob{ID: id, Class: j.spec.Class, Team: j.spec.Team, Rank: j.spec.Rank, Tasks: j.spec.Tasks,
-			Done: j.done.Len(), Placed: c.placedOf(id), FailedOn: len(j.errors), PausedS: max(0, j.notBefore.Sub(c.now).Seconds())}
+		v := wire.AdminJob{ID: id, Class: j.spec.Class, Team: j.spec.Team, Priority: j.spec.Priority, Tasks: j.spec.Tasks,
+			Done: j.done.Len(), Placed: c.placedOf(id), FailedOn: len(j.errors), BackoffS: max(0, j.notBefore.Sub(c.now).Seconds())}
 		v.Waiting = max(0, v.Tasks-v.Done-v.Placed)
 		if v.Waiting > 0 {
 			v.Reason = j.why
--- a/internal/core/buying.go
+++ b/internal/core/buying.go
@@ -58,9 +58,9 @@
 		if i == hiresAtOnce {
 			break
 		}
-		c.hire(wire.Hire{
+		c.hire(wire.ProvisionRequest{
 			Name: fmt.Sprintf("%s-%d", c.settings.Label, c.serial()),
-			Type: p.Offer.Type.Name, Zone: p.Offer.Zone, Spot: p.Offer.Spot, Number: p.Number,
+			Type: p.Offer.Type.Name, Zone: p.Offer.Zone, Spot: p.Offer.Spot, Count: p.Number,
 		}, 3)
 	}
 }
@@ -165,9 +165,9 @@
 
 func corePrice(t *wire.MachineType, spot bool) float64 {
 	if spot {
-		return t.MarketPrice / max(t.Cores, 1)
+		return t.SpotPrice / max(t.Cores, 1)
 	}
-	return t.Rate / max(t.Cores, 1)
+	return t.OnDemandPrice / max(t.Cores, 1)
 }
 
 // tooDear reports whether a machine is one that work in no hurry leaves alone.
@@ -204,13 +204,13 @@
 // patience is how long after its submission a job's tasks may be left waiting:
 // a part of what the objectives leave.
 func (c *Core) patience(j *job) time.Duration {
-	if j.spec.Rank.Order() <= wire.RankHigh.Order() {
+	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		return 0
 	}
 	left := math.Inf(1)
-	if j.spec.DueS > 0 {
+	if j.spec.DeadlineS > 0 {
 		// Estimates are often wrong by half or more.
-		left = (j.spec.DueS - 2*j.spec.RuntimeS) * duePart / patientPart
+		left = (j.spec.DeadlineS - 2*j.spec.RuntimeS) * duePart / patientPart
 	}
 	for _, o := range c.settings.Cluster.Objectives {
 		if o.Class != j.spec.Class {
@@ -272,7 +272,7 @@
 	return out
 }
 
-func (c *Core) hire(h wire.Hire, tries int) {
+func (c *Core) hire(h wire.ProvisionRequest, tries int) {
 	c.hiring++
 	c.do(HireMachines{call(c, func(r Hired) {
 		c.hiring--
@@ -280,7 +280,7 @@
 		switch {
 		case r.Outcome == Done:
 			c.count(countHired, len(r.Names))
-			c.log.Info("machines rented", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Number, "got", len(r.Names))
+			c.log.Info("machines rented", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(r.Names))
 			for _, id := range r.Names {
 				m := c.machineOf(id)
 				if m.newest == nil {
@@ -289,7 +289,7 @@
 				m.born, m.listed = c.now, c.now
 			}
 			delete(c.refused, key)
-			if len(r.Names) < h.Number {
+			if len(r.Names) < h.Count {
 				c.refuseOffer(key)
 			}
 		case r.Outcome == Unknown && tries > 1:
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -39,7 +39,7 @@
 
 	// withdrawn is the withdrawals that this cache has seen after the revision
 	// withdrawnFrom, by revision.
-	withdrawn     []wire.Withdrawal
+	withdrawn     []wire.Cancellation
 	withdrawnFrom wire.Revision
 
 	// overOn is the machines on which tasks of jobs that are over may stand, by the
@@ -128,8 +128,8 @@
 }
 
 // noteWithdrawn remembers a withdrawal for the siblings.
-func (c *Core) noteWithdrawn(w wire.Withdrawal) {
-	i, _ := slices.BinarySearchFunc(c.withdrawn, w, func(a, b wire.Withdrawal) int {
+func (c *Core) noteWithdrawn(w wire.Cancellation) {
+	i, _ := slices.BinarySearchFunc(c.withdrawn, w, func(a, b wire.Cancellation) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Job, b.Job))
 	})
 	c.withdrawn = slices.Insert(c.withdrawn, i, w)
@@ -146,7 +146,7 @@
 // forgetWithdrawn drops the withdrawals up to a revision.
 func (c *Core) forgetWithdrawn(upTo wire.Revision) {
 	c.withdrawnFrom = max(c.withdrawnFrom, upTo)
-	i, _ := slices.BinarySearchFunc(c.withdrawn, upTo+1, func(w wire.Withdrawal, l wire.Revision) int {
+	i, _ := slices.BinarySearchFunc(c.withdrawn, upTo+1, func(w wire.Cancellation, l wire.Revision) int {
 		return cmp.Compare(w.Version, l)
 	})
 	c.withdrawn = slices.Delete(c.withdrawn, 0, i)
@@ -154,14 +154,14 @@
 
 // attest is this controller's word as of now. Only a process that has read nothing
 // yet, and so told nobody anything, and one that holds everything can give it.
-func (c *Core) attest() *wire.Attestation {
+func (c *Core) attest() *wire.CancellationWatermark {
 	c.nextAttestation = c.now.Add(attestEvery)
 	c.attested++
 	c.attestationsSent = append(c.attestationsSent, c.now)
 	if len(c.attestationsSent) > attestationsKept {
 		c.attestationsSent = c.attestationsSent[1:]
 	}
-	v := &wire.Attestation{Process: c.process, Number: c.attested, Revision: c.feed}
+	v := &wire.CancellationWatermark{Process: c.process, Sequence: c.attested, Revision: c.feed}
 	lowest, listening := wire.Revision(math.MaxUint64), wire.Revision(math.MaxUint64)
 	for _, s := range c.settings.Siblings {
 		p := c.peers[s.Label]
@@ -169,46 +169,46 @@
 			lowest = 0
 			continue
 		}
-		if v.Heard == nil {
-			v.Heard = map[string]wire.Echo{}
+		if v.Acks == nil {
+			v.Acks = map[string]wire.WatermarkAck{}
 		}
-		v.Heard[s.Label] = wire.Echo{Process: p.process, Number: p.number}
+		v.Acks[s.Label] = wire.WatermarkAck{Process: p.process, Sequence: p.number}
 		lowest = min(lowest, p.revision)
 		if c.now.Sub(p.heard) <= peerSilence {
 			listening = min(listening, p.revision)
 		}
 	}
 	c.forgetWithdrawn(min(lowest, c.feed))
-	v.From = max(c.withdrawnFrom, min(listening, c.feed))
+	v.Since = max(c.withdrawnFrom, min(listening, c.feed))
 	for _, w := range c.withdrawn {
-		if w.Version > v.From {
-			v.Withdrawn = append(v.Withdrawn, w)
+		if w.Version > v.Since {
+			v.Cancellations = append(v.Cancellations, w)
 		}
 	}
 	return v
 }
 
 // acceptAttestation takes a sibling's word.
-func (c *Core) acceptAttestation(p *peerView, v *wire.Attestation) {
+func (c *Core) acceptAttestation(p *peerView, v *wire.CancellationWatermark) {
 	if p.process != v.Process {
 		p.process, p.number, p.since, p.attested = v.Process, 0, c.now, 0
 	}
-	p.number = max(p.number, v.Number)
+	p.number = max(p.number, v.Sequence)
 	p.revision = max(p.revision, v.Revision)
-	for _, w := range v.Withdrawn {
+	for _, w := range v.Cancellations {
 		// What is not newer than the feed is known, or was moved since to a key of
 		// its own.
 		if w.Version > c.feed && c.loaded {
-			c.apply(record.JobKey(w.Job), encode(record.Over{Over: record.Final{Status: wire.StatusWithdrawn, Done: w.Done}}), w.Version)
+			c.apply(record.JobKey(w.Job), encode(record.Over{Over: record.Final{Status: wire.StatusCancelled, Done: w.Done}}), w.Version)
 		}
 	}
-	echo, ok := v.Heard[c.settings.Label]
-	if !ok || echo.Process != c.process || echo.Number > c.attested {
+	echo, ok := v.Acks[c.settings.Label]
+	if !ok || echo.Process != c.process || echo.Sequence > c.attested {
 		return
 	}
-	if i := len(c.attestationsSent) - 1 - int(c.attested-echo.Number); i >= 0 {
+	if i := len(c.attestationsSent) - 1 - int(c.attested-echo.Sequence); i >= 0 {
 		p.echoed = max(p.echoed, c.attestationsSent[i])
-		if c.whole() && c.feed >= v.From {
+		if c.whole() && c.feed >= v.Since {
 			p.attested = max(p.attested, c.attestationsSent[i])
 		}
 	}
@@ -241,7 +241,7 @@
 		if m == nil || m.newest == nil {
 			return true, true, true
 		}
-		if m.newest.Session > e.Session || m.gone {
+		if m.newest.AgentEpoch > e.Session || m.gone {
 			continue // its session is over, and what is under way is for that
 		}
 		for i := range e.Tasks.All {
@@ -288,7 +288,7 @@
 		if m.newest == nil && m.addr != "" && !m.requestingReport && c.after(m.nextReportRequest) && c.mayAsk() {
 			c.requestReport(m) // it cannot be told before it was heard
 		}
-		if c.cannotTell(m) && c.now.Sub(c.overOn[id]) > c.lastResort(m) && len(names) < wire.MaxReturn {
+		if c.cannotTell(m) && c.now.Sub(c.overOn[id]) > c.lastResort(m) && len(names) < wire.MaxTerminate {
 			names = append(names, id)
 		}
 	}
@@ -350,15 +350,15 @@
 
 // stopsOf is the orders to stop what is known to be withdrawn or done on a machine,
 // recorded or not. They hold whatever else was written meanwhile.
-func (c *Core) stopsOf(m *machine) []wire.Order {
-	var orders []wire.Order
+func (c *Core) stopsOf(m *machine) []wire.Command {
+	var orders []wire.Command
 	for i := range m.newest.Tasks {
 		t := &m.newest.Tasks[i]
 		if t.State == wire.TaskExited || len(orders) >= maxOrders {
 			continue
 		}
 		if _, over := c.ended(t.Task.Job); over {
-			orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, WindupS: windup(0)})
+			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: windup(0)})
 		}
 	}
 	return orders
--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -31,9 +31,9 @@
 }
 
 // word is a sibling's attestation that has heard the given one of ours.
-func word(c *Core, from string, process, number, heard uint64, since wire.Revision, w ...wire.Withdrawal) *wire.PeerLine {
-	return &wire.PeerLine{From: from, Attestation: &wire.Attestation{Process: process, Number: number, Revision: since, From: since,
-		Heard: map[string]wire.Echo{c.settings.Label: {Process: c.process, Number: heard}}, Withdrawn: w}}
+func word(c *Core, from string, process, number, heard uint64, since wire.Revision, w ...wire.Cancellation) *wire.PeerMessage {
+	return &wire.PeerMessage{From: from, Watermark: &wire.CancellationWatermark{Process: process, Sequence: number, Revision: since, Since: since,
+		Acks: map[string]wire.WatermarkAck{c.settings.Label: {Process: c.process, Sequence: heard}}, Cancellations: w}}
 }
 
 func at(s float64) Time { return Time(s * float64(time.Second)) }
@@ -67,11 +67,11 @@
 	// A withdrawal that is listed is known; a list that begins after what was read
 	// here proves nothing.
 	c.attest() // 9
-	c.peerSaid(word(c, "rig-1", 7, 3, 9, 100, wire.Withdrawal{Job: "wk-000001", Version: 101}))
+	c.peerSaid(word(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
 	c.peerSaid(word(c, "rig-2", 8, 3, 9, 140))
 	f, ok := c.ended("wk-000001")
 	require.True(t, ok)
-	require.Equal(t, wire.StatusWithdrawn, f.Status)
+	require.Equal(t, wire.StatusCancelled, f.Status)
 	require.Equal(t, at(40), c.known())
 	c.peerSaid(word(c, "rig-2", 8, 4, 9, 100))
 	require.Equal(t, at(40+16.1), c.known())
@@ -82,8 +82,8 @@
 	require.Equal(t, at(20), c.known())
 	require.False(t, c.mayRenew())
 	// What an earlier process of ours was heard of means nothing.
-	c.peerSaid(&wire.PeerLine{From: "rig-1", Attestation: &wire.Attestation{Process: 7, Number: 9,
-		Heard: map[string]wire.Echo{"rig-0": {Process: c.process + 1, Number: 3}}}})
+	c.peerSaid(&wire.PeerMessage{From: "rig-1", Watermark: &wire.CancellationWatermark{Process: 7, Sequence: 9,
+		Acks: map[string]wire.WatermarkAck{"rig-0": {Process: c.process + 1, Sequence: 3}}}})
 	require.Equal(t, at(20), c.known())
 }
 
@@ -97,7 +97,7 @@
 		for i := range rapid.IntRange(0, 900).Draw(t, "withdrawals") {
 			version += wire.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 			id := wire.JobID(wire.TaskID{Job: "wk-1", Index: i}.String())
-			c.apply(record.JobKey(id), encode(record.Over{Over: record.Final{Status: wire.StatusWithdrawn}}), version)
+			c.apply(record.JobKey(id), encode(record.Over{Over: record.Final{Status: wire.StatusCancelled}}), version)
 			all[version] = id
 			if rapid.IntRange(0, 200).Draw(t, "told") == 0 {
 				p := rapid.SampledFrom([]string{"rig-1", "rig-2"}).Draw(t, "by")
@@ -107,12 +107,12 @@
 		c.feed = version
 		v := c.attest()
 		listed := map[wire.Revision]wire.JobID{}
-		for _, w := range v.Withdrawn {
+		for _, w := range v.Cancellations {
 			listed[w.Version] = w.Job
 		}
 		require.LessOrEqual(t, len(listed), mostWithdrawn)
 		for s, id := range all {
-			if s > v.From {
+			if s > v.Since {
 				require.Equal(t, id, listed[s])
 			}
 		}
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -171,7 +171,7 @@
 	c.log.Info("this controller reaches no workers and leaves buying to another")
 	c.commit(ClassRest, wire.Transaction{
 		If:   []wire.Condition{{Key: record.BuyerKey, Version: c.keyVersions[record.BuyerKey]}},
-		Then: []wire.Change{{Drop: record.BuyerKey}},
+		Then: []wire.Change{{Delete: record.BuyerKey}},
 	}, func(Committed) {
 		c.claiming = false
 		c.barrier(func(bool) {})
@@ -190,15 +190,15 @@
 		c.lists++
 		c.listed(r.Machines)
 		// A list of several pages takes as many calls, which hires need as well.
-		c.nextList = max(c.nextList, c.now.Add(listEvery*time.Duration(len(r.Machines)/wire.MaxList)))
+		c.nextList = max(c.nextList, c.now.Add(listEvery*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
 		c.tellList(r.Machines)
 	})})
 }
 
 // tellList passes on what is new in the list: most of it never changes.
-func (c *Core) tellList(list []wire.ListedMachine) {
+func (c *Core) tellList(list []wire.CloudMachine) {
 	told := make(map[wire.MachineID]wire.MachineStatus, len(list))
-	var news []wire.ListedMachine
+	var news []wire.CloudMachine
 	for i := range list {
 		l := &list[i]
 		told[l.ID] = l.Status
@@ -209,13 +209,13 @@
 	c.toldCloud = told
 	if len(news) > 0 {
 		line := c.newLine()
-		line.Cloud = news
+		line.CloudMachines = news
 		c.tell(line)
 	}
 }
 
 // listed takes a machine list. It lags, so absence from it proves nothing.
-func (c *Core) listed(list []wire.ListedMachine) {
+func (c *Core) listed(list []wire.CloudMachine) {
 	for _, l := range list {
 		m := c.machineOf(l.ID)
 		if m.newest == nil {
@@ -223,7 +223,7 @@
 		}
 		m.listed = c.now
 		m.status = l.Status
-		if born := c.now.Add(-config.Seconds(l.HeldS)); m.born == 0 || born < m.born {
+		if born := c.now.Add(-config.Seconds(l.AgeS)); m.born == 0 || born < m.born {
 			m.born = born
 		}
 	}
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -36,7 +36,7 @@
 				case ch.Put != "":
 					c.apply(ch.Put, ch.Value, r.Revision)
 				default:
-					c.apply(ch.Drop, nil, r.Revision)
+					c.apply(ch.Delete, nil, r.Revision)
 				}
 			}
 		case Conflict:
--- a/internal/core/crowd_test.go
+++ b/internal/core/crowd_test.go
@@ -24,7 +24,7 @@
 	taken, last := 0, time.Duration(0)
 	for i := range 1000 {
 		spec := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Team: "guest", Shape: wire.ShapeArray,
-			Rank: wire.RankBestEffort, Tasks: 1, Cores: 1, MemGB: 1, Image: "img"}
+			Priority: wire.PriorityBestEffort, Tasks: 1, Cores: 1, MemGB: 1, Image: "img"}
 		c.out = c.out[:0]
 		c.submit(Submitted{Request: RequestID(i), Spec: spec})
 		require.Len(t, c.out, 1)
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -43,7 +43,7 @@
 	if err := fastjson.Unmarshal(value, &f); err != nil {
 		return err
 	}
-	if !f.Status.Final() {
+	if !f.Status.IsTerminal() {
 		return errNotFinal
 	}
 	c.remember(id, f)
@@ -85,7 +85,7 @@
 			continue
 		}
 		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.FinalKey(o.id)})
-		txn.Then = append(txn.Then, c.put(record.FinalKey(o.id), c.over[o.id]), wire.Change{Drop: record.JobKey(o.id)})
+		txn.Then = append(txn.Then, c.put(record.FinalKey(o.id), c.over[o.id]), wire.Change{Delete: record.JobKey(o.id)})
 	}
 	if len(txn.Then) == 0 {
 		return
--- a/internal/core/ends_test.go
+++ b/internal/core/ends_test.go
@@ -33,7 +33,7 @@
 	for i := range 2 {
 		require.Contains(t, txn.If, wire.Condition{Key: record.JobKey(name(i)), Version: wire.Revision(i + 1)})
 		require.Contains(t, txn.If, wire.Condition{Key: record.FinalKey(name(i))})
-		require.Contains(t, txn.Then, wire.Change{Drop: record.JobKey(name(i))})
+		require.Contains(t, txn.Then, wire.Change{Delete: record.JobKey(name(i))})
 	}
 	c.file()
 	require.Len(t, c.out, 1, "one at a time")
--- a/internal/core/failing.go
+++ b/internal/core/failing.go
@@ -134,8 +134,8 @@
 
 // noteExit remembers what an exit says of its machine and its job. All of this
 // only steers the choice of machines.
-func (c *Core) noteExit(m *machine, t *wire.TaskReport) {
-	c.log.Debug("task ended", "task", t.Task, "attempt", t.Attempt, "machine", m.id, "cause", t.Cause, "stored", t.Stored)
+func (c *Core) noteExit(m *machine, t *wire.TaskStatus) {
+	c.log.Debug("task ended", "task", t.Task, "attempt", t.Attempt, "machine", m.id, "cause", t.Cause, "stored", t.Checkpointed)
 	j := c.jobs[t.Task.Job]
 	if j == nil {
 		return
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -100,11 +100,11 @@
 		return false
 	}
 	c.stateAnswered()
-	for _, l := range f.Feed.Log {
+	for _, l := range f.Feed.Events {
 		if l.Put != "" {
 			c.apply(l.Put, l.Value, l.Version)
 		} else {
-			c.apply(l.Drop, nil, l.Version)
+			c.apply(l.Delete, nil, l.Version)
 		}
 	}
 	c.feed = max(c.feed, f.Feed.Revision)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -61,7 +61,7 @@
 	kind  string
 	zone  string
 	spot  bool
-	share wire.ShareID
+	share wire.ShardID
 	first Time // when it was first known here
 	// entries is what stands on it by the records, host what the planning pass under
 	// way makes of it.
@@ -72,9 +72,9 @@
 
 	// newest is the newest report, whoever got it; direct is the newest that
 	// this controller got itself. Only direct ones prove anything.
-	newest, direct *wire.Report
-	tasks          map[attemptKey]*wire.TaskReport // of newest
-	directTasks    map[attemptKey]*wire.TaskReport // of direct
+	newest, direct *wire.Heartbeat
+	tasks          map[attemptKey]*wire.TaskStatus // of newest
+	directTasks    map[attemptKey]*wire.TaskStatus // of direct
 	heard          Time                            // when something new last came
 	heardDirect    Time
 	recallAt       Time // when the cloud takes it, if newest has a notice
@@ -84,18 +84,18 @@
 
 	pulling int // images that it is fetching
 
-	sentOn           Time         // when it was told to try another controller
-	redirected       Time         // when it was led to the owner of its share
-	told             *wire.Report // what the siblings were last told of it
-	unanswered       int          // direct calls without an answer since the last that had one, whatever it reports
-	unreachableSince Time         // when the first of them was made
+	sentOn           Time            // when it was told to try another controller
+	redirected       Time            // when it was led to the owner of its share
+	told             *wire.Heartbeat // what the siblings were last told of it
+	unanswered       int             // direct calls without an answer since the last that had one, whatever it reports
+	unreachableSince Time            // when the first of them was made
 
 	sendingOrders      bool
-	held               bool         // waits for its orders to be sent
-	holding            bool         // a launch is held back until the rest of its gang is nearer
-	settled            *wire.Report // the newest report if nothing has to be told that follows from it
-	again              bool         // something new came up while pushing
-	nextOrders         Time         // not before
+	held               bool            // waits for its orders to be sent
+	holding            bool            // a launch is held back until the rest of its gang is nearer
+	settled            *wire.Heartbeat // the newest report if nothing has to be told that follows from it
+	again              bool            // something new came up while pushing
+	nextOrders         Time            // not before
 	requestingReport   bool
 	nextReportRequest  Time
 	unansweredRequests int // unanswered in a row
--- a/internal/core/gangs.go
+++ b/internal/core/gangs.go
@@ -50,7 +50,7 @@
 		now, most int // tasks that there will be room for, and if others are stopped
 	}
 	rooms, now, most := map[string][]room{}, map[string]int{}, map[string]int{}
-	lower := ^uint8(0) << (j.spec.Rank.Order() + 1)
+	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
 	for _, h := range p.fleet {
 		if h.Closed || !h.Total.Covers(need) || !rd.Holds(j.req.Enforced, j.spec.Team, h) {
 			continue
@@ -66,14 +66,14 @@
 		}
 		if r.most = free.Times(need, count); r.most > 0 {
 			z := ""
-			if j.spec.Together {
+			if j.spec.SingleZone {
 				z = h.Labels[placement.LabelZone]
 			}
 			rooms[z], now[z], most[z] = append(rooms[z], r), now[z]+r.now, most[z]+r.most
 		}
 	}
 	zones := []string{""}
-	if j.spec.Together {
+	if j.spec.SingleZone {
 		zones = c.settings.Cluster.Zones
 	}
 	open := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return p.gathering[z] })
--- a/internal/core/handoff.go
+++ b/internal/core/handoff.go
@@ -25,8 +25,8 @@
 // handOffState is what this controller knows of jobs handed on and of siblings' room.
 type handOffState struct {
 	handOffs    map[wire.JobID]handOff
-	siblingRoom map[string][]wire.RoomOffer // by sibling
-	toHandOn    []wire.HandOff              // to be told once no write of the team is under way
+	siblingRoom map[string][]wire.CapacityOffer // by sibling
+	toHandOn    []wire.ForwardedJob             // to be told once no write of the team is under way
 	nextOffer   Time
 }
 
@@ -44,7 +44,7 @@
 
 func (s *handOffState) init() {
 	s.handOffs = map[wire.JobID]handOff{}
-	s.siblingRoom = map[string][]wire.RoomOffer{}
+	s.siblingRoom = map[string][]wire.CapacityOffer{}
 }
 
 // holder is the controller that a job was handed to, if that still holds.
@@ -80,7 +80,7 @@
 	}
 	j.handOnFrom = c.now.Add(handOnPauseUrgent)
 	c.handOffs[j.id] = handOff{next, c.now.Add(handOffLasts), tried}
-	c.toHandOn = append(c.toHandOn, wire.HandOff{Job: j.id, To: next, Tried: tried})
+	c.toHandOn = append(c.toHandOn, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
 	c.count(countHandedOn, 1)
 	return true
 }
@@ -88,12 +88,12 @@
 // handedBack is called when all controllers have tried a job of a team of ours.
 func (c *Core) handedBack(j *job) {
 	pause := handOnPause
-	if j.spec.Rank == wire.RankCritical {
+	if j.spec.Priority == wire.PriorityCritical {
 		pause = handOnPauseUrgent
 	}
 	j.handOnFrom = c.now.Add(pause)
 	delete(c.handOffs, j.id)
-	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.Together) {
+	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone) {
 		c.collectFor = j.id
 	}
 }
@@ -101,7 +101,7 @@
 // nextHolder is a controller that has not tried a job and may have room for it; if none
 // has, and roomOnly is not set, one that could stop less urgent work for it.
 func (c *Core) nextHolder(w *waiting, tried []string, roomOnly bool) string {
-	makesRoom := w.job.spec.Rank.Order() <= wire.RankHigh.Order() || w.promised
+	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.promised
 	other := ""
 	for _, label := range c.labels {
 		p := c.peers[label]
@@ -149,17 +149,17 @@
 		case c.teamOf(j.spec.Team).writing != nil:
 			kept = append(kept, h)
 		default:
-			line.HandOffs = append(line.HandOffs, h)
+			line.ForwardedJobs = append(line.ForwardedJobs, h)
 		}
 	}
 	c.toHandOn = kept
-	if len(line.HandOffs) > 0 {
+	if len(line.ForwardedJobs) > 0 {
 		c.tell(line)
 	}
 }
 
 // takeHandOffs takes a sibling's word on jobs that it hands on.
-func (c *Core) takeHandOffs(handOffs []wire.HandOff) {
+func (c *Core) takeHandOffs(handOffs []wire.ForwardedJob) {
 	for _, h := range handOffs {
 		j := c.jobs[h.Job]
 		if slices.Contains(h.Tried, h.To) { // it comes back to its team's owner
@@ -172,7 +172,7 @@
 		c.handOffs[h.Job] = handOff{h.To, c.now.Add(handOffLasts), h.Tried}
 		if h.To == c.settings.Label {
 			c.dirty = true
-			c.urgent = c.urgent || j != nil && j.spec.Rank == wire.RankCritical
+			c.urgent = c.urgent || j != nil && j.spec.Priority == wire.PriorityCritical
 			if j != nil {
 				j.handOnFrom = 0
 			}
@@ -190,17 +190,17 @@
 }
 
 // offerRoom adds the room in this controller's shares to a line, from time to time.
-func (c *Core) offerRoom(line *wire.PeerLine) {
+func (c *Core) offerRoom(line *wire.PeerMessage) {
 	if !c.sharded() || !c.after(c.nextOffer) {
 		return
 	}
 	c.nextOffer = c.now.Add(offerEvery)
 	c.forgetHandOffs()
 	room := c.roomOffers()
-	line.Room = &room
+	line.Capacity = &room
 }
 
-func (c *Core) roomOffers() []wire.RoomOffer {
+func (c *Core) roomOffers() []wire.CapacityOffer {
 	best := map[machineKind]placement.Amount{}
 	var kinds []machineKind
 	for _, m := range c.inOrder() {
@@ -220,10 +220,10 @@
 		best[key] = placement.Amount{Cores: max(most.Cores, free.Cores), Accelerators: max(most.Accelerators, free.Accelerators),
 			MemGB: max(most.MemGB, free.MemGB)}
 	}
-	offers := make([]wire.RoomOffer, 0, len(kinds))
+	offers := make([]wire.CapacityOffer, 0, len(kinds))
 	for _, k := range kinds {
 		a := best[k]
-		offers = append(offers, wire.RoomOffer{Type: k.kind, Zone: k.zone, Spot: k.spot, Cores: a.Cores, Accelerators: a.Accelerators, MemGB: a.MemGB})
+		offers = append(offers, wire.CapacityOffer{Type: k.kind, Zone: k.zone, Spot: k.spot, Cores: a.Cores, Accelerators: a.Accelerators, MemGB: a.MemGB})
 	}
 	return offers
 }
@@ -250,9 +250,9 @@
 
 // sharesFor finds the shares of others whose machines a job needs, in the zone that comes
 // closest if it is to stay in one.
-func (c *Core) sharesFor(j *job) []wire.ShareID {
+func (c *Core) sharesFor(j *job) []wire.ShardID {
 	type candidate struct {
-		share     wire.ShareID
+		share     wire.ShardID
 		now, most int // tasks that there is room for, and if less urgent work is stopped
 	}
 	need := j.req.Need
@@ -266,13 +266,13 @@
 		free := h.Free.Plus(h.Freeing, 1)
 		cand := candidate{share: m.share, now: free.Times(need, j.spec.Tasks)}
 		for _, e := range m.entries {
-			if e.Rank > j.spec.Rank.Order() {
+			if e.Rank > j.spec.Priority.Level() {
 				free = free.Plus(e.need(), float64(e.Tasks.Len()))
 			}
 		}
 		cand.most = free.Times(need, j.spec.Tasks)
 		zone := ""
-		if j.spec.Together {
+		if j.spec.SingleZone {
 			zone = m.zone
 		}
 		byZone[zone], now[zone], most[zone] = append(byZone[zone], cand), now[zone]+cand.now, most[zone]+cand.most
@@ -293,7 +293,7 @@
 			have += max(cand.now, cand.most)
 		}
 	}
-	var ids []wire.ShareID
+	var ids []wire.ShardID
 	for _, cand := range byZone[best] {
 		if have >= j.spec.Tasks {
 			break
--- a/internal/core/hearing.go
+++ b/internal/core/hearing.go
@@ -57,8 +57,8 @@
 
 // tasksOf is a report's tasks. A machine may list an ended attempt beside
 // another one of the same task, so the task alone does not name them.
-func tasksOf(r *wire.Report) map[attemptKey]*wire.TaskReport {
-	tasks := make(map[attemptKey]*wire.TaskReport, len(r.Tasks))
+func tasksOf(r *wire.Heartbeat) map[attemptKey]*wire.TaskStatus {
+	tasks := make(map[attemptKey]*wire.TaskStatus, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		tasks[attemptKey{t.Task, t.Attempt}] = t
@@ -67,7 +67,7 @@
 }
 
 // hear takes a report, got from the worker itself or passed on by a sibling.
-func (c *Core) hear(r *wire.Report, direct bool) {
+func (c *Core) hear(r *wire.Heartbeat, direct bool) {
 	m := c.machineOf(r.Machine)
 	if direct {
 		if c.inDoubt() {
@@ -101,8 +101,8 @@
 		c.cameUp(m)
 	}
 	m.recallAt = 0
-	if r.RecallS != nil {
-		m.recallAt = c.now.Add(time.Duration(*r.RecallS * float64(time.Second)))
+	if r.PreemptionNoticeS != nil {
+		m.recallAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 	pulling := map[string]bool{}
 	for id, t := range m.tasks {
@@ -140,9 +140,9 @@
 
 // heardAgain takes a sibling's word that a machine reported what it had
 // reported before.
-func (c *Core) heardAgain(h *wire.Heard) {
+func (c *Core) heardAgain(h *wire.UnchangedHeartbeat) {
 	m := c.machines[h.Machine]
-	if m == nil || m.newest == nil || m.newest.Session != h.Session || m.newest.Sequence >= h.Sequence {
+	if m == nil || m.newest == nil || m.newest.AgentEpoch != h.AgentEpoch || m.newest.Sequence >= h.Sequence {
 		return
 	}
 	c.backFrom(m)
@@ -166,7 +166,7 @@
 		}
 		for i := range e.Tasks.All {
 			t := m.tasks[e.key(i)]
-			if t == nil && (e.Halt != record.HaltNo || c.jobs[e.Job] == nil || !c.live(e.Launcher) || m.newest.Session > e.Session) ||
+			if t == nil && (e.Halt != record.HaltNo || c.jobs[e.Job] == nil || !c.live(e.Launcher) || m.newest.AgentEpoch > e.Session) ||
 				t != nil && t.State == wire.TaskExited {
 				c.requestReport(m)
 				return
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -20,7 +20,7 @@
 		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 		for i := range machines {
 			m := c.machineOf(wire.MachineID(fmt.Sprintf("m-%06d", i)))
-			m.newest = &wire.Report{}
+			m.newest = &wire.Heartbeat{}
 			for k := range 8 {
 				c.now = Time(i*8 + k)
 				c.sawImage(m, fmt.Sprintf("image-%02d", k))
--- a/internal/core/index.go
+++ b/internal/core/index.go
@@ -22,7 +22,7 @@
 		if c.jobs[e.Job] == nil {
 			c.noteOver(e.Machine)
 		}
-		if e.Rank == wire.RankCritical.Order() {
+		if e.Rank == wire.PriorityCritical.Level() {
 			c.critical[e.Machine]++
 		}
 	}
@@ -35,7 +35,7 @@
 		e.on.settled = nil
 		e.on.entries = slices.DeleteFunc(e.on.entries, here)
 		dropWhere(c.ofJob, e.Job, here)
-		if e.Rank == wire.RankCritical.Order() {
+		if e.Rank == wire.PriorityCritical.Level() {
 			if c.critical[e.Machine]--; c.critical[e.Machine] == 0 {
 				delete(c.critical, e.Machine)
 			}
@@ -97,9 +97,9 @@
 		}
 		h := &room[i]
 		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: amountOf(t), Closed: !c.usable(m),
-			Free: amountOf(t), Slots: maxPerHost, Images: m.has, Price: t.Rate, Pulling: m.pulling}
+			Free: amountOf(t), Slots: maxPerHost, Images: m.has, Price: t.OnDemandPrice, Pulling: m.pulling}
 		if m.spot {
-			h.Price = t.MarketPrice
+			h.Price = t.SpotPrice
 		}
 		if !c.after(m.badUntil) {
 			h.Penalty = 1
@@ -147,7 +147,7 @@
 			g.Stopping = true
 		} else {
 			h.Ranks |= 1 << e.Rank
-			h.Beyond = h.Beyond || e.Rank >= wire.RankNormal.Order() && !within
+			h.Beyond = h.Beyond || e.Rank >= wire.PriorityNormal.Level() && !within
 		}
 		h.Groups = append(h.Groups, g)
 		visit(p, e, h)
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -66,7 +66,7 @@
 	// Reported is a worker's report.
 	Reported struct {
 		Request RequestID
-		Report  *wire.Report
+		Report  *wire.Heartbeat
 	}
 	// Returned carries the result of a call.
 	Returned struct {
@@ -91,11 +91,11 @@
 	// SharesAsked is an operator who wants to change the shares.
 	SharesAsked struct {
 		Request RequestID
-		Change  wire.AdminShareChange
+		Change  wire.AdminShardChange
 	}
 	// PeerSaid is a line from another controller.
 	PeerSaid struct {
-		Line *wire.PeerLine
+		Line *wire.PeerMessage
 	}
 )
 
@@ -153,7 +153,7 @@
 	// HireMachines rents; the result is a Hired.
 	HireMachines struct {
 		Call CallID
-		Hire wire.Hire
+		Hire wire.ProvisionRequest
 	}
 	// ReturnMachines gives machines back; the result is a GivenBack.
 	ReturnMachines struct {
@@ -164,7 +164,7 @@
 	Order struct {
 		Call CallID
 		Addr string
-		Body wire.DoRequest
+		Body wire.CommandRequest
 	}
 	// Show asks a worker for its report; the result is an Answered.
 	Show struct {
@@ -172,7 +172,7 @@
 		Addr string
 	}
 	// Tell sends a line to all siblings.
-	Tell struct{ Line *wire.PeerLine }
+	Tell struct{ Line *wire.PeerMessage }
 	// RolloutEvent is something that happened to this process in a rollout, for whoever
 	// traces it.
 	RolloutEvent struct {
@@ -236,7 +236,7 @@
 	// Fed answers a Follow.
 	Fed struct {
 		Outcome Outcome
-		Feed    wire.Feed
+		Feed    wire.WatchResponse
 	}
 	// Fetched answers a Fetch.
 	Fetched struct {
@@ -263,7 +263,7 @@
 	// Listed answers a ListMachines.
 	Listed struct {
 		Outcome  Outcome
-		Machines []wire.ListedMachine
+		Machines []wire.CloudMachine
 	}
 	// Hired answers a HireMachines; with NotDone and Refused there was no
 	// capacity.
@@ -279,7 +279,7 @@
 	Answered struct {
 		Outcome  Outcome
 		Executed bool
-		Report   *wire.Report
+		Report   *wire.Heartbeat
 	}
 )
 
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -51,12 +51,12 @@
 
 // ordersFor says what a machine has to be told, going by its newest report and
 // the records.
-func (c *Core) ordersFor(m *machine) []wire.Order {
-	var orders []wire.Order
+func (c *Core) ordersFor(m *machine) []wire.Command {
+	var orders []wire.Command
 	r := m.newest
 	m.holding = false
 	for _, e := range m.entries {
-		if e.Session != r.Session {
+		if e.Session != r.AgentEpoch {
 			continue
 		}
 		j := c.jobs[e.Job]
@@ -79,12 +79,12 @@
 					m.holding = true
 					continue
 				}
-				orders = append(orders, wire.Order{Verb: wire.VerbLaunch, Task: id, Attempt: e.Attempt})
+				orders = append(orders, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: e.Attempt})
 			case t.State == wire.TaskExited:
 			case j == nil || e.Halt == record.HaltAtOnce:
-				orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, WindupS: windup(0)})
-			case e.Halt == record.HaltSave && t.State != wire.TaskFlushing:
-				orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, WindupS: windup(j.spec.StashS + saveMargin)})
+				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: windup(0)})
+			case e.Halt == record.HaltSave && t.State != wire.TaskCheckpointing:
+				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: windup(j.spec.CheckpointSaveS + saveMargin)})
 			}
 		}
 	}
@@ -104,8 +104,8 @@
 // be gone from the records, then the token raised, and then the worker must
 // have seen that token: no launch sent before can pass it, and no controller
 // that knows it sends one.
-func (c *Core) clears(m *machine) []wire.Order {
-	var orders []wire.Order
+func (c *Core) clears(m *machine) []wire.Command {
+	var orders []wire.Command
 	recorded := map[attemptKey]bool{}
 	for _, e := range m.entries {
 		for i := range e.Tasks.All {
@@ -123,14 +123,14 @@
 		seen[key] = true
 		if t.State != wire.TaskExited {
 			if _, over := c.ended(t.Task.Job); over && len(orders) < maxOrders {
-				orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, WindupS: windup(0)})
+				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: windup(0)})
 				continue
 			}
 			since, ok := m.strays[key]
 			if !ok {
 				m.strays[key] = c.now
 			} else if c.whole() && c.stateFresh() && c.now.Sub(max(since, c.awake)) > strayPatience && len(orders) < maxOrders {
-				orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, WindupS: windup(0)})
+				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: windup(0)})
 			}
 			continue
 		}
@@ -141,7 +141,7 @@
 			fresh = append(fresh, key)
 		}
 		if c.tokenVersion > without && m.newest.Token >= c.token && len(orders) < maxOrders {
-			orders = append(orders, wire.Order{Verb: wire.VerbClear, Task: t.Task, Attempt: t.Attempt})
+			orders = append(orders, wire.Command{Verb: wire.VerbClear, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	if len(fresh) > 0 {
@@ -193,7 +193,7 @@
 		return false
 	}
 	token := c.token
-	var orders []wire.Order
+	var orders []wire.Command
 	if m.newest.Token > c.token {
 		c.barrier(func(bool) {})
 		// While the state service is away we cannot learn of that token. To stop what
@@ -224,7 +224,7 @@
 		return false
 	}
 	if fenced {
-		orders = []wire.Order{} // only to be shown the token
+		orders = []wire.Command{} // only to be shown the token
 	}
 	m.sendingOrders = true
 	c.sendingOrders++
@@ -239,7 +239,7 @@
 			c.sendOrdersNow(m)
 		}
 		c.sendHeldOrders()
-	}), m.addr, wire.DoRequest{Token: token, Session: m.newest.Session, Orders: orders}})
+	}), m.addr, wire.CommandRequest{Token: token, AgentEpoch: m.newest.AgentEpoch, Commands: orders}})
 	return true
 }
 
@@ -248,7 +248,7 @@
 // show it.
 func (c *Core) unfenced(m *machine) bool {
 	for _, e := range m.entries {
-		if e.Session == m.newest.Session && e.Fence > m.newest.Token && e.Fence <= c.token && (e.Launcher == c.boot || c.ownsTeam(e.page.team)) {
+		if e.Session == m.newest.AgentEpoch && e.Fence > m.newest.Token && e.Fence <= c.token && (e.Launcher == c.boot || c.ownsTeam(e.page.team)) {
 			return true
 		}
 	}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -120,7 +120,7 @@
 	if ownShares {
 		queue = slices.DeleteFunc(queue, func(w waiting) bool { return !c.places(w.job) })
 	}
-	c.criticalWaits = len(queue) > 0 && queue[0].job.spec.Rank == wire.RankCritical
+	c.criticalWaits = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
 	backlog := c.backlog
 	c.backlog = nil
 	for i := range queue {
@@ -130,11 +130,11 @@
 	var later []*waiting
 	for i := range queue {
 		w := &queue[i]
-		if w.job.spec.Rank != wire.RankCritical && !reserved {
+		if w.job.spec.Priority != wire.PriorityCritical && !reserved {
 			reserved = true
 			c.reserve(p)
 		}
-		p.warmOnly = w.job.spec.Rank.Order() >= wire.RankNormal.Order() && !w.overdue && !w.promised && plain(w.job) && c.coldSlow(w.job)
+		p.warmOnly = w.job.spec.Priority.Level() >= wire.PriorityNormal.Level() && !w.overdue && !w.promised && plain(w.job) && c.coldSlow(w.job)
 		if c.placeJob(p, w); p.warmOnly {
 			later = append(later, w)
 		}
@@ -170,7 +170,7 @@
 	}
 	r := p.rounds[team]
 	t := c.teamOf(team)
-	act := r != nil && (!r.urgentOnly || j.spec.Rank == wire.RankCritical) &&
+	act := r != nil && (!r.urgentOnly || j.spec.Priority == wire.PriorityCritical) &&
 		t.writing == nil && c.after(t.placeFrom) && c.places(j) && c.fits(r, 0)
 	if p.own[j.id] == nil {
 		p.own[j.id] = []*placement.Host{} // none is known, rather than nothing
@@ -206,7 +206,7 @@
 			}
 			e := Entry{Head: record.Head{Job: j.id, Attempt: attempt, Launcher: c.boot,
 				Cores: j.spec.Cores, Accelerators: j.spec.Accelerators, MemGB: j.spec.MemGB,
-				Rank: j.spec.Rank.Order(), Shape: j.spec.Shape}, Machine: m.id, Session: m.newest.Session, Tasks: tasks}
+				Rank: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, Session: m.newest.AgentEpoch, Tasks: tasks}
 			if !c.fits(r, 0) || !c.add(r, m.zone, e) {
 				act = false
 				if whole {
@@ -219,7 +219,7 @@
 			if c.sharded() {
 				r.shares[m.share] = true
 			}
-			r.urgent = r.urgent || j.spec.Rank == wire.RankCritical
+			r.urgent = r.urgent || j.spec.Priority == wire.PriorityCritical
 			r.conds[record.JobKey(j.id)] = j.version
 			r.skip[m.id] = true
 			r.tell[m.id] = true
@@ -265,7 +265,7 @@
 
 // leaves reports whether a job is to leave machines alone that are kept.
 func (p *placing) leaves(j *job) bool {
-	return p.held && j.req.Need.Accelerators == 0 && j.spec.Rank.Order() > wire.RankHigh.Order()
+	return p.held && j.req.Need.Accelerators == 0 && j.spec.Priority.Level() > wire.PriorityHigh.Level()
 }
 
 // leavesDear reports whether a job leaves machines alone that are too dear for
@@ -287,7 +287,7 @@
 // what search says.
 func plain(j *job) bool {
 	s := &j.spec
-	return len(s.Types) == 0 && s.Zone == "" && !s.Apart && !s.Together && s.Shape != wire.ShapeGang && len(j.avoid) == 0
+	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.avoid) == 0
 }
 
 // hopeless reports whether something that needs no more found no room in this
@@ -323,7 +323,7 @@
 		for _, ch := range choices {
 			*count -= ch.Count
 			p.own[j.id] = append(p.own[j.id], c.machines[ch.Machine].host)
-			if j.spec.Together {
+			if j.spec.SingleZone {
 				w.zone = ch.Zone
 			}
 		}
@@ -332,7 +332,7 @@
 	if *count == 0 || p.warmOnly {
 		return choices
 	}
-	if j.spec.Rank.Order() <= wire.RankHigh.Order() && j.strikes <= freeOnly && c.coldSlow(j) {
+	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.strikes <= freeOnly && c.coldSlow(j) {
 		*count = c.awaitRoom(p, w, slices.Concat(j.req.Enforced, j.req.Preferred), *count, hasImage)
 	}
 	first := choices
@@ -372,7 +372,7 @@
 		rules = append(slices.Clip(rules), placement.InZone(w.zone))
 	}
 	// Together and gangs: one zone, or all or none, cannot be had one by one.
-	if (j.spec.Together && w.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
+	if (j.spec.SingleZone && w.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
 		return count
 	}
 	rd := p.fleet.Reading(p.own[j.id])
@@ -433,7 +433,7 @@
 		w.job.why = "no machine in this controller's shares has room: handed on"
 		return
 	}
-	if j := w.job; j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.Together && w.zone == "") {
+	if j := w.job; j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone && w.zone == "") {
 		zone, lacking := c.gather(p, w, count)
 		j.why = "not enough machines that fit have room at once"
 		if lacking > 0 && p.ownShares {
@@ -448,7 +448,7 @@
 	if p.leaves(w.job) {
 		usable = func(h *placement.Host) bool { return !p.keeps(h) }
 	}
-	stop := search{w.job.spec.Team, w.job.spec.Rank.Order(), w.job.spec.Spot, w.promised, true, false, false}
+	stop := search{w.job.spec.Team, w.job.spec.Priority.Level(), w.job.spec.Spot, w.promised, true, false, false}
 	if !p.hopeless(stop, w.job) {
 		rules := w.job.req.Enforced
 		if c.chosen.Affinity == config.AffinityEnforced {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -281,7 +281,7 @@
 // waitsForUs reports whether anything waits that this controller answers for.
 func (c *Core) waitsForUs(rest bool) bool {
 	for id, j := range c.jobs {
-		if (rest || j.spec.Rank == wire.RankCritical) && !c.paused(j) && j.done.Len()+c.placedOf(id) < j.spec.Tasks && c.places(j) {
+		if (rest || j.spec.Priority == wire.PriorityCritical) && !c.paused(j) && j.done.Len()+c.placedOf(id) < j.spec.Tasks && c.places(j) {
 			return true
 		}
 	}
--- a/internal/core/proofs.go
+++ b/internal/core/proofs.go
@@ -48,10 +48,10 @@
 		return true
 	}
 	rep := m.direct
-	if rep == nil || rep.Session < e.Session {
+	if rep == nil || rep.AgentEpoch < e.Session {
 		return false
 	}
-	if rep.Session > e.Session {
+	if rep.AgentEpoch > e.Session {
 		// The worker's lease ran out: it killed everything, and obeys no command
 		// that was meant for the session before.
 		c.remove(r, p, e, e.Tasks, record.TaskSet{})
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -41,7 +41,7 @@
 	var queue []waiting
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		if !rest && j.spec.Rank != wire.RankCritical {
+		if !rest && j.spec.Priority != wire.PriorityCritical {
 			continue
 		}
 		if c.holds(id) {
@@ -65,13 +65,13 @@
 		w.due, w.late = c.due(j)
 		// What fails everywhere has begun; it must not go ahead of others for ever.
 		w.overdue = c.waited(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.strikes == 0
-		if j.spec.Together {
+		if j.spec.SingleZone {
 			w.zone = zones[id]
 		}
 		queue = append(queue, w)
 	}
 	order := func(a, b waiting) int {
-		ra, rb := a.job.spec.Rank.Order(), b.job.spec.Rank.Order()
+		ra, rb := a.job.spec.Priority.Level(), b.job.spec.Priority.Level()
 		if ra == 0 || rb == 0 {
 			if d := cmp.Compare(ra, rb); d != 0 {
 				return d
@@ -163,8 +163,8 @@
 // that can still be met; late says that none can.
 func (c *Core) due(j *job) (due int64, late bool) {
 	least := c.wall + int64(j.spec.RuntimeS*1000)
-	if j.spec.DueS > 0 {
-		due = j.at + int64(j.spec.DueS*1000)
+	if j.spec.DeadlineS > 0 {
+		due = j.at + int64(j.spec.DeadlineS*1000)
 		return due, due < least
 	}
 	due = never
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -25,7 +25,7 @@
 	c.wall = 100_000
 	add := func(id wire.JobID, team, class string, tasks int, at int64) *job {
 		j := &job{id: id, at: at, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
-			Rank: wire.RankNormal, Tasks: tasks, Cores: 1, RuntimeS: 5}}
+			Priority: wire.PriorityNormal, Tasks: tasks, Cores: 1, RuntimeS: 5}}
 		j.req = placement.NewRequest(&j.spec)
 		j.errors, j.avoid = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
 		c.jobs[id] = j
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -18,7 +18,7 @@
 	Machine wire.MachineID
 	// Session is the machine's session the launch is meant for: a worker obeys no
 	// command of another session.
-	Session wire.Session
+	Session wire.AgentEpoch
 	Tasks   record.TaskSet
 
 	page *page    // where it stands; set by the index
--- a/internal/core/returning.go
+++ b/internal/core/returning.go
@@ -27,7 +27,7 @@
 // mayBeBusy reports whether a machine without entries reports tasks of which the
 // records cannot be read.
 func (c *Core) mayBeBusy(m *machine) bool {
-	return len(c.unreadable) > 0 && slices.ContainsFunc(m.newest.Tasks, func(t wire.TaskReport) bool { return c.holds(t.Task.Job) })
+	return len(c.unreadable) > 0 && slices.ContainsFunc(m.newest.Tasks, func(t wire.TaskStatus) bool { return c.holds(t.Task.Job) })
 }
 
 // reviewMachines finds machines that should go: dead, silent, never up, or idle.
@@ -157,7 +157,7 @@
 // less than to start its work anew on a machine that has yet to boot.
 func (c *Core) silenceTolerance(m *machine, silence time.Duration) time.Duration {
 	for _, e := range m.entries {
-		if e.Rank == wire.RankCritical.Order() {
+		if e.Rank == wire.PriorityCritical.Level() {
 			if c.cutZones[m.zone].silent >= cutLeast {
 				// A zone that is cut off works on, and its workers' leases last for a
 				// while: so long nothing on it is lost, unless we return it.
@@ -177,7 +177,7 @@
 		silence += config.Seconds(1.3 * c.settings.Cluster.Workers.ReportS)
 	}
 	for _, e := range m.entries {
-		if e.Rank == wire.RankHigh.Order() {
+		if e.Rank == wire.PriorityHigh.Level() {
 			return silence
 		}
 	}
@@ -305,7 +305,7 @@
 	var names []wire.MachineID
 	for _, id := range sortedKeys(c.leaving) {
 		d := c.leaving[id]
-		if m := c.machineOf(id); m.gone || d.since > c.feed || len(names) == wire.MaxReturn ||
+		if m := c.machineOf(id); m.gone || d.since > c.feed || len(names) == wire.MaxTerminate ||
 			d.why == whyIdle && len(c.machineOf(id).entries) > 0 && !c.returned[id] {
 			continue
 		}
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -74,7 +74,7 @@
 }
 
 func (c *Core) retiredReply(r RequestID) Reply {
-	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.Problem{Error: c.retired.Error()}, RetryAfter: comeBackLater}
+	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.retired.Error()}, RetryAfter: comeBackLater}
 }
 
 // tickRollout activates a format that all controllers are ready for, where the
--- a/internal/core/rounds.go
+++ b/internal/core/rounds.go
@@ -19,7 +19,7 @@
 	wrote  map[string]bool     // pages that the transaction changes
 	conds  map[string]wire.Revision
 	places bool
-	shares map[wire.ShareID]bool // in which it places
+	shares map[wire.ShardID]bool // in which it places
 	urgent bool                  // it places critical tasks
 	// urgentOnly says that it is not this team's turn for anything else.
 	urgentOnly bool
@@ -33,7 +33,7 @@
 func (c *Core) newRound(t *team) *round {
 	return &round{team: t, pages: map[string]*page{}, done: map[wire.JobID]record.TaskSet{}, ends: map[wire.JobID]bool{},
 		adds: map[string]bool{}, wrote: map[string]bool{}, conds: map[string]wire.Revision{}, skip: map[wire.MachineID]bool{}, tell: map[wire.MachineID]bool{},
-		shares: map[wire.ShareID]bool{}}
+		shares: map[wire.ShardID]bool{}}
 }
 
 // draft is the page to change in this round. What it holds of jobs that are
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -69,7 +69,7 @@
 func (c *Core) sharded() bool { return c.shares.Enabled() }
 
 // placingIn reports whether a placement in a share is being written, or may yet be.
-func (c *Core) placingIn(id wire.ShareID) bool {
+func (c *Core) placingIn(id wire.ShardID) bool {
 	for _, t := range c.teams {
 		if t.writing != nil && t.writing.shares[id] {
 			return true
@@ -178,7 +178,7 @@
 	m.redirected = c.now
 	c.count(countRedirected, 1)
 	c.hear(in.Report, true)
-	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Foreman: owner.Label})
+	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Controller: owner.Label})
 	return true
 }
 
@@ -187,13 +187,13 @@
 	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.sharesView()) })
 }
 
-func (c *Core) sharesView() wire.AdminShares {
+func (c *Core) sharesView() wire.AdminShards {
 	v := c.shares.View(c.wall)
 	for _, m := range c.machines {
-		if m.left() || int(m.share) >= len(v.Shares) {
+		if m.left() || int(m.share) >= len(v.Shards) {
 			continue
 		}
-		s := &v.Shares[m.share]
+		s := &v.Shards[m.share]
 		s.Machines++
 		for _, e := range m.entries {
 			s.CoresUsed += e.Cores * float64(e.Tasks.Len())
@@ -214,7 +214,7 @@
 	})
 }
 
-func (c *Core) shareTransaction(change wire.AdminShareChange) (wire.Transaction, error) {
+func (c *Core) shareTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
 	switch {
 	case change.Move != nil:
 		return c.shares.Move(*change.Move, change.To, change.Epoch, c.wall)
--- a/internal/core/siblings.go
+++ b/internal/core/siblings.go
@@ -39,7 +39,7 @@
 		c.toldCloud = nil
 	}
 	if c.after(c.nextAttestation) {
-		line.Attestation = c.attest()
+		line.Watermark = c.attest()
 	}
 	c.offerRoom(line)
 	for _, id := range sortedKeys(c.toTell) {
@@ -49,33 +49,33 @@
 		}
 		r := m.direct
 		if m.told != nil && sameReport(m.told, r) {
-			line.Heard = append(line.Heard, wire.Heard{Machine: id, Session: r.Session, Sequence: r.Sequence, Token: r.Token})
+			line.UnchangedHeartbeats = append(line.UnchangedHeartbeats, wire.UnchangedHeartbeat{Machine: id, AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, Token: r.Token})
 		} else {
-			line.Reports = append(line.Reports, r)
+			line.Heartbeats = append(line.Heartbeats, r)
 		}
 		m.told = r
-		if len(line.Reports) == reportsPerLine {
+		if len(line.Heartbeats) == reportsPerLine {
 			c.tell(line)
 			line = c.newLine()
 		}
 	}
 	clear(c.toTell)
-	if len(line.Reports) > 0 || len(line.Heard) > 0 || line.Attestation != nil || line.Room != nil || c.after(c.nextHeartbeat) {
+	if len(line.Heartbeats) > 0 || len(line.UnchangedHeartbeats) > 0 || line.Watermark != nil || line.Capacity != nil || c.after(c.nextHeartbeat) {
 		c.nextHeartbeat = c.now.Add(heartbeatEvery)
 		c.tell(line)
 	}
 }
 
 // tell sends a line to all siblings.
-func (c *Core) tell(line *wire.PeerLine) {
+func (c *Core) tell(line *wire.PeerMessage) {
 	c.count(countLines, 1)
 	c.do(Tell{line})
 }
 
 // newLine is an empty line in the format in force. Lines of the first format do not
 // name it: builds that know no other may read them.
-func (c *Core) newLine() *wire.PeerLine {
-	line := &wire.PeerLine{From: c.settings.Label, StateFresh: c.stateFresh()}
+func (c *Core) newLine() *wire.PeerMessage {
+	line := &wire.PeerMessage{From: c.settings.Label, StoreReachable: c.stateFresh()}
 	if f := c.rollout.Format(); f > record.FormatPlain {
 		line.Format = f
 	}
@@ -84,11 +84,11 @@
 
 // sameReport reports whether nothing changed between two reports of a machine
 // but their number and the token.
-func sameReport(a, b *wire.Report) bool {
-	return a.Session == b.Session && a.RecallS == nil && b.RecallS == nil && a.Addr == b.Addr && slices.Equal(a.Tasks, b.Tasks)
+func sameReport(a, b *wire.Heartbeat) bool {
+	return a.AgentEpoch == b.AgentEpoch && a.PreemptionNoticeS == nil && b.PreemptionNoticeS == nil && a.Addr == b.Addr && slices.Equal(a.Tasks, b.Tasks)
 }
 
-func (c *Core) peerSaid(l *wire.PeerLine) {
+func (c *Core) peerSaid(l *wire.PeerMessage) {
 	if !c.sibling(l.From) {
 		c.log.Warn("line from an unknown peer dropped", "peer", l.From)
 		return
@@ -98,25 +98,25 @@
 		p = &peerView{heard: -Time(peerSilence) - 1, echoed: -Time(echoSilence) - 1}
 		c.peers[l.From] = p
 	}
-	for _, r := range l.Reports {
+	for _, r := range l.Heartbeats {
 		c.hear(r, false)
 	}
-	for i := range l.Heard {
-		c.heardAgain(&l.Heard[i])
+	for i := range l.UnchangedHeartbeats {
+		c.heardAgain(&l.UnchangedHeartbeats[i])
 	}
-	if len(l.Cloud) > 0 {
-		c.listed(l.Cloud)
+	if len(l.CloudMachines) > 0 {
+		c.listed(l.CloudMachines)
 	}
-	if l.Room != nil {
-		c.siblingRoom[l.From] = *l.Room
+	if l.Capacity != nil {
+		c.siblingRoom[l.From] = *l.Capacity
 	}
-	c.takeHandOffs(l.HandOffs)
+	c.takeHandOffs(l.ForwardedJobs)
 	if c.now.Sub(p.heard) > peerSilence {
 		c.tellAll = true // it may be new, or have missed much
 	}
-	p.heard, p.fresh = c.now, l.StateFresh
-	if l.Attestation != nil {
-		c.acceptAttestation(p, l.Attestation)
+	p.heard, p.fresh = c.now, l.StoreReachable
+	if l.Watermark != nil {
+		c.acceptAttestation(p, l.Watermark)
 	}
 }
 
--- a/internal/core/spares.go
+++ b/internal/core/spares.go
@@ -92,11 +92,11 @@
 	for _, k := range keys {
 		s := classes[k]
 		// Work that is not critical has its room made by stopping others.
-		if !promised[k.class] || s.spec.Rank != wire.RankCritical {
+		if !promised[k.class] || s.spec.Priority != wire.PriorityCritical {
 			continue
 		}
 		spec := *s.spec
-		spec.ID, spec.Zone, spec.Apart, spec.Together, spec.Shape = "", "", false, false, wire.ShapeArray
+		spec.ID, spec.Zone, spec.SpreadZones, spec.SingleZone, spec.Shape = "", "", false, false, wire.ShapeArray
 		out = append(out, capacity.Demand{Request: placement.NewRequest(&spec),
 			Count: c.chosen.SpareLeast + int(math.Ceil(c.chosen.SpareShare*float64(s.tasks)))})
 	}
--- a/internal/core/stopping.go
+++ b/internal/core/stopping.go
@@ -70,9 +70,9 @@
 			if r == nil || !c.fits(r, 4) {
 				continue
 			}
-			saves := j.spec.SavepointS > 0
+			saves := j.spec.CheckpointIntervalS > 0
 			left := m.recallAt.Sub(c.now).Seconds()
-			if saves && left < j.spec.StashS+2*saveMargin || j.spec.Shape == wire.ShapeService {
+			if saves && left < j.spec.CheckpointSaveS+2*saveMargin || j.spec.Shape == wire.ShapeService {
 				if j.spec.Shape == wire.ShapeGang {
 					c.haltJob(r, j.id, record.HaltSave)
 					continue
@@ -93,7 +93,7 @@
 // and only for urgent work.
 func (c *Core) preempt(p *placing, rd *placement.Reading, rules []placement.Node, w *waiting, count int, usable func(*placement.Host) bool) int {
 	count = c.preemptSome(p, rd, rules, w, count, usable, false)
-	if count > 0 && w.job.spec.Rank.Order() <= wire.RankHigh.Order() {
+	if count > 0 && w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		count = c.preemptSome(p, rd, rules, w, count, usable, true)
 	}
 	return count
@@ -108,7 +108,7 @@
 		free    float64
 	}
 	var options []option
-	lower := ^uint8(0) << (j.spec.Rank.Order() + 1)
+	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
 	for _, h := range p.fleet {
 		if h.Closed || h.Ranks&lower == 0 && !(w.promised && h.Beyond) || !h.Total.Covers(need) {
 			continue
@@ -147,15 +147,15 @@
 	}
 	// Old work is not stopped for what is merely of higher rank: it would start
 	// again and again. What saves still gives way to high ranks.
-	least := wire.RankCritical
-	if j.spec.SavepointS > 0 {
-		least = wire.RankHigh
+	least := wire.PriorityCritical
+	if j.spec.CheckpointIntervalS > 0 {
+		least = wire.PriorityHigh
 	}
-	if c.waited(j) > overdueAfter && w.job.spec.Rank.Order() > least.Order() {
+	if c.waited(j) > overdueAfter && w.job.spec.Priority.Level() > least.Level() {
 		return false
 	}
-	lower := e.Rank > w.job.spec.Rank.Order()
-	beyond := w.promised && !c.within[e.Job] && j.spec.Team != w.job.spec.Team && e.Rank >= wire.RankNormal.Order()
+	lower := e.Rank > w.job.spec.Priority.Level()
+	beyond := w.promised && !c.within[e.Job] && j.spec.Team != w.job.spec.Team && e.Rank >= wire.PriorityNormal.Level()
 	if !lower && !beyond {
 		return false
 	}
@@ -168,7 +168,7 @@
 func (c *Core) makeRoom(rounds map[string]*round, h *placement.Host, w *waiting, promised bool) bool {
 	need := w.job.req.Need
 	how := record.HaltSave
-	if w.job.spec.Rank == wire.RankCritical {
+	if w.job.spec.Priority == wire.PriorityCritical {
 		how = record.HaltAtOnce // it cannot wait for others to save
 	}
 	room := h.Free.Plus(h.Freeing, 1)
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -209,12 +209,12 @@
 		return err
 	}
 	if r.Over != nil {
-		if !r.Over.Status.Final() {
+		if !r.Over.Status.IsTerminal() {
 			return errNotFinal
 		}
 		delete(c.jobs, id)
-		if _, known := c.over[id]; !known && r.Over.Status == wire.StatusWithdrawn {
-			c.noteWithdrawn(wire.Withdrawal{Job: id, Version: version, Done: r.Over.Done})
+		if _, known := c.over[id]; !known && r.Over.Status == wire.StatusCancelled {
+			c.noteWithdrawn(wire.Cancellation{Job: id, Version: version, Done: r.Over.Done})
 		}
 		c.over[id] = *r.Over
 		for _, e := range c.ofJob[id] {
@@ -230,7 +230,7 @@
 			j.done = j.done.With(p.done[id])
 		}
 	}
-	c.urgent = c.urgent || r.Spec.Rank == wire.RankCritical
+	c.urgent = c.urgent || r.Spec.Priority == wire.PriorityCritical
 	j.spec, j.at, j.by, j.version, j.unreadable = r.Spec, r.At, r.By, version, false
 	j.req = placement.NewRequest(&j.spec)
 	return nil
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -34,7 +34,7 @@
 
 func (c *Core) refuse(r RequestID, status int, why string, after time.Duration) {
 	c.count(countRefused, 1)
-	c.do(Reply{Request: r, Status: status, Body: wire.Problem{Error: why}, RetryAfter: after})
+	c.do(Reply{Request: r, Status: status, Body: wire.ErrorResponse{Error: why}, RetryAfter: after})
 }
 
 func (c *Core) unavailable(r RequestID, why string) {
@@ -165,10 +165,10 @@
 	if cpus, gpus := t.Limits(); n*j.Cores > cpus+1e-6 || n*j.Accelerators > gpus+1e-6 {
 		return "needs more than the team's limit"
 	}
-	if j.Together && j.Apart && j.Tasks > 1 && j.Shape != wire.ShapeArray {
+	if j.SingleZone && j.SpreadZones && j.Tasks > 1 && j.Shape != wire.ShapeArray {
 		return "together and apart at once"
 	}
-	if j.Apart && j.Zone != "" && j.Tasks > 1 && j.Shape != wire.ShapeArray {
+	if j.SpreadZones && j.Zone != "" && j.Tasks > 1 && j.Shape != wire.ShapeArray {
 		return "apart in a single zone"
 	}
 	req := placement.NewRequest(j)
@@ -188,7 +188,7 @@
 	switch {
 	case len(fits) == 0:
 		return "a task fits no allowed machine type"
-	case len(fits) == 1 && j.Apart && j.Tasks > 1 && j.Shape != wire.ShapeArray:
+	case len(fits) == 1 && j.SpreadZones && j.Tasks > 1 && j.Shape != wire.ShapeArray:
 		return "apart, but only one zone has machines that a task fits"
 	}
 	return ""
@@ -277,14 +277,14 @@
 		case !found:
 			c.refuse(r, http.StatusNotFound, "no such job", 0)
 			return
-		case s.Status.Final():
+		case s.Status.IsTerminal():
 			c.reply(r, http.StatusOK, s)
 			return
 		case j == nil:
 			c.unavailable(r, "state changed; try again")
 			return
 		}
-		end := record.Final{Status: wire.StatusWithdrawn, Done: s.Done}
+		end := record.Final{Status: wire.StatusCancelled, Done: s.Done}
 		c.commit(ClassUrgent, wire.Transaction{
 			If:   []wire.Condition{{Key: record.JobKey(id), Version: j.version}},
 			Then: []wire.Change{c.put(record.JobKey(id), record.Over{Over: end})},
@@ -297,7 +297,7 @@
 				c.sendOrdersOfJob(id)
 			case Conflict:
 				c.lookUp(r, id, func(s wire.JobStatus, found bool) {
-					if found && s.Status.Final() {
+					if found && s.Status.IsTerminal() {
 						c.reply(r, http.StatusOK, s)
 					} else {
 						c.unavailable(r, "state changed; try again")
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -12,7 +12,7 @@
 func (c *Core) handleReport(in Reported) {
 	r := in.Report
 	if !c.ready {
-		c.do(Reply{Request: in.Request, Status: http.StatusServiceUnavailable, Body: wire.Problem{Error: "starting"}})
+		c.do(Reply{Request: in.Request, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: "starting"}})
 		return
 	}
 	if r.Token > c.token {
@@ -48,7 +48,7 @@
 				c.answerWorker(in)
 				return
 			}
-			c.do(Reply{Request: in.Request, Status: http.StatusServiceUnavailable, Body: wire.Problem{Error: "withdrawals may not be known"}})
+			c.do(Reply{Request: in.Request, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: "withdrawals may not be known"}})
 		}})
 		return
 	}
@@ -94,7 +94,7 @@
 )
 
 func (c *Core) sendAway(r RequestID) {
-	c.reply(r, http.StatusMisdirectedRequest, wire.Redirect{Foreman: c.fresherPeer()})
+	c.reply(r, http.StatusMisdirectedRequest, wire.Redirect{Controller: c.fresherPeer()})
 }
 
 func (c *Core) answerWorker(in Reported) {
@@ -106,7 +106,7 @@
 		// of a report that it sent long ago.
 		c.requestReport(m)
 	}
-	var orders []wire.Order
+	var orders []wire.Command
 	// A report that is older than one we know was held up on its way: orders
 	// that follow from it could repeat what is over.
 	if m.newest == in.Report {
@@ -114,5 +114,5 @@
 	} else {
 		orders = c.stopsOf(m) // the answer may renew the lease all the same
 	}
-	c.reply(in.Request, http.StatusOK, wire.ReportAnswer{Token: c.token, Orders: orders})
+	c.reply(in.Request, http.StatusOK, wire.HeartbeatResponse{Token: c.token, Commands: orders})
 }
--- a/internal/fastjson/fastjson_test.go
+++ b/internal/fastjson/fastjson_test.go
@@ -24,12 +24,12 @@
 var documents = []document{
 	{`{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,` +
 		`"loads":[{"load":"wk-000412/3","try":268435457,"status":"running"},{"load":"wk-000398/0","try":1,"status":"exited","cause":"done"}],"new":[1.5e3,{"a":"\u00e9\n"}]}`,
-		func() any { return new(wire.Report) }},
+		func() any { return new(wire.Heartbeat) }},
 	{`{"from":"node-1","state_fresh":true,"vouch":{"p":18446744073709551615,"n":7,"l":5,"f":3,"h":{"node-0":{"p":1,"n":2}},"w":[{"j":"wk-1","s":4,"d":2}]},` +
 		`"reports":[{"rig":"m-1","addr":"a:1","rigtype":"t","yard":"z","loaners":false,"shift":1,"tally":2,"baton":3,"loads":null}],"heard":[{"m":"m-2","s":1,"t":9,"b":3}]}`,
-		func() any { return new(wire.PeerLine) }},
+		func() any { return new(wire.PeerMessage) }},
 	{`{"ledger":433,"log":[{"put":"c/9","v":{"spec":{"id":"wk-1","x":[1,2]}},"stamp":433},{"drop":"c/d","stamp":432}]}`,
-		func() any { return new(wire.Feed) }},
+		func() any { return new(wire.WatchResponse) }},
 	{`{"rigs":[{"id":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"status":"running","held_s":61.5}],"more":false}`,
 		func() any { return new(wire.MachineList) }},
 }
--- a/internal/golden/filler.go
+++ b/internal/golden/filler.go
@@ -24,10 +24,10 @@
 	Use(f, func(n int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", n)) })
 	Use(f, func(int) wire.Format { return 3 })
 	Use(f, func(int) wire.Shape { return wire.ShapeGang })
-	Use(f, func(int) wire.Rank { return wire.RankHigh })
+	Use(f, func(int) wire.Priority { return wire.PriorityHigh })
 	Use(f, func(int) wire.Status { return wire.StatusRunning })
 	Use(f, func(int) wire.TaskState { return wire.TaskExited })
-	Use(f, func(int) wire.Cause { return wire.CauseHalted })
+	Use(f, func(int) wire.Cause { return wire.CauseStopped })
 	Use(f, func(int) wire.Verb { return wire.VerbLaunch })
 	Use(f, func(int) wire.MachineStatus { return wire.MachineRunning })
 	return f
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -63,7 +63,7 @@
 }
 
 // Tell sends a line to all siblings; to one that does not keep up it is lost.
-func (m *Mesh) Tell(l *wire.PeerLine) {
+func (m *Mesh) Tell(l *wire.PeerMessage) {
 	b, err := record.EncodeLine(l)
 	if err != nil {
 		m.log.Error("line not written", "err", err)
@@ -131,7 +131,7 @@
 }
 
 // Serve takes lines from siblings until the listener is closed.
-func (m *Mesh) Serve(ln net.Listener, said func(*wire.PeerLine)) error {
+func (m *Mesh) Serve(ln net.Listener, said func(*wire.PeerMessage)) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-func (m *Mesh) read(conn net.Conn, said func(*wire.PeerLine)) {
+func (m *Mesh) read(conn net.Conn, said func(*wire.PeerMessage)) {
 	defer conn.Close()
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -137,7 +137,7 @@
 		}
 		j := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: rapid.SampledFrom([]wire.Shape{wire.ShapeArray, wire.ShapeService, wire.ShapeGang}).Draw(t, "shape"),
 			Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), Cores: float64(rapid.IntRange(1, 3).Draw(t, "need")), MemGB: 1,
-			Together: rapid.Bool().Draw(t, "together"), Apart: rapid.Bool().Draw(t, "apart"), Spot: rapid.Bool().Draw(t, "spotOK")}
+			SingleZone: rapid.Bool().Draw(t, "together"), SpreadZones: rapid.Bool().Draw(t, "apart"), Spot: rapid.Bool().Draw(t, "spotOK")}
 		if rapid.Bool().Draw(t, "typed") {
 			j.Types = []string{"x"}
 		}
@@ -172,9 +172,9 @@
 			require.True(t, sum == 0 || sum == j.Tasks, "part of a gang placed")
 		}
 		for _, n := range inZone {
-			require.True(t, !j.Apart || n <= (j.Tasks+1)/2, "too many in one zone")
+			require.True(t, !j.SpreadZones || n <= (j.Tasks+1)/2, "too many in one zone")
 		}
-		require.True(t, !j.Together || len(inZone) <= 1, "not together")
+		require.True(t, !j.SingleZone || len(inZone) <= 1, "not together")
 		for id, h := range byID {
 			require.InDelta(t, before[id].Cores-float64(onHost[id])*j.Cores, h.Free.Cores, 1e-9, "booked wrongly")
 			require.GreaterOrEqual(t, h.Free.Cores, 0.0)
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -304,7 +304,7 @@
 		Tags:     Tags{TagJob: string(j.ID)},
 		Need:     Amount{j.Cores, j.Accelerators, j.MemGB},
 		Image:    j.Image,
-		Together: j.Together,
+		Together: j.SingleZone,
 		Spot:     j.Spot,
 	}
 	if len(j.Types) > 0 {
@@ -321,7 +321,7 @@
 		r.Enforced = append(r.Enforced, label(HasNot, LabelSpot, "true"))
 	}
 	own := Tags{TagJob: string(j.ID)}
-	if j.Apart {
+	if j.SpreadZones {
 		// Tasks that are stopping still stand in their zone, so they count.
 		r.Single = true
 		r.Enforced = append(r.Enforced, Node{Rule: &Rule{Resource: TaskTags, Operator: HasNot, Tags: own,
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -26,9 +26,9 @@
 }
 
 func jobSpec() wire.JobSpec {
-	return wire.JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: wire.ShapeGang, Rank: wire.RankHigh, Tasks: 16,
-		Cores: 8, Accelerators: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Together: true, Spot: true,
-		RuntimeS: 240, SavepointS: 30, StashS: 4, DueS: 900}
+	return wire.JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityHigh, Tasks: 16,
+		Cores: 8, Accelerators: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, SingleZone: true, Spot: true,
+		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 }
 
 // samples has one of each record. Their files in testdata say how each format writes
@@ -43,7 +43,7 @@
 	return []sample{
 		{"job", JobKey("wk-000412"), &Job{Spec: jobSpec(), At: 1_700_000_000_123, By: 41}, func() any { return new(Job) }, 0},
 		{"job-long", JobKey("wk-000412"), &Job{Spec: long, At: 1_700_000_000_123, By: 41}, func() any { return new(Job) }, 0},
-		{"over", JobKey("wk-000412"), &Over{Final{wire.StatusWithdrawn, 3}}, func() any { return new(Over) }, 0},
+		{"over", JobKey("wk-000412"), &Over{Final{wire.StatusCancelled, 3}}, func() any { return new(Over) }, 0},
 		{"final", FinalKey("wk-000412"), &Final{wire.StatusDone, 16}, func() any { return new(Final) }, 0},
 		{"node", NodeKey("rig-0"), &Node{Boot: 41, Isolated: true}, func() any { return new(Node) }, 0},
 		{"returns", ReturnsKey, &Returns{Going: map[string][]wire.MachineID{"idle": {"m-000231"}}, Gone: []wire.MachineID{"m-000230"}}, func() any { return new(Returns) }, 0},
@@ -92,7 +92,7 @@
 		line, err := DecodeLine(stored)
 		require.NoError(t, err)
 		require.Equal(t, "rig-1", line.From)
-		require.Len(t, line.Reports, 1)
+		require.Len(t, line.Heartbeats, 1)
 		written, err := EncodeLine(line)
 		require.NoError(t, err)
 		require.Equal(t, string(stored), string(written))
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -108,7 +108,7 @@
 // set, and reads them back.
 func TestGoldenLines(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
-		var line wire.PeerLine
+		var line wire.PeerMessage
 		filler := golden.NewFiller(2)
 		golden.Use(filler, func(int) wire.Format { return format })
 		filler.Fill(&line)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -53,7 +53,7 @@
 func ImageKey(shard int) string { return ImagePrefix + strconv.Itoa(shard) }
 
 // ShareKey is where the record of a share's owner stands.
-func ShareKey(id wire.ShareID) string { return SharePrefix + strconv.Itoa(int(id)) }
+func ShareKey(id wire.ShardID) string { return SharePrefix + strconv.Itoa(int(id)) }
 
 // PageKey is where a page of a team's placement records in a zone stands.
 func PageKey(team, zone string, page int) string {
--- a/internal/record/line.go
+++ b/internal/record/line.go
@@ -15,11 +15,11 @@
 
 // EncodeLine writes a line between controllers, without its end, in the line's format.
 // The formats so far differ in that later ones name themselves.
-func EncodeLine(line *wire.PeerLine) ([]byte, error) { return json.Marshal(line) }
+func EncodeLine(line *wire.PeerMessage) ([]byte, error) { return json.Marshal(line) }
 
 // DecodeLine reads and checks a line of any format.
-func DecodeLine(b []byte) (*wire.PeerLine, error) {
-	var line wire.PeerLine
+func DecodeLine(b []byte) (*wire.PeerMessage, error) {
+	var line wire.PeerMessage
 	if err := fastjson.Unmarshal(b, &line); err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 	if line.Format < 0 || line.Format > Newest {
 		return nil, fmt.Errorf("%w: %d", ErrLineFormat, line.Format)
 	}
-	for _, r := range line.Reports {
+	for _, r := range line.Heartbeats {
 		if r == nil {
 			return nil, errors.New("line with an empty report")
 		}
--- a/internal/record/line_test.go
+++ b/internal/record/line_test.go
@@ -12,9 +12,9 @@
 // TestLines: what was written is read back; what was cut or spoilt is refused
 // or harmless, never fatal.
 func TestLines(t *testing.T) {
-	l := &wire.PeerLine{From: "rig-1", Reports: []*wire.Report{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", Session: 1,
-		Tasks: []wire.TaskReport{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
-		Heard: []wire.Heard{{Machine: "m-2", Session: 1, Sequence: 7, Token: 3}}}
+	l := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
+		Tasks: []wire.TaskStatus{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
+		UnchangedHeartbeats: []wire.UnchangedHeartbeat{{Machine: "m-2", AgentEpoch: 1, Sequence: 7, Token: 3}}}
 	good, err := EncodeLine(l)
 	require.NoError(t, err)
 	back, err := DecodeLine(good)
@@ -33,7 +33,7 @@
 		b := append([]byte(nil), good...)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		if l, err := DecodeLine(b); err == nil {
-			for _, r := range l.Reports {
+			for _, r := range l.Heartbeats {
 				require.NoError(t, r.Check())
 			}
 		}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -84,9 +84,9 @@
 // Group is the entries that share a head, machine by machine.
 type Group struct {
 	Head
-	Machines []wire.MachineID `json:"m"`
-	Sessions []wire.Session   `json:"h"`
-	Tasks    []TaskSet        `json:"k"`
+	Machines []wire.MachineID  `json:"m"`
+	Sessions []wire.AgentEpoch `json:"h"`
+	Tasks    []TaskSet         `json:"k"`
 }
 
 // Page is a placement record. Tasks that are done move from their entry to Done in
@@ -120,7 +120,7 @@
 )
 
 // MachineRoom is what one machine takes in a group, beside the head.
-func MachineRoom(id wire.MachineID, session wire.Session, tasks TaskSet) int {
+func MachineRoom(id wire.MachineID, session wire.AgentEpoch, tasks TaskSet) int {
 	return machineRoom + len(id) + len(strconv.FormatUint(uint64(session), 10)) + tasks.Room()
 }
 
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -22,8 +22,8 @@
 type Share struct {
 	Owner ShareOwner `json:"owner"`
 	// Epoch rises whenever the share changes hands.
-	Epoch wire.Epoch `json:"epoch"`
-	Move  *ShareMove `json:"move,omitempty"`
+	Epoch wire.ShardEpoch `json:"epoch"`
+	Move  *ShareMove      `json:"move,omitempty"`
 }
 
 // ShareMove is a move of a share that is under way. Its owner starts no placement
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -128,8 +128,8 @@
 		if ch.Put != "" {
 			s.values[ch.Put], s.versions[ch.Put] = ch.Value, s.revision
 		} else {
-			delete(s.values, ch.Drop)
-			delete(s.versions, ch.Drop)
+			delete(s.values, ch.Delete)
+			delete(s.versions, ch.Delete)
 		}
 	}
 	return true
@@ -235,7 +235,7 @@
 	case 0:
 		h.start(label)
 	case 1: // its lease runs out
-		h.service.run(wire.Transaction{Then: []wire.Change{{Drop: record.NodeKey(label)}}})
+		h.service.run(wire.Transaction{Then: []wire.Change{{Delete: record.NodeKey(label)}}})
 	case 2, 3:
 		h.send(p, p.enrolled())
 	case 4, 5:
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -88,7 +88,7 @@
 }
 
 func problem(c fiber.Ctx, status int, why string) error {
-	return c.Status(status).JSON(wire.Problem{Error: why})
+	return c.Status(status).JSON(wire.ErrorResponse{Error: why})
 }
 
 func busy(c fiber.Ctx, why string) error {
@@ -178,7 +178,7 @@
 }
 
 func (s *Server) handleReport(c fiber.Ctx) error {
-	r, err := wire.ParseReport(c.Body())
+	r, err := wire.ParseHeartbeat(c.Body())
 	if err != nil {
 		s.log.Warn("worker's report dropped", "from", c.IP(), "err", err)
 		return problem(c, http.StatusBadRequest, err.Error())
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -24,7 +24,7 @@
 	ch := make(chan core.Reply, 1)
 	reply := core.Reply{Status: http.StatusOK, Body: wire.JobStatus{ID: "wk-000001", Status: wire.StatusPending}}
 	if _, worker := makeInput(1).(core.Reported); worker {
-		reply.Body = wire.ReportAnswer{Token: 1}
+		reply.Body = wire.HeartbeatResponse{Token: 1}
 	}
 	ch <- reply
 	return ch, true
--- a/internal/share/changes.go
+++ b/internal/share/changes.go
@@ -12,7 +12,7 @@
 // late fails too.
 
 // change writes a share's record on the condition that it is as it is known here.
-func (t *Table) change(txn *wire.Transaction, id wire.ShareID, next record.Share) {
+func (t *Table) change(txn *wire.Transaction, id wire.ShardID, next record.Share) {
 	txn.If = append(txn.If, t.Demand(id))
 	txn.Then = append(txn.Then, wire.Change{Put: record.ShareKey(id), Value: record.Encode(record.FormatShares, record.ShareKey(id), next)})
 }
@@ -27,7 +27,7 @@
 // takeOver makes this process the owner of shares that nobody owns, or whose owner has
 // ended. That is demanded: an owner's record in the state service hangs on its lease, so
 // a share is never taken from one that may still be alive.
-func (t *Table) takeOver(ids []wire.ShareID) wire.Transaction {
+func (t *Table) takeOver(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
 		s := &t.shares[id]
@@ -41,7 +41,7 @@
 
 // proposal is a share that is to be handed over.
 type proposal struct {
-	id wire.ShareID
+	id wire.ShardID
 	to string
 }
 
@@ -60,7 +60,7 @@
 
 // release notes that this process, the owner, has no placement under way in shares that
 // it is to hand over.
-func (t *Table) release(ids []wire.ShareID) wire.Transaction {
+func (t *Table) release(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
 		next := t.shares[id].Share
@@ -73,7 +73,7 @@
 }
 
 // adopt makes this process the owner of shares that were released to it.
-func (t *Table) adopt(ids []wire.ShareID) wire.Transaction {
+func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
 		t.change(&txn, id, record.Share{Owner: t.self, Epoch: t.shares[id].Epoch + 1})
@@ -83,7 +83,7 @@
 
 // undo ends moves whose targets have ended: the shares stay with their owners. That the
 // targets have ended is demanded, since one that lives may adopt at any moment.
-func (t *Table) undo(ids []wire.ShareID) wire.Transaction {
+func (t *Table) undo(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
 		next := t.shares[id].Share
--- a/internal/share/operate.go
+++ b/internal/share/operate.go
@@ -26,7 +26,7 @@
 
 // Move is the transaction by which an operator has a share moved to a controller. epoch is
 // the one that the operator saw.
-func (t *Table) Move(id wire.ShareID, to string, epoch wire.Epoch, wall int64) (wire.Transaction, error) {
+func (t *Table) Move(id wire.ShardID, to string, epoch wire.ShardEpoch, wall int64) (wire.Transaction, error) {
 	if err := t.InUse(); err != nil {
 		return wire.Transaction{}, err
 	}
@@ -99,8 +99,8 @@
 }
 
 // View is the shares as operators see them; wall is in Unix milliseconds.
-func (t *Table) View(wall int64) wire.AdminShares {
-	v := wire.AdminShares{State: "in use", Drained: t.policy.Drained, Owned: map[string]int{}, Shares: []wire.AdminShare{}}
+func (t *Table) View(wall int64) wire.AdminShards {
+	v := wire.AdminShards{State: "in use", Drained: t.policy.Drained, Owned: map[string]int{}, Shards: []wire.AdminShard{}}
 	if err := t.InUse(); err != nil {
 		v.State = err.Error()
 		return v
@@ -108,18 +108,18 @@
 	for label := range t.controllers {
 		v.Owned[label] = t.Owned(label)
 	}
-	for id := range wire.ShareID(Count) {
+	for id := range wire.ShardID(Count) {
 		s := &t.shares[id]
-		share := wire.AdminShare{Share: id, Owner: s.Owner.Label, Boot: s.Owner.Boot, Epoch: s.Epoch, Alive: t.Live(s.Owner)}
+		share := wire.AdminShard{Shard: id, Owner: s.Owner.Label, Incarnation: s.Owner.Boot, Epoch: s.Epoch, Alive: t.Live(s.Owner)}
 		if !share.Alive {
-			share.Waits = "its owner is gone: it is about to be taken over"
+			share.WaitsFor = "its owner is gone: it is about to be taken over"
 		}
 		if m := s.Move; m != nil {
-			share.To, share.Step, share.Why = m.To.Label, string(m.Step), m.Why
+			share.To, share.Phase, share.Reason = m.To.Label, string(m.Step), m.Why
 			share.MovingS = float64(max(0, wall-m.Since)) / 1000
-			share.Waits = t.waits(s)
+			share.WaitsFor = t.waits(s)
 		}
-		v.Shares = append(v.Shares, share)
+		v.Shards = append(v.Shards, share)
 	}
 	return v
 }
--- a/internal/share/planner.go
+++ b/internal/share/planner.go
@@ -48,7 +48,7 @@
 // Action is a transaction that this controller should run now.
 type Action struct {
 	Kind   Kind
-	Shares []wire.ShareID
+	Shares []wire.ShardID
 	Why    string
 	Txn    wire.Transaction
 }
@@ -69,14 +69,14 @@
 // Next is the most urgent action, if there is any. placing reports whether this process
 // has placements under way in a share, hold that it needs the shares that it has for the
 // moment; wall is in Unix milliseconds.
-func (p *Planner) Next(now Time, wall int64, placing func(wire.ShareID) bool, hold bool) (Action, bool) {
+func (p *Planner) Next(now Time, wall int64, placing func(wire.ShardID) bool, hold bool) (Action, bool) {
 	t := p.table
 	if !t.Enabled() || !t.Live(t.self) {
 		return Action{}, false
 	}
-	var orphans, adopt, undo, release []wire.ShareID
+	var orphans, adopt, undo, release []wire.ShardID
 	heirs := t.heirs()
-	for id := range wire.ShareID(Count) {
+	for id := range wire.ShardID(Count) {
 		s := &t.shares[id]
 		switch {
 		case s.unreadable:
@@ -95,8 +95,8 @@
 	}
 	for _, a := range []struct {
 		kind Kind
-		ids  []wire.ShareID
-		txn  func([]wire.ShareID) wire.Transaction
+		ids  []wire.ShardID
+		txn  func([]wire.ShardID) wire.Transaction
 	}{{TakeOver, orphans, t.takeOver}, {Adopt, adopt, t.adopt}, {Undo, undo, t.undo}, {Release, release, t.release}} {
 		if len(a.ids) > 0 {
 			ids := a.ids[:min(p.most, len(a.ids))]
@@ -160,8 +160,8 @@
 
 // nextToMove is the share of this process that suits a target best, of those that it is
 // not to hand over already.
-func (t *Table) nextToMove(target string, proposals []proposal) (best wire.ShareID, any bool) {
-	for id := range wire.ShareID(Count) {
+func (t *Table) nextToMove(target string, proposals []proposal) (best wire.ShardID, any bool) {
+	for id := range wire.ShardID(Count) {
 		if !t.Places(id) || slices.ContainsFunc(proposals, func(p proposal) bool { return p.id == id }) {
 			continue
 		}
@@ -205,12 +205,12 @@
 // heirs is who takes over each share without a living owner. All controllers that know
 // the same come to the same result: the target of a move that was under way; a new
 // process of the controller that owned the share; else whoever owns fewest.
-func (t *Table) heirs() map[wire.ShareID]string {
+func (t *Table) heirs() map[wire.ShardID]string {
 	eligible := t.eligible()
 	load := t.load()
-	heirs := map[wire.ShareID]string{}
-	var rest []wire.ShareID
-	for id := range wire.ShareID(Count) {
+	heirs := map[wire.ShardID]string{}
+	var rest []wire.ShardID
+	for id := range wire.ShardID(Count) {
 		s := &t.shares[id]
 		switch {
 		case t.Live(s.Owner):
@@ -240,7 +240,7 @@
 
 // Collect asks for shares to be handed over to this process, for a job that needs the
 // room of several controllers at once. Shares that move already are left out.
-func (p *Planner) Collect(ids []wire.ShareID, wall int64) (Action, bool) {
+func (p *Planner) Collect(ids []wire.ShardID, wall int64) (Action, bool) {
 	t := p.table
 	var proposals []proposal
 	for _, id := range ids {
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -23,16 +23,16 @@
 type Time time.Duration
 
 // Of is the share that a machine belongs to.
-func Of(machine wire.MachineID) wire.ShareID {
-	return wire.ShareID(xxhash.Sum64String(string(machine)) % Count)
+func Of(machine wire.MachineID) wire.ShardID {
+	return wire.ShardID(xxhash.Sum64String(string(machine)) % Count)
 }
 
 // Valid reports whether there is such a share.
-func Valid(id wire.ShareID) bool { return id >= 0 && id < Count }
+func Valid(id wire.ShardID) bool { return id >= 0 && id < Count }
 
 // affinity orders controllers for a share, or shares for a controller, at random but
 // alike for everybody (rendezvous hashing).
-func affinity(label string, id wire.ShareID) uint64 {
+func affinity(label string, id wire.ShardID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(label) // writing to a digest cannot fail
 	_, _ = digest.Write([]byte{0, byte(id)})
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -21,7 +21,7 @@
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
 // shareIn is a share's record as it stands in the state service.
-func shareIn(store *standin.Store, id wire.ShareID) record.Share {
+func shareIn(store *standin.Store, id wire.ShardID) record.Share {
 	var out record.Share
 	if value, _, ok := store.Get(record.ShareKey(id)); ok && json.Unmarshal(value, &out) != nil {
 		panic("share record")
@@ -53,7 +53,7 @@
 	planner *share.Planner
 	read    wire.Revision // up to which it knows all changes
 	running bool
-	placing map[wire.ShareID]bool // the shares in which it has placements under way
+	placing map[wire.ShardID]bool // the shares in which it has placements under way
 }
 
 func newCluster(t require.TestingT, controllers int) *cluster {
@@ -74,7 +74,7 @@
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	c.boot++
-	n.table, n.read, n.running, n.placing = share.New(n.label), 0, true, map[wire.ShareID]bool{}
+	n.table, n.read, n.running, n.placing = share.New(n.label), 0, true, map[wire.ShardID]bool{}
 	n.planner = share.NewPlanner(n.table, 6)
 	n.table.ApplyFormat(record.FormatShares)
 	n.table.Joined(c.boot)
@@ -89,7 +89,7 @@
 func (c *cluster) expire() {
 	for _, n := range c.nodes {
 		if !n.running {
-			c.store.Multi(wire.Transaction{Then: []wire.Change{{Drop: record.NodeKey(n.label)}}})
+			c.store.Multi(wire.Transaction{Then: []wire.Change{{Delete: record.NodeKey(n.label)}}})
 		}
 	}
 }
@@ -97,14 +97,14 @@
 // catchUp has a controller read what was written.
 func (c *cluster) catchUp(n *node) {
 	feed := c.store.Feed(record.RootKey, n.read)
-	for _, l := range feed.Log {
+	for _, l := range feed.Events {
 		c.apply(n.table, l)
 	}
 	n.read = feed.Revision
 }
 
-func (c *cluster) apply(t *share.Table, l wire.LogEntry) {
-	key := l.Put + l.Drop
+func (c *cluster) apply(t *share.Table, l wire.ChangeEvent) {
+	key := l.Put + l.Delete
 	label := key[strings.LastIndexByte(key, '/')+1:]
 	switch {
 	case key == record.SharesKey:
@@ -128,7 +128,7 @@
 	if !n.running {
 		return share.Action{}, false
 	}
-	a, due := n.planner.Next(c.now, int64(time.Duration(c.now)/time.Millisecond), func(id wire.ShareID) bool { return n.placing[id] }, false)
+	a, due := n.planner.Next(c.now, int64(time.Duration(c.now)/time.Millisecond), func(id wire.ShardID) bool { return n.placing[id] }, false)
 	if !due {
 		return a, false
 	}
@@ -142,9 +142,9 @@
 
 // run carries a change out and holds it against what must hold of it.
 func (c *cluster) run(txn wire.Transaction) {
-	before := map[wire.ShareID]record.Share{}
-	alive := map[wire.ShareID]bool{}
-	for id := range wire.ShareID(share.Count) {
+	before := map[wire.ShardID]record.Share{}
+	alive := map[wire.ShardID]bool{}
+	for id := range wire.ShardID(share.Count) {
 		before[id] = shareIn(c.store, id)
 		alive[id] = liveIn(c.store, before[id].Owner)
 	}
@@ -191,7 +191,7 @@
 // owned counts the shares of each controller, all of which must live and be at rest.
 func (c *cluster) owned() map[string]int {
 	owned := map[string]int{}
-	for id := range wire.ShareID(share.Count) {
+	for id := range wire.ShardID(share.Count) {
 		s := shareIn(c.store, id)
 		require.True(c.t, liveIn(c.store, s.Owner), "share %d is with %v", id, s.Owner)
 		require.Nil(c.t, s.Move, "share %d", id)
@@ -211,7 +211,7 @@
 			c.now += share.Time(rapid.IntRange(0, 2000).Draw(t, "ms")) * share.Time(time.Millisecond)
 			i := rapid.IntRange(0, len(c.nodes)-1).Draw(t, "who")
 			n := c.nodes[i]
-			id := wire.ShareID(rapid.IntRange(0, share.Count-1).Draw(t, "share"))
+			id := wire.ShardID(rapid.IntRange(0, share.Count-1).Draw(t, "share"))
 			switch rapid.SampledFrom([]string{"act", "act", "act", "act", "read", "read", "read", "late", "carried out", "end", "start", "expire", "place", "move", "drain"}).Draw(t, "step") {
 			case "act":
 				c.act(i, false)
@@ -305,7 +305,7 @@
 // TestMachinesSpread: a share follows from a machine's name alone, for ever, and shares of
 // any fleet are of about one size.
 func TestMachinesSpread(t *testing.T) {
-	require.Equal(t, []wire.ShareID{share.Of("m-000000"), share.Of("m-000231"), share.Of("m-123456")}, []wire.ShareID{20, 30, 15})
+	require.Equal(t, []wire.ShardID{share.Of("m-000000"), share.Of("m-000231"), share.Of("m-123456")}, []wire.ShardID{20, 30, 15})
 	for _, fleet := range []int{1000, 4000, 40000} {
 		var sizes [share.Count]int
 		for i := range fleet {
--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -79,7 +79,7 @@
 // nobody here: this controller places nothing in it.
 func (t *Table) ApplyShare(key string, value []byte, version wire.Revision) error {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, record.SharePrefix))
-	if err != nil || !Valid(wire.ShareID(n)) {
+	if err != nil || !Valid(wire.ShardID(n)) {
 		return fmt.Errorf("share record %q: no such share", key)
 	}
 	s := knownShare{version: version}
@@ -125,14 +125,14 @@
 }
 
 // Owner is the process that owns a share. It may have ended.
-func (t *Table) Owner(id wire.ShareID) record.ShareOwner { return t.shares[id].Owner }
+func (t *Table) Owner(id wire.ShardID) record.ShareOwner { return t.shares[id].Owner }
 
 // Epoch is how often a share has changed hands.
-func (t *Table) Epoch(id wire.ShareID) wire.Epoch { return t.shares[id].Epoch }
+func (t *Table) Epoch(id wire.ShardID) wire.ShardEpoch { return t.shares[id].Epoch }
 
 // Places reports whether this process may start placements on the machines of a share: it
 // owns it, and no move of it is under way.
-func (t *Table) Places(id wire.ShareID) bool {
+func (t *Table) Places(id wire.ShardID) bool {
 	s := &t.shares[id]
 	return t.self.Boot != 0 && s.Owner == t.self && s.Move == nil && !s.unreadable
 }
@@ -150,7 +150,7 @@
 
 // Demand is the condition that a share's record is as it is known here. A placement
 // demands it of every share that it places in.
-func (t *Table) Demand(id wire.ShareID) wire.Condition {
+func (t *Table) Demand(id wire.ShardID) wire.Condition {
 	return wire.Condition{Key: record.ShareKey(id), Version: t.shares[id].version}
 }
 
--- a/internal/standin/added_test.go
+++ b/internal/standin/added_test.go
@@ -211,7 +211,7 @@
 		}
 		for n := range 6 {
 			spec, _ := job(n, 1)
-			spec.Tasks, spec.Apart = 4, true
+			spec.Tasks, spec.SpreadZones = 4, true
 			w.At(2*time.Second, func() { w.Submit(spec, 0) })
 			w.At(25*time.Second, func() { w.CancelJob(spec.ID) })
 		}
@@ -296,7 +296,7 @@
 		}
 		for n := range 6 {
 			spec, _ := job(2*n, 3)
-			spec.Tasks, spec.Spot, spec.SavepointS, spec.StashS = 4, false, 3, 6
+			spec.Tasks, spec.Spot, spec.CheckpointIntervalS, spec.CheckpointSaveS = 4, false, 3, 6
 			w.At(time.Duration(1+n)*time.Second, func() { w.Submit(spec, 40*time.Second) })
 		}
 		w.Run(15 * time.Second)
--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -59,9 +59,9 @@
 // each there are.
 func mixedTypes() []wire.MachineType {
 	return []wire.MachineType{
-		{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.31, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: zones},
-		{Name: "c16", Cores: 16, MemGB: 64, Rate: 1.1, MarketPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
-		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, Rate: 11, MarketPrice: 4, StartupS: 35, PullGBPerS: 0.2, Zones: zones},
+		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.31, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: zones},
+		{Name: "c16", Cores: 16, MemGB: 64, OnDemandPrice: 1.1, SpotPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
+		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, OnDemandPrice: 11, SpotPrice: 4, StartupS: 35, PullGBPerS: 0.2, Zones: zones},
 	}
 }
 
@@ -74,9 +74,9 @@
 	spec.Team = teamName(n % 4)
 	switch spec.Shape {
 	case wire.ShapeService:
-		spec.Tasks, spec.MemGB, spec.Apart, spec.Image = []int{3, 6, 8, 9}[n/7%4], 3, true, fmt.Sprint("desk-", n%12)
+		spec.Tasks, spec.MemGB, spec.SpreadZones, spec.Image = []int{3, 6, 8, 9}[n/7%4], 3, true, fmt.Sprint("desk-", n%12)
 	case wire.ShapeGang:
-		spec.Tasks, spec.Cores, spec.Accelerators, spec.MemGB, spec.Together = 1<<(n/7%5), 28, 4, 200, true
+		spec.Tasks, spec.Cores, spec.Accelerators, spec.MemGB, spec.SingleZone = 1<<(n/7%5), 28, 4, 200, true
 		spec.Image, run = fmt.Sprint("model-", n%16), gangRun
 	default:
 		spec.Tasks, spec.Image, run = arrayTasks, fmt.Sprint("survey-", n%10), 25*time.Second
@@ -93,8 +93,8 @@
 	set.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 200, CPUsMax: 900}, {Name: "red", CPUs: 200, CPUsMax: 900, GPUs: 8, GPUsMax: 60}}
 	set.Cluster.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 32}
 	types := []wire.MachineType{
-		{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.3, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
-		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, Rate: 11, MarketPrice: 4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
+		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
+		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, OnDemandPrice: 11, SpotPrice: 4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
 	w := benchFleet{settings: set, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, capacity: 3}.world()
 	for n := range 60 {
@@ -118,13 +118,13 @@
 	set.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	set.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{
-		{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.2, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
-		{Name: "c8", Cores: 8, MemGB: 32, Rate: 0.36, MarketPrice: 0.1, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
+		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
+		{Name: "c8", Cores: 8, MemGB: 32, OnDemandPrice: 0.36, SpotPrice: 0.1, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
 	w := benchFleet{settings: set, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, capacity: 400}.world()
 	for n := range 430 {
 		spec, run := job(n, 1)
-		spec.Tasks, spec.MemGB, spec.Apart = []int{3, 4, 16}[n%3], 3.4, true
+		spec.Tasks, spec.MemGB, spec.SpreadZones = []int{3, 4, 16}[n%3], 3.4, true
 		at := 2 * time.Second
 		if n >= 400 {
 			spec, run = job(n, 0)
@@ -175,11 +175,11 @@
 	set.Cluster.Teams = []config.Team{{Name: "desk", CPUs: 8000, CPUsMax: 9000}, {Name: "guest"}}
 	set.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	set.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
-	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.2, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
+	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
 	w := benchFleet{settings: set, types: types, pattern: []int{0}, controllers: 5, machines: 1500}.world()
 	for n := range 1500 {
 		spec, _ := job(n, 0)
-		spec.Team, spec.Tasks, spec.Cores, spec.Rank = "guest", 1, 0.25, wire.RankBestEffort
+		spec.Team, spec.Tasks, spec.Cores, spec.Priority = "guest", 1, 0.25, wire.PriorityBestEffort
 		w.At(2*time.Second+time.Duration(n)*20*time.Millisecond, func() { w.Submit(spec, 100*time.Second) })
 	}
 	return w
--- a/internal/standin/failing_test.go
+++ b/internal/standin/failing_test.go
@@ -25,10 +25,10 @@
 			spec, _ := job(2*n, 0)
 			spec.ID, spec.Tasks = wire.JobID(fmt.Sprintf("wk-1%05d", n)), 40
 			if n == 2 {
-				spec.Shape, spec.Rank, spec.Class, spec.Tasks = wire.ShapeService, wire.RankCritical, "portal", 4
+				spec.Shape, spec.Priority, spec.Class, spec.Tasks = wire.ShapeService, wire.PriorityCritical, "portal", 4
 			}
 			if n == 3 {
-				spec.Shape, spec.Rank, spec.Tasks, spec.Cores = wire.ShapeGang, wire.RankHigh, 4, 2
+				spec.Shape, spec.Priority, spec.Tasks, spec.Cores = wire.ShapeGang, wire.PriorityHigh, 4, 2
 			}
 			mistaken = append(mistaken, spec.ID)
 			w.At(time.Duration(3+n)*time.Second, func() { w.SubmitMistaken(spec) })
@@ -51,7 +51,7 @@
 				require.Less(t, w.now.Sub(j.answered), 20*time.Second)
 			}
 		}
-		require.Equal(t, wire.StatusWithdrawn, w.jobs[mistaken[0]].told)
+		require.Equal(t, wire.StatusCancelled, w.jobs[mistaken[0]].told)
 		for _, n := range w.nodes {
 			n.request++
 			n.replies[n.request] = func(r core.Reply) {
--- a/internal/standin/found_test.go
+++ b/internal/standin/found_test.go
@@ -51,7 +51,7 @@
 		w.At(2*time.Second, func() { w.Submit(service, 0) })
 		for n := range 8 {
 			spec, _ := job(2*n, 0)
-			spec.Rank, spec.Spot, spec.Tasks, spec.Image = wire.RankBestEffort, false, 2, "other"
+			spec.Priority, spec.Spot, spec.Tasks, spec.Image = wire.PriorityBestEffort, false, 2, "other"
 			w.At(8*time.Second, func() { w.Submit(spec, 200*time.Second) })
 		}
 		second := service
@@ -218,7 +218,7 @@
 			w.At(time.Duration(n)*time.Second, func() { w.Submit(spec, run+8*time.Second) })
 		}
 		gang, _ := job(201, 2)
-		gang.Tasks, gang.Cores, gang.Accelerators, gang.Together = 4, 7, 2, true
+		gang.Tasks, gang.Cores, gang.Accelerators, gang.SingleZone = 4, 7, 2, true
 		w.At(20*time.Second, func() { w.Submit(gang, 20*time.Second) })
 		w.Run(65 * time.Second)
 		began, ok := w.Begun(gang.ID)
@@ -394,7 +394,7 @@
 		w.At(2*time.Second, func() { w.Submit(first, time.Second) })
 		w.Run(38 * time.Second)
 		gang, _ := job(4, 2)
-		gang.Tasks, gang.Cores, gang.ImageGB, gang.Together = 3, 3, 3, false
+		gang.Tasks, gang.Cores, gang.ImageGB, gang.SingleZone = 3, 3, 3, false
 		w.At(0, func() { w.Submit(gang, 5*time.Second) })
 		w.Run(80 * time.Second)
 		began, ok := w.Begun(gang.ID)
--- a/internal/standin/gap_test.go
+++ b/internal/standin/gap_test.go
@@ -162,7 +162,7 @@
 func (w *World) withdrawnBetween(from, to time.Duration) int {
 	n := 0
 	for _, j := range w.jobs {
-		if j.told == wire.StatusWithdrawn && j.toldAt >= core.Time(from) && j.toldAt <= core.Time(to) {
+		if j.told == wire.StatusCancelled && j.toldAt >= core.Time(from) && j.toldAt <= core.Time(to) {
 			n++
 		}
 	}
@@ -212,7 +212,7 @@
 		// The launches as they were sent: under the token of then, for the session of then.
 		type launch struct {
 			m    *machine
-			body wire.DoRequest
+			body wire.CommandRequest
 		}
 		var held []launch
 		w.At(1400*time.Millisecond, func() {
@@ -220,8 +220,8 @@
 				for _, g := range pageOf(e.Value).Groups {
 					for _, id := range g.Machines {
 						m := w.byID[id]
-						held = append(held, launch{m, wire.DoRequest{Token: m.token, Session: m.session,
-							Orders: []wire.Order{{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: g.Job}, Attempt: g.Attempt}}}})
+						held = append(held, launch{m, wire.CommandRequest{Token: m.token, AgentEpoch: m.session,
+							Commands: []wire.Command{{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: g.Job}, Attempt: g.Attempt}}}})
 					}
 				}
 			}
@@ -230,8 +230,8 @@
 		w.StateDown, w.NoDirect = true, false
 		w.At(w.Cancel+5*time.Second, func() {
 			for _, l := range held {
-				job := l.body.Orders[0].Task.Job
-				if w.jobs[job].told == wire.StatusWithdrawn && w.jobs[job].launched == 0 {
+				job := l.body.Commands[0].Task.Job
+				if w.jobs[job].told == wire.StatusCancelled && w.jobs[job].launched == 0 {
 					late++
 					l.m.act(func() { l.m.do(l.body) })
 				}
--- a/internal/standin/guests_test.go
+++ b/internal/standin/guests_test.go
@@ -24,7 +24,7 @@
 		w.Start(1)
 		for n := range 20 {
 			spec, run := job(n, 0)
-			spec.Team, spec.Tasks, spec.Rank = "guest", 1+n%3*20, wire.RankBestEffort
+			spec.Team, spec.Tasks, spec.Priority = "guest", 1+n%3*20, wire.PriorityBestEffort
 			w.At(time.Duration(2+n)*time.Second, func() { w.Submit(spec, run) })
 		}
 		w.Run(200 * time.Second)
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -33,7 +33,7 @@
 	// Of placements: the process that placed, and the epoch of the machine's share that
 	// it placed under; 0 while shares are not in use.
 	Boot  wire.FencingToken
-	Epoch wire.Epoch
+	Epoch wire.ShardEpoch
 
 	// Of answers to users; Asked is when the question was sent, if it is known. An answer to
 	// one that was sent before a final state was told may be older than that.
@@ -109,7 +109,7 @@
 		c.take(e)
 	}
 	for id, last := range c.told {
-		if !last.Status.Final() {
+		if !last.Status.IsTerminal() {
 			c.breaks("%s was accepted and is %s in the end", id, last.Status)
 		}
 	}
@@ -208,7 +208,7 @@
 // checkWithdrawn holds a task that is on a machine at some moment against what its user
 // was told last.
 func (c *historyCheck) checkWithdrawn(task wire.TaskID, machine wire.MachineID, told HistoryEvent, at time.Time) {
-	if told.Status == wire.StatusWithdrawn && at.Sub(told.At) > c.cancel {
+	if told.Status == wire.StatusCancelled && at.Sub(told.At) > c.cancel {
 		c.breaks("%v is on %s %v after its user was told that it is withdrawn", task, machine, at.Sub(told.At))
 	}
 }
@@ -216,12 +216,12 @@
 func (c *historyCheck) answered(e HistoryEvent) {
 	before := c.told[e.Job]
 	switch {
-	case before.Status.Final():
+	case before.Status.IsTerminal():
 		if e.Status != before.Status && (e.Asked.IsZero() || e.Asked.After(before.At)) {
 			c.breaks("%s was called %s, and then %s", e.Job, before.Status, e.Status)
 		}
 		return
-	case e.Status == wire.StatusWithdrawn && !c.cancelled[e.Job]:
+	case e.Status == wire.StatusCancelled && !c.cancelled[e.Job]:
 		c.breaks("%s was called withdrawn, and nobody asked for that", e.Job)
 	case e.Status == wire.StatusDone && !c.complete(e.Job):
 		c.breaks("%s was called done with %d tasks of %d done", e.Job, len(c.completed[e.Job]), c.specs[e.Job].Tasks)
--- a/internal/standin/history_test.go
+++ b/internal/standin/history_test.go
@@ -29,9 +29,9 @@
 		"while on":         {accepted, task(TaskStarted, 0, "m-1"), task(TaskStarted, 0, "m-2"), told(wire.StatusDone)},
 		"west":             {accepted, elsewhere},
 		"cores of 2":       {accepted, task(TaskStarted, 0, "m-1"), task(TaskStarted, 1, "m-1"), task(TaskStarted, 2, "m-1")},
-		"after its user":   {accepted, cancelled, told(wire.StatusWithdrawn), late},
-		"and then":         {accepted, cancelled, told(wire.StatusWithdrawn), told(wire.StatusRunning)},
-		"nobody asked":     {accepted, told(wire.StatusWithdrawn)},
+		"after its user":   {accepted, cancelled, told(wire.StatusCancelled), late},
+		"and then":         {accepted, cancelled, told(wire.StatusCancelled), told(wire.StatusRunning)},
+		"nobody asked":     {accepted, told(wire.StatusCancelled)},
 		"done with 1":      {accepted, task(TaskStarted, 0, "m-1"), task(TaskCompleted, 0, "m-1"), told(wire.StatusDone)},
 		"in the end":       {accepted},
 		"nobody submitted": {{Kind: TaskStarted, Machine: "m-1", Task: wire.TaskID{Job: "wk-2"}}},
@@ -39,7 +39,7 @@
 		h := historyOf(events)
 		require.Contains(t, strings.Join(h.Check([]config.Team{{Name: "blue", CPUsMax: 2}}, time.Minute), "; "), broken)
 	}
-	placed := func(boot wire.FencingToken, epoch wire.Epoch) HistoryEvent {
+	placed := func(boot wire.FencingToken, epoch wire.ShardEpoch) HistoryEvent {
 		e := task(TaskPlaced, 0, "m-1")
 		e.Boot, e.Epoch = boot, epoch
 		return e
@@ -53,9 +53,9 @@
 	require.Empty(t, historyOf([]HistoryEvent{placed(9, 0), placed(7, 1), placed(8, 2), placed(7, 3), placed(8, 0)}).Check(nil, time.Minute))
 	older := told(wire.StatusRunning)
 	older.Asked = time.Unix(1, 0) // before the withdrawal was told, at 2
-	require.Empty(t, historyOf([]HistoryEvent{accepted, cancelled, told(wire.StatusWithdrawn), older}).Check(nil, time.Minute))
+	require.Empty(t, historyOf([]HistoryEvent{accepted, cancelled, told(wire.StatusCancelled), older}).Check(nil, time.Minute))
 	older.Asked = time.Unix(2, 1)
-	require.Len(t, historyOf([]HistoryEvent{accepted, cancelled, told(wire.StatusWithdrawn), older}).Check(nil, time.Minute), 1)
+	require.Len(t, historyOf([]HistoryEvent{accepted, cancelled, told(wire.StatusCancelled), older}).Check(nil, time.Minute), 1)
 	good := historyOf([]HistoryEvent{accepted, task(TaskStarted, 0, "m-1"), task(TaskStopped, 0, "m-1"), task(TaskStarted, 0, "m-2"), task(TaskStarted, 1, "m-2"),
 		task(TaskCompleted, 0, "m-2"), task(TaskCompleted, 1, "m-2"), task(TaskStarted, 2, "m-1"), task(TaskCompleted, 2, "m-1"), told(wire.StatusDone), told(wire.StatusDone)})
 	require.Empty(t, good.Check([]config.Team{{Name: "blue", CPUsMax: 2}}, time.Minute))
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -52,7 +52,7 @@
 // ServeHTTP implements http.Handler.
 func (s *StateServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.Down.Load() {
-		answer(w, http.StatusServiceUnavailable, wire.Problem{Error: "down"})
+		answer(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "down"})
 		return
 	}
 	s.mu.Lock()
@@ -76,12 +76,12 @@
 		if v, version, ok := s.store.Get(key); ok {
 			answer(w, http.StatusOK, wire.Entry{Key: key, Value: v, Version: version})
 		} else {
-			answer(w, http.StatusNotFound, wire.TransactionAnswer{Revision: s.store.Revision()})
+			answer(w, http.StatusNotFound, wire.TransactionResponse{Revision: s.store.Revision()})
 		}
 	case r.URL.Path == "/multi":
 		var t wire.Transaction
 		if json.NewDecoder(r.Body).Decode(&t) != nil {
-			answer(w, http.StatusBadRequest, wire.Problem{Error: "malformed"})
+			answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
 		switch c := s.store.Multi(t); c.Outcome {
@@ -89,18 +89,18 @@
 			if s.log != nil {
 				s.log.carriedOut(s.store, t)
 			}
-			answer(w, http.StatusOK, wire.TransactionAnswer{Revision: c.Revision})
+			answer(w, http.StatusOK, wire.TransactionResponse{Revision: c.Revision})
 		case core.Conflict:
-			answer(w, http.StatusConflict, wire.TransactionAnswer{Revision: c.Revision, Failed: c.Failed})
+			answer(w, http.StatusConflict, wire.TransactionResponse{Revision: c.Revision, Failed: c.Failed})
 		default:
-			answer(w, http.StatusBadRequest, wire.Problem{Error: "no such lease"})
+			answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"})
 		}
 	case r.URL.Path == "/leases":
 		var body struct {
 			TTL int64 `json:"ttl_ms"`
 		}
 		if json.NewDecoder(r.Body).Decode(&body) != nil || body.TTL < 100 {
-			answer(w, http.StatusBadRequest, wire.Problem{Error: "malformed"})
+			answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
 		answer(w, http.StatusOK, map[string]wire.LeaseID{"permit": s.store.Grant(s.now(), core.Time(time.Duration(body.TTL)*time.Millisecond))})
@@ -109,10 +109,10 @@
 		if s.store.Extend(s.now(), wire.LeaseID(id)) {
 			answer(w, http.StatusOK, map[string]wire.LeaseID{"permit": wire.LeaseID(id)})
 		} else {
-			answer(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
+			answer(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		}
 	default:
-		answer(w, http.StatusBadRequest, wire.Problem{Error: "malformed"})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 	}
 }
 
@@ -124,7 +124,7 @@
 	timer := time.NewTimer(time.Duration(block) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		if f := s.store.Feed(q.Get("under"), wire.Revision(after)); len(f.Log) > 0 {
+		if f := s.store.Feed(q.Get("under"), wire.Revision(after)); len(f.Events) > 0 {
 			break
 		}
 		changed := s.changed
@@ -155,7 +155,7 @@
 type CloudServer struct {
 	Types []wire.MachineType
 	// Listed, unless nil, is the machines that were rented before, in any order.
-	Listed func() []wire.ListedMachine
+	Listed func() []wire.CloudMachine
 	// Return, unless nil, ends machines and everything on them.
 	Return func([]wire.MachineID)
 }
@@ -168,9 +168,9 @@
 	case r.URL.Path == "/hosts" && r.Method == http.MethodGet:
 		answer(w, http.StatusOK, s.page(r))
 	case r.URL.Path == "/hosts":
-		answer(w, http.StatusServiceUnavailable, wire.Problem{Error: "no capacity"})
+		answer(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 	default:
-		var names wire.Machines
+		var names wire.MachineNames
 		if json.NewDecoder(r.Body).Decode(&names) == nil && s.Return != nil {
 			s.Return(names.Names)
 		}
@@ -180,7 +180,7 @@
 
 // page is the part of the machine list that a request asks for.
 func (s CloudServer) page(r *http.Request) wire.MachineList {
-	list := wire.MachineList{Machines: []wire.ListedMachine{}}
+	list := wire.MachineList{Machines: []wire.CloudMachine{}}
 	if s.Listed == nil {
 		return list
 	}
@@ -190,7 +190,7 @@
 			list.Machines = append(list.Machines, m)
 		}
 	}
-	slices.SortFunc(list.Machines, func(a, b wire.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list.Machines, func(a, b wire.CloudMachine) int { return cmp.Compare(a.ID, b.ID) })
 	if most, err := strconv.Atoi(r.URL.Query().Get("page")); err == nil && most < len(list.Machines) {
 		list.Machines, list.More = list.Machines[:most], true
 	}
--- a/internal/standin/http_history.go
+++ b/internal/standin/http_history.go
@@ -15,11 +15,11 @@
 	history  *History
 	attempts map[wire.Attempt]bool
 	// epochs is under which epoch each process last owned a share.
-	epochs map[wire.ShareID]map[wire.FencingToken]wire.Epoch
+	epochs map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch
 }
 
 func newPlacementLog(h *History) *placementLog {
-	return &placementLog{history: h, attempts: map[wire.Attempt]bool{}, epochs: map[wire.ShareID]map[wire.FencingToken]wire.Epoch{}}
+	return &placementLog{history: h, attempts: map[wire.Attempt]bool{}, epochs: map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch{}}
 }
 
 // carriedOut takes a transaction that the store has carried out.
@@ -53,10 +53,10 @@
 	if json.Unmarshal(c.Value, &now) != nil {
 		return
 	}
-	for id := range wire.ShareID(share.Count) {
+	for id := range wire.ShardID(share.Count) {
 		if record.ShareKey(id) == c.Put {
 			if l.epochs[id] == nil {
-				l.epochs[id] = map[wire.FencingToken]wire.Epoch{}
+				l.epochs[id] = map[wire.FencingToken]wire.ShardEpoch{}
 			}
 			l.epochs[id][now.Owner.Boot] = now.Epoch
 		}
@@ -68,7 +68,7 @@
 func (l *placementLog) placed(s *Store, g *record.Group, sharded bool) {
 	for i, machine := range g.Machines {
 		id := share.Of(machine)
-		var epoch wire.Epoch
+		var epoch wire.ShardEpoch
 		if sharded {
 			var owner record.Share
 			value, _, _ := s.Get(record.ShareKey(id))
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -35,7 +35,7 @@
 	set.Cluster.State = config.State{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 32}
 	set.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
 	set.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // no time to wait for others' ends
-	kinds := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.2, MarketPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
+	kinds := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
 	w := New(set, kinds, 3, 1)
 	w.Capacity = largeFleet
 	for i := range w.nodes {
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -64,7 +64,7 @@
 			zone:       settings.Zones[i/len(settings.Types)%len(settings.Zones)],
 			controller: i % len(settings.Controllers),
 			changed:    make(chan struct{}, 1),
-			tasks:      map[taskKey]*wire.TaskReport{},
+			tasks:      map[taskKey]*wire.TaskStatus{},
 		}
 		w.workers[worker.addr] = worker
 		go worker.reportLoop(ctx)
@@ -76,13 +76,13 @@
 func (w *LoopbackWorkers) Know(id wire.JobID, runtime time.Duration) { w.runtime.Store(id, runtime) }
 
 // Listed is the machine list that a cloud would show of the workers.
-func (w *LoopbackWorkers) Listed() []wire.ListedMachine {
-	var list []wire.ListedMachine
+func (w *LoopbackWorkers) Listed() []wire.CloudMachine {
+	var list []wire.CloudMachine
 	for _, worker := range w.workers {
 		if worker.ended() {
 			continue
 		}
-		list = append(list, wire.ListedMachine{ID: worker.id, Addr: worker.addr, Type: worker.kind, Zone: worker.zone, Status: wire.MachineRunning})
+		list = append(list, wire.CloudMachine{ID: worker.id, Addr: worker.addr, Type: worker.kind, Zone: worker.zone, Status: wire.MachineRunning})
 	}
 	return list
 }
@@ -117,9 +117,9 @@
 		answer(out, http.StatusOK, worker.report())
 		return
 	}
-	var body wire.DoRequest
+	var body wire.CommandRequest
 	if json.NewDecoder(in.Body).Decode(&body) != nil {
-		answer(out, http.StatusBadRequest, wire.Problem{Error: "malformed"})
+		answer(out, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 		return
 	}
 	status := http.StatusOK
@@ -143,7 +143,7 @@
 	gone     bool // returned
 	sequence wire.Sequence
 	token    wire.FencingToken
-	tasks    map[taskKey]*wire.TaskReport
+	tasks    map[taskKey]*wire.TaskStatus
 }
 
 func (w *loopbackWorker) unreachable() bool {
@@ -178,11 +178,11 @@
 	clear(w.tasks)
 }
 
-func (w *loopbackWorker) report() *wire.Report {
+func (w *loopbackWorker) report() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sequence++
-	r := &wire.Report{Machine: w.id, Addr: w.addr, Type: w.kind, Zone: w.zone, Session: 1, Sequence: w.sequence, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.kind, Zone: w.zone, AgentEpoch: 1, Sequence: w.sequence, Token: w.token}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, *t)
 	}
@@ -190,14 +190,14 @@
 }
 
 // do obeys a direct command unless its token is too low.
-func (w *loopbackWorker) do(body wire.DoRequest) bool {
+func (w *loopbackWorker) do(body wire.CommandRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.gone || body.Token < w.token {
 		return false
 	}
 	w.token = body.Token
-	w.obey(body.Orders)
+	w.obey(body.Commands)
 	return true
 }
 
@@ -232,7 +232,7 @@
 }
 
 func (w *loopbackWorker) sendReport(client *httpcall.Client) bool {
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	status, err := client.Call(http.MethodPost, "/hello", w.report(), 4*time.Second, map[int]any{http.StatusOK: &a})
 	if err != nil || status != http.StatusOK {
 		return false
@@ -241,25 +241,25 @@
 	defer w.mu.Unlock()
 	if !w.gone && a.Token >= w.token {
 		w.token = a.Token
-		w.obey(a.Orders)
+		w.obey(a.Commands)
 	}
 	return true
 }
 
 // obey is called with the lock held.
-func (w *loopbackWorker) obey(orders []wire.Order) {
+func (w *loopbackWorker) obey(orders []wire.Command) {
 	for _, o := range orders {
 		key := taskKey{o.Task, o.Attempt}
 		t := w.tasks[key]
 		switch {
 		case o.Verb == wire.VerbLaunch && t == nil:
-			w.tasks[key] = &wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskPulling}
+			w.tasks[key] = &wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskPulling}
 			time.AfterFunc(loopbackFetch, func() { w.start(key) })
 		case o.Verb == wire.VerbStop && t != nil && t.State != wire.TaskExited:
 			if t.State == wire.TaskRunning {
 				w.note(TaskStopped, key)
 			}
-			t.State, t.Cause = wire.TaskExited, wire.CauseHalted
+			t.State, t.Cause = wire.TaskExited, wire.CauseStopped
 		case o.Verb == wire.VerbClear && t != nil && t.State == wire.TaskExited:
 			delete(w.tasks, key)
 		}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -42,7 +42,7 @@
 	outboundCut bool     // it reaches no controller, but direct commands reach it
 	queue       []func() // what arrived while it hung
 
-	session  wire.Session
+	session  wire.AgentEpoch
 	sequence wire.Sequence
 	token    wire.FencingToken
 	tasks    map[taskKey]*task
@@ -56,16 +56,16 @@
 	faulty   bool
 }
 
-func (m *machine) report() *wire.Report {
+func (m *machine) report() *wire.Heartbeat {
 	m.sequence++
-	r := &wire.Report{Machine: m.id, Addr: string(m.id), Type: m.kind.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Sequence: m.sequence, Token: m.token}
+	r := &wire.Heartbeat{Machine: m.id, Addr: string(m.id), Type: m.kind.Name, Zone: m.zone, Spot: m.spot,
+		AgentEpoch: m.session, Sequence: m.sequence, Token: m.token}
 	if m.recall != 0 {
 		s := m.recall.Sub(m.w.now).Seconds()
-		r.RecallS = &s
+		r.PreemptionNoticeS = &s
 	}
 	for _, t := range m.sorted() {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Stored: t.stored})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.stored})
 	}
 	return r
 }
@@ -164,7 +164,7 @@
 				return
 			}
 			finish(func() {
-				a, ok := rep.Body.(wire.ReportAnswer)
+				a, ok := rep.Body.(wire.HeartbeatResponse)
 				if !ok || rep.Status != 200 {
 					m.nextNode()
 					return
@@ -174,7 +174,7 @@
 				}
 				m.token = a.Token
 				m.answered = max(m.answered, sentAt)
-				m.obey(a.Orders)
+				m.obey(a.Commands)
 			})
 		})
 }
@@ -182,16 +182,16 @@
 func (m *machine) nextNode() { m.node = (m.node + 1) % len(m.w.nodes) }
 
 // do is POST /do.
-func (m *machine) do(body wire.DoRequest) core.Answered {
-	if body.Token < m.token || body.Session != m.session {
+func (m *machine) do(body wire.CommandRequest) core.Answered {
+	if body.Token < m.token || body.AgentEpoch != m.session {
 		return core.Answered{Outcome: core.NotDone, Report: m.report()}
 	}
 	m.token = body.Token
-	m.obey(body.Orders)
+	m.obey(body.Commands)
 	return core.Answered{Outcome: core.Done, Executed: true, Report: m.report()}
 }
 
-func (m *machine) obey(orders []wire.Order) {
+func (m *machine) obey(orders []wire.Command) {
 	for _, o := range orders {
 		key := taskKey{o.Task, o.Attempt}
 		t := m.tasks[key]
@@ -202,7 +202,7 @@
 			}
 		case wire.VerbStop:
 			if t != nil && t.state != wire.TaskExited {
-				m.stop(t, *o.WindupS)
+				m.stop(t, *o.GracePeriodS)
 			}
 		case wire.VerbClear:
 			if t != nil && t.state == wire.TaskExited {
@@ -217,7 +217,7 @@
 	}
 }
 
-func (m *machine) launch(o wire.Order) {
+func (m *machine) launch(o wire.Command) {
 	w := m.w
 	m.launched++
 	t := &task{id: o.Task, attempt: o.Attempt, state: wire.TaskPulling, token: m.token}
@@ -274,7 +274,7 @@
 		w.after(w.GangWait, func() {
 			m.act(func() {
 				if t.state == wire.TaskWaiting {
-					m.exit(t, wire.CauseIncomplete)
+					m.exit(t, wire.CauseGangTimeout)
 				}
 			})
 		})
@@ -316,29 +316,29 @@
 func (m *machine) stop(t *task, windup float64) {
 	w := m.w
 	j := w.jobs[t.id.Job]
-	if t.state == wire.TaskRunning && j.spec.SavepointS > 0 && windup >= j.spec.StashS {
-		t.state = wire.TaskFlushing
-		w.after(time.Duration(j.spec.StashS*float64(time.Second)), func() {
+	if t.state == wire.TaskRunning && j.spec.CheckpointIntervalS > 0 && windup >= j.spec.CheckpointSaveS {
+		t.state = wire.TaskCheckpointing
+		w.after(time.Duration(j.spec.CheckpointSaveS*float64(time.Second)), func() {
 			m.act(func() {
-				if t.state == wire.TaskFlushing {
+				if t.state == wire.TaskCheckpointing {
 					t.stored = true
-					m.exit(t, wire.CauseHalted)
+					m.exit(t, wire.CauseStopped)
 				}
 			})
 		})
 		return
 	}
-	if t.state == wire.TaskFlushing && windup > 0 {
+	if t.state == wire.TaskCheckpointing && windup > 0 {
 		return
 	}
-	m.exit(t, wire.CauseHalted)
+	m.exit(t, wire.CauseStopped)
 }
 
 func (m *machine) exit(t *task, why wire.Cause) {
 	if t.state == wire.TaskExited || m.tasks[taskKey{t.id, t.attempt}] != t {
 		return
 	}
-	wasRunning := t.state == wire.TaskRunning || t.state == wire.TaskFlushing
+	wasRunning := t.state == wire.TaskRunning || t.state == wire.TaskCheckpointing
 	t.state, t.cause, t.on = wire.TaskExited, why, false
 	j := m.w.jobs[t.id.Job]
 	if why == wire.CauseDone {
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -315,7 +315,7 @@
 		})
 	}},
 	{name: "odd requests while leaders change", seen: map[string]int{"refused for good": 20, "submitted again": 100, "cancelled when done": 100, "restart": 8}, play: func(w *World) {
-		w.types = append(slices.Clone(w.types), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, Rate: 3, MarketPrice: 1, StartupS: 5, Zones: zones[:1]})
+		w.types = append(slices.Clone(w.types), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, OnDemandPrice: 3, SpotPrice: 1, StartupS: 5, Zones: zones[:1]})
 		steady(w, 60, 6)
 		for i := range 20 {
 			w.At(time.Duration(10+4*i)*second, w.oddRequests)
@@ -329,7 +329,7 @@
 				spec.Zone, spec.Types = zones[1], []string{"x2"}
 			case 3:
 				// Only one zone has machines that large.
-				spec.Shape, spec.Apart, spec.Tasks, spec.Cores, spec.Team = wire.ShapeService, true, 2, 9, "red"
+				spec.Shape, spec.SpreadZones, spec.Tasks, spec.Cores, spec.Team = wire.ShapeService, true, 2, 9, "red"
 			}
 			w.At(time.Duration(5+3*i)*second, func() { w.SubmitImpossible(spec) })
 		}
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -10,7 +10,7 @@
 
 // keptReport is a copy of a report that was held up on its way.
 type keptReport struct {
-	report *wire.Report
+	report *wire.Heartbeat
 	at     core.Time
 }
 
@@ -90,7 +90,7 @@
 }
 
 // lineLate has a copy of a line come late, perhaps.
-func (w *World) lineLate(to *node, line wire.PeerLine) {
+func (w *World) lineLate(to *node, line wire.PeerMessage) {
 	if w.LateLines == 0 || w.rng.Float64() >= w.LateLines {
 		return
 	}
@@ -157,7 +157,7 @@
 					}
 					if n == began && n.core.Healthy() {
 						w.Seen["kept report at a new controller"]++
-						if m := w.byID[k.report.Machine]; m != nil && k.report.Session < m.session {
+						if m := w.byID[k.report.Machine]; m != nil && k.report.AgentEpoch < m.session {
 							w.Seen["report of an earlier session"]++
 						}
 					}
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -43,20 +43,20 @@
 		if o.id == t.id && om != m {
 			w.breaks("ran_twice: %v on %s and %s", t.id, om.id, m.id)
 		}
-		if s.Together && om.zone != m.zone {
+		if s.SingleZone && om.zone != m.zone {
 			w.breaks("wrong_place: %v in %s, another in %s", t.id, m.zone, om.zone)
 		}
 		if om.zone == m.zone {
 			sameZone++
 		}
 	}
-	if s.Apart && sameZone > (s.Tasks+1)/2 {
+	if s.SpreadZones && sameZone > (s.Tasks+1)/2 {
 		w.breaks("wrong_place: %d tasks of %s in %s", sameZone, s.ID, m.zone)
 	}
 	if s.Zone != "" && s.Zone != m.zone || m.spot && !s.Spot || len(s.Types) > 0 && !slices.Contains(s.Types, m.kind.Name) {
 		w.breaks("wrong_place: %v on %s (%s, %s, spot %v)", t.id, m.id, m.kind.Name, m.zone, m.spot)
 	}
-	if j.told == wire.StatusWithdrawn {
+	if j.told == wire.StatusCancelled {
 		w.Seen["start after a withdrawal was told"]++
 		if w.now.Sub(j.toldAt) > w.Cancel {
 			w.breaks("ran_cancelled: start of %v", t.id)
@@ -82,7 +82,7 @@
 		j := w.jobs[t.id.Job]
 		u := used[j.spec.Team]
 		used[j.spec.Team] = use{u.cores + j.spec.Cores, u.accel + j.spec.Accelerators}
-		if j.told == wire.StatusWithdrawn && w.now.Sub(j.toldAt) > w.Cancel {
+		if j.told == wire.StatusCancelled && w.now.Sub(j.toldAt) > w.Cancel {
 			w.breaks("ran_cancelled: %v on %s", t.id, m.id)
 		}
 	})
@@ -129,8 +129,8 @@
 	}
 	for id, j := range w.jobs {
 		s := &j.spec
-		waits := j.accepted && !j.told.Final() && !j.cancelAsk && !j.mistaken && len(j.complete) < s.Tasks && len(j.on()) == 0 &&
-			(s.Tasks == 1 || s.Shape == wire.ShapeArray && !s.Together && !s.Apart)
+		waits := j.accepted && !j.told.IsTerminal() && !j.cancelAsk && !j.mistaken && len(j.complete) < s.Tasks && len(j.on()) == 0 &&
+			(s.Tasks == 1 || s.Shape == wire.ShapeArray && !s.SingleZone && !s.SpreadZones)
 		beside := false
 		if waits {
 			for _, t := range w.Settings.Cluster.Teams {
@@ -208,7 +208,7 @@
 				ms[i].act(func() {
 					if t.state == wire.TaskRunning {
 						t.on = false
-						t.state, t.cause = wire.TaskExited, wire.CausePeers
+						t.state, t.cause = wire.TaskExited, wire.CausePeerFailed
 					}
 				})
 			}
--- a/internal/standin/shares_cases_test.go
+++ b/internal/standin/shares_cases_test.go
@@ -26,7 +26,7 @@
 
 // startMove has a share moved, and returns its source and target when it has come to a
 // step.
-func (w *World) startMove(t *testing.T, id wire.ShareID, step record.ShareStep) (source, target int) {
+func (w *World) startMove(t *testing.T, id wire.ShardID, step record.ShareStep) (source, target int) {
 	t.Helper()
 	before := w.Share(id)
 	source = w.index(before.Owner.Label)
@@ -48,7 +48,7 @@
 	for n := 0; w.Now()+time.Duration(n)*200*time.Millisecond < until; n++ {
 		w.At(time.Duration(n)*200*time.Millisecond, func() {
 			for k := range 8 {
-				id := wire.ShareID((8*n + k) % share.Count)
+				id := wire.ShardID((8*n + k) % share.Count)
 				w.changeShares((n+k)%len(w.nodes), w.moveShare(id, (w.index(w.Share(id).Owner.Label)+1)%len(w.nodes)))
 			}
 		})
@@ -74,7 +74,7 @@
 // moving counts the shares on the move.
 func (w *World) moving() int {
 	n := 0
-	for id := range wire.ShareID(share.Count) {
+	for id := range wire.ShardID(share.Count) {
 		if w.Share(id).Move != nil {
 			n++
 		}
@@ -222,7 +222,7 @@
 		w.Run(15 * second)
 		w.changeSettings(`{"idle_s":86400}`)
 		gang, _ := job(1, 2)
-		gang.Tasks, gang.Cores, gang.Together = 10, 4, false
+		gang.Tasks, gang.Cores, gang.SingleZone = 10, 4, false
 		w.Submit(gang, 10*second)
 		w.Run(12 * second)
 		began, ok := w.Begun(gang.ID)
@@ -290,10 +290,10 @@
 	steady(w, 60, 6)
 	w.Run(15 * second)
 	require.Equal(t, record.FormatCompressed, w.FormatInForce())
-	reply := w.changeShares(0, wire.AdminShareChange{Drain: "rig-1", Reason: "none"})
+	reply := w.changeShares(0, wire.AdminShardChange{Drain: "rig-1", Reason: "none"})
 	w.Run(second)
 	require.Equal(t, 409, reply.Status)
-	require.Contains(t, reply.Body.(wire.Problem).Error, "dormant")
+	require.Contains(t, reply.Body.(wire.ErrorResponse).Error, "dormant")
 
 	w.startNewer(2) // reads all formats, and does not enable shares
 	w.Run(15 * second)
@@ -315,7 +315,7 @@
 	t.Parallel()
 	w := sharesWorld(t, 97, 3)
 	steady(w, 60, 6)
-	reply := w.changeShares(0, wire.AdminShareChange{Drain: "rig-1", Reason: "new disks"})
+	reply := w.changeShares(0, wire.AdminShardChange{Drain: "rig-1", Reason: "new disks"})
 	w.Run(8 * second)
 	require.Equal(t, 200, reply.Status)
 	require.Zero(t, w.owned()["rig-1"])
@@ -326,7 +326,7 @@
 	w.startSharing(1)
 	w.Run(10 * second)
 	require.Zero(t, w.owned()["rig-1"], "it is drained still")
-	w.changeShares(2, wire.AdminShareChange{EndDrain: "rig-1"})
+	w.changeShares(2, wire.AdminShardChange{EndDrain: "rig-1"})
 	w.Run(20 * second)
 	require.InDelta(t, share.Count/3, w.owned()["rig-1"], share.Tolerance)
 	finishShares(t, w)
--- a/internal/standin/shares_test.go
+++ b/internal/standin/shares_test.go
@@ -39,7 +39,7 @@
 // orphans counts the shares without a living owner.
 func (w *World) orphans() int {
 	n := 0
-	for id := range wire.ShareID(share.Count) {
+	for id := range wire.ShardID(share.Count) {
 		if s := w.Share(id); s.Epoch == 0 || !w.alive(s.Owner) {
 			n++
 		}
@@ -50,14 +50,14 @@
 // owned counts the shares of each controller.
 func (w *World) owned() map[string]int {
 	owned := map[string]int{}
-	for id := range wire.ShareID(share.Count) {
+	for id := range wire.ShardID(share.Count) {
 		owned[w.Share(id).Owner.Label]++
 	}
 	return owned
 }
 
 // changeShares asks a controller for a change; the reply is there some time later.
-func (w *World) changeShares(i int, change wire.AdminShareChange) *core.Reply {
+func (w *World) changeShares(i int, change wire.AdminShardChange) *core.Reply {
 	reply := &core.Reply{}
 	w.toNode(w.nodes[i], func(id core.RequestID) core.Input { return core.SharesAsked{Request: id, Change: change} },
 		func(r core.Reply) { *reply = r })
@@ -65,8 +65,8 @@
 }
 
 // moveShare is a change that moves a share, from the epoch that stands in the state service.
-func (w *World) moveShare(id wire.ShareID, to int) wire.AdminShareChange {
-	return wire.AdminShareChange{Move: &id, To: label(to), Epoch: w.Share(id).Epoch}
+func (w *World) moveShare(id wire.ShardID, to int) wire.AdminShardChange {
+	return wire.AdminShardChange{Move: &id, To: label(to), Epoch: w.Share(id).Epoch}
 }
 
 // TestSharesEvenlyOwned: once all enable them, every share has one owner, each owns about as
@@ -146,10 +146,10 @@
 	i := who % len(w.nodes)
 	switch kind {
 	case "move":
-		w.changeShares(i, w.moveShare(wire.ShareID(who%share.Count), who/7%len(w.nodes)))
+		w.changeShares(i, w.moveShare(wire.ShardID(who%share.Count), who/7%len(w.nodes)))
 	case "drain":
-		w.changeShares(who/3%len(w.nodes), wire.AdminShareChange{Drain: label(i), Reason: "drawn"})
-		w.At(last, func() { w.changeShares(who/3%len(w.nodes), wire.AdminShareChange{EndDrain: label(i)}) })
+		w.changeShares(who/3%len(w.nodes), wire.AdminShardChange{Drain: label(i), Reason: "drawn"})
+		w.At(last, func() { w.changeShares(who/3%len(w.nodes), wire.AdminShardChange{EndDrain: label(i)}) })
 	case "restart":
 		w.restart(i, last/10)
 	case "stop":
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -19,7 +19,7 @@
 type Store struct {
 	revision wire.Revision
 	values   map[string]stored
-	log      []wire.LogEntry
+	log      []wire.ChangeEvent
 	leases   map[wire.LeaseID]*lease
 	leaseID  wire.LeaseID
 	// forgotten is the revision up to which the log was dropped.
@@ -66,14 +66,14 @@
 }
 
 // Feed is all changes under a prefix after a revision.
-func (s *Store) Feed(prefix string, after wire.Revision) wire.Feed {
-	f := wire.Feed{Revision: s.revision}
-	i, _ := slices.BinarySearchFunc(s.log, after+1, func(l wire.LogEntry, a wire.Revision) int {
+func (s *Store) Feed(prefix string, after wire.Revision) wire.WatchResponse {
+	f := wire.WatchResponse{Revision: s.revision}
+	i, _ := slices.BinarySearchFunc(s.log, after+1, func(l wire.ChangeEvent, a wire.Revision) int {
 		return int(int64(l.Version) - int64(a))
 	})
 	for _, l := range s.log[i:] {
-		if strings.HasPrefix(l.Put+l.Drop, prefix) {
-			f.Log = append(f.Log, l)
+		if strings.HasPrefix(l.Put+l.Delete, prefix) {
+			f.Events = append(f.Events, l)
 		}
 	}
 	return f
@@ -108,10 +108,10 @@
 	for _, ch := range t.Then {
 		if ch.Put != "" {
 			s.values[ch.Put] = stored{ch.Value, s.revision, ch.LeaseID}
-			s.log = append(s.log, wire.LogEntry{Put: ch.Put, Value: ch.Value, Version: s.revision})
-		} else if _, ok := s.values[ch.Drop]; ok {
-			delete(s.values, ch.Drop)
-			s.log = append(s.log, wire.LogEntry{Drop: ch.Drop, Version: s.revision})
+			s.log = append(s.log, wire.ChangeEvent{Put: ch.Put, Value: ch.Value, Version: s.revision})
+		} else if _, ok := s.values[ch.Delete]; ok {
+			delete(s.values, ch.Delete)
+			s.log = append(s.log, wire.ChangeEvent{Delete: ch.Delete, Version: s.revision})
 		}
 	}
 	if s.OnChange != nil && len(t.Then) > 0 {
@@ -147,10 +147,10 @@
 		var drops []wire.Change
 		for key, v := range s.values {
 			if v.leaseID == p {
-				drops = append(drops, wire.Change{Drop: key})
+				drops = append(drops, wire.Change{Delete: key})
 			}
 		}
-		slices.SortFunc(drops, func(a, b wire.Change) int { return strings.Compare(a.Drop, b.Drop) })
+		slices.SortFunc(drops, func(a, b wire.Change) int { return strings.Compare(a.Delete, b.Delete) })
 		if len(drops) > 0 {
 			s.Multi(wire.Transaction{Then: drops})
 		}
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -70,7 +70,7 @@
 		case j.told == wire.StatusDone:
 			w.Seen["cancelled when done"]++
 			w.CancelJob(id)
-		case j.accepted && !j.told.Final():
+		case j.accepted && !j.told.IsTerminal():
 			w.Seen["submitted again"]++
 			asked := w.now
 			w.ask(func(r core.RequestID) core.Input { return core.Submitted{Request: r, Spec: j.spec} }, func(r core.Reply, ok bool) {
@@ -98,7 +98,7 @@
 
 // ended has the user of a job whose last task has just ended call it off, perhaps.
 func (w *World) ended(j *userJob) {
-	if len(j.complete) < j.spec.Tasks || j.told.Final() || w.rng.Float64() >= w.CancelAtEnd {
+	if len(j.complete) < j.spec.Tasks || j.told.IsTerminal() || w.rng.Float64() >= w.CancelAtEnd {
 		return
 	}
 	w.Seen["cancelled at its end"]++
@@ -165,25 +165,25 @@
 // An answer to a request that was sent before the user knew better may be old.
 func (w *World) tell(j *userJob, asked core.Time, s wire.Status) {
 	j.accepted, j.answered = true, w.now
-	if j.told.Final() && s != j.told && asked > j.toldAt {
+	if j.told.IsTerminal() && s != j.told && asked > j.toldAt {
 		w.breaks("went_back: %s was %s and is now %s", j.spec.ID, j.told, s)
 	}
-	if s == wire.StatusWithdrawn && !j.cancelAsk {
+	if s == wire.StatusCancelled && !j.cancelAsk {
 		w.breaks("went_back: %s withdrawn, but nobody asked", j.spec.ID)
 	}
 	if s == wire.StatusDone && len(j.complete) < j.spec.Tasks {
 		w.breaks("not_done: %s told done with %d of %d", j.spec.ID, len(j.complete), j.spec.Tasks)
 	}
-	if s.Final() && !j.told.Final() {
+	if s.IsTerminal() && !j.told.IsTerminal() {
 		j.toldAt = w.now
-		if s == wire.StatusWithdrawn {
+		if s == wire.StatusCancelled {
 			w.Seen["withdrawn"]++
 		}
 		w.lookClosely(j)
 	} else if j.told == "" {
 		w.lookClosely(j)
 	}
-	if !j.told.Final() {
+	if !j.told.IsTerminal() {
 		j.told = s
 	}
 }
@@ -243,7 +243,7 @@
 		asked := w.now
 		w.ask(func(r core.RequestID) core.Input { return core.CancelAsked{Request: r, Job: id} },
 			func(r core.Reply, ok bool) {
-				if s, good := r.Body.(wire.JobStatus); ok && good && s.Status.Final() {
+				if s, good := r.Body.(wire.JobStatus); ok && good && s.Status.IsTerminal() {
 					w.tell(j, asked, s.Status)
 					return
 				}
@@ -275,7 +275,7 @@
 func (w *World) Unfinished() []wire.JobID {
 	var out []wire.JobID
 	for id, j := range w.jobs {
-		if j.submitted && !j.told.Final() && j.spec.Shape != wire.ShapeService && (!j.mistaken || j.cancelAsk) {
+		if j.submitted && !j.told.IsTerminal() && j.spec.Shape != wire.ShapeService && (!j.mistaken || j.cancelAsk) {
 			out = append(out, id)
 		}
 	}
--- a/internal/standin/work_test.go
+++ b/internal/standin/work_test.go
@@ -74,7 +74,7 @@
 			m = x
 		}
 	}
-	reports := make([]*wire.Report, 300)
+	reports := make([]*wire.Heartbeat, 300)
 	for i := range reports {
 		reports[i] = m.report()
 	}
--- a/internal/standin/world_cloud.go
+++ b/internal/standin/world_cloud.go
@@ -11,7 +11,7 @@
 
 type snapshot struct {
 	at   core.Time
-	list []wire.ListedMachine
+	list []wire.CloudMachine
 }
 
 func (w *World) cloud(n *node, id core.CallID, refused any, exec func() any) {
@@ -26,7 +26,7 @@
 	})
 }
 
-func (w *World) hire(h wire.Hire) core.Hired {
+func (w *World) hire(h wire.ProvisionRequest) core.Hired {
 	if names, ok := w.hires[h.Name]; ok {
 		return core.Hired{Names: names}
 	}
@@ -37,7 +37,7 @@
 			inUse++
 		}
 	}
-	number := min(h.Number, w.Capacity-inUse)
+	number := min(h.Count, w.Capacity-inUse)
 	if i < 0 || number <= 0 {
 		return core.Hired{Outcome: core.NotDone, Refused: true}
 	}
@@ -69,14 +69,14 @@
 	return m
 }
 
-func (w *World) list() []wire.ListedMachine {
-	var out []wire.ListedMachine
+func (w *World) list() []wire.CloudMachine {
+	var out []wire.CloudMachine
 	for _, m := range w.machines {
 		if m.dead && (!m.up || w.now-m.deadAt > core.Time(30*time.Second)) {
 			continue
 		}
-		l := wire.ListedMachine{ID: m.id, Addr: string(m.id), Type: m.kind.Name, Zone: m.zone, Spot: m.spot,
-			Status: wire.MachineBooting, HeldS: w.now.Sub(m.born).Seconds()}
+		l := wire.CloudMachine{ID: m.id, Addr: string(m.id), Type: m.kind.Name, Zone: m.zone, Spot: m.spot,
+			Status: wire.MachineBooting, AgeS: w.now.Sub(m.born).Seconds()}
 		if m.up {
 			l.Status = wire.MachineRunning
 		}
--- a/internal/standin/world_shares.go
+++ b/internal/standin/world_shares.go
@@ -50,7 +50,7 @@
 }
 
 // Share is the record of a share.
-func (w *World) Share(id wire.ShareID) record.Share {
+func (w *World) Share(id wire.ShardID) record.Share {
 	var s record.Share
 	w.read(record.ShareKey(id), &s)
 	return s
--- a/internal/standin/world_state.go
+++ b/internal/standin/world_state.go
@@ -70,11 +70,11 @@
 }
 
 // checkLine wants lines in no later format than the one in force.
-func (w *World) checkLine(line *wire.PeerLine) {
+func (w *World) checkLine(line *wire.PeerMessage) {
 	if format := w.FormatInForce(); line.Format > format {
 		w.breaks("line from %s in format %d while %d is in force", line.From, line.Format, format)
 	}
-	if (line.Room != nil || line.HandOffs != nil) && line.Format < record.FormatShares {
+	if (line.Capacity != nil || line.ForwardedJobs != nil) && line.Format < record.FormatShares {
 		w.breaks("line from %s with room or jobs handed on in format %d", line.From, line.Format)
 	}
 }
@@ -186,7 +186,7 @@
 		wt.done = true
 	} else if !w.StateDown && !w.CutState[wt.n.index] {
 		f := w.fed(wt.f)
-		if f.Outcome == core.Done && len(f.Feed.Log) == 0 && !timeout {
+		if f.Outcome == core.Done && len(f.Feed.Events) == 0 && !timeout {
 			return
 		}
 		wt.done = true
--- a/internal/standin/world_test.go
+++ b/internal/standin/world_test.go
@@ -20,8 +20,8 @@
 var zones = []string{"east", "north", "west"}
 
 var types = []wire.MachineType{
-	{Name: "c4", Cores: 4, MemGB: 32, Rate: 0.2, MarketPrice: 0.08, StartupS: 4, Zones: zones},
-	{Name: "g8", Cores: 8, Accelerators: 2, MemGB: 64, Rate: 2, MarketPrice: 0.7, StartupS: 5, Zones: zones},
+	{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.08, StartupS: 4, Zones: zones},
+	{Name: "g8", Cores: 8, Accelerators: 2, MemGB: 64, OnDemandPrice: 2, SpotPrice: 0.7, StartupS: 5, Zones: zones},
 }
 
 func settings() config.Settings {
@@ -64,20 +64,20 @@
 // job makes a job of one of the shapes from a number.
 func job(n, kind int) (wire.JobSpec, time.Duration) {
 	s := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: "batch", Team: []string{"blue", "red"}[n%2],
-		Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 1 + n%7, Cores: 1, MemGB: 2, Image: "img", ImageGB: 1,
+		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1 + n%7, Cores: 1, MemGB: 2, Image: "img", ImageGB: 1,
 		RuntimeS: 5, Spot: n%3 == 0}
 	run := time.Duration(2+n%9) * time.Second
 	switch kind {
 	case 1:
-		s.Shape, s.Rank, s.Class, s.Tasks = wire.ShapeService, wire.RankCritical, "portal", 1+n%2
+		s.Shape, s.Priority, s.Class, s.Tasks = wire.ShapeService, wire.PriorityCritical, "portal", 1+n%2
 	case 2:
-		s.Shape, s.Rank, s.Together, s.Tasks, s.Cores = wire.ShapeGang, wire.RankHigh, n%2 == 0, 1+n%3, 2
+		s.Shape, s.Priority, s.SingleZone, s.Tasks, s.Cores = wire.ShapeGang, wire.PriorityHigh, n%2 == 0, 1+n%3, 2
 	case 3:
-		s.Rank, s.SavepointS, s.StashS = wire.RankBestEffort, 3, 1
+		s.Priority, s.CheckpointIntervalS, s.CheckpointSaveS = wire.PriorityBestEffort, 3, 1
 	case 4:
-		s.Apart = true
+		s.SpreadZones = true
 	case 5:
-		s.Together, s.Cores = true, 3
+		s.SingleZone, s.Cores = true, 3
 	case 6:
 		s.Types, s.Accelerators = []string{"g8"}, 1
 		s.Shape, s.Tasks = wire.ShapeGang, 1+n%2
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -110,8 +110,8 @@
 		timeout = leaseTimeout
 	}
 	c.queue.add(m.Class, &waiter{writes: len(m.Txn.Then), deadline: time.Now().Add(queueTime), run: func() {
-		var a wire.TransactionAnswer
-		var problem wire.Problem
+		var a wire.TransactionResponse
+		var problem wire.ErrorResponse
 		status, err := c.calls.Call(http.MethodPost, "/multi", m.Txn, timeout,
 			map[int]any{200: &a, 409: &a, 400: &problem})
 		r := core.Committed{Revision: a.Revision, Failed: a.Failed}
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -38,8 +38,8 @@
 func TestGoldenRequests(t *testing.T) {
 	var entry wire.Entry
 	var entries wire.EntryList
-	var committed wire.TransactionAnswer
-	var feed wire.Feed
+	var committed wire.TransactionResponse
+	var feed wire.WatchResponse
 	golden.NewFiller(2).Fill(&entry)
 	golden.NewFiller(2).Fill(&entries)
 	golden.NewFiller(2).Fill(&committed)
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -79,7 +79,7 @@
 }
 
 // Do sends orders.
-func (c *Client) Do(addr string, body wire.DoRequest, then func(core.Answered)) {
+func (c *Client) Do(addr string, body wire.CommandRequest, then func(core.Answered)) {
 	go func() { then(c.call(addr, http.MethodPost, "/do", body, doTimeout)) }()
 }
 
@@ -91,7 +91,7 @@
 func (c *Client) call(addr, method, path string, body any, timeout time.Duration) core.Answered {
 	e := c.acquire(addr)
 	defer c.release(e)
-	var r wire.Report
+	var r wire.Heartbeat
 	status, err := e.client.Call(method, path, body, timeout, map[int]any{200: &r, 409: &r})
 	if err != nil {
 		c.log.Debug("worker gave no answer", "addr", addr, "call", path, "err", err)
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -17,7 +17,7 @@
 
 // TestGoldenRequests holds what is sent to workers, and reads an answer with all fields set.
 func TestGoldenRequests(t *testing.T) {
-	var report wire.Report
+	var report wire.Heartbeat
 	golden.NewFiller(2).Fill(&report)
 	answer, err := json.Marshal(&report)
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 	addr := strings.TrimPrefix(server.URL, "http://")
 	client := New(slog.New(slog.NewTextHandler(io.Discard, nil)), 4)
 
-	var request wire.DoRequest
+	var request wire.CommandRequest
 	golden.NewFiller(2).Fill(&request)
 	want := core.Answered{Outcome: core.Done, Executed: true, Report: &report}
 	answered := make(chan core.Answered, 1)
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -23,85 +23,85 @@
 	ViewSettings    AdminView = "settings"
 	ViewMetrics     AdminView = "metrics"
 	ViewRollout     AdminView = "rollout"
-	ViewShares      AdminView = "shares"
+	ViewShards      AdminView = "shares"
 )
 
 // AdminViews lists the views.
-var AdminViews = []AdminView{ViewControllers, ViewTeams, ViewMachines, ViewJobs, ViewSettings, ViewMetrics, ViewRollout, ViewShares}
+var AdminViews = []AdminView{ViewControllers, ViewTeams, ViewMachines, ViewJobs, ViewSettings, ViewMetrics, ViewRollout, ViewShards}
 
 // AdminController is one controller.
 type AdminController struct {
-	Label string       `json:"label"`
-	Boot  FencingToken `json:"boot"`
-	Alive bool         `json:"alive"`
-	Buyer bool         `json:"buyer"`
-	Self  bool         `json:"self"`
-	State bool         `json:"state_fresh"`
-	// Heard says that the controller that was asked hears it, Hears that it hears
+	Label          string       `json:"label"`
+	Incarnation    FencingToken `json:"boot"`
+	Alive          bool         `json:"alive"`
+	Provisioner    bool         `json:"buyer"`
+	Self           bool         `json:"self"`
+	StoreReachable bool         `json:"state_fresh"`
+	// HeardFrom says that the controller that was asked hears it, Hears that it hears
 	// that one, and Isolated that it reaches no workers, by its own word.
-	Heard    bool         `json:"heard"`
-	Hears    bool         `json:"hears"`
-	Isolated bool         `json:"deaf,omitempty"`
-	Revision Revision     `json:"ledger,omitempty"`
-	Token    FencingToken `json:"baton,omitempty"`
+	HeardFrom bool         `json:"heard"`
+	HearsUs   bool         `json:"hears"`
+	Isolated  bool         `json:"deaf,omitempty"`
+	Revision  Revision     `json:"ledger,omitempty"`
+	Token     FencingToken `json:"baton,omitempty"`
 	// Of the controller that was asked: for how long it has not been in step with
 	// the state service, the age of what it knows of withdrawals, by the service or
 	// by its siblings' word, and whether it answers workers on that ground.
-	InStepS float64 `json:"in_step_s,omitempty"`
-	KnownS  float64 `json:"withdrawals_known_s,omitempty"`
-	Renews  bool    `json:"answers_workers,omitempty"`
-	// LateS is how late its timers fire of late: its share is too small, or it stood
+	StoreLagS        float64 `json:"in_step_s,omitempty"`
+	CancellationLagS float64 `json:"withdrawals_known_s,omitempty"`
+	RenewsLeases     bool    `json:"answers_workers,omitempty"`
+	// TimerLagS is how late its timers fire of late: its share is too small, or it stood
 	// still.
-	LateS float64 `json:"late_s,omitempty"`
+	TimerLagS float64 `json:"late_s,omitempty"`
 }
 
 // AdminTeam is a team's usage against its guarantee and its limit.
 type AdminTeam struct {
-	Name            string  `json:"name"`
-	Owner           string  `json:"steward"`
-	CPUs            float64 `json:"cpus_used"`
-	CPUsGuaranteed  float64 `json:"cpus"`
-	CPUsMax         float64 `json:"cpus_max"`
-	GPUs            float64 `json:"gpus_used"`
-	GPUsGuaranteed  float64 `json:"gpus"`
-	GPUsMax         float64 `json:"gpus_max"`
-	Jobs            int     `json:"jobs"`
-	WaitingTasks    int     `json:"waiting_tasks"`
-	PlacementPages  int     `json:"placement_pages"`
-	PlacementPaused bool    `json:"placement_paused"`
+	Name             string  `json:"name"`
+	Owner            string  `json:"steward"`
+	CPUsUsed         float64 `json:"cpus_used"`
+	CPUsGuaranteed   float64 `json:"cpus"`
+	CPUsMax          float64 `json:"cpus_max"`
+	GPUsUsed         float64 `json:"gpus_used"`
+	GPUsGuaranteed   float64 `json:"gpus"`
+	GPUsMax          float64 `json:"gpus_max"`
+	Jobs             int     `json:"jobs"`
+	WaitingTasks     int     `json:"waiting_tasks"`
+	PlacementPages   int     `json:"placement_pages"`
+	PlacementBackoff bool    `json:"placement_paused"`
 }
 
 // AdminMachine is one machine.
 type AdminMachine struct {
-	ID       MachineID     `json:"id"`
-	Type     string        `json:"rigtype"`
-	Zone     string        `json:"yard"`
-	Spot     bool          `json:"loaners"`
-	Status   MachineStatus `json:"status"`
-	SilentS  float64       `json:"silent_s"`
-	Tasks    int           `json:"tasks"`
-	Leaving  string        `json:"doomed,omitempty"`
-	Faulty   bool          `json:"faulty,omitempty"`
-	Late     bool          `json:"late,omitempty"` // it should be up by now
-	Reserved bool          `json:"reserved,omitempty"`
-	Recalled bool          `json:"recalled,omitempty"`
+	ID                MachineID     `json:"id"`
+	Type              string        `json:"rigtype"`
+	Zone              string        `json:"yard"`
+	Spot              bool          `json:"loaners"`
+	Status            MachineStatus `json:"status"`
+	SilentS           float64       `json:"silent_s"`
+	Tasks             int           `json:"tasks"`
+	TerminationReason string        `json:"doomed,omitempty"`
+	Faulty            bool          `json:"faulty,omitempty"`
+	ProvisioningLate  bool          `json:"late,omitempty"` // it should be up by now
+	Reserved          bool          `json:"reserved,omitempty"`
+	PreemptionNotice  bool          `json:"recalled,omitempty"`
 }
 
 // AdminJob is one job that is not over, with the reason why tasks wait.
 type AdminJob struct {
-	ID      JobID  `json:"id"`
-	Class   string `json:"jobclass"`
-	Team    string `json:"crew"`
-	Rank    Rank   `json:"rank"`
-	Tasks   int    `json:"loads"`
-	Done    int    `json:"done"`
-	Placed  int    `json:"placed"`
-	Waiting int    `json:"waiting"`
-	Reason  string `json:"reason,omitempty"`
+	ID       JobID    `json:"id"`
+	Class    string   `json:"jobclass"`
+	Team     string   `json:"crew"`
+	Priority Priority `json:"rank"`
+	Tasks    int      `json:"loads"`
+	Done     int      `json:"done"`
+	Placed   int      `json:"placed"`
+	Waiting  int      `json:"waiting"`
+	Reason   string   `json:"reason,omitempty"`
 	// FailedOn is on how many machines its tasks failed since one went well, and
-	// PausedS for how long it is not tried again.
+	// BackoffS for how long it is not tried again.
 	FailedOn int     `json:"failed_on,omitempty"`
-	PausedS  float64 `json:"paused_s,omitempty"`
+	BackoffS float64 `json:"paused_s,omitempty"`
 }
 
 // AdminSettings is the operators' settings with their version.
@@ -143,14 +143,14 @@
 // AdminRolloutController is one controller in a rollout. Its formats are those that
 // its latest process registered, if any did.
 type AdminRolloutController struct {
-	Label    string       `json:"label"`
-	Alive    bool         `json:"alive"`
-	Boot     FencingToken `json:"boot,omitempty"`
-	Oldest   Format       `json:"oldest,omitempty"`
-	Newest   Format       `json:"newest,omitempty"`
-	Release  string       `json:"release,omitempty"`
-	Blocks   string       `json:"blocks,omitempty"` // why the next format waits for it
-	Excluded string       `json:"excluded,omitempty"`
+	Label       string       `json:"label"`
+	Alive       bool         `json:"alive"`
+	Incarnation FencingToken `json:"boot,omitempty"`
+	Oldest      Format       `json:"oldest,omitempty"`
+	Newest      Format       `json:"newest,omitempty"`
+	Release     string       `json:"release,omitempty"`
+	Blocks      string       `json:"blocks,omitempty"` // why the next format waits for it
+	Excluded    string       `json:"excluded,omitempty"`
 }
 
 // AdminRolloutChange asks for exactly one of: a format to be activated, a controller
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -31,35 +31,35 @@
 var messages = []message{
 	messageOf[wire.JobSpec]("job-spec"),
 	messageOf[wire.JobStatus]("job-status"),
-	messageOf[wire.Problem]("error"),
+	messageOf[wire.ErrorResponse]("error"),
 	messageOf[wire.TaskID]("load-id"),
-	messageOf[wire.TaskReport]("load-report"),
-	messageOf[wire.Report]("rig-report"),
-	messageOf[wire.Order]("order"),
-	messageOf[wire.ReportAnswer]("hello-answer"),
+	messageOf[wire.TaskStatus]("load-report"),
+	messageOf[wire.Heartbeat]("rig-report"),
+	messageOf[wire.Command]("order"),
+	messageOf[wire.HeartbeatResponse]("hello-answer"),
 	messageOf[wire.Redirect]("hello-redirect"),
-	messageOf[wire.DoRequest]("do-request"),
+	messageOf[wire.CommandRequest]("do-request"),
 	messageOf[wire.MachineType]("rigtype"),
 	messageOf[wire.Catalogue]("catalog"),
-	messageOf[wire.Hire]("hire"),
-	messageOf[wire.Machines]("rig-names"),
-	messageOf[wire.ListedMachine]("listed-host"),
+	messageOf[wire.ProvisionRequest]("hire"),
+	messageOf[wire.MachineNames]("rig-names"),
+	messageOf[wire.CloudMachine]("listed-host"),
 	messageOf[wire.MachineList]("hosts"),
 	messageOf[wire.Entry]("kv-entry"),
 	messageOf[wire.EntryList]("kv-entries"),
 	messageOf[wire.Condition]("multi-if"),
 	messageOf[wire.Change]("multi-then"),
 	messageOf[wire.Transaction]("multi"),
-	messageOf[wire.TransactionAnswer]("multi-answer"),
-	messageOf[wire.LogEntry]("follow-log"),
-	messageOf[wire.Feed]("follow"),
-	messageOf[wire.PeerLine]("sibling-line"),
-	messageOf[wire.Attestation]("sibling-vouch"),
-	messageOf[wire.Echo]("sibling-vouch-heard"),
-	messageOf[wire.Withdrawal]("sibling-vouch-withdrawn"),
-	messageOf[wire.Heard]("sibling-heard"),
-	messageOf[wire.HandOff]("sibling-hand-off"),
-	messageOf[wire.RoomOffer]("sibling-room"),
+	messageOf[wire.TransactionResponse]("multi-answer"),
+	messageOf[wire.ChangeEvent]("follow-log"),
+	messageOf[wire.WatchResponse]("follow"),
+	messageOf[wire.PeerMessage]("sibling-line"),
+	messageOf[wire.CancellationWatermark]("sibling-vouch"),
+	messageOf[wire.WatermarkAck]("sibling-vouch-heard"),
+	messageOf[wire.Cancellation]("sibling-vouch-withdrawn"),
+	messageOf[wire.UnchangedHeartbeat]("sibling-heard"),
+	messageOf[wire.ForwardedJob]("sibling-hand-off"),
+	messageOf[wire.CapacityOffer]("sibling-room"),
 	messageOf[wire.AdminController]("admin-controllers"),
 	messageOf[wire.AdminTeam]("admin-teams"),
 	messageOf[wire.AdminMachine]("admin-machines"),
@@ -70,9 +70,9 @@
 	messageOf[wire.AdminRollout]("admin-rollout"),
 	messageOf[wire.AdminRolloutController]("admin-rollout-controllers"),
 	messageOf[wire.AdminRolloutChange]("admin-rollout-change"),
-	messageOf[wire.AdminShares]("admin-shares"),
-	messageOf[wire.AdminShare]("admin-shares-share"),
-	messageOf[wire.AdminShareChange]("admin-shares-change"),
+	messageOf[wire.AdminShards]("admin-shares"),
+	messageOf[wire.AdminShard]("admin-shares-share"),
+	messageOf[wire.AdminShardChange]("admin-shares-change"),
 }
 
 // viewList is the name of the list that repeats the views.
@@ -81,17 +81,17 @@
 // enumValues are the words that enumerated fields may hold, by what they are of.
 var enumValues = map[string]any{
 	"job-shape":   []wire.Shape{wire.ShapeArray, wire.ShapeGang, wire.ShapeService},
-	"job-rank":    []wire.Rank{wire.RankCritical, wire.RankHigh, wire.RankNormal, wire.RankBestEffort},
-	"job-status":  []wire.Status{wire.StatusPending, wire.StatusRunning, wire.StatusDone, wire.StatusWithdrawn},
+	"job-rank":    []wire.Priority{wire.PriorityCritical, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityBestEffort},
+	"job-status":  []wire.Status{wire.StatusPending, wire.StatusRunning, wire.StatusDone, wire.StatusCancelled},
 	"host-status": []wire.MachineStatus{wire.MachineBooting, wire.MachineRunning, wire.MachineFailed},
-	"load-status": []wire.TaskState{wire.TaskPulling, wire.TaskWaiting, wire.TaskRunning, wire.TaskFlushing, wire.TaskExited},
-	"load-cause": []wire.Cause{wire.CauseDone, wire.CauseHalted, wire.CausePeers, wire.CauseIncomplete, wire.CauseError,
+	"load-status": []wire.TaskState{wire.TaskPulling, wire.TaskWaiting, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited},
+	"load-cause": []wire.Cause{wire.CauseDone, wire.CauseStopped, wire.CausePeerFailed, wire.CauseGangTimeout, wire.CauseError,
 		wire.CauseNoRoom, wire.CauseInUse, wire.CauseUnknown},
 	"order-verb": []wire.Verb{wire.VerbLaunch, wire.VerbStop, wire.VerbClear},
 	"admin-view": []wire.AdminView{wire.ViewControllers, wire.ViewTeams, wire.ViewMachines, wire.ViewJobs, wire.ViewSettings,
-		wire.ViewMetrics, wire.ViewRollout, wire.ViewShares},
+		wire.ViewMetrics, wire.ViewRollout, wire.ViewShards},
 	viewList: wire.AdminViews,
-	"limits": []int{wire.MaxTasks, wire.MaxBody, wire.MaxHire, wire.MaxReturn, wire.MaxList},
+	"limits": []int{wire.MaxTasks, wire.MaxBody, wire.MaxProvision, wire.MaxTerminate, wire.MaxMachinesPerPage},
 }
 
 // TestGoldenMessages writes every message with all fields set and reads it back with both
@@ -129,9 +129,9 @@
 	require.NoError(t, err)
 	require.Equal(t, spec, parsedSpec)
 
-	var report wire.Report
+	var report wire.Heartbeat
 	golden.NewFiller(2).Fill(&report)
-	parsedReport, err := wire.ParseReport(golden.Read(t, "rig-report.json"))
+	parsedReport, err := wire.ParseHeartbeat(golden.Read(t, "rig-report.json"))
 	require.NoError(t, err)
 	require.Equal(t, &report, parsedReport)
 }
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -63,8 +63,8 @@
 // FencingToken says who may command workers: the higher one wins.
 type FencingToken uint64
 
-// Session counts a worker's sessions.
-type Session uint64
+// AgentEpoch counts a worker's sessions.
+type AgentEpoch uint64
 
 // Sequence orders a worker's messages within a session.
 type Sequence uint64
@@ -78,8 +78,8 @@
 // Format numbers a way of writing records and the lines between controllers.
 type Format int
 
-// ShareID numbers a share of the machines.
-type ShareID int
+// ShardID numbers a share of the machines.
+type ShardID int
 
-// Epoch counts how often a share has changed hands.
-type Epoch uint64
+// ShardEpoch counts how often a share has changed hands.
+type ShardEpoch uint64
--- a/wire/services.go
+++ b/wire/services.go
@@ -4,16 +4,16 @@
 
 // MachineType is one entry of the cloud's catalogue.
 type MachineType struct {
-	Name         string   `json:"sku"`
-	Cores        float64  `json:"cores"`
-	Accelerators float64  `json:"accelerators"`
-	MemGB        float64  `json:"mem_gb"`
-	LocalGB      float64  `json:"local_gb"`
-	PullGBPerS   float64  `json:"pull_gb_per_s"`
-	Rate         float64  `json:"rate"`
-	MarketPrice  float64  `json:"market_price"`
-	StartupS     float64  `json:"startup_s"`
-	Zones        []string `json:"yards"`
+	Name          string   `json:"sku"`
+	Cores         float64  `json:"cores"`
+	Accelerators  float64  `json:"accelerators"`
+	MemGB         float64  `json:"mem_gb"`
+	LocalGB       float64  `json:"local_gb"`
+	PullGBPerS    float64  `json:"pull_gb_per_s"`
+	OnDemandPrice float64  `json:"rate"`
+	SpotPrice     float64  `json:"market_price"`
+	StartupS      float64  `json:"startup_s"`
+	Zones         []string `json:"yards"`
 }
 
 // Catalogue answers GET /catalog.
@@ -21,17 +21,17 @@
 	Types []MachineType `json:"rigtypes"`
 }
 
-// Hire is the body of POST /hosts. Its name is never used twice.
-type Hire struct {
-	Name   string `json:"hire"`
-	Type   string `json:"rigtype"`
-	Zone   string `json:"yard"`
-	Spot   bool   `json:"loaners"`
-	Number int    `json:"number"`
+// ProvisionRequest is the body of POST /hosts. Its name is never used twice.
+type ProvisionRequest struct {
+	Name  string `json:"hire"`
+	Type  string `json:"rigtype"`
+	Zone  string `json:"yard"`
+	Spot  bool   `json:"loaners"`
+	Count int    `json:"number"`
 }
 
-// Machines is a list of machine names, in hires' answers and in returns.
-type Machines struct {
+// MachineNames is a list of machine names, in hires' answers and in returns.
+type MachineNames struct {
 	Names []MachineID `json:"rigs"`
 }
 
@@ -45,28 +45,28 @@
 	MachineFailed  MachineStatus = "failed"
 )
 
-// ListedMachine is one entry of the cloud's list.
-type ListedMachine struct {
+// CloudMachine is one entry of the cloud's list.
+type CloudMachine struct {
 	ID     MachineID     `json:"id"`
 	Addr   string        `json:"addr"`
 	Type   string        `json:"rigtype"`
 	Zone   string        `json:"yard"`
 	Spot   bool          `json:"loaners"`
 	Status MachineStatus `json:"status"`
-	HeldS  float64       `json:"held_s"`
+	AgeS   float64       `json:"held_s"`
 }
 
 // MachineList answers GET /hosts.
 type MachineList struct {
-	Machines []ListedMachine `json:"rigs"`
-	More     bool            `json:"more"`
+	Machines []CloudMachine `json:"rigs"`
+	More     bool           `json:"more"`
 }
 
 // Limits of single cloud calls.
 const (
-	MaxHire   = 50
-	MaxReturn = 100
-	MaxList   = 500
+	MaxProvision       = 50
+	MaxTerminate       = 100
+	MaxMachinesPerPage = 500
 )
 
 // Entry is one key with its value in the state service.
@@ -94,7 +94,7 @@
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
 	LeaseID LeaseID         `json:"permit,omitempty"`
-	Drop    string          `json:"drop,omitempty"`
+	Delete  string          `json:"drop,omitempty"`
 }
 
 // Transaction is the body of POST /multi.
@@ -103,83 +103,83 @@
 	Then []Change    `json:"then"`
 }
 
-// TransactionAnswer answers /multi with 200 or 409.
-type TransactionAnswer struct {
+// TransactionResponse answers /multi with 200 or 409.
+type TransactionResponse struct {
 	Revision Revision `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
-// LogEntry is one change in the feed.
-type LogEntry struct {
+// ChangeEvent is one change in the feed.
+type ChangeEvent struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
-	Drop    string          `json:"drop,omitempty"`
+	Delete  string          `json:"drop,omitempty"`
 	Version Revision        `json:"stamp"`
 }
 
-// Feed answers GET /follow.
-type Feed struct {
-	Revision Revision   `json:"ledger"`
-	Log      []LogEntry `json:"log"`
+// WatchResponse answers GET /follow.
+type WatchResponse struct {
+	Revision Revision      `json:"ledger"`
+	Events   []ChangeEvent `json:"log"`
 }
 
-// PeerLine is one line between controllers. A line with nothing else only says
+// PeerMessage is one line between controllers. A line with nothing else only says
 // that its sender is alive.
-type PeerLine struct {
+type PeerMessage struct {
 	From string `json:"from"`
 	// Format is the format of the line; lines of the first format leave it out.
 	Format Format `json:"format,omitempty"`
-	// StateFresh says that the sender has heard from the state service lately.
-	StateFresh bool `json:"state_fresh,omitempty"`
-	// Attestation is the sender's word on withdrawn jobs, on some lines.
-	Attestation *Attestation `json:"vouch,omitempty"`
-	// Reports are workers' reports as the sender got them, of machines of which
+	// StoreReachable says that the sender has heard from the state service lately.
+	StoreReachable bool `json:"state_fresh,omitempty"`
+	// Watermark is the sender's word on withdrawn jobs, on some lines.
+	Watermark *CancellationWatermark `json:"vouch,omitempty"`
+	// Heartbeats are workers' reports as the sender got them, of machines of which
 	// more has changed than the time.
-	Reports []*Report `json:"reports,omitempty"`
-	// Heard are the machines that reported what they had reported before.
-	Heard []Heard `json:"heard,omitempty"`
-	// Cloud is what is new in the machine list as the sender read it.
-	Cloud []ListedMachine `json:"cloud,omitempty"`
-	// Room, if set, is the room that is free in the sender's shares.
-	Room *[]RoomOffer `json:"room,omitempty"`
-	// HandOffs are the jobs that the sender hands on.
-	HandOffs []HandOff `json:"hand_offs,omitempty"`
-}
-
-// Attestation is a controller's word for every withdrawal that it may have told a user
+	Heartbeats []*Heartbeat `json:"reports,omitempty"`
+	// UnchangedHeartbeats are the machines that reported what they had reported before.
+	UnchangedHeartbeats []UnchangedHeartbeat `json:"heard,omitempty"`
+	// CloudMachines is what is new in the machine list as the sender read it.
+	CloudMachines []CloudMachine `json:"cloud,omitempty"`
+	// Capacity, if set, is the room that is free in the sender's shares.
+	Capacity *[]CapacityOffer `json:"room,omitempty"`
+	// ForwardedJobs are the jobs that the sender hands on.
+	ForwardedJobs []ForwardedJob `json:"hand_offs,omitempty"`
+}
+
+// CancellationWatermark is a controller's word for every withdrawal that it may have told a user
 // of until it sent the line: those that are not in the state service's feed up to
 // From are listed.
-type Attestation struct {
+type CancellationWatermark struct {
 	// Process tells the sender's process from earlier ones of its label, and Number
 	// counts that process's attestations.
-	Process uint64 `json:"p"`
-	Number  uint64 `json:"n"`
+	Process  uint64 `json:"p"`
+	Sequence uint64 `json:"n"`
 	// Revision is the revision up to which the sender knows all changes.
 	Revision Revision `json:"l"`
-	From     Revision `json:"f"`
-	// Heard is the newest attestation of each sibling that the sender has had, which
+	Since    Revision `json:"f"`
+	// Acks is the newest attestation of each sibling that the sender has had, which
 	// bounds the age of this one by the sibling's own clock.
-	Heard     map[string]Echo `json:"h,omitempty"`
-	Withdrawn []Withdrawal    `json:"w,omitempty"`
+	Acks          map[string]WatermarkAck `json:"h,omitempty"`
+	Cancellations []Cancellation          `json:"w,omitempty"`
 }
 
-// Echo names an attestation that was received.
-type Echo struct {
-	Process uint64 `json:"p"`
-	Number  uint64 `json:"n"`
+// WatermarkAck names an attestation that was received.
+type WatermarkAck struct {
+	Process  uint64 `json:"p"`
+	Sequence uint64 `json:"n"`
 }
 
-// Withdrawal is a job that was withdrawn at a revision, with so many tasks done.
-type Withdrawal struct {
+// Cancellation is a job that was withdrawn at a revision, with so many tasks done.
+type Cancellation struct {
 	Job     JobID    `json:"j"`
 	Version Revision `json:"s"`
 	Done    int      `json:"d,omitempty"`
 }
 
-// Heard says that a machine reported, with nothing new but this.
-type Heard struct {
-	Machine  MachineID    `json:"m"`
-	Session  Session      `json:"s"`
-	Sequence Sequence     `json:"t"`
-	Token    FencingToken `json:"b"`
+// UnchangedHeartbeat says that a machine reported, with nothing new but this.
+type UnchangedHeartbeat struct {
+	Machine    MachineID    `json:"m"`
+	AgentEpoch AgentEpoch   `json:"s"`
+	Sequence   Sequence     `json:"t"`
+	Token      FencingToken `json:"b"`
 }
--- a/wire/shares.go
+++ b/wire/shares.go
@@ -2,49 +2,49 @@
 
 import "errors"
 
-// AdminShares is who owns which share of the machines.
-type AdminShares struct {
+// AdminShards is who owns which share of the machines.
+type AdminShards struct {
 	// State is "in use", or says why shares are not.
 	State   string            `json:"state"`
 	Drained map[string]string `json:"drained,omitempty"`
 	// Owned is how many shares each living controller owns.
 	Owned  map[string]int `json:"owned,omitempty"`
-	Shares []AdminShare   `json:"shares"`
+	Shards []AdminShard   `json:"shares"`
 }
 
-// AdminShare is one share, and the move of it that is under way, if any.
-type AdminShare struct {
-	Share ShareID      `json:"share"`
-	Owner string       `json:"owner,omitempty"`
-	Boot  FencingToken `json:"boot,omitempty"`
-	Alive bool         `json:"alive"`
-	Epoch Epoch        `json:"epoch"`
+// AdminShard is one share, and the move of it that is under way, if any.
+type AdminShard struct {
+	Shard       ShardID      `json:"share"`
+	Owner       string       `json:"owner,omitempty"`
+	Incarnation FencingToken `json:"boot,omitempty"`
+	Alive       bool         `json:"alive"`
+	Epoch       ShardEpoch   `json:"epoch"`
 	// Machines and CoresUsed are as the controller that was asked knows them.
 	Machines  int     `json:"machines"`
 	CoresUsed float64 `json:"cores_used"`
 	To        string  `json:"to,omitempty"`
-	Step      string  `json:"step,omitempty"`
-	Why       string  `json:"why,omitempty"`
+	Phase     string  `json:"step,omitempty"`
+	Reason    string  `json:"why,omitempty"`
 	MovingS   float64 `json:"moving_s,omitempty"`
-	// Waits is what the share waits for.
-	Waits string `json:"waits,omitempty"`
+	// WaitsFor is what the share waits for.
+	WaitsFor string `json:"waits,omitempty"`
 }
 
-// AdminShareChange asks for exactly one of: a share to be moved to a controller, from the
+// AdminShardChange asks for exactly one of: a share to be moved to a controller, from the
 // epoch that the operator saw; a controller to be drained, for a reason; or a drain to be
 // ended.
-type AdminShareChange struct {
-	Move     *ShareID `json:"move,omitempty"`
-	To       string   `json:"to,omitempty"`
-	Epoch    Epoch    `json:"epoch,omitempty"`
-	Drain    string   `json:"drain,omitempty"`
-	Reason   string   `json:"reason,omitempty"`
-	EndDrain string   `json:"end_drain,omitempty"`
+type AdminShardChange struct {
+	Move     *ShardID   `json:"move,omitempty"`
+	To       string     `json:"to,omitempty"`
+	Epoch    ShardEpoch `json:"epoch,omitempty"`
+	Drain    string     `json:"drain,omitempty"`
+	Reason   string     `json:"reason,omitempty"`
+	EndDrain string     `json:"end_drain,omitempty"`
 }
 
-// ParseAdminShareChange reads and checks a change. Its error names the field.
-func ParseAdminShareChange(body []byte) (AdminShareChange, error) {
-	var c AdminShareChange
+// ParseAdminShardChange reads and checks a change. Its error names the field.
+func ParseAdminShardChange(body []byte) (AdminShardChange, error) {
+	var c AdminShardChange
 	if err := decodeStrict(body, &c); err != nil {
 		return c, err
 	}
@@ -65,18 +65,18 @@
 	return c, nil
 }
 
-// HandOff is a job that a controller found no room for in its shares, and that another is
+// ForwardedJob is a job that a controller found no room for in its shares, and that another is
 // to place for a while. It is a hint.
-type HandOff struct {
+type ForwardedJob struct {
 	Job JobID  `json:"j"`
 	To  string `json:"to"`
 	// Tried are the controllers that found no room.
 	Tried []string `json:"tried,omitempty"`
 }
 
-// RoomOffer is the most room that a machine of one kind in a controller's shares may have
+// CapacityOffer is the most room that a machine of one kind in a controller's shares may have
 // free, amount by amount. It is a hint.
-type RoomOffer struct {
+type CapacityOffer struct {
 	Type         string  `json:"t"`
 	Zone         string  `json:"z"`
 	Spot         bool    `json:"o,omitempty"`
--- a/wire/user.go
+++ b/wire/user.go
@@ -23,25 +23,25 @@
 	ShapeService Shape = "daemon"
 )
 
-// Rank is a job's priority.
-type Rank string
+// Priority is a job's priority.
+type Priority string
 
 // The ranks, most urgent first.
 const (
-	RankCritical   Rank = "critical"
-	RankHigh       Rank = "high"
-	RankNormal     Rank = "normal"
-	RankBestEffort Rank = "best_effort"
+	PriorityCritical   Priority = "critical"
+	PriorityHigh       Priority = "high"
+	PriorityNormal     Priority = "normal"
+	PriorityBestEffort Priority = "best_effort"
 )
 
-// Order gives 0 to the most urgent rank and rises from there.
-func (r Rank) Order() int {
+// Level gives 0 to the most urgent rank and rises from there.
+func (r Priority) Level() int {
 	switch r {
-	case RankCritical:
+	case PriorityCritical:
 		return 0
-	case RankHigh:
+	case PriorityHigh:
 		return 1
-	case RankNormal:
+	case PriorityNormal:
 		return 2
 	}
 	return 3
@@ -49,51 +49,51 @@
 
 // JobSpec is a job as a user submits it.
 type JobSpec struct {
-	ID           JobID    `json:"id"`
-	Class        string   `json:"jobclass"`
-	Team         string   `json:"crew"`
-	Shape        Shape    `json:"shape"`
-	Rank         Rank     `json:"rank"`
-	Tasks        int      `json:"loads"`
-	Cores        float64  `json:"cores"`
-	Accelerators float64  `json:"accelerators"`
-	MemGB        float64  `json:"mem_gb"`
-	Image        string   `json:"kit"`
-	ImageGB      float64  `json:"size_gb"`
-	Types        []string `json:"rigtypes,omitempty"`
-	Zone         string   `json:"yard,omitempty"`
-	Together     bool     `json:"together,omitempty"`
-	Apart        bool     `json:"apart,omitempty"`
-	Spot         bool     `json:"loaners,omitempty"`
-	RuntimeS     float64  `json:"runtime_s"`
-	SavepointS   float64  `json:"savepoint_s,omitempty"`
-	StashS       float64  `json:"stash_s,omitempty"`
-	DueS         float64  `json:"due_s,omitempty"`
+	ID                  JobID    `json:"id"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"crew"`
+	Shape               Shape    `json:"shape"`
+	Priority            Priority `json:"rank"`
+	Tasks               int      `json:"loads"`
+	Cores               float64  `json:"cores"`
+	Accelerators        float64  `json:"accelerators"`
+	MemGB               float64  `json:"mem_gb"`
+	Image               string   `json:"kit"`
+	ImageGB             float64  `json:"size_gb"`
+	Types               []string `json:"rigtypes,omitempty"`
+	Zone                string   `json:"yard,omitempty"`
+	SingleZone          bool     `json:"together,omitempty"`
+	SpreadZones         bool     `json:"apart,omitempty"`
+	Spot                bool     `json:"loaners,omitempty"`
+	RuntimeS            float64  `json:"runtime_s"`
+	CheckpointIntervalS float64  `json:"savepoint_s,omitempty"`
+	CheckpointSaveS     float64  `json:"stash_s,omitempty"`
+	DeadlineS           float64  `json:"due_s,omitempty"`
 }
 
-// submission mirrors JobSpec with pointers, so that a missing field is told
+// jobSubmission mirrors JobSpec with pointers, so that a missing field is told
 // from a zero one.
-type submission struct {
-	ID           *JobID    `json:"id"`
-	Class        *string   `json:"jobclass"`
-	Team         *string   `json:"crew"`
-	Shape        *Shape    `json:"shape"`
-	Rank         *Rank     `json:"rank"`
-	Tasks        *int      `json:"loads"`
-	Cores        *float64  `json:"cores"`
-	Accelerators *float64  `json:"accelerators"`
-	MemGB        *float64  `json:"mem_gb"`
-	Image        *string   `json:"kit"`
-	ImageGB      *float64  `json:"size_gb"`
-	Types        *[]string `json:"rigtypes"`
-	Zone         *string   `json:"yard"`
-	Together     *bool     `json:"together"`
-	Apart        *bool     `json:"apart"`
-	Spot         *bool     `json:"loaners"`
-	RuntimeS     *float64  `json:"runtime_s"`
-	SavepointS   *float64  `json:"savepoint_s"`
-	StashS       *float64  `json:"stash_s"`
-	DueS         *float64  `json:"due_s"`
+type jobSubmission struct {
+	ID                  *JobID    `json:"id"`
+	Class               *string   `json:"jobclass"`
+	Team                *string   `json:"crew"`
+	Shape               *Shape    `json:"shape"`
+	Priority            *Priority `json:"rank"`
+	Tasks               *int      `json:"loads"`
+	Cores               *float64  `json:"cores"`
+	Accelerators        *float64  `json:"accelerators"`
+	MemGB               *float64  `json:"mem_gb"`
+	Image               *string   `json:"kit"`
+	ImageGB             *float64  `json:"size_gb"`
+	Types               *[]string `json:"rigtypes"`
+	Zone                *string   `json:"yard"`
+	SingleZone          *bool     `json:"together"`
+	SpreadZones         *bool     `json:"apart"`
+	Spot                *bool     `json:"loaners"`
+	RuntimeS            *float64  `json:"runtime_s"`
+	CheckpointIntervalS *float64  `json:"savepoint_s"`
+	CheckpointSaveS     *float64  `json:"stash_s"`
+	DeadlineS           *float64  `json:"due_s"`
 }
 
 // Bounds of what a submission may say; beyond them it is a mistake.
@@ -105,7 +105,7 @@
 
 // ParseJob reads and checks a submission. Its error names the field at fault.
 func ParseJob(body []byte) (JobSpec, error) {
-	var s submission
+	var s jobSubmission
 	if len(body) == 0 || firstByte(body) != '{' {
 		return JobSpec{}, errors.New("body: want a JSON object")
 	}
@@ -169,12 +169,12 @@
 		j.Shape = *s.Shape
 	}
 	switch {
-	case s.Rank == nil:
+	case s.Priority == nil:
 		fail("rank", "missing")
-	case *s.Rank != RankCritical && *s.Rank != RankHigh && *s.Rank != RankNormal && *s.Rank != RankBestEffort:
+	case *s.Priority != PriorityCritical && *s.Priority != PriorityHigh && *s.Priority != PriorityNormal && *s.Priority != PriorityBestEffort:
 		fail("rank", "want critical, high, normal or best_effort")
 	default:
-		j.Rank = *s.Rank
+		j.Priority = *s.Priority
 	}
 	switch {
 	case s.Tasks == nil:
@@ -201,14 +201,14 @@
 	if s.Zone != nil {
 		j.Zone = text("yard", s.Zone)
 	}
-	j.Together = flag("together", s.Together)
-	j.Apart = flag("apart", s.Apart)
+	j.SingleZone = flag("together", s.SingleZone)
+	j.SpreadZones = flag("apart", s.SpreadZones)
 	j.Spot = flag("loaners", s.Spot)
 	j.RuntimeS = amount("runtime_s", s.RuntimeS)
-	j.SavepointS = amount("savepoint_s", s.SavepointS)
-	j.StashS = amount("stash_s", s.StashS)
-	if s.DueS != nil {
-		j.DueS = amount("due_s", s.DueS)
+	j.CheckpointIntervalS = amount("savepoint_s", s.CheckpointIntervalS)
+	j.CheckpointSaveS = amount("stash_s", s.CheckpointSaveS)
+	if s.DeadlineS != nil {
+		j.DeadlineS = amount("due_s", s.DeadlineS)
 	}
 	return j, bad
 }
@@ -230,11 +230,11 @@
 	StatusPending   Status = "pending"
 	StatusRunning   Status = "running"
 	StatusDone      Status = "done"
-	StatusWithdrawn Status = "withdrawn"
+	StatusCancelled Status = "withdrawn"
 )
 
-// Final reports whether the status never changes again.
-func (s Status) Final() bool { return s == StatusDone || s == StatusWithdrawn }
+// IsTerminal reports whether the status never changes again.
+func (s Status) IsTerminal() bool { return s == StatusDone || s == StatusCancelled }
 
 // JobStatus answers a submission, a poll or a cancellation.
 type JobStatus struct {
@@ -244,7 +244,7 @@
 	Running int    `json:"running"`
 }
 
-// Problem says why a request was refused.
-type Problem struct {
+// ErrorResponse says why a request was refused.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
