--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -17,9 +17,9 @@
 func TestParseJobTakesTheExample(t *testing.T) {
 	j, err := ParseJob([]byte(example))
 	require.NoError(t, err)
-	require.Equal(t, JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: ShapeGang, Rank: RankHigh, Tasks: 16,
-		Cores: 8, Accelerators: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Together: true, Spot: true,
-		RuntimeS: 240, SavepointS: 30, StashS: 4, DueS: 900}, j)
+	require.Equal(t, JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: PriorityHigh, Tasks: 16,
+		Cores: 8, Accelerators: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, SingleZone: true, Spot: true,
+		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}, j)
 }
 
 // TestParseJobNamesTheField takes one field away, or makes it wrong, and wants
@@ -79,26 +79,26 @@
 
 // TestFormatsRoundTrip writes generated messages and reads them back.
 func TestFormatsRoundTrip(t *testing.T) {
-	task := rapid.Custom(func(t *rapid.T) TaskReport {
-		r := TaskReport{Task: TaskID{JobID("wk-" + rapid.StringMatching("[0-9]{1,18}").Draw(t, "job")), rapid.IntRange(0, MaxTasks-1).Draw(t, "index")},
+	task := rapid.Custom(func(t *rapid.T) TaskStatus {
+		r := TaskStatus{Task: TaskID{JobID("wk-" + rapid.StringMatching("[0-9]{1,18}").Draw(t, "job")), rapid.IntRange(0, MaxTasks-1).Draw(t, "index")},
 			Attempt: Attempt(rapid.Uint64().Draw(t, "try")),
-			State:   rapid.SampledFrom([]TaskState{TaskPulling, TaskWaiting, TaskRunning, TaskFlushing, TaskExited}).Draw(t, "state")}
+			State:   rapid.SampledFrom([]TaskState{TaskPulling, TaskWaiting, TaskRunning, TaskCheckpointing, TaskExited}).Draw(t, "state")}
 		if r.State == TaskExited {
-			r.Cause, r.Stored = rapid.SampledFrom([]Cause{CauseDone, CauseHalted, CauseError}).Draw(t, "cause"), rapid.Bool().Draw(t, "stored")
+			r.Cause, r.Checkpointed = rapid.SampledFrom([]Cause{CauseDone, CauseStopped, CauseError}).Draw(t, "cause"), rapid.Bool().Draw(t, "stored")
 		}
 		return r
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		r := Report{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", Spot: rapid.Bool().Draw(t, "spot"),
-			Session: Session(rapid.Uint64Min(1).Draw(t, "shift")), Sequence: Sequence(rapid.Uint64().Draw(t, "tally")), Token: FencingToken(rapid.Uint64().Draw(t, "baton")),
+		r := Heartbeat{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", Spot: rapid.Bool().Draw(t, "spot"),
+			AgentEpoch: AgentEpoch(rapid.Uint64Min(1).Draw(t, "shift")), Sequence: Sequence(rapid.Uint64().Draw(t, "tally")), Token: FencingToken(rapid.Uint64().Draw(t, "baton")),
 			Tasks: rapid.SliceOfN(task, 1, 5).Draw(t, "tasks")}
 		if rapid.Bool().Draw(t, "recalled") {
 			s := rapid.Float64Range(0, 100).Draw(t, "recall")
-			r.RecallS = &s
+			r.PreemptionNoticeS = &s
 		}
 		b, err := json.Marshal(&r)
 		require.NoError(t, err)
-		back, err := ParseReport(b)
+		back, err := ParseHeartbeat(b)
 		require.NoError(t, err)
 		require.Equal(t, &r, back)
 	})
@@ -108,15 +108,15 @@
 // may stop the reader.
 func TestReportsAreChecked(t *testing.T) {
 	good := `{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,"loads":[{"load":"wk-000412/3","try":2,"status":"running"}]}`
-	_, err := ParseReport([]byte(good))
+	_, err := ParseHeartbeat([]byte(good))
 	require.NoError(t, err)
 	for i := range len(good) {
-		_, err := ParseReport([]byte(good[:i]))
+		_, err := ParseHeartbeat([]byte(good[:i]))
 		require.Error(t, err, good[:i])
 	}
 	for old, spoilt := range map[string]string{`"rig":"m-000231"`: `"rig":""`, `"shift":1`: `"shift":0`, `"tally":88`: `"tally":-1`,
 		`wk-000412/3`: `wk-000412/100000`, `"running"`: `"flying"`, `"baton":41`: `"baton":1e99`, `"try":2`: `"try":2.5`, `/3`: `/-3`} {
-		_, err := ParseReport([]byte(strings.Replace(good, old, spoilt, 1)))
+		_, err := ParseHeartbeat([]byte(strings.Replace(good, old, spoilt, 1)))
 		require.Error(t, err, spoilt)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,7 +124,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "spots") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		if r, err := ParseReport(b); err == nil {
+		if r, err := ParseHeartbeat(b); err == nil {
 			require.NoError(t, r.Check())
 		}
 	})
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -13,11 +13,11 @@
 
 // The states of tasks.
 const (
-	TaskPulling  TaskState = "pulling"
-	TaskWaiting  TaskState = "waiting"
-	TaskRunning  TaskState = "running"
-	TaskFlushing TaskState = "flushing"
-	TaskExited   TaskState = "exited"
+	TaskPulling       TaskState = "pulling"
+	TaskWaiting       TaskState = "waiting"
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "flushing"
+	TaskExited        TaskState = "exited"
 )
 
 // Cause says why a task exited.
@@ -25,47 +25,47 @@
 
 // The causes of exits.
 const (
-	CauseDone       Cause = "done"
-	CauseHalted     Cause = "halted"
-	CausePeers      Cause = "peers"
-	CauseIncomplete Cause = "incomplete"
-	CauseError      Cause = "error"
-	CauseNoRoom     Cause = "no_room"
-	CauseInUse      Cause = "in_use"
-	CauseUnknown    Cause = "unknown"
+	CauseDone        Cause = "done"
+	CauseStopped     Cause = "halted"
+	CausePeerFailed  Cause = "peers"
+	CauseGangTimeout Cause = "incomplete"
+	CauseError       Cause = "error"
+	CauseNoRoom      Cause = "no_room"
+	CauseInUse       Cause = "in_use"
+	CauseUnknown     Cause = "unknown"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    TaskID    `json:"load"`
-	Attempt Attempt   `json:"try"`
-	State   TaskState `json:"status"`
-	Cause   Cause     `json:"cause,omitempty"`
-	Stored  bool      `json:"stored,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task         TaskID    `json:"load"`
+	Attempt      Attempt   `json:"try"`
+	State        TaskState `json:"status"`
+	Cause        Cause     `json:"cause,omitempty"`
+	Checkpointed bool      `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself, in /hello, /do and /show.
-type Report struct {
-	Machine  MachineID    `json:"rig"`
-	Addr     string       `json:"addr"`
-	Type     string       `json:"rigtype"`
-	Zone     string       `json:"yard"`
-	Spot     bool         `json:"loaners"`
-	Session  Session      `json:"shift"`
-	Sequence Sequence     `json:"tally"`
-	Token    FencingToken `json:"baton"`
-	RecallS  *float64     `json:"recall_s,omitempty"`
-	Tasks    []TaskReport `json:"loads"`
+// Heartbeat is what a worker says of itself, in /hello, /do and /show.
+type Heartbeat struct {
+	Machine           MachineID    `json:"rig"`
+	Addr              string       `json:"addr"`
+	Type              string       `json:"rigtype"`
+	Zone              string       `json:"yard"`
+	Spot              bool         `json:"loaners"`
+	AgentEpoch        AgentEpoch   `json:"shift"`
+	Sequence          Sequence     `json:"tally"`
+	Token             FencingToken `json:"baton"`
+	PreemptionNoticeS *float64     `json:"recall_s,omitempty"`
+	Tasks             []TaskStatus `json:"loads"`
 }
 
 // Newer reports whether r was made after o.
-func (r *Report) Newer(o *Report) bool {
-	return r.Session > o.Session || r.Session == o.Session && r.Sequence > o.Sequence
+func (r *Heartbeat) Newer(o *Heartbeat) bool {
+	return r.AgentEpoch > o.AgentEpoch || r.AgentEpoch == o.AgentEpoch && r.Sequence > o.Sequence
 }
 
-// ParseReport reads and checks a worker's report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+// ParseHeartbeat reads and checks a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := fastjson.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // Check reports what makes the report unusable, or nil.
-func (r *Report) Check() error {
+func (r *Heartbeat) Check() error {
 	switch {
 	case r.Machine == "" || len(r.Machine) > maxName:
 		return errors.New("report: bad rig")
@@ -84,15 +84,15 @@
 		return errors.New("report: bad addr")
 	case r.Type == "" || r.Zone == "":
 		return errors.New("report: no rigtype or yard")
-	case r.Session == 0:
+	case r.AgentEpoch == 0:
 		return errors.New("report: no shift")
-	case r.RecallS != nil && (math.IsNaN(*r.RecallS) || *r.RecallS < -maxAmount || *r.RecallS > maxAmount):
+	case r.PreemptionNoticeS != nil && (math.IsNaN(*r.PreemptionNoticeS) || *r.PreemptionNoticeS < -maxAmount || *r.PreemptionNoticeS > maxAmount):
 		return errors.New("report: bad recall_s")
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		switch t.State {
-		case TaskPulling, TaskWaiting, TaskRunning, TaskFlushing, TaskExited:
+		case TaskPulling, TaskWaiting, TaskRunning, TaskCheckpointing, TaskExited:
 		default:
 			return fmt.Errorf("report: task state %q", t.State)
 		}
@@ -113,28 +113,28 @@
 	VerbClear  Verb = "clear"
 )
 
-// Order is one command to a worker.
-type Order struct {
-	Verb    Verb     `json:"verb"`
-	Task    TaskID   `json:"load"`
-	Attempt Attempt  `json:"try"`
-	WindupS *float64 `json:"windup_s,omitempty"`
+// Command is one command to a worker.
+type Command struct {
+	Verb         Verb     `json:"verb"`
+	Task         TaskID   `json:"load"`
+	Attempt      Attempt  `json:"try"`
+	GracePeriodS *float64 `json:"windup_s,omitempty"`
 }
 
-// ReportAnswer answers /hello with 200.
-type ReportAnswer struct {
-	Token  FencingToken `json:"baton"`
-	Orders []Order      `json:"orders"`
+// HeartbeatResponse answers /hello with 200.
+type HeartbeatResponse struct {
+	Token    FencingToken `json:"baton"`
+	Commands []Command    `json:"orders"`
 }
 
 // Redirect answers /hello with 421; Foreman may be empty.
 type Redirect struct {
-	Foreman string `json:"foreman,omitempty"`
+	Controller string `json:"foreman,omitempty"`
 }
 
-// DoRequest is the body of /do.
-type DoRequest struct {
-	Token   FencingToken `json:"baton"`
-	Session Session      `json:"shift"`
-	Orders  []Order      `json:"orders"`
+// CommandRequest is the body of /do.
+type CommandRequest struct {
+	Token      FencingToken `json:"baton"`
+	AgentEpoch AgentEpoch   `json:"shift"`
+	Commands   []Command    `json:"orders"`
 }
