--- a/cmd/lilacrill/load_shares_test.go
+++ b/cmd/lilacrill/load_shares_test.go
@@ -130,8 +130,8 @@
 	s.finish(t)
 	require.Empty(t, s.history.CheckOnce())
 	epochs := 0
-	for _, e := range s.state.Entries(record.SharePrefix) {
-		var now record.Share
+	for _, e := range s.state.Entries(record.ShardPrefix) {
+		var now record.Shard
 		require.NoError(t, json.Unmarshal(e.Value, &now))
 		epochs += int(now.Epoch)
 	}
--- a/cmd/lilacrill/shares_bench_test.go
+++ b/cmd/lilacrill/shares_bench_test.go
@@ -85,12 +85,12 @@
 }
 
 // owners is the owner of each share, as the state service has it.
-func (l *load) owners() map[wire.ShardID]record.Share {
-	owners := map[wire.ShardID]record.Share{}
+func (l *load) owners() map[wire.ShardID]record.Shard {
+	owners := map[wire.ShardID]record.Shard{}
 	for id := range wire.ShardID(share.Count) {
-		for _, e := range l.state.Entries(record.ShareKey(id)) {
-			var s record.Share
-			if e.Key == record.ShareKey(id) && json.Unmarshal(e.Value, &s) == nil {
+		for _, e := range l.state.Entries(record.ShardKey(id)) {
+			var s record.Shard
+			if e.Key == record.ShardKey(id) && json.Unmarshal(e.Value, &s) == nil {
 				owners[id] = s
 			}
 		}
--- a/internal/core/cancellation.go
+++ b/internal/core/cancellation.go
@@ -199,7 +199,7 @@
 		// What is not newer than the feed is known, or was moved since to a key of
 		// its own.
 		if w.Version > c.feed && c.loaded {
-			c.apply(record.JobKey(w.Job), encode(record.Over{Over: record.Final{Status: wire.StatusCancelled, Done: w.Done}}), w.Version)
+			c.apply(record.JobKey(w.Job), encode(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled, Done: w.Done}}), w.Version)
 		}
 	}
 	echo, ok := v.Acks[c.settings.Label]
@@ -246,7 +246,7 @@
 		}
 		for i := range e.Tasks.All {
 			switch t := m.tasks[e.key(i)]; {
-			case t == nil && (e.Halt == record.HaltNo || e.Fence == 0 || m.newest.Token < e.Fence):
+			case t == nil && (e.Eviction == record.EvictionNone || e.Fence == 0 || m.newest.Token < e.Fence):
 				open, lacking = true, true
 			case t != nil && t.State != wire.TaskExited:
 				open = true
--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -97,7 +97,7 @@
 		for i := range rapid.IntRange(0, 900).Draw(t, "withdrawals") {
 			version += wire.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 			id := wire.JobID(wire.TaskID{Job: "wk-1", Index: i}.String())
-			c.apply(record.JobKey(id), encode(record.Over{Over: record.Final{Status: wire.StatusCancelled}}), version)
+			c.apply(record.JobKey(id), encode(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled}}), version)
 			all[version] = id
 			if rapid.IntRange(0, 200).Draw(t, "told") == 0 {
 				p := rapid.SampledFrom([]string{"rig-1", "rig-2"}).Draw(t, "by")
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -144,10 +144,10 @@
 		return
 	}
 	c.claiming = true
-	claim := c.put(record.BuyerKey, c.boot)
+	claim := c.put(record.ProvisionerKey, c.boot)
 	claim.LeaseID = c.leaseID
 	c.commit(ClassRest, wire.Transaction{
-		If:   []wire.Condition{{Key: record.BuyerKey, Version: c.keyVersions[record.BuyerKey]}},
+		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{claim},
 	}, func(r Committed) {
 		c.claiming = false
@@ -170,8 +170,8 @@
 	c.claiming = true
 	c.log.Info("this controller reaches no workers and leaves buying to another")
 	c.commit(ClassRest, wire.Transaction{
-		If:   []wire.Condition{{Key: record.BuyerKey, Version: c.keyVersions[record.BuyerKey]}},
-		Then: []wire.Change{{Delete: record.BuyerKey}},
+		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
+		Then: []wire.Change{{Delete: record.ProvisionerKey}},
 	}, func(Committed) {
 		c.claiming = false
 		c.barrier(func(bool) {})
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -29,7 +29,7 @@
 )
 
 // ended finds how a job ended, if that is known here.
-func (c *Core) ended(id wire.JobID) (record.Final, bool) {
+func (c *Core) ended(id wire.JobID) (record.Completion, bool) {
 	if f, ok := c.over[id]; ok {
 		return f, true
 	}
@@ -39,7 +39,7 @@
 
 // applyFinal takes a final state under a key of its own into the cache.
 func (c *Core) applyFinal(id wire.JobID, value json.RawMessage) error {
-	var f record.Final
+	var f record.Completion
 	if err := fastjson.Unmarshal(value, &f); err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (c *Core) remember(id wire.JobID, f record.Final) {
+func (c *Core) remember(id wire.JobID, f record.Completion) {
 	if len(c.finals) >= maxFinals {
 		for old := range c.finals {
 			delete(c.finals, old)
@@ -84,8 +84,8 @@
 		if len(c.labels) > 0 && rendezvous.Highest(c.labels, string(o.id)) != c.settings.Label {
 			continue
 		}
-		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.FinalKey(o.id)})
-		txn.Then = append(txn.Then, c.put(record.FinalKey(o.id), c.over[o.id]), wire.Change{Delete: record.JobKey(o.id)})
+		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.CompletionKey(o.id)})
+		txn.Then = append(txn.Then, c.put(record.CompletionKey(o.id), c.over[o.id]), wire.Change{Delete: record.JobKey(o.id)})
 	}
 	if len(txn.Then) == 0 {
 		return
--- a/internal/core/ends_test.go
+++ b/internal/core/ends_test.go
@@ -23,7 +23,7 @@
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	name := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
 	for i := range mostOver + 2 {
-		c.apply(record.JobKey(name(i)), encode(record.Over{Over: record.Final{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
+		c.apply(record.JobKey(name(i)), encode(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
 	}
 	c.now, c.budgetAt, c.budget = Time(time.Hour), Time(time.Hour), 20
 	c.file()
@@ -32,7 +32,7 @@
 	require.Len(t, txn.Then, 4)
 	for i := range 2 {
 		require.Contains(t, txn.If, wire.Condition{Key: record.JobKey(name(i)), Version: wire.Revision(i + 1)})
-		require.Contains(t, txn.If, wire.Condition{Key: record.FinalKey(name(i))})
+		require.Contains(t, txn.If, wire.Condition{Key: record.CompletionKey(name(i))})
 		require.Contains(t, txn.Then, wire.Change{Delete: record.JobKey(name(i))})
 	}
 	c.file()
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -231,7 +231,7 @@
 		}
 		if m.settled != m.newest && c.after(m.nextOrders) && quiet < c.silentAsk(m) {
 			for _, e := range m.entries {
-				if e.Launcher == c.boot && e.Halt == record.HaltNo {
+				if e.Launcher == c.boot && e.Eviction == record.EvictionNone {
 					if c.sendOrders(m) {
 						c.count(countResent, 1)
 					}
--- a/internal/core/gangs.go
+++ b/internal/core/gangs.go
@@ -28,7 +28,7 @@
 			placed = placed.With(l.entry.Tasks)
 		}
 		if n := placed.Len(); n > 0 && n < j.spec.Tasks {
-			c.haltJob(r, id, record.HaltAtOnce)
+			c.haltJob(r, id, record.EvictionImmediate)
 		}
 	}
 }
--- a/internal/core/handoff.go
+++ b/internal/core/handoff.go
@@ -266,7 +266,7 @@
 		free := h.Free.Plus(h.Freeing, 1)
 		cand := candidate{share: m.share, now: free.Times(need, j.spec.Tasks)}
 		for _, e := range m.entries {
-			if e.Rank > j.spec.Priority.Level() {
+			if e.Priority > j.spec.Priority.Level() {
 				free = free.Plus(e.need(), float64(e.Tasks.Len()))
 			}
 		}
--- a/internal/core/hearing.go
+++ b/internal/core/hearing.go
@@ -166,7 +166,7 @@
 		}
 		for i := range e.Tasks.All {
 			t := m.tasks[e.key(i)]
-			if t == nil && (e.Halt != record.HaltNo || c.jobs[e.Job] == nil || !c.live(e.Launcher) || m.newest.AgentEpoch > e.Session) ||
+			if t == nil && (e.Eviction != record.EvictionNone || c.jobs[e.Job] == nil || !c.live(e.Launcher) || m.newest.AgentEpoch > e.Session) ||
 				t != nil && t.State == wire.TaskExited {
 				c.requestReport(m)
 				return
--- a/internal/core/index.go
+++ b/internal/core/index.go
@@ -22,7 +22,7 @@
 		if c.jobs[e.Job] == nil {
 			c.noteOver(e.Machine)
 		}
-		if e.Rank == wire.PriorityCritical.Level() {
+		if e.Priority == wire.PriorityCritical.Level() {
 			c.critical[e.Machine]++
 		}
 	}
@@ -35,7 +35,7 @@
 		e.on.settled = nil
 		e.on.entries = slices.DeleteFunc(e.on.entries, here)
 		dropWhere(c.ofJob, e.Job, here)
-		if e.Rank == wire.PriorityCritical.Level() {
+		if e.Priority == wire.PriorityCritical.Level() {
 			if c.critical[e.Machine]--; c.critical[e.Machine] == 0 {
 				delete(c.critical, e.Machine)
 			}
@@ -142,12 +142,12 @@
 		h.Free = h.Free.Plus(e.need(), -float64(n))
 		h.Slots -= n
 		g := placement.Group{Team: p.team, Tags: tags, Count: n}
-		if e.Halt != record.HaltNo || j == nil {
+		if e.Eviction != record.EvictionNone || j == nil {
 			h.Freeing = h.Freeing.Plus(e.need(), float64(n))
 			g.Stopping = true
 		} else {
-			h.Ranks |= 1 << e.Rank
-			h.Beyond = h.Beyond || e.Rank >= wire.PriorityNormal.Level() && !within
+			h.Ranks |= 1 << e.Priority
+			h.Beyond = h.Beyond || e.Priority >= wire.PriorityNormal.Level() && !within
 		}
 		h.Groups = append(h.Groups, g)
 		visit(p, e, h)
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -70,7 +70,7 @@
 			case t == nil:
 				// Only the recorded launcher launches, and after a take-over only
 				// when the worker has seen the token that fences off the one before.
-				if j == nil || e.Halt != record.HaltNo || e.Launcher != c.boot || r.Token < e.Fence {
+				if j == nil || e.Eviction != record.EvictionNone || e.Launcher != c.boot || r.Token < e.Fence {
 					continue
 				}
 				// A launch while it may have been withdrawn unknown to us would start it
@@ -81,9 +81,9 @@
 				}
 				orders = append(orders, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: e.Attempt})
 			case t.State == wire.TaskExited:
-			case j == nil || e.Halt == record.HaltAtOnce:
+			case j == nil || e.Eviction == record.EvictionImmediate:
 				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: windup(0)})
-			case e.Halt == record.HaltSave && t.State != wire.TaskCheckpointing:
+			case e.Eviction == record.EvictionGraceful && t.State != wire.TaskCheckpointing:
 				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: windup(j.spec.CheckpointSaveS + saveMargin)})
 			}
 		}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -204,9 +204,9 @@
 			if attempt == 0 {
 				attempt = wire.Attempt(c.serial())
 			}
-			e := Entry{Head: record.Head{Job: j.id, Attempt: attempt, Launcher: c.boot,
+			e := Entry{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: attempt, Launcher: c.boot,
 				Cores: j.spec.Cores, Accelerators: j.spec.Accelerators, MemGB: j.spec.MemGB,
-				Rank: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, Session: m.newest.AgentEpoch, Tasks: tasks}
+				Priority: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, Session: m.newest.AgentEpoch, Tasks: tasks}
 			if !c.fits(r, 0) || !c.add(r, m.zone, e) {
 				act = false
 				if whole {
--- a/internal/core/proofs.go
+++ b/internal/core/proofs.go
@@ -73,8 +73,8 @@
 	}
 	if !lacking.Empty() {
 		switch {
-		case j == nil || e.Halt != record.HaltNo:
-			if e.Halt != record.HaltNo && e.Fence > 0 {
+		case j == nil || e.Eviction != record.EvictionNone:
+			if e.Eviction != record.EvictionNone && e.Fence > 0 {
 				if rep.Token >= e.Fence {
 					gone = gone.With(lacking)
 				}
@@ -82,8 +82,8 @@
 			}
 			// A launch may still be under way; fence it off.
 			c.fence(r, p, e, func(d *Entry) {
-				if d.Halt == record.HaltNo {
-					d.Halt = record.HaltAtOnce
+				if d.Eviction == record.EvictionNone {
+					d.Eviction = record.EvictionImmediate
 				}
 			})
 		case !c.live(e.Launcher) || e.Launcher != c.boot && (c.isolatedBoot(e.Launcher) || c.lacked(m, e)):
@@ -157,7 +157,7 @@
 }
 
 func sameEntry(a, b *Entry) bool {
-	return a.Job == b.Job && a.Attempt == b.Attempt && a.Machine == b.Machine && a.Halt == b.Halt
+	return a.Job == b.Job && a.Attempt == b.Attempt && a.Machine == b.Machine && a.Eviction == b.Eviction
 }
 
 // remove takes tasks out of an entry and notes those of them that are done.
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -62,8 +62,8 @@
 		require.Equal(t, i == 2, c.paused(j))
 	}
 	require.Equal(t, trialTasks, c.trial(j, 200))
-	p := &page{key: record.PageKey("red", "east", 0), team: "red", zone: "east",
-		entries: []Entry{{Head: record.Head{Job: j.id, Attempt: 1}, Machine: "m-000004", Tasks: record.Span(0, 2)}}}
+	p := &page{key: record.PlacementKey("red", "east", 0), team: "red", zone: "east",
+		entries: []Entry{{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: 1}, Machine: "m-000004", Tasks: record.Span(0, 2)}}}
 	c.turn(p)
 	require.Zero(t, c.trial(j, 198))
 	before := j.notBefore
--- a/internal/core/returning.go
+++ b/internal/core/returning.go
@@ -71,7 +71,7 @@
 		c.inDoubt() && (silent < reporting || !c.siblingsWell())
 	for _, m := range c.inOrder() {
 		id := m.id
-		if _, going := c.leaving[id]; m.gone && len(m.entries) > 0 && !going && c.toReturn[id] == "" && !slices.Contains(c.returns.Gone, id) {
+		if _, going := c.leaving[id]; m.gone && len(m.entries) > 0 && !going && c.toReturn[id] == "" && !slices.Contains(c.returns.Confirmed, id) {
 			// It was returned while that could not be written down, or got work from one
 			// that did not know. All have to learn that what stood on it is gone.
 			c.markReturn(m, whyGone)
@@ -157,7 +157,7 @@
 // less than to start its work anew on a machine that has yet to boot.
 func (c *Core) silenceTolerance(m *machine, silence time.Duration) time.Duration {
 	for _, e := range m.entries {
-		if e.Rank == wire.PriorityCritical.Level() {
+		if e.Priority == wire.PriorityCritical.Level() {
 			if c.cutZones[m.zone].silent >= cutLeast {
 				// A zone that is cut off works on, and its workers' leases last for a
 				// while: so long nothing on it is lost, unless we return it.
@@ -177,7 +177,7 @@
 		silence += config.Seconds(1.3 * c.settings.Cluster.Workers.ReportS)
 	}
 	for _, e := range m.entries {
-		if e.Rank == wire.PriorityHigh.Level() {
+		if e.Priority == wire.PriorityHigh.Level() {
 			return silence
 		}
 	}
@@ -235,7 +235,7 @@
 	if c.returnsCall || !c.after(c.nextReturns) {
 		return
 	}
-	next := record.Returns{Going: map[string][]wire.MachineID{}}
+	next := record.Terminations{Pending: map[string][]wire.MachineID{}}
 	changed := len(c.toReturn) > 0
 	room := c.pageLimit() - len(`{"going":{},"gone":[]}`)
 	keep := func(list []wire.MachineID, id wire.MachineID) []wire.MachineID {
@@ -248,19 +248,19 @@
 		case m.gone:
 			changed = true
 			if len(c.machineOf(id).entries) > 0 {
-				next.Gone = keep(next.Gone, id)
+				next.Confirmed = keep(next.Confirmed, id)
 			}
 		case d.why == whyIdle && len(c.machineOf(id).entries) > 0 && !c.returned[id]:
 			changed = true // it got work before its end was written down: keep it
 		default:
-			next.Going[d.why] = keep(next.Going[d.why], id)
+			next.Pending[d.why] = keep(next.Pending[d.why], id)
 		}
 	}
-	for _, id := range c.returns.Gone {
+	for _, id := range c.returns.Confirmed {
 		if len(c.machineOf(id).entries) == 0 {
 			changed = true
 		} else {
-			next.Gone = keep(next.Gone, id)
+			next.Confirmed = keep(next.Confirmed, id)
 		}
 	}
 	if !changed {
@@ -269,11 +269,11 @@
 	taken := make([]wire.MachineID, 0, len(c.toReturn))
 	for _, id := range sortedKeys(c.toReturn) {
 		why := c.toReturn[id]
-		if next.Going[why] == nil {
+		if next.Pending[why] == nil {
 			room -= len(why) + len(`"":[],`)
 		}
 		if room > 0 && c.machineOf(id) != nil {
-			next.Going[why] = keep(next.Going[why], id)
+			next.Pending[why] = keep(next.Pending[why], id)
 			taken = append(taken, id)
 		}
 	}
@@ -281,8 +281,8 @@
 	c.nextReturns = c.now.Add(returnsEvery)
 	// One write for all that goes, which replicas wait for: ahead of submissions.
 	c.commit(ClassUrgent, wire.Transaction{
-		If:   []wire.Condition{{Key: record.ReturnsKey, Version: c.keyVersions[record.ReturnsKey]}},
-		Then: []wire.Change{c.put(record.ReturnsKey, next)},
+		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]}},
+		Then: []wire.Change{c.put(record.TerminationsKey, next)},
 	}, func(r Committed) {
 		c.returnsCall = false
 		if r.Outcome != NotDone {
--- a/internal/core/round_test.go
+++ b/internal/core/round_test.go
@@ -18,7 +18,7 @@
 func TestUnwrittenDraft(t *testing.T) {
 	set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
-	p := &page{key: record.PageKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
+	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
 	c.turn(p)
 	c.keyVersions[p.key] = p.version
 	r := c.newRound(c.teamOf("blue"))
--- a/internal/core/rounds.go
+++ b/internal/core/rounds.go
@@ -97,7 +97,7 @@
 		txn.Then = append(txn.Then, c.put(key, d.value()))
 	}
 	for _, id := range sortedKeys(r.ends) {
-		txn.Then = append(txn.Then, c.put(record.JobKey(id), record.Over{Over: record.Final{Status: wire.StatusDone, Done: c.jobs[id].spec.Tasks}}))
+		txn.Then = append(txn.Then, c.put(record.JobKey(id), record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: c.jobs[id].spec.Tasks}}))
 	}
 	if r.bump {
 		txn.Then = append(txn.Then, c.put(record.TokenKey, c.token+1))
@@ -113,14 +113,14 @@
 		// The heads of all the team's zones stand for every record that the
 		// decision read; one that does not exist yet must still not.
 		for _, zone := range c.settings.Cluster.Zones {
-			key := record.PageKey(t.name, zone, 0)
+			key := record.PlacementKey(t.name, zone, 0)
 			if p := t.pages[key]; p != nil {
 				r.conds[key] = p.version
 			} else {
 				r.conds[key] = 0
 			}
 		}
-		r.conds[record.ReturnsKey] = c.keyVersions[record.ReturnsKey]
+		r.conds[record.TerminationsKey] = c.keyVersions[record.TerminationsKey]
 		// Whoever was replaced as the owner of a share loses the write, however late it
 		// is carried out.
 		for id := range r.shares {
@@ -133,7 +133,7 @@
 	}
 	t.writing = r
 	sent := c.now
-	c.commitKnown(class, txn, record.PagePrefix, func(res Committed) {
+	c.commitKnown(class, txn, record.PlacementPrefix, func(res Committed) {
 		c.dirty = true
 		c.urgent = c.urgent || c.criticalWaits
 		if res.Outcome == Done {
@@ -277,7 +277,7 @@
 }
 
 func equalEntry(a, b Entry) bool {
-	return a.Head == b.Head && a.Machine == b.Machine && a.Session == b.Session && a.Tasks.Equal(b.Tasks)
+	return a.AllocationHeader == b.AllocationHeader && a.Machine == b.Machine && a.Session == b.Session && a.Tasks.Equal(b.Tasks)
 }
 
 func (c *Core) pageLimit() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
@@ -288,11 +288,11 @@
 
 // headOf is the head of a team's pages in a zone, empty if there is none yet.
 func (c *Core) headOf(t *team, zone string) *page {
-	key := record.PageKey(t.name, zone, 0)
+	key := record.PlacementKey(t.name, zone, 0)
 	if p := t.pages[key]; p != nil {
 		return p
 	}
-	return &page{key: key, team: t.name, zone: zone, size: record.PageRoom}
+	return &page{key: key, team: t.name, zone: zone, size: record.PageOverhead}
 }
 
 // add puts a new entry on a page of its zone that has room, or on a new one.
@@ -308,13 +308,13 @@
 		first = 1
 	}
 	for n := first; ; n++ {
-		key := record.PageKey(t.name, zone, n)
+		key := record.PlacementKey(t.name, zone, n)
 		p := t.pages[key]
 		if p == nil {
 			if n > 1 && n < t.count[zone] {
 				return false // a page that we have not read
 			}
-			p = &page{key: key, team: t.name, zone: zone, n: n, size: record.PageRoom}
+			p = &page{key: key, team: t.name, zone: zone, n: n, size: record.PageOverhead}
 		}
 		cur := r.view(p)
 		size := e.roomAfter(cur.entries)
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -119,9 +119,9 @@
 		boot = c.token + 1
 		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.keyVersions[record.TokenKey]})
 		txn.Then = []wire.Change{c.put(record.TokenKey, boot),
-			c.put(record.MemberKey(c.settings.Label), c.registration(boot))}
+			c.put(record.RegistrationKey(c.settings.Label), c.registration(boot))}
 	}
-	node := c.put(record.NodeKey(c.settings.Label), record.Node{Boot: boot, Isolated: c.isolated()})
+	node := c.put(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: boot, Isolated: c.isolated()})
 	node.LeaseID = c.leaseID
 	txn.Then = append(txn.Then, node)
 	leaseID := c.leaseID
@@ -151,9 +151,9 @@
 }
 
 // registration is what this process registers.
-func (c *Core) registration(boot wire.FencingToken) record.Member {
+func (c *Core) registration(boot wire.FencingToken) record.Registration {
 	m := c.rollout.Registration(boot)
-	m.Shares = c.enablesShares()
+	m.Sharding = c.enablesShares()
 	return m
 }
 
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -114,8 +114,8 @@
 	if !due || c.returnsCall {
 		return share.Action{}, false
 	}
-	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.ReturnsKey, Version: c.keyVersions[record.ReturnsKey]})
-	a.Txn.Then = append(a.Txn.Then, c.put(record.ReturnsKey, c.returns))
+	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]})
+	a.Txn.Then = append(a.Txn.Then, c.put(record.TerminationsKey, c.returns))
 	return a, len(a.Txn.If) <= 4*c.settings.Cluster.State.TxnOps
 }
 
@@ -142,7 +142,7 @@
 // applyShares takes a record of the shares.
 func (c *Core) applyShares(key string, value []byte, version wire.Revision) error {
 	c.dirty, c.urgent = true, c.urgent || c.criticalWaits
-	if key != record.SharesKey {
+	if key != record.ShardPolicyKey {
 		return c.shares.ApplyShare(key, value, version)
 	}
 	before := c.sharded()
--- a/internal/core/stopping.go
+++ b/internal/core/stopping.go
@@ -10,14 +10,14 @@
 )
 
 // halt marks tasks of an entry to be stopped.
-func (c *Core) halt(r *round, p *page, e *Entry, tasks record.TaskSet, how record.Halt) {
+func (c *Core) halt(r *round, p *page, e *Entry, tasks record.TaskSet, how record.Eviction) {
 	if c.unreadable[p.key] != nil {
 		return
 	}
 	d := c.draft(r, p)
 	for i := range d.entries {
 		x := &d.entries[i]
-		if !sameEntry(x, e) || x.Halt >= how {
+		if !sameEntry(x, e) || x.Eviction >= how {
 			continue
 		}
 		stopped := x.Tasks.And(tasks)
@@ -33,11 +33,11 @@
 		}
 		// What was fenced was the launcher before, not this stop.
 		if rest.Empty() {
-			x.Halt, x.Fence = how, 0
+			x.Eviction, x.Fence = how, 0
 			return
 		}
 		x.Tasks = rest
-		part.Halt, part.Fence = how, 0
+		part.Eviction, part.Fence = how, 0
 		d.size += part.roomAfter(nil)
 		d.entries = append(d.entries, part)
 		return
@@ -45,9 +45,9 @@
 }
 
 // haltJob marks all of a job's tasks to be stopped.
-func (c *Core) haltJob(r *round, id wire.JobID, how record.Halt) {
+func (c *Core) haltJob(r *round, id wire.JobID, how record.Eviction) {
 	for _, l := range c.entriesOf(r, id) {
-		if l.entry.Halt < how {
+		if l.entry.Eviction < how {
 			e := *l.entry
 			c.halt(r, l.page, &e, e.Tasks, how)
 		}
@@ -63,7 +63,7 @@
 		}
 		for _, e := range m.entries {
 			j := c.jobs[e.Job]
-			if j == nil || e.Halt != record.HaltNo || !c.ownsTeam(j.spec.Team) {
+			if j == nil || e.Eviction != record.EvictionNone || !c.ownsTeam(j.spec.Team) {
 				continue
 			}
 			r := rounds[j.spec.Team]
@@ -74,13 +74,13 @@
 			left := m.recallAt.Sub(c.now).Seconds()
 			if saves && left < j.spec.CheckpointSaveS+2*saveMargin || j.spec.Shape == wire.ShapeService {
 				if j.spec.Shape == wire.ShapeGang {
-					c.haltJob(r, j.id, record.HaltSave)
+					c.haltJob(r, j.id, record.EvictionGraceful)
 					continue
 				}
 				for _, l := range c.entriesOf(r, j.id) {
-					if l.entry.Machine == m.id && l.entry.Halt == record.HaltNo {
+					if l.entry.Machine == m.id && l.entry.Eviction == record.EvictionNone {
 						x := *l.entry
-						c.halt(r, l.page, &x, x.Tasks, record.HaltSave)
+						c.halt(r, l.page, &x, x.Tasks, record.EvictionGraceful)
 					}
 				}
 			}
@@ -142,7 +142,7 @@
 // own. Urgent work is never stopped for a guarantee.
 func (c *Core) preemptable(rounds map[string]*round, e *Entry, w *waiting, promised bool) bool {
 	j := c.jobs[e.Job]
-	if j == nil || e.Halt != record.HaltNo || c.within[e.Job] && !promised {
+	if j == nil || e.Eviction != record.EvictionNone || c.within[e.Job] && !promised {
 		return false
 	}
 	// Old work is not stopped for what is merely of higher rank: it would start
@@ -154,8 +154,8 @@
 	if c.waited(j) > overdueAfter && w.job.spec.Priority.Level() > least.Level() {
 		return false
 	}
-	lower := e.Rank > w.job.spec.Priority.Level()
-	beyond := w.promised && !c.within[e.Job] && j.spec.Team != w.job.spec.Team && e.Rank >= wire.PriorityNormal.Level()
+	lower := e.Priority > w.job.spec.Priority.Level()
+	beyond := w.promised && !c.within[e.Job] && j.spec.Team != w.job.spec.Team && e.Priority >= wire.PriorityNormal.Level()
 	if !lower && !beyond {
 		return false
 	}
@@ -167,9 +167,9 @@
 // none if there would not be.
 func (c *Core) makeRoom(rounds map[string]*round, h *placement.Host, w *waiting, promised bool) bool {
 	need := w.job.req.Need
-	how := record.HaltSave
+	how := record.EvictionGraceful
 	if w.job.spec.Priority == wire.PriorityCritical {
-		how = record.HaltAtOnce // it cannot wait for others to save
+		how = record.EvictionImmediate // it cannot wait for others to save
 	}
 	room := h.Free.Plus(h.Freeing, 1)
 	if room.Covers(need) {
@@ -182,7 +182,7 @@
 		}
 	}
 	slices.SortFunc(victims, func(a, b *Entry) int {
-		return cmp.Or(cmp.Compare(btoi(c.within[a.Job]), btoi(c.within[b.Job])), -cmp.Compare(a.Rank, b.Rank), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
+		return cmp.Or(cmp.Compare(btoi(c.within[a.Job]), btoi(c.within[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
 	})
 	type stop struct {
 		e     *Entry
@@ -212,7 +212,7 @@
 			c.haltJob(r, s.e.Job, how)
 		} else {
 			for _, l := range c.entriesOf(r, s.e.Job) {
-				if l.entry.Machine == s.e.Machine && l.entry.Attempt == s.e.Attempt && l.entry.Halt == record.HaltNo {
+				if l.entry.Machine == s.e.Machine && l.entry.Attempt == s.e.Attempt && l.entry.Eviction == record.EvictionNone {
 					x := *l.entry
 					c.halt(r, l.page, &x, s.tasks, how)
 				}
@@ -228,7 +228,7 @@
 	var left record.TaskSet
 	r := rounds[c.jobs[e.Job].spec.Team]
 	for _, l := range c.entriesOf(r, e.Job) {
-		if l.entry.Machine == e.Machine && l.entry.Attempt == e.Attempt && l.entry.Halt == record.HaltNo {
+		if l.entry.Machine == e.Machine && l.entry.Attempt == e.Attempt && l.entry.Eviction == record.EvictionNone {
 			left = left.With(l.entry.Tasks)
 		}
 	}
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -28,14 +28,14 @@
 	tokenVersion wire.Revision
 
 	jobs          map[wire.JobID]*job
-	finals        map[wire.JobID]record.Final // of jobs whose final states have keys of their own: a cache
-	over          map[wire.JobID]record.Final // of jobs in whose records they stand: all of them
+	finals        map[wire.JobID]record.Completion // of jobs whose final states have keys of their own: a cache
+	over          map[wire.JobID]record.Completion // of jobs in whose records they stand: all of them
 	filing        bool
 	nextFile      Time
 	teams         map[string]*team
 	nodes         map[string]wire.FencingToken
 	isolatedNodes map[string]bool
-	returns       record.Returns
+	returns       record.Terminations
 	leaving       map[wire.MachineID]leavingEntry // the machines that are going
 	buyer         wire.FencingToken
 	// unreadable holds the job and placement records that cannot be understood, by
@@ -97,13 +97,13 @@
 	s.keyVersions = map[string]wire.Revision{}
 	s.dropped = map[string]wire.Revision{}
 	s.jobs = map[wire.JobID]*job{}
-	s.finals = map[wire.JobID]record.Final{}
-	s.over = map[wire.JobID]record.Final{}
+	s.finals = map[wire.JobID]record.Completion{}
+	s.over = map[wire.JobID]record.Completion{}
 	s.teams = map[string]*team{}
 	s.nodes = map[string]wire.FencingToken{}
 	s.isolatedNodes = map[string]bool{}
 	s.unreadable = map[string]error{}
-	s.returns, s.leaving = record.Returns{}, map[wire.MachineID]leavingEntry{}
+	s.returns, s.leaving = record.Terminations{}, map[wire.MachineID]leavingEntry{}
 }
 
 func (s *store) teamOf(name string) *team {
@@ -121,7 +121,7 @@
 	if c.retired != nil {
 		return // what follows may be of a format that is not read here
 	}
-	if id, ok := strings.CutPrefix(key, record.FinalPrefix); ok {
+	if id, ok := strings.CutPrefix(key, record.CompletionPrefix); ok {
 		// Written once and never changed, so there is no version to keep.
 		if err := c.applyFinal(wire.JobID(id), value); err != nil {
 			c.log.Error("final state not understood", "key", key, "err", err)
@@ -141,11 +141,11 @@
 	switch {
 	case key == record.RolloutKey:
 		c.applyRollout(value, version)
-	case strings.HasPrefix(key, record.MemberPrefix):
-		label := strings.TrimPrefix(key, record.MemberPrefix)
+	case strings.HasPrefix(key, record.RegistrationPrefix):
+		label := strings.TrimPrefix(key, record.RegistrationPrefix)
 		c.shares.ApplyMember(label, value, version)
 		err = c.rollout.ApplyMember(label, value, version)
-	case key == record.SharesKey || strings.HasPrefix(key, record.SharePrefix):
+	case key == record.ShardPolicyKey || strings.HasPrefix(key, record.ShardPrefix):
 		err = c.applyShares(key, value, version)
 	case key == record.TokenKey:
 		var n wire.FencingToken
@@ -155,7 +155,7 @@
 		if err == nil && n > c.token {
 			c.token, c.tokenVersion = n, version
 		}
-	case key == record.BuyerKey:
+	case key == record.ProvisionerKey:
 		c.buyer = 0
 		if value != nil {
 			err = fastjson.Unmarshal(value, &c.buyer)
@@ -163,30 +163,30 @@
 		c.assign()
 	case key == record.SettingsKey:
 		err = c.applySettings(value, version)
-	case strings.HasPrefix(key, record.NodePrefix):
-		label := strings.TrimPrefix(key, record.NodePrefix)
+	case strings.HasPrefix(key, record.LivenessPrefix):
+		label := strings.TrimPrefix(key, record.LivenessPrefix)
 		if value == nil {
 			delete(c.nodes, label)
 			delete(c.isolatedNodes, label)
 			c.rollout.ApplyNode(label, 0, version)
-			c.shares.ApplyController(label, record.Node{}, version, share.Time(c.now))
+			c.shares.ApplyController(label, record.Liveness{}, version, share.Time(c.now))
 		} else {
-			var n record.Node
+			var n record.Liveness
 			if err = fastjson.Unmarshal(value, &n); err == nil {
-				c.nodes[label] = n.Boot
+				c.nodes[label] = n.Incarnation
 				c.isolatedNodes[label] = n.Isolated
-				c.rollout.ApplyNode(label, n.Boot, version)
+				c.rollout.ApplyNode(label, n.Incarnation, version)
 				c.shares.ApplyController(label, n, version, share.Time(c.now))
 			}
 		}
 		c.assign()
 	case strings.HasPrefix(key, record.JobPrefix):
 		err = c.applyJob(wire.JobID(strings.TrimPrefix(key, record.JobPrefix)), value, version)
-	case strings.HasPrefix(key, record.PagePrefix):
+	case strings.HasPrefix(key, record.PlacementPrefix):
 		err = c.applyPage(key, value, version)
 	case strings.HasPrefix(key, record.ImagePrefix):
 		err = c.applyImages(strings.TrimPrefix(key, record.ImagePrefix), value)
-	case key == record.ReturnsKey:
+	case key == record.TerminationsKey:
 		err = c.applyReturns(value, version)
 	}
 	c.noteReadable(key, err)
@@ -208,15 +208,15 @@
 		c.holdJob(id, version)
 		return err
 	}
-	if r.Over != nil {
-		if !r.Over.Status.IsTerminal() {
+	if r.Completion != nil {
+		if !r.Completion.Status.IsTerminal() {
 			return errNotFinal
 		}
 		delete(c.jobs, id)
-		if _, known := c.over[id]; !known && r.Over.Status == wire.StatusCancelled {
-			c.noteWithdrawn(wire.Cancellation{Job: id, Version: version, Done: r.Over.Done})
+		if _, known := c.over[id]; !known && r.Completion.Status == wire.StatusCancelled {
+			c.noteWithdrawn(wire.Cancellation{Job: id, Version: version, Done: r.Completion.Done})
 		}
-		c.over[id] = *r.Over
+		c.over[id] = *r.Completion
 		for _, e := range c.ofJob[id] {
 			c.noteOver(e.Machine)
 		}
@@ -231,7 +231,7 @@
 		}
 	}
 	c.urgent = c.urgent || r.Spec.Priority == wire.PriorityCritical
-	j.spec, j.at, j.by, j.version, j.unreadable = r.Spec, r.At, r.By, version, false
+	j.spec, j.at, j.by, j.version, j.unreadable = r.Spec, r.AcceptedAt, r.AcceptedBy, version, false
 	j.req = placement.NewRequest(&j.spec)
 	return nil
 }
@@ -261,7 +261,7 @@
 // limit, its gangs and what its machines report without a record are left alone.
 func (c *Core) holdsTeam(team string) bool {
 	for key := range c.unreadable {
-		if strings.HasPrefix(key, record.PagePrefix+team+"/") {
+		if strings.HasPrefix(key, record.PlacementPrefix+team+"/") {
 			return true
 		}
 	}
@@ -275,12 +275,12 @@
 }
 
 func (c *Core) applyPage(key string, value json.RawMessage, version wire.Revision) error {
-	name, zone, n, err := record.ParsePageKey(key)
+	name, zone, n, err := record.ParsePlacementKey(key)
 	if err != nil {
 		return err
 	}
 	p := &page{key: key, team: name, zone: zone, n: n, version: version}
-	var v record.Page
+	var v record.PlacementPage
 	if err := record.Decode(value, c.valueBound(), &v); err != nil {
 		return err
 	}
@@ -327,14 +327,14 @@
 // applyReturns takes the list of machines about to be returned and of those that
 // are gone.
 func (c *Core) applyReturns(value json.RawMessage, version wire.Revision) error {
-	var d record.Returns
+	var d record.Terminations
 	if value != nil {
 		if err := fastjson.Unmarshal(value, &d); err != nil {
 			return err
 		}
 	}
 	leaving := map[wire.MachineID]leavingEntry{}
-	for why, names := range d.Going {
+	for why, names := range d.Pending {
 		for _, id := range names {
 			since := version
 			if old, ok := c.leaving[id]; ok {
@@ -348,7 +348,7 @@
 			m.leftAt = c.now
 		}
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Confirmed {
 		// What stood on it may be placed again at once.
 		if m := c.machineOf(id); !m.gone {
 			m.gone, m.goneAt = true, c.now
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -110,8 +110,8 @@
 		}
 	}})
 	c.commit(ClassAccept, wire.Transaction{
-		If:   []wire.Condition{{Key: record.JobKey(id)}, {Key: record.FinalKey(id)}},
-		Then: []wire.Change{c.put(record.JobKey(id), record.Job{Spec: in.Spec, At: c.wall, By: c.boot})},
+		If:   []wire.Condition{{Key: record.JobKey(id)}, {Key: record.CompletionKey(id)}},
+		Then: []wire.Change{c.put(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.boot})},
 	}, func(r Committed) {
 		c.accepting--
 		if r.Outcome == Done {
@@ -194,7 +194,7 @@
 	return ""
 }
 
-func finalStatus(id wire.JobID, f record.Final) wire.JobStatus {
+func finalStatus(id wire.JobID, f record.Completion) wire.JobStatus {
 	return wire.JobStatus{ID: id, Status: f.Status, Done: f.Done}
 }
 
@@ -228,7 +228,7 @@
 		c.do(Fetch{call(c, func(f Fetched) {
 			switch f.Outcome {
 			case Done:
-				c.apply(record.FinalKey(id), f.Value, f.Version)
+				c.apply(record.CompletionKey(id), f.Value, f.Version)
 				if f, ok := c.ended(id); ok {
 					then(finalStatus(id, f), true)
 				} else {
@@ -240,7 +240,7 @@
 			default:
 				c.unavailable(r, "state service unavailable")
 			}
-		}), record.FinalKey(id)})
+		}), record.CompletionKey(id)})
 	})
 }
 
@@ -284,10 +284,10 @@
 			c.unavailable(r, "state changed; try again")
 			return
 		}
-		end := record.Final{Status: wire.StatusCancelled, Done: s.Done}
+		end := record.Completion{Status: wire.StatusCancelled, Done: s.Done}
 		c.commit(ClassUrgent, wire.Transaction{
 			If:   []wire.Condition{{Key: record.JobKey(id), Version: j.version}},
-			Then: []wire.Change{c.put(record.JobKey(id), record.Over{Over: end})},
+			Then: []wire.Change{c.put(record.JobKey(id), record.CompletedJob{Completion: end})},
 		}, func(done Committed) {
 			switch done.Outcome {
 			case Done:
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -64,7 +64,7 @@
 
 // Tell sends a line to all siblings; to one that does not keep up it is lost.
 func (m *Mesh) Tell(l *wire.PeerMessage) {
-	b, err := record.EncodeLine(l)
+	b, err := record.EncodePeerMessage(l)
 	if err != nil {
 		m.log.Error("line not written", "err", err)
 		return
@@ -157,7 +157,7 @@
 		if conn.SetReadDeadline(time.Now().Add(readTimeout)) != nil || !lines.Scan() {
 			return
 		}
-		l, err := record.DecodeLine(lines.Bytes())
+		l, err := record.DecodePeerMessage(lines.Bytes())
 		if err != nil {
 			m.log.Warn("peer's line dropped", "from", conn.RemoteAddr(), "err", err)
 			continue
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -11,14 +11,14 @@
 
 // pageWith makes a placement record as they look in service: jobs of several machines,
 // named in order of creation, with attempts and tasks.
-func pageWith(jobs, machines int) Page {
-	var p Page
+func pageWith(jobs, machines int) PlacementPage {
+	var p PlacementPage
 	for j := range jobs {
-		g := Group{Head: Head{Job: wire.JobID(fmt.Sprintf("wk-%06d", 4711+j*37)), Attempt: wire.Attempt(41<<24 + j*3), Launcher: 41,
-			Cores: 4, MemGB: 13, Rank: 2, Shape: wire.ShapeArray}}
+		g := AllocationGroup{AllocationHeader: AllocationHeader{Job: wire.JobID(fmt.Sprintf("wk-%06d", 4711+j*37)), Attempt: wire.Attempt(41<<24 + j*3), Launcher: 41,
+			Cores: 4, MemGB: 13, Priority: 2, Shape: wire.ShapeArray}}
 		for m := range machines {
 			g.Machines = append(g.Machines, wire.MachineID(fmt.Sprintf("m-%06d", (j*131+m*17)%4200)))
-			g.Sessions = append(g.Sessions, 1)
+			g.AgentEpochs = append(g.AgentEpochs, 1)
 			g.Tasks = append(g.Tasks, Span(m*2, m*2+2))
 		}
 		p.Groups = append(p.Groups, g)
@@ -35,7 +35,7 @@
 			b.Run(fmt.Sprintf("jobs=%d/format=%d", jobs, format), func(b *testing.B) {
 				var value []byte
 				for b.Loop() {
-					value = Encode(format, PagePrefix, page)
+					value = Encode(format, PlacementPrefix, page)
 				}
 				b.ReportMetric(float64(len(value)), "bytes")
 			})
@@ -47,10 +47,10 @@
 func BenchmarkDecode(b *testing.B) {
 	for _, jobs := range []int{1, 8, 30} {
 		for format := Oldest; format <= Newest; format++ {
-			value := Encode(format, PagePrefix, pageWith(jobs, 6))
+			value := Encode(format, PlacementPrefix, pageWith(jobs, 6))
 			b.Run(fmt.Sprintf("jobs=%d/format=%d", jobs, format), func(b *testing.B) {
 				for b.Loop() {
-					var page Page
+					var page PlacementPage
 					require.NoError(b, Decode(value, 1<<16, &page))
 				}
 			})
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -39,23 +39,23 @@
 		long.Types = append(long.Types, "machine-type-"+strconv.Itoa(i))
 	}
 	page := pageWith(6, 5)
-	page.Done = map[wire.JobID]TaskSet{"wk-000007": Span(0, 3).With(Span(7, 8))}
+	page.Completed = map[wire.JobID]TaskSet{"wk-000007": Span(0, 3).With(Span(7, 8))}
 	return []sample{
-		{"job", JobKey("wk-000412"), &Job{Spec: jobSpec(), At: 1_700_000_000_123, By: 41}, func() any { return new(Job) }, 0},
-		{"job-long", JobKey("wk-000412"), &Job{Spec: long, At: 1_700_000_000_123, By: 41}, func() any { return new(Job) }, 0},
-		{"over", JobKey("wk-000412"), &Over{Final{wire.StatusCancelled, 3}}, func() any { return new(Over) }, 0},
-		{"final", FinalKey("wk-000412"), &Final{wire.StatusDone, 16}, func() any { return new(Final) }, 0},
-		{"node", NodeKey("rig-0"), &Node{Boot: 41, Isolated: true}, func() any { return new(Node) }, 0},
-		{"returns", ReturnsKey, &Returns{Going: map[string][]wire.MachineID{"idle": {"m-000231"}}, Gone: []wire.MachineID{"m-000230"}}, func() any { return new(Returns) }, 0},
+		{"job", JobKey("wk-000412"), &Job{Spec: jobSpec(), AcceptedAt: 1_700_000_000_123, AcceptedBy: 41}, func() any { return new(Job) }, 0},
+		{"job-long", JobKey("wk-000412"), &Job{Spec: long, AcceptedAt: 1_700_000_000_123, AcceptedBy: 41}, func() any { return new(Job) }, 0},
+		{"over", JobKey("wk-000412"), &CompletedJob{Completion{wire.StatusCancelled, 3}}, func() any { return new(CompletedJob) }, 0},
+		{"final", CompletionKey("wk-000412"), &Completion{wire.StatusDone, 16}, func() any { return new(Completion) }, 0},
+		{"node", LivenessKey("rig-0"), &Liveness{Incarnation: 41, Isolated: true}, func() any { return new(Liveness) }, 0},
+		{"returns", TerminationsKey, &Terminations{Pending: map[string][]wire.MachineID{"idle": {"m-000231"}}, Confirmed: []wire.MachineID{"m-000230"}}, func() any { return new(Terminations) }, 0},
 		{"images", ImageKey(3), &Images{"m-000231": {"img-07", "img-08"}}, func() any { return new(Images) }, 0},
-		{"page-small", PageKey("vision", "east", 0), &Page{Groups: []Group{}}, func() any { return new(Page) }, 0},
-		{"page", PageKey("vision", "east", 1), &page, func() any { return new(Page) }, 0},
-		{"rollout", RolloutKey, &Rollout{Format: 2, Excluded: map[string]Exclusion{"rig-2": {Boot: 7, Reason: "its host burnt"}}}, func() any { return new(Rollout) }, 0},
-		{"member", MemberKey("rig-0"), &Member{Boot: 41, Formats: FormatRange{Oldest: 1, Newest: 2}, Release: "0.2.0"}, func() any { return new(Member) }, 0},
-		{"member-shares", MemberKey("rig-0"), &Member{Boot: 41, Formats: FormatRange{Oldest: 1, Newest: 3}, Release: "0.3.0", Shares: true}, func() any { return new(Member) }, FormatShares},
-		{"shares", SharesKey, &Shares{Enabled: true, Drained: map[string]string{"rig-2": "new disks"}}, func() any { return new(Shares) }, FormatShares},
-		{"share", ShareKey(7), &Share{Owner: ShareOwner{"rig-0", 41}, Epoch: 3, Move: &ShareMove{To: ShareOwner{"rig-1", 42}, Step: ShareReleased,
-			Since: 1_700_000_000_123, Why: "to even out the shares"}}, func() any { return new(Share) }, FormatShares},
+		{"page-small", PlacementKey("vision", "east", 0), &PlacementPage{Groups: []AllocationGroup{}}, func() any { return new(PlacementPage) }, 0},
+		{"page", PlacementKey("vision", "east", 1), &page, func() any { return new(PlacementPage) }, 0},
+		{"rollout", RolloutKey, &Rollout{Format: 2, Excluded: map[string]Exclusion{"rig-2": {Incarnation: 7, Reason: "its host burnt"}}}, func() any { return new(Rollout) }, 0},
+		{"member", RegistrationKey("rig-0"), &Registration{Incarnation: 41, Formats: FormatRange{Oldest: 1, Newest: 2}, Release: "0.2.0"}, func() any { return new(Registration) }, 0},
+		{"member-shares", RegistrationKey("rig-0"), &Registration{Incarnation: 41, Formats: FormatRange{Oldest: 1, Newest: 3}, Release: "0.3.0", Sharding: true}, func() any { return new(Registration) }, FormatShares},
+		{"shares", ShardPolicyKey, &ShardPolicy{Enabled: true, Drained: map[string]string{"rig-2": "new disks"}}, func() any { return new(ShardPolicy) }, FormatShares},
+		{"share", ShardKey(7), &Shard{Owner: ShardOwner{"rig-0", 41}, Epoch: 3, Move: &ShardMove{To: ShardOwner{"rig-1", 42}, Phase: MoveReleased,
+			Since: 1_700_000_000_123, Reason: "to even out the shares"}}, func() any { return new(Shard) }, FormatShares},
 	}
 }
 
@@ -89,11 +89,11 @@
 		path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), "line.json")
 		stored, err := os.ReadFile(path)
 		require.NoError(t, err)
-		line, err := DecodeLine(stored)
+		line, err := DecodePeerMessage(stored)
 		require.NoError(t, err)
 		require.Equal(t, "rig-1", line.From)
 		require.Len(t, line.Heartbeats, 1)
-		written, err := EncodeLine(line)
+		written, err := EncodePeerMessage(line)
 		require.NoError(t, err)
 		require.Equal(t, string(stored), string(written))
 	}
@@ -104,14 +104,14 @@
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		page := pageWith(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
-		before := plain(page)
+		before := encodePlain(page)
 		for format := Oldest; format <= Newest; format++ {
-			value := Encode(format, PageKey("t", "z", 0), page)
+			value := Encode(format, PlacementKey("t", "z", 0), page)
 			require.LessOrEqual(t, len(value), len(before))
 			require.True(t, json.Valid(value))
-			var back Page
+			var back PlacementPage
 			require.NoError(t, Decode(value, bound, &back))
-			require.Equal(t, string(before), string(plain(back)))
+			require.Equal(t, string(before), string(encodePlain(back)))
 		}
 	})
 }
@@ -120,9 +120,9 @@
 // refused with a cause, or reads as what it was.
 func TestDamagedValues(t *testing.T) {
 	page := pageWith(30, 6)
-	good := Encode(FormatCompressed, PageKey("t", "z", 0), page)
+	good := Encode(FormatCompressed, PlacementKey("t", "z", 0), page)
 	require.True(t, isString(good))
-	var into Page
+	var into PlacementPage
 	require.ErrorIs(t, Decode(good, 1000, &into), ErrTooLarge)
 	for _, bad := range []string{`""`, `"x"`, `"AAAA"`, `"KLUv/WQ="`, `"` + strings.Repeat("A", 4000) + `"`, `7`, `[]`, `"` + "\xff" + `"`} {
 		require.Error(t, Decode(json.RawMessage(bad), bound, &into), bad)
@@ -135,9 +135,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spoilt := append(json.RawMessage{}, good...)
 		spoilt[rapid.IntRange(1, len(spoilt)-2).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 6).Draw(t, "bit")
-		var back Page
+		var back PlacementPage
 		if Decode(spoilt, bound, &back) == nil {
-			require.Equal(t, string(plain(page)), string(plain(back)))
+			require.Equal(t, string(encodePlain(page)), string(encodePlain(back)))
 		}
 	})
 }
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -44,12 +44,12 @@
 // Encode writes a record in a format. A compressed value is used only where it is
 // the smaller one, so no value takes more than its plain JSON.
 func Encode(format wire.Format, key string, v any) json.RawMessage {
-	value := plain(v)
+	value := encodePlain(v)
 	if format < FormatCompressed || len(value) < compressFrom || !compressible(key) {
 		return value
 	}
 	packed := compressor().EncodeAll(value, nil)
-	text := plain(packed) // bytes become a JSON string in base64
+	text := encodePlain(packed) // bytes become a JSON string in base64
 	if len(text) >= len(value) {
 		return value
 	}
@@ -58,7 +58,7 @@
 
 // compressible reports whether records under a key grow large.
 func compressible(key string) bool {
-	return strings.HasPrefix(key, JobPrefix) || strings.HasPrefix(key, PagePrefix)
+	return strings.HasPrefix(key, JobPrefix) || strings.HasPrefix(key, PlacementPrefix)
 }
 
 // Decode reads a record of any format into v. A compressed value may expand to at
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -27,23 +27,23 @@
 
 // goldenRecords has every kind of record, and those that may be compressed in both sizes.
 func goldenRecords() []goldenRecord {
-	newJob, newPage := func() any { return new(Job) }, func() any { return new(Page) }
+	newJob, newPage := func() any { return new(Job) }, func() any { return new(PlacementPage) }
 	return []goldenRecord{
 		{"job", JobKey("wk-000412"), newJob, 2, false},
 		{"job-large", JobKey("wk-000412"), newJob, manyElements, true},
-		{"over", JobKey("wk-000412"), func() any { return new(Over) }, 2, false},
-		{"final", FinalKey("wk-000412"), func() any { return new(Final) }, 2, false},
-		{"node", NodeKey("rig-0"), func() any { return new(Node) }, 2, false},
-		{"returns", ReturnsKey, func() any { return new(Returns) }, 2, false},
+		{"over", JobKey("wk-000412"), func() any { return new(CompletedJob) }, 2, false},
+		{"final", CompletionKey("wk-000412"), func() any { return new(Completion) }, 2, false},
+		{"node", LivenessKey("rig-0"), func() any { return new(Liveness) }, 2, false},
+		{"returns", TerminationsKey, func() any { return new(Terminations) }, 2, false},
 		{"images", ImageKey(3), func() any { return new(Images) }, 2, false},
-		{"page", PageKey("vision", "east", 1), newPage, 1, false},
-		{"page-large", PageKey("vision", "east", 1), newPage, 5, true},
+		{"page", PlacementKey("vision", "east", 1), newPage, 1, false},
+		{"page-large", PlacementKey("vision", "east", 1), newPage, 5, true},
 		{"rollout", RolloutKey, func() any { return new(Rollout) }, 2, false},
-		{"member", MemberKey("rig-0"), func() any { return new(Member) }, 2, false},
-		{"shares", SharesKey, func() any { return new(Shares) }, 2, false},
-		{"share", ShareKey(7), func() any { return new(Share) }, 2, false},
+		{"member", RegistrationKey("rig-0"), func() any { return new(Registration) }, 2, false},
+		{"shares", ShardPolicyKey, func() any { return new(ShardPolicy) }, 2, false},
+		{"share", ShardKey(7), func() any { return new(Shard) }, 2, false},
 		{"baton", TokenKey, func() any { return new(wire.FencingToken) }, 2, false},
-		{"buyer", BuyerKey, func() any { return new(wire.FencingToken) }, 2, false},
+		{"buyer", ProvisionerKey, func() any { return new(wire.FencingToken) }, 2, false},
 	}
 }
 
@@ -51,8 +51,8 @@
 func fillRecord(target any, elements int) {
 	filler := golden.NewFiller(elements)
 	golden.Use(filler, func(n int) TaskSet { return Span(n, n+1).With(Span(n+2, n+5)) })
-	golden.Use(filler, func(int) Halt { return HaltAtOnce })
-	golden.Use(filler, func(int) ShareStep { return ShareProposed })
+	golden.Use(filler, func(int) Eviction { return EvictionImmediate })
+	golden.Use(filler, func(int) MovePhase { return MoveProposed })
 	filler.Fill(target)
 }
 
@@ -112,11 +112,11 @@
 		filler := golden.NewFiller(2)
 		golden.Use(filler, func(int) wire.Format { return format })
 		filler.Fill(&line)
-		written, err := EncodeLine(&line)
+		written, err := EncodePeerMessage(&line)
 		require.NoError(t, err)
 		name := fmt.Sprintf("format-%d/sibling-line.json", format)
 		golden.Compare(t, name, written)
-		back, err := DecodeLine(golden.Read(t, name))
+		back, err := DecodePeerMessage(golden.Read(t, name))
 		require.NoError(t, err)
 		require.Equal(t, &line, back)
 	}
@@ -125,14 +125,14 @@
 // TestGoldenKeys holds where records stand, and the words and numbers in them.
 func TestGoldenKeys(t *testing.T) {
 	text, err := json.MarshalIndent(map[string]any{
-		"fixed":    []string{RootKey, TokenKey, BuyerKey, SettingsKey, ReturnsKey, RolloutKey, SharesKey},
-		"prefixes": []string{NodePrefix, JobPrefix, FinalPrefix, PagePrefix, ImagePrefix, MemberPrefix, SharePrefix},
-		"made": []string{JobKey("wk-000412"), FinalKey("wk-000412"), NodeKey("rig-0"), MemberKey("rig-0"), ImageKey(3), ShareKey(7),
-			PageKey("vision", "east", 1)},
+		"fixed":    []string{RootKey, TokenKey, ProvisionerKey, SettingsKey, TerminationsKey, RolloutKey, ShardPolicyKey},
+		"prefixes": []string{LivenessPrefix, JobPrefix, CompletionPrefix, PlacementPrefix, ImagePrefix, RegistrationPrefix, ShardPrefix},
+		"made": []string{JobKey("wk-000412"), CompletionKey("wk-000412"), LivenessKey("rig-0"), RegistrationKey("rig-0"), ImageKey(3), ShardKey(7),
+			PlacementKey("vision", "east", 1)},
 		"load":       LoadPrefixes,
 		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatShares, Oldest, Newest},
-		"halt":       []Halt{HaltNo, HaltSave, HaltAtOnce},
-		"share-step": []ShareStep{ShareProposed, ShareReleased},
+		"halt":       []Eviction{EvictionNone, EvictionGraceful, EvictionImmediate},
+		"share-step": []MovePhase{MoveProposed, MoveReleased},
 	}, "", "  ")
 	require.NoError(t, err)
 	golden.Compare(t, "keys.json", text)
--- a/internal/record/line.go
+++ b/internal/record/line.go
@@ -9,16 +9,16 @@
 	"lilacrill/wire"
 )
 
-// ErrLineFormat is the cause for which a line of a format that this build does not
+// ErrPeerMessageFormat is the cause for which a line of a format that this build does not
 // read is refused.
-var ErrLineFormat = errors.New("line of a format that this build does not read")
+var ErrPeerMessageFormat = errors.New("line of a format that this build does not read")
 
-// EncodeLine writes a line between controllers, without its end, in the line's format.
+// EncodePeerMessage writes a line between controllers, without its end, in the line's format.
 // The formats so far differ in that later ones name themselves.
-func EncodeLine(line *wire.PeerMessage) ([]byte, error) { return json.Marshal(line) }
+func EncodePeerMessage(line *wire.PeerMessage) ([]byte, error) { return json.Marshal(line) }
 
-// DecodeLine reads and checks a line of any format.
-func DecodeLine(b []byte) (*wire.PeerMessage, error) {
+// DecodePeerMessage reads and checks a line of any format.
+func DecodePeerMessage(b []byte) (*wire.PeerMessage, error) {
 	var line wire.PeerMessage
 	if err := fastjson.Unmarshal(b, &line); err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 		return nil, errors.New("line without a sender")
 	}
 	if line.Format < 0 || line.Format > Newest {
-		return nil, fmt.Errorf("%w: %d", ErrLineFormat, line.Format)
+		return nil, fmt.Errorf("%w: %d", ErrPeerMessageFormat, line.Format)
 	}
 	for _, r := range line.Heartbeats {
 		if r == nil {
--- a/internal/record/line_test.go
+++ b/internal/record/line_test.go
@@ -15,24 +15,24 @@
 	l := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
 		Tasks: []wire.TaskStatus{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
 		UnchangedHeartbeats: []wire.UnchangedHeartbeat{{Machine: "m-2", AgentEpoch: 1, Sequence: 7, Token: 3}}}
-	good, err := EncodeLine(l)
+	good, err := EncodePeerMessage(l)
 	require.NoError(t, err)
-	back, err := DecodeLine(good)
+	back, err := DecodePeerMessage(good)
 	require.NoError(t, err)
 	require.Equal(t, l, back)
 	for _, bad := range []string{``, `{}`, `[]`, `null`, `{"from":"rig-1","reports":[{}]}`, `{"from":7}`, `{"from":"rig-1","reports":[null]}`,
 		`{"from":"rig-1","format":-1}`, `{"from":"rig-1","format":4}`} {
-		_, err := DecodeLine([]byte(bad))
+		_, err := DecodePeerMessage([]byte(bad))
 		require.Error(t, err, bad)
 	}
 	for i := range len(good) {
-		_, err := DecodeLine(good[:i])
+		_, err := DecodePeerMessage(good[:i])
 		require.Error(t, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), good...)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
-		if l, err := DecodeLine(b); err == nil {
+		if l, err := DecodePeerMessage(b); err == nil {
 			for _, r := range l.Heartbeats {
 				require.NoError(t, r.Check())
 			}
--- a/internal/record/rollout.go
+++ b/internal/record/rollout.go
@@ -17,18 +17,18 @@
 // Exclusion says why a controller that is down need not be waited for. It holds only
 // for processes up to Boot: a later one counts again.
 type Exclusion struct {
-	Boot   wire.FencingToken `json:"boot"`
-	Reason string            `json:"reason"`
+	Incarnation wire.FencingToken `json:"boot"`
+	Reason      string            `json:"reason"`
 }
 
-// Member is what the latest process of a controller reads and writes. Unlike its Node
+// Registration is what the latest process of a controller reads and writes. Unlike its Node
 // record it stays when the process ends.
-type Member struct {
-	Boot    wire.FencingToken `json:"boot"`
-	Formats FormatRange       `json:"formats"`
-	Release string            `json:"release,omitempty"`
-	// Shares says that its features enable shares.
-	Shares bool `json:"shares,omitempty"`
+type Registration struct {
+	Incarnation wire.FencingToken `json:"boot"`
+	Formats     FormatRange       `json:"formats"`
+	Release     string            `json:"release,omitempty"`
+	// Sharding says that its features enable shares.
+	Sharding bool `json:"shares,omitempty"`
 }
 
 // FormatRange is the formats that a process reads, from Oldest to Newest.
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -2,46 +2,46 @@
 
 import "lilacrill/wire"
 
-// Shares says whether shares are in use. It is switched in one transaction with the list of
+// ShardPolicy says whether shares are in use. It is switched in one transaction with the list of
 // machines to be returned, which every placement demands: so placements of controllers
 // that restrict themselves to their shares and of ones that do not never mix.
-type Shares struct {
+type ShardPolicy struct {
 	Enabled bool `json:"enabled"`
 	// Drained holds the controllers that are to own no share, by label, with the reason.
 	Drained map[string]string `json:"drained,omitempty"`
 }
 
-// ShareOwner is a process of a controller, as the owner of a share.
-type ShareOwner struct {
-	Label string            `json:"label"`
-	Boot  wire.FencingToken `json:"boot"`
+// ShardOwner is a process of a controller, as the owner of a share.
+type ShardOwner struct {
+	Label       string            `json:"label"`
+	Incarnation wire.FencingToken `json:"boot"`
 }
 
-// Share says who may place on the machines of a share. Every placement demands the
+// Shard says who may place on the machines of a share. Every placement demands the
 // records of the shares that it places in.
-type Share struct {
-	Owner ShareOwner `json:"owner"`
+type Shard struct {
+	Owner ShardOwner `json:"owner"`
 	// Epoch rises whenever the share changes hands.
 	Epoch wire.ShardEpoch `json:"epoch"`
-	Move  *ShareMove      `json:"move,omitempty"`
+	Move  *ShardMove      `json:"move,omitempty"`
 }
 
-// ShareMove is a move of a share that is under way. Its owner starts no placement
+// ShardMove is a move of a share that is under way. Its owner starts no placement
 // meanwhile.
-type ShareMove struct {
-	To    ShareOwner `json:"to"`
-	Step  ShareStep  `json:"step"`
-	Since int64      `json:"since"` // Unix milliseconds
-	Why   string     `json:"why,omitempty"`
+type ShardMove struct {
+	To     ShardOwner `json:"to"`
+	Phase  MovePhase  `json:"step"`
+	Since  int64      `json:"since"` // Unix milliseconds
+	Reason string     `json:"why,omitempty"`
 }
 
-// ShareStep is how far a move has come.
-type ShareStep string
+// MovePhase is how far a move has come.
+type MovePhase string
 
 // The steps of a move. Adoption, by which the target becomes the owner, ends it.
 const (
-	// ShareProposed: the owner has been asked to hand the share over.
-	ShareProposed ShareStep = "proposed"
-	// ShareReleased: the owner has no placement under way any more.
-	ShareReleased ShareStep = "released"
+	// MoveProposed: the owner has been asked to hand the share over.
+	MoveProposed MovePhase = "proposed"
+	// MoveReleased: the owner has no placement under way any more.
+	MoveReleased MovePhase = "released"
 )
--- a/internal/record/taskset.go
+++ b/internal/record/taskset.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// Room is how many bytes the set's JSON takes, give or take a comma.
-func (s TaskSet) Room() int {
+// EncodedSize is how many bytes the set's JSON takes, give or take a comma.
+func (s TaskSet) EncodedSize() int {
 	n := len(`[]`)
 	for _, r := range s.ranges {
 		n += digits(r[0]) + len(`,`)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -37,7 +37,7 @@
 }
 
 type member struct {
-	record.Member
+	record.Registration
 	version wire.Revision
 }
 
@@ -85,12 +85,12 @@
 		return nil
 	}
 	m := member{version: version}
-	err := fastjson.Unmarshal(value, &m.Member)
+	err := fastjson.Unmarshal(value, &m.Registration)
 	if err == nil {
 		err = m.Formats.Check()
 	}
 	if err != nil {
-		m.Member = record.Member{}
+		m.Registration = record.Registration{}
 	}
 	t.members[label] = m
 	return err
@@ -143,8 +143,8 @@
 }
 
 // Registration is the record of this process.
-func (t *Tracker) Registration(boot wire.FencingToken) record.Member {
-	return record.Member{Boot: boot, Formats: t.formats, Release: t.release}
+func (t *Tracker) Registration(boot wire.FencingToken) record.Registration {
+	return record.Registration{Incarnation: boot, Formats: t.formats, Release: t.release}
 }
 
 // Blocker is a controller that an activation has to wait for, and why.
@@ -192,7 +192,7 @@
 		return "is down and has never registered"
 	case !alive:
 		return "is down"
-	case !registered || m.Boot != n.boot:
+	case !registered || m.Incarnation != n.boot:
 		return "runs a build that does not register what it reads"
 	case !m.Formats.Reads(f):
 		return fmt.Sprintf("reads formats %d to %d only", m.Formats.Oldest, m.Formats.Newest)
@@ -205,7 +205,7 @@
 // excluded reports whether a controller that is down need not be waited for.
 func (t *Tracker) excluded(label string) bool {
 	e, ok := t.state.Excluded[label]
-	return ok && t.members[label].Boot <= e.Boot
+	return ok && t.members[label].Incarnation <= e.Incarnation
 }
 
 // Activate is the transaction that brings a format into force, made from a version of
@@ -230,8 +230,8 @@
 	txn := t.change(record.Rollout{Format: f})
 	for _, label := range t.known() {
 		txn.If = append(txn.If,
-			wire.Condition{Key: record.MemberKey(label), Version: t.members[label].version},
-			wire.Condition{Key: record.NodeKey(label), Version: t.nodes[label].version})
+			wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version},
+			wire.Condition{Key: record.LivenessKey(label), Version: t.nodes[label].version})
 	}
 	return txn, nil
 }
@@ -253,11 +253,11 @@
 		return wire.Transaction{}, &ConflictError{Why: fmt.Sprintf("%s is alive (boot %d): stop it first", label, n.boot)}
 	}
 	next := t.copyState()
-	next.Excluded[label] = record.Exclusion{Boot: t.members[label].Boot, Reason: reason}
+	next.Excluded[label] = record.Exclusion{Incarnation: t.members[label].Incarnation, Reason: reason}
 	txn := t.change(next)
 	txn.If = append(txn.If,
-		wire.Condition{Key: record.MemberKey(label), Version: t.members[label].version},
-		wire.Condition{Key: record.NodeKey(label)})
+		wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version},
+		wire.Condition{Key: record.LivenessKey(label)})
 	return txn, nil
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,7 +24,7 @@
 
 // alive lets a controller live that registered a range.
 func (t *Tracker) alive(label string, boot wire.FencingToken, formats record.FormatRange, version wire.Revision) {
-	value, err := json.Marshal(record.Member{Boot: boot, Formats: formats})
+	value, err := json.Marshal(record.Registration{Incarnation: boot, Formats: formats})
 	if err != nil {
 		panic(err)
 	}
@@ -149,13 +149,13 @@
 	p.tracker.Reset()
 	p.tracker.ApplyState(s.values[record.RolloutKey], s.versions[record.RolloutKey])
 	for key, value := range s.values {
-		if label, ok := strings.CutPrefix(key, record.MemberPrefix); ok {
+		if label, ok := strings.CutPrefix(key, record.RegistrationPrefix); ok {
 			_ = p.tracker.ApplyMember(label, value, s.versions[key])
 		}
-		if label, ok := strings.CutPrefix(key, record.NodePrefix); ok {
-			var n record.Node
+		if label, ok := strings.CutPrefix(key, record.LivenessPrefix); ok {
+			var n record.Liveness
 			if json.Unmarshal(value, &n) == nil {
-				p.tracker.ApplyNode(label, n.Boot, s.versions[key])
+				p.tracker.ApplyNode(label, n.Incarnation, s.versions[key])
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 func (p *process) enrolled() wire.Transaction {
 	put := func(key string, v any) wire.Change { return wire.Change{Put: key, Value: record.Encode(1, key, v)} }
 	return wire.Transaction{If: []wire.Condition{p.tracker.Demand()}, Then: []wire.Change{
-		put(record.MemberKey(p.label), p.tracker.Registration(p.boot)), put(record.NodeKey(p.label), record.Node{Boot: p.boot})}}
+		put(record.RegistrationKey(p.label), p.tracker.Registration(p.boot)), put(record.LivenessKey(p.label), record.Liveness{Incarnation: p.boot})}}
 }
 
 // TestNoReaderLeftBehind plays generated histories of starts, ends, views out of date,
@@ -235,7 +235,7 @@
 	case 0:
 		h.start(label)
 	case 1: // its lease runs out
-		h.service.run(wire.Transaction{Then: []wire.Change{{Delete: record.NodeKey(label)}}})
+		h.service.run(wire.Transaction{Then: []wire.Change{{Delete: record.LivenessKey(label)}}})
 	case 2, 3:
 		h.send(p, p.enrolled())
 	case 4, 5:
@@ -273,13 +273,13 @@
 		h.activations++
 	}
 	for key, value := range h.service.values {
-		label, ok := strings.CutPrefix(key, record.NodePrefix)
+		label, ok := strings.CutPrefix(key, record.LivenessPrefix)
 		if !ok {
 			continue
 		}
-		var n record.Node
+		var n record.Liveness
 		require.NoError(h.t, json.Unmarshal(value, &n))
-		require.True(h.t, h.reads[fmt.Sprint(label, n.Boot)].Reads(now), "%s (boot %d) lives and does not read format %d", label, n.Boot, now)
+		require.True(h.t, h.reads[fmt.Sprint(label, n.Incarnation)].Reads(now), "%s (boot %d) lives and does not read format %d", label, n.Incarnation, now)
 	}
 }
 
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -12,7 +12,7 @@
 	for _, label := range t.known() {
 		n, alive := t.nodes[label]
 		m := t.members[label]
-		c := wire.AdminRolloutController{Label: label, Alive: alive, Incarnation: max(n.boot, m.Boot),
+		c := wire.AdminRolloutController{Label: label, Alive: alive, Incarnation: max(n.boot, m.Incarnation),
 			Oldest: m.Formats.Oldest, Newest: m.Formats.Newest, Release: m.Release}
 		if v.Next != 0 {
 			c.Blocks = t.blocks(label, v.Next)
--- a/internal/share/changes.go
+++ b/internal/share/changes.go
@@ -12,9 +12,9 @@
 // late fails too.
 
 // change writes a share's record on the condition that it is as it is known here.
-func (t *Table) change(txn *wire.Transaction, id wire.ShardID, next record.Share) {
+func (t *Table) change(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
 	txn.If = append(txn.If, t.Demand(id))
-	txn.Then = append(txn.Then, wire.Change{Put: record.ShareKey(id), Value: record.Encode(record.FormatShares, record.ShareKey(id), next)})
+	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatShares, record.ShardKey(id), next)})
 }
 
 // demandOnce adds a condition unless it is there.
@@ -34,7 +34,7 @@
 		if s.Owner.Label != "" {
 			demandOnce(&txn, t.controllerDemand(s.Owner.Label))
 		}
-		t.change(&txn, id, record.Share{Owner: t.self, Epoch: s.Epoch + 1})
+		t.change(&txn, id, record.Shard{Owner: t.self, Epoch: s.Epoch + 1})
 	}
 	return txn
 }
@@ -50,9 +50,9 @@
 	var txn wire.Transaction
 	for _, p := range proposals {
 		demandOnce(&txn, t.controllerDemand(p.to))
-		next := t.shares[p.id].Share
-		next.Move = &record.ShareMove{To: record.ShareOwner{Label: p.to, Boot: t.controllers[p.to].Boot},
-			Step: record.ShareProposed, Since: wall, Why: why}
+		next := t.shares[p.id].Shard
+		next.Move = &record.ShardMove{To: record.ShardOwner{Label: p.to, Incarnation: t.controllers[p.to].Boot},
+			Phase: record.MoveProposed, Since: wall, Reason: why}
 		t.change(&txn, p.id, next)
 	}
 	return txn
@@ -63,9 +63,9 @@
 func (t *Table) release(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		next := t.shares[id].Share
+		next := t.shares[id].Shard
 		move := *next.Move
-		move.Step = record.ShareReleased
+		move.Phase = record.MoveReleased
 		next.Move = &move
 		t.change(&txn, id, next)
 	}
@@ -76,7 +76,7 @@
 func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		t.change(&txn, id, record.Share{Owner: t.self, Epoch: t.shares[id].Epoch + 1})
+		t.change(&txn, id, record.Shard{Owner: t.self, Epoch: t.shares[id].Epoch + 1})
 	}
 	return txn
 }
@@ -86,7 +86,7 @@
 func (t *Table) undo(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		next := t.shares[id].Share
+		next := t.shares[id].Shard
 		demandOnce(&txn, t.controllerDemand(next.Move.To.Label))
 		next.Move = nil
 		t.change(&txn, id, next)
@@ -95,9 +95,9 @@
 }
 
 // changePolicy writes whether shares are in use, and who is drained.
-func (t *Table) changePolicy(next record.Shares) wire.Transaction {
+func (t *Table) changePolicy(next record.ShardPolicy) wire.Transaction {
 	return wire.Transaction{
 		If:   []wire.Condition{t.policyDemand()},
-		Then: []wire.Change{{Put: record.SharesKey, Value: record.Encode(record.FormatShares, record.SharesKey, next)}},
+		Then: []wire.Change{{Put: record.ShardPolicyKey, Value: record.Encode(record.FormatShares, record.ShardPolicyKey, next)}},
 	}
 }
--- a/internal/share/operate.go
+++ b/internal/share/operate.go
@@ -47,7 +47,7 @@
 	case !t.Live(s.Owner):
 		return wire.Transaction{}, conflict("share %d is being taken over from %s, which is gone", id, s.Owner.Label)
 	case s.Move != nil:
-		return wire.Transaction{}, conflict("share %d is on its way from %s to %s already (%s)", id, s.Owner.Label, s.Move.To.Label, s.Move.Step)
+		return wire.Transaction{}, conflict("share %d is on its way from %s to %s already (%s)", id, s.Owner.Label, s.Move.To.Label, s.Move.Phase)
 	case epoch != s.Epoch:
 		return wire.Transaction{}, conflict("stale epoch: share %d is in epoch %d, with %s", id, s.Epoch, s.Owner.Label)
 	case s.Owner.Label == to:
@@ -77,7 +77,7 @@
 	case !slices.ContainsFunc(t.eligible(), func(other string) bool { return other != label }):
 		return wire.Transaction{}, conflict("nobody else could own the shares of %s", label)
 	}
-	next := record.Shares{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
+	next := record.ShardPolicy{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
 	if next.Drained == nil {
 		next.Drained = map[string]string{}
 	}
@@ -93,7 +93,7 @@
 	if _, drained := t.policy.Drained[label]; !drained {
 		return wire.Transaction{}, conflict("%s is not drained", label)
 	}
-	next := record.Shares{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
+	next := record.ShardPolicy{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
 	delete(next.Drained, label)
 	return t.changePolicy(next), nil
 }
@@ -110,12 +110,12 @@
 	}
 	for id := range wire.ShardID(Count) {
 		s := &t.shares[id]
-		share := wire.AdminShard{Shard: id, Owner: s.Owner.Label, Incarnation: s.Owner.Boot, Epoch: s.Epoch, Alive: t.Live(s.Owner)}
+		share := wire.AdminShard{Shard: id, Owner: s.Owner.Label, Incarnation: s.Owner.Incarnation, Epoch: s.Epoch, Alive: t.Live(s.Owner)}
 		if !share.Alive {
 			share.WaitsFor = "its owner is gone: it is about to be taken over"
 		}
 		if m := s.Move; m != nil {
-			share.To, share.Phase, share.Reason = m.To.Label, string(m.Step), m.Why
+			share.To, share.Phase, share.Reason = m.To.Label, string(m.Phase), m.Reason
 			share.MovingS = float64(max(0, wall-m.Since)) / 1000
 			share.WaitsFor = t.waits(s)
 		}
@@ -131,7 +131,7 @@
 		return "its owner is gone: it is about to be taken over"
 	case !t.Live(s.Move.To):
 		return s.Move.To.Label + " is gone: " + s.Owner.Label + " is about to undo the move"
-	case s.Move.Step == record.ShareProposed:
+	case s.Move.Phase == record.MoveProposed:
 		return "for the placements under way at " + s.Owner.Label
 	}
 	return "for " + s.Move.To.Label + " to adopt it"
--- a/internal/share/planner.go
+++ b/internal/share/planner.go
@@ -85,11 +85,11 @@
 				orphans = append(orphans, id)
 			}
 		case s.Move == nil:
-		case s.Move.Step == record.ShareReleased && s.Move.To == t.self:
+		case s.Move.Phase == record.MoveReleased && s.Move.To == t.self:
 			adopt = append(adopt, id)
 		case s.Owner == t.self && !t.Live(s.Move.To):
 			undo = append(undo, id)
-		case s.Owner == t.self && s.Move.Step == record.ShareProposed && !placing(id):
+		case s.Owner == t.self && s.Move.Phase == record.MoveProposed && !placing(id):
 			release = append(release, id)
 		}
 	}
@@ -268,14 +268,14 @@
 	want := true
 	for label, c := range t.controllers {
 		m := t.members[label]
-		want = want && m.Boot == c.Boot && m.Shares
+		want = want && m.Incarnation == c.Boot && m.Sharding
 	}
 	if want == t.policy.Enabled {
 		return Action{}, false
 	}
-	txn := t.changePolicy(record.Shares{Enabled: want, Drained: t.policy.Drained})
+	txn := t.changePolicy(record.ShardPolicy{Enabled: want, Drained: t.policy.Drained})
 	for _, label := range slices.Sorted(maps.Keys(t.controllers)) {
-		txn.If = append(txn.If, t.controllerDemand(label), wire.Condition{Key: record.MemberKey(label), Version: t.members[label].version})
+		txn.If = append(txn.If, t.controllerDemand(label), wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version})
 	}
 	return Action{Kind: Switch, Txn: txn}, true
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -21,19 +21,19 @@
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
 // shareIn is a share's record as it stands in the state service.
-func shareIn(store *standin.Store, id wire.ShardID) record.Share {
-	var out record.Share
-	if value, _, ok := store.Get(record.ShareKey(id)); ok && json.Unmarshal(value, &out) != nil {
+func shareIn(store *standin.Store, id wire.ShardID) record.Shard {
+	var out record.Shard
+	if value, _, ok := store.Get(record.ShardKey(id)); ok && json.Unmarshal(value, &out) != nil {
 		panic("share record")
 	}
 	return out
 }
 
 // liveIn reports whether the record of a process among the living stands.
-func liveIn(store *standin.Store, owner record.ShareOwner) bool {
-	var node record.Node
-	value, _, ok := store.Get(record.NodeKey(owner.Label))
-	return ok && json.Unmarshal(value, &node) == nil && node.Boot == owner.Boot
+func liveIn(store *standin.Store, owner record.ShardOwner) bool {
+	var node record.Liveness
+	value, _, ok := store.Get(record.LivenessKey(owner.Label))
+	return ok && json.Unmarshal(value, &node) == nil && node.Incarnation == owner.Incarnation
 }
 
 // cluster is some controllers that share a store, each with a view that may lag.
@@ -58,7 +58,7 @@
 
 func newCluster(t require.TestingT, controllers int) *cluster {
 	c := &cluster{t: t, store: standin.NewStore()}
-	c.put(record.SharesKey, record.Shares{Enabled: true})
+	c.put(record.ShardPolicyKey, record.ShardPolicy{Enabled: true})
 	for i := range controllers {
 		c.nodes = append(c.nodes, &node{label: fmt.Sprint("rig-", i)})
 		c.start(i)
@@ -78,8 +78,8 @@
 	n.planner = share.NewPlanner(n.table, 6)
 	n.table.ApplyFormat(record.FormatShares)
 	n.table.Joined(c.boot)
-	c.put(record.MemberKey(n.label), record.Member{Boot: c.boot, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Shares: true})
-	c.put(record.NodeKey(n.label), record.Node{Boot: c.boot})
+	c.put(record.RegistrationKey(n.label), record.Registration{Incarnation: c.boot, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Sharding: true})
+	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.boot})
 }
 
 // end ends a process; its record goes later, with its lease.
@@ -89,7 +89,7 @@
 func (c *cluster) expire() {
 	for _, n := range c.nodes {
 		if !n.running {
-			c.store.Multi(wire.Transaction{Then: []wire.Change{{Delete: record.NodeKey(n.label)}}})
+			c.store.Multi(wire.Transaction{Then: []wire.Change{{Delete: record.LivenessKey(n.label)}}})
 		}
 	}
 }
@@ -107,14 +107,14 @@
 	key := l.Put + l.Delete
 	label := key[strings.LastIndexByte(key, '/')+1:]
 	switch {
-	case key == record.SharesKey:
+	case key == record.ShardPolicyKey:
 		require.NoError(c.t, t.ApplyPolicy(l.Value, l.Version))
-	case strings.HasPrefix(key, record.SharePrefix):
+	case strings.HasPrefix(key, record.ShardPrefix):
 		require.NoError(c.t, t.ApplyShare(key, l.Value, l.Version))
-	case strings.HasPrefix(key, record.MemberPrefix):
+	case strings.HasPrefix(key, record.RegistrationPrefix):
 		t.ApplyMember(label, l.Value, l.Version)
 	default:
-		var n record.Node
+		var n record.Liveness
 		if l.Put != "" {
 			require.NoError(c.t, json.Unmarshal(l.Value, &n))
 		}
@@ -142,7 +142,7 @@
 
 // run carries a change out and holds it against what must hold of it.
 func (c *cluster) run(txn wire.Transaction) {
-	before := map[wire.ShardID]record.Share{}
+	before := map[wire.ShardID]record.Shard{}
 	alive := map[wire.ShardID]bool{}
 	for id := range wire.ShardID(share.Count) {
 		before[id] = shareIn(c.store, id)
@@ -159,7 +159,7 @@
 		}
 		c.changed++
 		require.Equal(c.t, old.Epoch+1, now.Epoch)
-		released := old.Move != nil && old.Move.Step == record.ShareReleased && old.Move.To == now.Owner
+		released := old.Move != nil && old.Move.Phase == record.MoveReleased && old.Move.To == now.Owner
 		require.True(c.t, released || !alive[id], "share %d taken from %v, which lives", id, old.Owner)
 	}
 }
@@ -324,10 +324,10 @@
 	c.calm()
 	table := c.nodes[0].table
 	require.True(t, table.Places(3))
-	require.Error(t, table.ApplyShare(record.ShareKey(3), []byte(`{"owner":7}`), 999))
+	require.Error(t, table.ApplyShare(record.ShardKey(3), []byte(`{"owner":7}`), 999))
 	require.False(t, table.Places(3))
-	require.Error(t, table.ApplyShare(record.SharePrefix+"99", []byte(`{}`), 999))
-	require.Error(t, table.ApplyShare(record.SharePrefix+"x", []byte(`{}`), 999))
+	require.Error(t, table.ApplyShare(record.ShardPrefix+"99", []byte(`{}`), 999))
+	require.Error(t, table.ApplyShare(record.ShardPrefix+"x", []byte(`{}`), 999))
 	_, due := c.act(0, false)
 	require.False(t, due)
 }
--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -12,9 +12,9 @@
 
 // Table is what one controller knows of the shares and of who could own them.
 type Table struct {
-	self record.ShareOwner
+	self record.ShardOwner
 
-	policy        record.Shares
+	policy        record.ShardPolicy
 	policyVersion wire.Revision
 	shares        [Count]knownShare
 	controllers   map[string]Controller // that live
@@ -24,13 +24,13 @@
 
 // knownShare is a share's record. Its version is 0 while there is none.
 type knownShare struct {
-	record.Share
+	record.Shard
 	version    wire.Revision
 	unreadable bool
 }
 
 type knownMember struct {
-	record.Member
+	record.Registration
 	version wire.Revision
 }
 
@@ -45,21 +45,21 @@
 
 // New makes a table for the controller label.
 func New(label string) *Table {
-	t := &Table{self: record.ShareOwner{Label: label}}
+	t := &Table{self: record.ShardOwner{Label: label}}
 	t.Reset()
 	return t
 }
 
 // Reset forgets what was read, before everything is read anew.
 func (t *Table) Reset() {
-	t.policy, t.policyVersion = record.Shares{}, 0
+	t.policy, t.policyVersion = record.ShardPolicy{}, 0
 	t.shares = [Count]knownShare{}
 	t.controllers, t.members = map[string]Controller{}, map[string]knownMember{}
 	t.format = record.FormatPlain
 }
 
 // Joined notes the boot of this process.
-func (t *Table) Joined(boot wire.FencingToken) { t.self.Boot = boot }
+func (t *Table) Joined(boot wire.FencingToken) { t.self.Incarnation = boot }
 
 // ApplyFormat takes the format in force.
 func (t *Table) ApplyFormat(format wire.Format) { t.format = format }
@@ -67,7 +67,7 @@
 // ApplyPolicy takes the record that says whether shares are in use; a nil value says that
 // there is none.
 func (t *Table) ApplyPolicy(value []byte, version wire.Revision) error {
-	t.policy, t.policyVersion = record.Shares{}, version
+	t.policy, t.policyVersion = record.ShardPolicy{}, version
 	if value == nil {
 		t.policyVersion = 0
 		return nil
@@ -78,15 +78,15 @@
 // ApplyShare takes a share's record by its key. One that cannot be understood belongs to
 // nobody here: this controller places nothing in it.
 func (t *Table) ApplyShare(key string, value []byte, version wire.Revision) error {
-	n, err := strconv.Atoi(strings.TrimPrefix(key, record.SharePrefix))
+	n, err := strconv.Atoi(strings.TrimPrefix(key, record.ShardPrefix))
 	if err != nil || !Valid(wire.ShardID(n)) {
 		return fmt.Errorf("share record %q: no such share", key)
 	}
 	s := knownShare{version: version}
 	if value == nil {
 		s.version = 0
-	} else if err = fastjson.Unmarshal(value, &s.Share); err != nil {
-		s.Share, s.unreadable = record.Share{}, true
+	} else if err = fastjson.Unmarshal(value, &s.Shard); err != nil {
+		s.Shard, s.unreadable = record.Shard{}, true
 	}
 	t.shares[n] = s
 	return err
@@ -96,36 +96,36 @@
 func (t *Table) ApplyMember(label string, value []byte, version wire.Revision) {
 	delete(t.members, label)
 	m := knownMember{version: version}
-	if value != nil && fastjson.Unmarshal(value, &m.Member) == nil {
+	if value != nil && fastjson.Unmarshal(value, &m.Registration) == nil {
 		t.members[label] = m
 	}
 }
 
 // ApplyController takes a living controller's record; boot is 0 if it has none.
-func (t *Table) ApplyController(label string, node record.Node, version wire.Revision, now Time) {
+func (t *Table) ApplyController(label string, node record.Liveness, version wire.Revision, now Time) {
 	before, known := t.controllers[label]
-	if node.Boot == 0 {
+	if node.Incarnation == 0 {
 		delete(t.controllers, label)
 		return
 	}
 	since := now
-	if known && before.Boot == node.Boot {
+	if known && before.Boot == node.Incarnation {
 		since = before.Since
 	}
-	t.controllers[label] = Controller{Boot: node.Boot, Isolated: node.Isolated, Version: version, Since: since}
+	t.controllers[label] = Controller{Boot: node.Incarnation, Isolated: node.Isolated, Version: version, Since: since}
 }
 
 // Enabled reports whether shares are in use.
 func (t *Table) Enabled() bool { return t.policy.Enabled }
 
 // Live reports whether a process is known to live.
-func (t *Table) Live(owner record.ShareOwner) bool {
+func (t *Table) Live(owner record.ShardOwner) bool {
 	c, ok := t.controllers[owner.Label]
-	return ok && owner.Boot != 0 && c.Boot == owner.Boot
+	return ok && owner.Incarnation != 0 && c.Boot == owner.Incarnation
 }
 
 // Owner is the process that owns a share. It may have ended.
-func (t *Table) Owner(id wire.ShardID) record.ShareOwner { return t.shares[id].Owner }
+func (t *Table) Owner(id wire.ShardID) record.ShardOwner { return t.shares[id].Owner }
 
 // Epoch is how often a share has changed hands.
 func (t *Table) Epoch(id wire.ShardID) wire.ShardEpoch { return t.shares[id].Epoch }
@@ -134,7 +134,7 @@
 // owns it, and no move of it is under way.
 func (t *Table) Places(id wire.ShardID) bool {
 	s := &t.shares[id]
-	return t.self.Boot != 0 && s.Owner == t.self && s.Move == nil && !s.unreadable
+	return t.self.Incarnation != 0 && s.Owner == t.self && s.Move == nil && !s.unreadable
 }
 
 // Owned counts the shares that a controller's living process owns.
@@ -151,15 +151,15 @@
 // Demand is the condition that a share's record is as it is known here. A placement
 // demands it of every share that it places in.
 func (t *Table) Demand(id wire.ShardID) wire.Condition {
-	return wire.Condition{Key: record.ShareKey(id), Version: t.shares[id].version}
+	return wire.Condition{Key: record.ShardKey(id), Version: t.shares[id].version}
 }
 
 func (t *Table) policyDemand() wire.Condition {
-	return wire.Condition{Key: record.SharesKey, Version: t.policyVersion}
+	return wire.Condition{Key: record.ShardPolicyKey, Version: t.policyVersion}
 }
 
 // controllerDemand is the condition that a controller lives, or does not, as it is known
 // here. The record of one that lives hangs on its lease.
 func (t *Table) controllerDemand(label string) wire.Condition {
-	return wire.Condition{Key: record.NodeKey(label), Version: t.controllers[label].Version}
+	return wire.Condition{Key: record.LivenessKey(label), Version: t.controllers[label].Version}
 }
--- a/internal/standin/format_bench_test.go
+++ b/internal/standin/format_bench_test.go
@@ -47,7 +47,7 @@
 	}
 	w.Run(60 * second)
 	pages, entries := 0, 0
-	for _, e := range w.store.List(record.PagePrefix) {
+	for _, e := range w.store.List(record.PlacementPrefix) {
 		if groups := pageOf(e.Value).Groups; len(groups) > 0 {
 			pages++
 			for i := range groups {
--- a/internal/standin/http_history.go
+++ b/internal/standin/http_history.go
@@ -24,16 +24,16 @@
 
 // carriedOut takes a transaction that the store has carried out.
 func (l *placementLog) carriedOut(s *Store, t wire.Transaction) {
-	var policy record.Shares
-	if value, _, ok := s.Get(record.SharesKey); ok && json.Unmarshal(value, &policy) != nil {
+	var policy record.ShardPolicy
+	if value, _, ok := s.Get(record.ShardPolicyKey); ok && json.Unmarshal(value, &policy) != nil {
 		return
 	}
 	fresh := map[wire.Attempt]bool{}
 	for _, c := range t.Then {
 		switch {
-		case strings.HasPrefix(c.Put, record.SharePrefix):
+		case strings.HasPrefix(c.Put, record.ShardPrefix):
 			l.owned(c)
-		case strings.HasPrefix(c.Put, record.PagePrefix):
+		case strings.HasPrefix(c.Put, record.PlacementPrefix):
 			for _, g := range pageOf(c.Value).Groups {
 				if !l.attempts[g.Attempt] {
 					fresh[g.Attempt] = true
@@ -49,29 +49,29 @@
 
 // owned notes who owns a share from now on.
 func (l *placementLog) owned(c wire.Change) {
-	var now record.Share
+	var now record.Shard
 	if json.Unmarshal(c.Value, &now) != nil {
 		return
 	}
 	for id := range wire.ShardID(share.Count) {
-		if record.ShareKey(id) == c.Put {
+		if record.ShardKey(id) == c.Put {
 			if l.epochs[id] == nil {
 				l.epochs[id] = map[wire.FencingToken]wire.ShardEpoch{}
 			}
-			l.epochs[id][now.Owner.Boot] = now.Epoch
+			l.epochs[id][now.Owner.Incarnation] = now.Epoch
 		}
 	}
 }
 
 // placed notes the tasks of a group, under the epoch in which its launcher last owned the
 // machine's share: a later one than it may know of is not its own.
-func (l *placementLog) placed(s *Store, g *record.Group, sharded bool) {
+func (l *placementLog) placed(s *Store, g *record.AllocationGroup, sharded bool) {
 	for i, machine := range g.Machines {
 		id := share.Of(machine)
 		var epoch wire.ShardEpoch
 		if sharded {
-			var owner record.Share
-			value, _, _ := s.Get(record.ShareKey(id))
+			var owner record.Shard
+			value, _, _ := s.Get(record.ShardKey(id))
 			_ = json.Unmarshal(value, &owner)
 			epoch = owner.Epoch
 			if own, ever := l.epochs[id][g.Launcher]; ever {
--- a/internal/standin/rollout_test.go
+++ b/internal/standin/rollout_test.go
@@ -364,7 +364,7 @@
 	w.Stop(2)
 	w.Run(7 * second)
 	lease := w.store.Grant(w.now, core.Time(time.Hour))
-	enrol := wire.Change{Put: record.NodeKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
+	enrol := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
 	require.Equal(t, core.Done, w.store.Multi(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
 	w.Run(second)
 	require.Contains(t, w.mustChange(t, 0, w.activation(), http.StatusConflict), "rig-2 runs a build that does not register")
@@ -415,7 +415,7 @@
 			Then: []wire.Change{{Put: key, Value: spoilt}}}).Outcome)
 	}
 	damage(record.JobKey(spec.ID))
-	for _, e := range w.store.List(record.PagePrefix + "blue/") {
+	for _, e := range w.store.List(record.PlacementPrefix + "blue/") {
 		if len(pageOf(e.Value).Groups) > 0 {
 			damage(e.Key)
 			break
--- a/internal/standin/shares_cases_test.go
+++ b/internal/standin/shares_cases_test.go
@@ -17,7 +17,7 @@
 )
 
 // adopted stands for the moment after a move, beside its steps.
-const adopted record.ShareStep = "adopted"
+const adopted record.MovePhase = "adopted"
 
 // index is the number of the controller with a label.
 func (w *World) index(l string) int {
@@ -26,7 +26,7 @@
 
 // startMove has a share moved, and returns its source and target when it has come to a
 // step.
-func (w *World) startMove(t *testing.T, id wire.ShardID, step record.ShareStep) (source, target int) {
+func (w *World) startMove(t *testing.T, id wire.ShardID, step record.MovePhase) (source, target int) {
 	t.Helper()
 	before := w.Share(id)
 	source = w.index(before.Owner.Label)
@@ -35,7 +35,7 @@
 	for range 3000 {
 		w.Run(time.Millisecond)
 		s := w.Share(id)
-		if s.Move != nil && s.Move.Step == step || step == adopted && s.Epoch > before.Epoch {
+		if s.Move != nil && s.Move.Phase == step || step == adopted && s.Epoch > before.Epoch {
 			return source, target
 		}
 	}
@@ -87,7 +87,7 @@
 // doubled.
 func TestControllersEndInMove(t *testing.T) {
 	t.Parallel()
-	for _, step := range []record.ShareStep{record.ShareProposed, record.ShareReleased, adopted} {
+	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased, adopted} {
 		for ends, who := range []string{"source", "target", "both"} {
 			for _, back := range []time.Duration{300 * time.Millisecond, 9 * second} {
 				t.Run(fmt.Sprint(step, " ", who, " ", back), func(t *testing.T) {
@@ -104,7 +104,7 @@
 					}
 					w.Run(8 * second)
 					if who == "target" && back > 8*second && step != adopted {
-						require.Equal(t, record.Share{Owner: before.Owner, Epoch: before.Epoch}, w.Share(id), "undone")
+						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, w.Share(id), "undone")
 					}
 					w.Run(12 * second)
 					require.True(t, w.alive(w.Share(id).Owner))
@@ -245,7 +245,7 @@
 		w := sharesWorld(t, 90+seed, 3)
 		steady(w, 60, 6)
 		w.Run(8 * second)
-		_, target := w.startMove(t, 7, record.ShareReleased)
+		_, target := w.startMove(t, 7, record.MoveReleased)
 		before := w.Seen["unanswered write"]
 		w.LateBy[target], w.LateAtOnce = true, true
 		w.Run(2 * second)
@@ -260,7 +260,7 @@
 // takes anything over: every lease has its full time again.
 func TestOutageInMove(t *testing.T) {
 	t.Parallel()
-	for _, step := range []record.ShareStep{record.ShareProposed, record.ShareReleased} {
+	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
 		w := sharesWorld(t, 95, 3)
 		steady(w, 60, 6)
 		w.Run(8 * second)
--- a/internal/standin/world_shares.go
+++ b/internal/standin/world_shares.go
@@ -15,7 +15,7 @@
 func newPlacements(t wire.Transaction, before map[string]bool) []wire.MachineID {
 	var machines []wire.MachineID
 	for _, change := range t.Then {
-		if !strings.HasPrefix(change.Put, record.PagePrefix) {
+		if !strings.HasPrefix(change.Put, record.PlacementPrefix) {
 			continue
 		}
 		for _, g := range pageOf(change.Value).Groups {
@@ -50,29 +50,29 @@
 }
 
 // Share is the record of a share.
-func (w *World) Share(id wire.ShardID) record.Share {
-	var s record.Share
-	w.read(record.ShareKey(id), &s)
+func (w *World) Share(id wire.ShardID) record.Shard {
+	var s record.Shard
+	w.read(record.ShardKey(id), &s)
 	return s
 }
 
-func (w *World) sharePolicy() record.Shares {
-	var s record.Shares
-	w.read(record.SharesKey, &s)
+func (w *World) sharePolicy() record.ShardPolicy {
+	var s record.ShardPolicy
+	w.read(record.ShardPolicyKey, &s)
 	return s
 }
 
 // returns is the machines that are listed to be returned, or as gone.
 func (w *World) returns() map[wire.MachineID]bool {
-	var r record.Returns
-	w.read(record.ReturnsKey, &r)
+	var r record.Terminations
+	w.read(record.TerminationsKey, &r)
 	out := map[wire.MachineID]bool{}
-	for _, names := range r.Going {
+	for _, names := range r.Pending {
 		for _, id := range names {
 			out[id] = true
 		}
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Confirmed {
 		out[id] = true
 	}
 	return out
@@ -87,11 +87,11 @@
 }
 
 // owners are the records of the shares that a transaction is about to write.
-func (w *World) owners(t wire.Transaction) map[string]record.Share {
-	out := map[string]record.Share{}
+func (w *World) owners(t wire.Transaction) map[string]record.Shard {
+	out := map[string]record.Shard{}
 	for _, c := range t.Then {
-		if strings.HasPrefix(c.Put, record.SharePrefix) {
-			var s record.Share
+		if strings.HasPrefix(c.Put, record.ShardPrefix) {
+			var s record.Shard
 			w.read(c.Put, &s)
 			out[c.Put] = s
 		}
@@ -102,14 +102,14 @@
 // checkShares holds a change of the shares, before which their records were so, against
 // what must hold of it: their format is in force; a share goes to another owner in a later
 // epoch, and either was released or its owner has ended.
-func (w *World) checkShares(t wire.Transaction, before map[string]record.Share) {
+func (w *World) checkShares(t wire.Transaction, before map[string]record.Shard) {
 	if w.FormatInForce() < record.FormatShares && slices.ContainsFunc(t.Then, func(c wire.Change) bool {
-		return c.Put == record.SharesKey || strings.HasPrefix(c.Put, record.SharePrefix)
+		return c.Put == record.ShardPolicyKey || strings.HasPrefix(c.Put, record.ShardPrefix)
 	}) {
 		w.breaks("record of shares written in format %d", w.FormatInForce())
 	}
 	for key, old := range before {
-		var now record.Share
+		var now record.Shard
 		w.read(key, &now)
 		if now.Owner == old.Owner {
 			if now.Epoch != old.Epoch {
@@ -120,7 +120,7 @@
 		if now.Epoch != old.Epoch+1 {
 			w.breaks("%s goes from epoch %d to %d", key, old.Epoch, now.Epoch)
 		}
-		released := old.Move != nil && old.Move.Step == record.ShareReleased && old.Move.To == now.Owner
+		released := old.Move != nil && old.Move.Phase == record.MoveReleased && old.Move.To == now.Owner
 		switch {
 		case released:
 			w.Seen["share adopted"]++
@@ -133,10 +133,10 @@
 }
 
 // alive reports whether the record of a process among the living stands.
-func (w *World) alive(owner record.ShareOwner) bool {
-	var node record.Node
-	w.read(record.NodeKey(owner.Label), &node)
-	return node.Boot == owner.Boot
+func (w *World) alive(owner record.ShardOwner) bool {
+	var node record.Liveness
+	w.read(record.LivenessKey(owner.Label), &node)
+	return node.Incarnation == owner.Incarnation
 }
 
 // noteMoving counts what happens to a machine whose share is on the move.
@@ -152,10 +152,10 @@
 	if len(newPlacements(t, before)) == 0 {
 		return
 	}
-	if slices.ContainsFunc(failed, func(key string) bool { return strings.HasPrefix(key, record.SharePrefix) }) {
+	if slices.ContainsFunc(failed, func(key string) bool { return strings.HasPrefix(key, record.ShardPrefix) }) {
 		w.Seen["placement refused for its share"]++
 	}
-	if slices.Equal(failed, []string{record.ReturnsKey}) {
+	if slices.Equal(failed, []string{record.TerminationsKey}) {
 		w.Seen["placement refused for a machine to be returned"]++
 	}
 }
--- a/internal/standin/world_state.go
+++ b/internal/standin/world_state.go
@@ -63,7 +63,7 @@
 // out, who does not read the format in force.
 func (w *World) checkJoined(t wire.Transaction, reads record.FormatRange) {
 	for _, c := range t.Then {
-		if strings.HasPrefix(c.Put, record.NodePrefix) && !reads.Reads(w.FormatInForce()) {
+		if strings.HasPrefix(c.Put, record.LivenessPrefix) && !reads.Reads(w.FormatInForce()) {
 			w.breaks("%s written by a process that does not read format %d", c.Put, w.FormatInForce())
 		}
 	}
@@ -114,17 +114,17 @@
 func (w *World) jobOpen(id wire.JobID) bool {
 	value, _, ok := w.store.Get(record.JobKey(id))
 	var job record.Job
-	return ok && record.Decode(value, mostValue, &job) == nil && job.Over == nil
+	return ok && record.Decode(value, mostValue, &job) == nil && job.Completion == nil
 }
 
 // mostValue is more than any record of a world takes.
 const mostValue = 1 << 20
 
 // pageOf reads a placement record. One that a test has damaged counts as empty.
-func pageOf(value json.RawMessage) record.Page {
-	var page record.Page
+func pageOf(value json.RawMessage) record.PlacementPage {
+	var page record.PlacementPage
 	if err := record.Decode(value, mostValue, &page); err != nil {
-		return record.Page{}
+		return record.PlacementPage{}
 	}
 	return page
 }
