--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -128,7 +128,7 @@
 	if m == nil {
 		m = &machine{
 			id:        id,
-			share:     share.Of(id),
+			share:     share.ShardOf(id),
 			first:     c.now,
 			images:    map[string]Time{},
 			has:       map[string]bool{},
--- a/internal/core/handoff.go
+++ b/internal/core/handoff.go
@@ -240,10 +240,10 @@
 	if len(ids) == 0 {
 		return share.Action{}, false
 	}
-	a, due := c.sharePlanner.Collect(ids, c.wall)
+	a, due := c.sharePlanner.Acquire(ids, c.wall)
 	if due {
 		c.collected = c.now
-		c.log.Debug("shares asked for", "job", j.id, "shares", a.Shares)
+		c.log.Debug("shares asked for", "job", j.id, "shares", a.Shards)
 	}
 	return a, due
 }
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -134,8 +134,8 @@
 			return
 		}
 		c.shareWriting = false
-		c.count(countShares+string(a.Kind), max(1, len(a.Shares)))
-		c.log.Info("shares: "+string(a.Kind), "shares", a.Shares, "why", a.Why)
+		c.count(countShares+string(a.Kind), max(1, len(a.Shards)))
+		c.log.Info("shares: "+string(a.Kind), "shares", a.Shards, "why", a.Reason)
 	})
 }
 
@@ -227,8 +227,8 @@
 
 // shareStatus is the status with which a change of the shares is refused.
 func shareStatus(err error) int {
-	var unknown *share.UnknownError
-	var field *share.FieldError
+	var unknown *share.NotFoundError
+	var field *share.InvalidFieldError
 	switch {
 	case errors.As(err, &unknown):
 		return http.StatusNotFound
--- a/internal/core/spares.go
+++ b/internal/core/spares.go
@@ -47,7 +47,7 @@
 	n := 0
 	for unit := range s.Count {
 		name := wire.MachineID(s.Request.Image + "/" + strconv.Itoa(unit))
-		if c.shares.Places(share.Of(name)) {
+		if c.shares.Places(share.ShardOf(name)) {
 			n++
 		}
 	}
--- a/internal/share/operate.go
+++ b/internal/share/operate.go
@@ -10,8 +10,8 @@
 	"lilacrill/wire"
 )
 
-// mostReason bounds what an operator may say, so that the record stays small.
-const mostReason = 200
+// maxReasonLength bounds what an operator may say, so that the record stays small.
+const maxReasonLength = 200
 
 // InUse reports why nothing can be changed, or nil.
 func (t *Table) InUse() error {
@@ -31,7 +31,7 @@
 		return wire.Transaction{}, err
 	}
 	if !Valid(id) {
-		return wire.Transaction{}, &UnknownError{fmt.Sprintf("share: %d", id)}
+		return wire.Transaction{}, &NotFoundError{fmt.Sprintf("share: %d", id)}
 	}
 	s := &t.shares[id]
 	_, known := t.members[to]
@@ -39,7 +39,7 @@
 	_, drained := t.policy.Drained[to]
 	switch {
 	case !known && !alive:
-		return wire.Transaction{}, &UnknownError{fmt.Sprintf("controller: %q", to)}
+		return wire.Transaction{}, &NotFoundError{fmt.Sprintf("controller: %q", to)}
 	case !alive:
 		return wire.Transaction{}, conflict("%s is down", to)
 	case drained:
@@ -67,11 +67,11 @@
 	_, drained := t.policy.Drained[label]
 	switch {
 	case !known && !alive:
-		return wire.Transaction{}, &UnknownError{fmt.Sprintf("controller: %q", label)}
+		return wire.Transaction{}, &NotFoundError{fmt.Sprintf("controller: %q", label)}
 	case strings.TrimSpace(reason) == "":
-		return wire.Transaction{}, &FieldError{"reason", "missing"}
-	case len(reason) > mostReason:
-		return wire.Transaction{}, &FieldError{"reason", fmt.Sprintf("longer than %d bytes", mostReason)}
+		return wire.Transaction{}, &InvalidFieldError{"reason", "missing"}
+	case len(reason) > maxReasonLength:
+		return wire.Transaction{}, &InvalidFieldError{"reason", fmt.Sprintf("longer than %d bytes", maxReasonLength)}
 	case drained:
 		return wire.Transaction{}, conflict("%s is drained already: %s", label, t.policy.Drained[label])
 	case !slices.ContainsFunc(t.eligible(), func(other string) bool { return other != label }):
@@ -117,15 +117,15 @@
 		if m := s.Move; m != nil {
 			share.To, share.Phase, share.Reason = m.To.Label, string(m.Phase), m.Reason
 			share.MovingS = float64(max(0, wall-m.Since)) / 1000
-			share.WaitsFor = t.waits(s)
+			share.WaitsFor = t.moveWaitsFor(s)
 		}
 		v.Shards = append(v.Shards, share)
 	}
 	return v
 }
 
-// waits says what a move waits for.
-func (t *Table) waits(s *knownShare) string {
+// moveWaitsFor says what a move waits for.
+func (t *Table) moveWaitsFor(s *shardState) string {
 	switch {
 	case !t.Live(s.Owner):
 		return "its owner is gone: it is about to be taken over"
--- a/internal/share/planner.go
+++ b/internal/share/planner.go
@@ -32,38 +32,38 @@
 	WhyGang     = "a job needs the room of several controllers at once"
 )
 
-// Kind says what an action does.
-type Kind string
+// ActionKind says what an action does.
+type ActionKind string
 
 // The kinds of actions.
 const (
-	TakeOver Kind = "taken over"
-	Adopt    Kind = "adopted"
-	Undo     Kind = "move undone"
-	Release  Kind = "released"
-	Propose  Kind = "move proposed"
-	Switch   Kind = "shares switched on or off"
+	TakeOver ActionKind = "taken over"
+	Adopt    ActionKind = "adopted"
+	Undo     ActionKind = "move undone"
+	Release  ActionKind = "released"
+	Propose  ActionKind = "move proposed"
+	Switch   ActionKind = "shares switched on or off"
 )
 
 // Action is a transaction that this controller should run now.
 type Action struct {
-	Kind   Kind
-	Shares []wire.ShardID
-	Why    string
+	Kind   ActionKind
+	Shards []wire.ShardID
+	Reason string
 	Txn    wire.Transaction
 }
 
 // Planner decides what a controller does about the shares.
 type Planner struct {
 	table *Table
-	// most is how many shares one transaction may change.
-	most  int
-	moves *rate.Limiter
+	// maxRecords is how many shares one transaction may change.
+	maxRecords int
+	moves      *rate.Limiter
 }
 
 // NewPlanner makes a planner whose transactions change at most so many records.
 func NewPlanner(t *Table, most int) *Planner {
-	return &Planner{table: t, most: max(1, most), moves: rate.NewLimiter(movesPerSecond, moveBurst)}
+	return &Planner{table: t, maxRecords: max(1, most), moves: rate.NewLimiter(movesPerSecond, moveBurst)}
 }
 
 // Next is the most urgent action, if there is any. placing reports whether this process
@@ -75,7 +75,7 @@
 		return Action{}, false
 	}
 	var orphans, adopt, undo, release []wire.ShardID
-	heirs := t.heirs()
+	heirs := t.successors()
 	for id := range wire.ShardID(Count) {
 		s := &t.shares[id]
 		switch {
@@ -94,13 +94,13 @@
 		}
 	}
 	for _, a := range []struct {
-		kind Kind
+		kind ActionKind
 		ids  []wire.ShardID
 		txn  func([]wire.ShardID) wire.Transaction
 	}{{TakeOver, orphans, t.takeOver}, {Adopt, adopt, t.adopt}, {Undo, undo, t.undo}, {Release, release, t.release}} {
 		if len(a.ids) > 0 {
-			ids := a.ids[:min(p.most, len(a.ids))]
-			return Action{Kind: a.kind, Shares: ids, Txn: a.txn(ids)}, true
+			ids := a.ids[:min(p.maxRecords, len(a.ids))]
+			return Action{Kind: a.kind, Shards: ids, Txn: a.txn(ids)}, true
 		}
 	}
 	return p.handOver(now, wall, hold)
@@ -127,7 +127,7 @@
 	}
 	load := t.load()
 	var proposals []proposal
-	for len(proposals) < p.most {
+	for len(proposals) < p.maxRecords {
 		target := slices.MinFunc(targets, func(a, b string) int { return cmp.Or(cmp.Compare(load[a], load[b]), cmp.Compare(a, b)) })
 		if why == "" && (load[t.self.Label]-load[target] <= Tolerance || len(proposals) > 0) {
 			break
@@ -151,9 +151,9 @@
 }
 
 func proposed(txn wire.Transaction, proposals []proposal, why string) Action {
-	a := Action{Kind: Propose, Why: why, Txn: txn}
+	a := Action{Kind: Propose, Reason: why, Txn: txn}
 	for _, p := range proposals {
-		a.Shares = append(a.Shares, p.id)
+		a.Shards = append(a.Shards, p.id)
 	}
 	return a
 }
@@ -202,10 +202,10 @@
 	return load
 }
 
-// heirs is who takes over each share without a living owner. All controllers that know
+// successors is who takes over each share without a living owner. All controllers that know
 // the same come to the same result: the target of a move that was under way; a new
 // process of the controller that owned the share; else whoever owns fewest.
-func (t *Table) heirs() map[wire.ShardID]string {
+func (t *Table) successors() map[wire.ShardID]string {
 	eligible := t.eligible()
 	load := t.load()
 	heirs := map[wire.ShardID]string{}
@@ -238,13 +238,13 @@
 	return heirs
 }
 
-// Collect asks for shares to be handed over to this process, for a job that needs the
+// Acquire asks for shares to be handed over to this process, for a job that needs the
 // room of several controllers at once. Shares that move already are left out.
-func (p *Planner) Collect(ids []wire.ShardID, wall int64) (Action, bool) {
+func (p *Planner) Acquire(ids []wire.ShardID, wall int64) (Action, bool) {
 	t := p.table
 	var proposals []proposal
 	for _, id := range ids {
-		if s := &t.shares[id]; len(proposals) < p.most && s.Move == nil && s.Owner != t.self && t.Live(s.Owner) && t.Live(t.self) {
+		if s := &t.shares[id]; len(proposals) < p.maxRecords && s.Move == nil && s.Owner != t.self && t.Live(s.Owner) && t.Live(t.self) {
 			proposals = append(proposals, proposal{id, t.self.Label})
 		}
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -305,11 +305,11 @@
 // TestMachinesSpread: a share follows from a machine's name alone, for ever, and shares of
 // any fleet are of about one size.
 func TestMachinesSpread(t *testing.T) {
-	require.Equal(t, []wire.ShardID{share.Of("m-000000"), share.Of("m-000231"), share.Of("m-123456")}, []wire.ShardID{20, 30, 15})
+	require.Equal(t, []wire.ShardID{share.ShardOf("m-000000"), share.ShardOf("m-000231"), share.ShardOf("m-123456")}, []wire.ShardID{20, 30, 15})
 	for _, fleet := range []int{1000, 4000, 40000} {
 		var sizes [share.Count]int
 		for i := range fleet {
-			sizes[share.Of(wire.MachineID(fmt.Sprintf("m-%06d", i)))]++
+			sizes[share.ShardOf(wire.MachineID(fmt.Sprintf("m-%06d", i)))]++
 		}
 		for id, n := range sizes {
 			require.InEpsilon(t, float64(fleet)/share.Count, n, 0.55, "share %d of %d machines", id, fleet)
--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -16,14 +16,14 @@
 
 	policy        record.ShardPolicy
 	policyVersion wire.Revision
-	shares        [Count]knownShare
+	shares        [Count]shardState
 	controllers   map[string]Controller // that live
 	members       map[string]knownMember
 	format        wire.Format // in force
 }
 
-// knownShare is a share's record. Its version is 0 while there is none.
-type knownShare struct {
+// shardState is a share's record. Its version is 0 while there is none.
+type shardState struct {
 	record.Shard
 	version    wire.Revision
 	unreadable bool
@@ -53,7 +53,7 @@
 // Reset forgets what was read, before everything is read anew.
 func (t *Table) Reset() {
 	t.policy, t.policyVersion = record.ShardPolicy{}, 0
-	t.shares = [Count]knownShare{}
+	t.shares = [Count]shardState{}
 	t.controllers, t.members = map[string]Controller{}, map[string]knownMember{}
 	t.format = record.FormatPlain
 }
@@ -82,7 +82,7 @@
 	if err != nil || !Valid(wire.ShardID(n)) {
 		return fmt.Errorf("share record %q: no such share", key)
 	}
-	s := knownShare{version: version}
+	s := shardState{version: version}
 	if value == nil {
 		s.version = 0
 	} else if err = fastjson.Unmarshal(value, &s.Shard); err != nil {
--- a/internal/standin/http_history.go
+++ b/internal/standin/http_history.go
@@ -67,7 +67,7 @@
 // machine's share: a later one than it may know of is not its own.
 func (l *placementLog) placed(s *Store, g *record.AllocationGroup, sharded bool) {
 	for i, machine := range g.Machines {
-		id := share.Of(machine)
+		id := share.ShardOf(machine)
 		var epoch wire.ShardEpoch
 		if sharded {
 			var owner record.Shard
--- a/internal/standin/shares_test.go
+++ b/internal/standin/shares_test.go
@@ -96,7 +96,7 @@
 		if m.up && !m.dead {
 			machines++
 			require.EqualValues(t, 1, m.session)
-			if label(m.node) == w.Share(share.Of(m.id)).Owner.Label {
+			if label(m.node) == w.Share(share.ShardOf(m.id)).Owner.Label {
 				led++
 			}
 		}
