--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -33,7 +33,7 @@
 type engine struct {
 	set   *config.Settings
 	log   *slog.Logger
-	core  *core.Core
+	core  *core.Controller
 	start time.Time
 
 	inbox   chan envelope
@@ -132,7 +132,7 @@
 	})
 	g.Go(func() error { return server.New(e.set, e, os.Getenv(admin.TokenVariable), e.log).Serve(public) })
 	g.Go(func() error {
-		return e.mesh.Serve(peers, func(l *wire.PeerMessage) { e.offer(core.PeerSaid{Line: l}) })
+		return e.mesh.Serve(peers, func(l *wire.PeerMessage) { e.offer(core.PeerMessageReceived{Message: l}) })
 	})
 	g.Go(func() error { e.mesh.Send(ctx); return nil })
 	g.Go(func() error { e.state.Serve(ctx.Done()); return nil })
@@ -194,7 +194,7 @@
 
 // back returns a call's result to the core.
 func back[R any](e *engine, id core.CallID) func(R) {
-	return func(r R) { e.results <- core.Returned{Call: id, Result: r} }
+	return func(r R) { e.results <- core.CallCompleted{Call: id, Result: r} }
 }
 
 func (e *engine) carryOut(o core.Output) {
@@ -204,37 +204,37 @@
 			delete(e.replies, o.Request)
 			ch <- o
 		}
-	case core.Load:
-		e.state.Load(o, back[core.Loaded](e, o.Call))
-	case core.Follow:
-		e.state.Follow(o, back[core.Fed](e, o.Call))
-	case core.Fetch:
-		e.state.Fetch(o, back[core.Fetched](e, o.Call))
+	case core.LoadKeys:
+		e.state.Load(o, back[core.LoadResult](e, o.Call))
+	case core.Watch:
+		e.state.Follow(o, back[core.WatchResult](e, o.Call))
+	case core.GetKey:
+		e.state.Fetch(o, back[core.GetResult](e, o.Call))
 	case core.Commit:
-		e.state.Commit(o, back[core.Committed](e, o.Call))
-	case core.Grant:
-		e.state.Grant(o, back[core.Granted](e, o.Call))
-	case core.Extend:
-		e.state.Extend(o, back[core.Granted](e, o.Call))
-	case core.Share:
-		e.state.Share(o.Part)
+		e.state.Commit(o, back[core.CommitResult](e, o.Call))
+	case core.GrantLease:
+		e.state.Grant(o, back[core.LeaseResult](e, o.Call))
+	case core.RenewLease:
+		e.state.Extend(o, back[core.LeaseResult](e, o.Call))
+	case core.SetRateShare:
+		e.state.Share(o.Fraction)
 	case core.ReadCatalogue:
-		e.cloud.Catalogue(back[core.CatalogueRead](e, o.Call))
+		e.cloud.Catalogue(back[core.CatalogueResult](e, o.Call))
 	case core.ListMachines:
-		e.cloud.List(back[core.Listed](e, o.Call))
-	case core.HireMachines:
-		e.cloud.Hire(o.Hire, back[core.Hired](e, o.Call))
-	case core.ReturnMachines:
-		e.cloud.Return(o.Names, back[core.GivenBack](e, o.Call))
-	case core.Order:
-		e.workers.Do(o.Addr, o.Body, back[core.Answered](e, o.Call))
-	case core.Show:
-		e.workers.Show(o.Addr, back[core.Answered](e, o.Call))
-	case core.Tell:
-		e.mesh.Tell(o.Line)
+		e.cloud.List(back[core.MachinesResult](e, o.Call))
+	case core.ProvisionMachines:
+		e.cloud.Hire(o.Request, back[core.ProvisionResult](e, o.Call))
+	case core.TerminateMachines:
+		e.cloud.Return(o.Machines, back[core.TerminateResult](e, o.Call))
+	case core.SendCommands:
+		e.workers.Do(o.Addr, o.Body, back[core.WorkerResponse](e, o.Call))
+	case core.RequestHeartbeat:
+		e.workers.Show(o.Addr, back[core.WorkerResponse](e, o.Call))
+	case core.Broadcast:
+		e.mesh.Tell(o.Message)
 	case core.RolloutEvent:
 		e.tracer.Rollout(o)
-	case core.Retire:
+	case core.Shutdown:
 		e.retire(o.Cause)
 	default:
 		panic(fmt.Sprintf("output %T not known", o))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -54,25 +54,25 @@
 		if err := json.Unmarshal(c.Body(), &change); err != nil {
 			return refuse(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.ChangeAsked{Request: r, Change: change} })
+		return ask(c, func(r core.RequestID) core.Input { return core.SettingsChangeRequested{Request: r, Change: change} })
 	})
 	group.Patch("/"+string(wire.ViewRollout), func(c fiber.Ctx) error {
 		change, err := wire.ParseAdminRolloutChange(c.Body())
 		if err != nil {
 			return refuse(c, http.StatusBadRequest, err.Error())
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.RolloutAsked{Request: r, Change: change} })
+		return ask(c, func(r core.RequestID) core.Input { return core.RolloutChangeRequested{Request: r, Change: change} })
 	})
 	group.Patch("/"+string(wire.ViewShards), func(c fiber.Ctx) error {
 		change, err := wire.ParseAdminShardChange(c.Body())
 		if err != nil {
 			return refuse(c, http.StatusBadRequest, err.Error())
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.SharesAsked{Request: r, Change: change} })
+		return ask(c, func(r core.RequestID) core.Input { return core.ShardChangeRequested{Request: r, Change: change} })
 	})
 	group.Get("/:view", func(c fiber.Ctx) error {
 		view := wire.AdminView([]byte(c.Params("view")))
-		return ask(c, func(r core.RequestID) core.Input { return core.ViewAsked{Request: r, View: view} })
+		return ask(c, func(r core.RequestID) core.Input { return core.ViewRequested{Request: r, View: view} })
 	})
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -50,38 +50,38 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tokenWait)
 	defer cancel()
 	if err := c.tokens.Wait(ctx); err != nil {
-		return 0, core.NotDone
+		return 0, core.NotExecuted
 	}
 	status, err := c.calls.Call(method, path, body, callTimeout, into)
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
-		return status, core.NotDone
+		return status, core.NotExecuted
 	case err != nil:
 		c.log.Warn("cloud gave no answer", "call", path, "err", err)
 		return status, core.Unknown
 	case status == http.StatusOK:
-		return status, core.Done
+		return status, core.Succeeded
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable, status == http.StatusBadRequest:
 		c.log.Debug("cloud refused", "call", path, "status", status)
-		return status, core.NotDone
+		return status, core.NotExecuted
 	}
 	c.log.Warn("cloud answered oddly", "call", path, "status", status)
 	return status, core.Unknown
 }
 
 // Catalogue reads the machine types.
-func (c *Client) Catalogue(then func(core.CatalogueRead)) {
+func (c *Client) Catalogue(then func(core.CatalogueResult)) {
 	go func() {
-		var r core.CatalogueRead
+		var r core.CatalogueResult
 		_, r.Outcome = c.call(http.MethodGet, "/catalog", nil, map[int]any{200: &r.Catalogue})
 		then(r)
 	}()
 }
 
 // List reads the whole machine list.
-func (c *Client) List(then func(core.Listed)) {
+func (c *Client) List(then func(core.MachinesResult)) {
 	go func() {
-		var r core.Listed
+		var r core.MachinesResult
 		after := ""
 		for {
 			q := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
@@ -89,7 +89,7 @@
 				q.Set("after", after)
 			}
 			var page wire.MachineList
-			if _, r.Outcome = c.call(http.MethodGet, "/hosts?"+q.Encode(), nil, map[int]any{200: &page}); r.Outcome != core.Done {
+			if _, r.Outcome = c.call(http.MethodGet, "/hosts?"+q.Encode(), nil, map[int]any{200: &page}); r.Outcome != core.Succeeded {
 				break
 			}
 			r.Machines = append(r.Machines, page.Machines...)
@@ -106,20 +106,20 @@
 const noCapacity = "no capacity"
 
 // Hire rents machines.
-func (c *Client) Hire(h wire.ProvisionRequest, then func(core.Hired)) {
+func (c *Client) Hire(h wire.ProvisionRequest, then func(core.ProvisionResult)) {
 	go func() {
 		var names wire.MachineNames
 		var problem wire.ErrorResponse
 		status, outcome := c.call(http.MethodPost, "/hosts", h, map[int]any{200: &names, 503: &problem})
-		then(core.Hired{Outcome: outcome, Names: names.Names,
-			Refused: status == http.StatusServiceUnavailable && problem.Error == noCapacity})
+		then(core.ProvisionResult{Outcome: outcome, Machines: names.Names,
+			NoCapacity: status == http.StatusServiceUnavailable && problem.Error == noCapacity})
 	}()
 }
 
 // Return gives machines back.
-func (c *Client) Return(names []wire.MachineID, then func(core.GivenBack)) {
+func (c *Client) Return(names []wire.MachineID, then func(core.TerminateResult)) {
 	go func() {
 		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: names}, nil)
-		then(core.GivenBack{Outcome: outcome})
+		then(core.TerminateResult{Outcome: outcome})
 	}()
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -38,23 +38,23 @@
 		Cluster:  config.Cluster{Cloud: config.Cloud{RPS: 100}, Quota: config.Quota{Sockets: 500}},
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 
-	read := make(chan core.CatalogueRead, 1)
-	client.Catalogue(func(r core.CatalogueRead) { read <- r })
-	require.Equal(t, core.CatalogueRead{Outcome: core.Done, Catalogue: catalogue}, <-read)
+	read := make(chan core.CatalogueResult, 1)
+	client.Catalogue(func(r core.CatalogueResult) { read <- r })
+	require.Equal(t, core.CatalogueResult{Outcome: core.Succeeded, Catalogue: catalogue}, <-read)
 
-	listed := make(chan core.Listed, 1)
-	client.List(func(r core.Listed) { listed <- r })
-	require.Equal(t, core.Listed{Outcome: core.Done, Machines: machines.Machines}, <-listed)
+	listed := make(chan core.MachinesResult, 1)
+	client.List(func(r core.MachinesResult) { listed <- r })
+	require.Equal(t, core.MachinesResult{Outcome: core.Succeeded, Machines: machines.Machines}, <-listed)
 
 	var hire wire.ProvisionRequest
 	golden.NewFiller(2).Fill(&hire)
-	hired := make(chan core.Hired, 1)
-	client.Hire(hire, func(r core.Hired) { hired <- r })
-	require.Equal(t, core.Hired{Outcome: core.Done, Names: names.Names}, <-hired)
+	hired := make(chan core.ProvisionResult, 1)
+	client.Hire(hire, func(r core.ProvisionResult) { hired <- r })
+	require.Equal(t, core.ProvisionResult{Outcome: core.Succeeded, Machines: names.Names}, <-hired)
 
-	returned := make(chan core.GivenBack, 1)
-	client.Return(names.Names, func(r core.GivenBack) { returned <- r })
-	require.Equal(t, core.GivenBack{Outcome: core.Done}, <-returned)
+	returned := make(chan core.TerminateResult, 1)
+	client.Return(names.Names, func(r core.TerminateResult) { returned <- r })
+	require.Equal(t, core.TerminateResult{Outcome: core.Succeeded}, <-returned)
 
 	golden.Compare(t, "requests.txt", recorder.Requests())
 }
--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -10,32 +10,32 @@
 	"lilacrill/wire"
 )
 
-// operator is the operators' settings and their version; 0 while nobody has
+// operatorSettings is the operators' settings and their version; 0 while nobody has
 // changed the defaults.
-type operator struct {
-	chosen  config.StoredOperator
+type operatorSettings struct {
+	values  config.StoredOperator
 	version wire.Revision
-	// strange is why the stored settings cannot be understood; they are not written
+	// unreadableCause is why the stored settings cannot be understood; they are not written
 	// over then.
-	strange error
+	unreadableCause error
 }
 
-func (c *Core) applySettings(value json.RawMessage, version wire.Revision) error {
+func (c *Controller) applySettings(value json.RawMessage, version wire.Revision) error {
 	chosen := config.StoredOperator{Operator: config.DefaultOperator()}
 	if value != nil {
 		// Values that a newer release stored and this one does not allow make it
 		// keep what it has.
-		if chosen, c.strange = config.ReadOperator(value); c.strange != nil {
-			return c.strange
+		if chosen, c.unreadableCause = config.ReadOperator(value); c.unreadableCause != nil {
+			return c.unreadableCause
 		}
 	}
-	c.chosen, c.version, c.dirty = chosen, version, true
+	c.values, c.version, c.dirty = chosen, version, true
 	c.log.Info("operators' settings apply", "version", version, "settings", string(value))
 	return nil
 }
 
-// view answers an operator who wants to look.
-func (c *Core) view(in ViewAsked) {
+// handleView answers an operator who wants to look.
+func (c *Controller) handleView(in ViewRequested) {
 	if !c.ready {
 		c.unavailable(in.Request, "starting")
 		return
@@ -59,7 +59,7 @@
 		c.viewRollout(in.Request)
 		return
 	case wire.ViewShards:
-		c.viewShares(in.Request)
+		c.viewShards(in.Request)
 		return
 	default:
 		c.refuse(in.Request, http.StatusNotFound, "no such view", 0)
@@ -68,8 +68,8 @@
 	c.reply(in.Request, http.StatusOK, body)
 }
 
-func (c *Core) viewSettings() wire.AdminSettings {
-	b, err := json.Marshal(c.chosen)
+func (c *Controller) viewSettings() wire.AdminSettings {
+	b, err := json.Marshal(c.values)
 	if err != nil {
 		panic(err) // numbers and a word: cannot fail
 	}
@@ -79,7 +79,7 @@
 // operatorChange carries out a change of what is stored, named what, that an operator asks
 // for. makeTxn is called once the cache holds all that was written before now; status
 // tells how its errors are answered, and done answers once the change is carried out.
-func (c *Core) operatorChange(r RequestID, what string, makeTxn func() (wire.Transaction, error), status func(error) int, done func()) {
+func (c *Controller) operatorChange(r RequestID, what string, makeTxn func() (wire.Transaction, error), status func(error) int, done func()) {
 	c.afterBarrier(r, func() {
 		txn, err := makeTxn()
 		if err != nil {
@@ -90,9 +90,9 @@
 			c.refuse(r, http.StatusConflict, "more controllers than one transaction of the state service can demand", 0)
 			return
 		}
-		c.commit(ClassAccept, txn, func(result Committed) {
+		c.commit(PriorityAdmission, txn, func(result CommitResult) {
 			switch result.Outcome {
-			case Done:
+			case Succeeded:
 				done()
 			case Conflict:
 				c.refuse(r, http.StatusConflict, "the controllers or the "+what+" have changed meanwhile: read the "+what+" again", 0)
@@ -103,22 +103,22 @@
 	})
 }
 
-// change stores new settings against the version they were made from.
-func (c *Core) change(in ChangeAsked) {
-	if !c.serving(in.Request) {
+// changeSettings stores new settings against the version they were made from.
+func (c *Controller) changeSettings(in SettingsChangeRequested) {
+	if !c.ensureServing(in.Request) {
 		return
 	}
 	// The barrier makes sure that a version is called stale, or the values are
 	// checked, by what is stored now.
-	c.barrier(func(ok bool) {
+	c.readBarrier(func(ok bool) {
 		if !ok {
 			c.unavailable(in.Request, "state service unavailable")
 			return
 		}
-		next, err := c.chosen.With(in.Change.Settings)
+		next, err := c.values.With(in.Change.Settings)
 		switch {
-		case c.strange != nil:
-			c.refuse(in.Request, http.StatusConflict, "the stored settings cannot be read by this release: "+c.strange.Error(), 0)
+		case c.unreadableCause != nil:
+			c.refuse(in.Request, http.StatusConflict, "the stored settings cannot be read by this release: "+c.unreadableCause.Error(), 0)
 			return
 		case err != nil:
 			c.refuse(in.Request, http.StatusBadRequest, err.Error(), 0)
@@ -127,12 +127,12 @@
 			c.reply(in.Request, http.StatusConflict, wire.ErrorResponse{Error: "stale version: read the settings again"})
 			return
 		}
-		c.commit(ClassAccept, wire.Transaction{
+		c.commit(PriorityAdmission, wire.Transaction{
 			If:   []wire.Condition{{Key: record.SettingsKey, Version: c.keyVersions[record.SettingsKey]}},
-			Then: []wire.Change{c.put(record.SettingsKey, next)},
-		}, func(r Committed) {
+			Then: []wire.Change{c.putChange(record.SettingsKey, next)},
+		}, func(r CommitResult) {
 			switch r.Outcome {
-			case Done:
+			case Succeeded:
 				c.reply(in.Request, http.StatusOK, c.viewSettings())
 			case Conflict:
 				c.reply(in.Request, http.StatusConflict, wire.ErrorResponse{Error: "stale version: read the settings again"})
@@ -143,40 +143,40 @@
 	})
 }
 
-func (c *Core) viewControllers() []wire.AdminController {
-	out := []wire.AdminController{{Label: c.settings.Label, Incarnation: c.boot, Alive: true, Provisioner: c.buyer == c.boot, Self: true,
-		StoreReachable: c.stateFresh(), HeardFrom: true, HearsUs: true, Isolated: c.isolated(), Revision: c.feed, Token: c.token,
-		StoreLagS: c.now.Sub(c.inStep).Seconds(), CancellationLagS: c.now.Sub(c.known()).Seconds(), RenewsLeases: c.now.Sub(c.known()) <= c.cancelSlack(),
+func (c *Controller) viewControllers() []wire.AdminController {
+	out := []wire.AdminController{{Label: c.settings.Label, Incarnation: c.incarnation, Alive: true, Provisioner: c.provisionerIncarnation == c.incarnation, Self: true,
+		StoreReachable: c.storeReachable(), HeardFrom: true, HearsUs: true, Isolated: c.isolated(), Revision: c.revision, Token: c.token,
+		StoreLagS: c.now.Sub(c.cacheCurrentAt).Seconds(), CancellationLagS: c.now.Sub(c.cancellationsKnownAt()).Seconds(), RenewsLeases: c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness(),
 		TimerLagS: c.lag * TickEvery.Seconds()}}
 	for _, s := range c.settings.Siblings {
-		boot, alive := c.nodes[s.Label]
+		boot, alive := c.liveControllers[s.Label]
 		p := c.peers[s.Label]
-		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.buyer == boot,
-			StoreReachable: p != nil && p.fresh && c.now.Sub(p.heard) < 3*heartbeatEvery,
-			HeardFrom:      p != nil && c.now.Sub(p.heard) <= peerSilence, HearsUs: p != nil && c.now.Sub(p.echoed) <= echoSilence,
-			Isolated: c.isolatedNodes[s.Label]})
+		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.provisionerIncarnation == boot,
+			StoreReachable: p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 3*peerHeartbeatInterval,
+			HeardFrom:      p != nil && c.now.Sub(p.lastHeardAt) <= peerTimeout, HearsUs: p != nil && c.now.Sub(p.ackedAt) <= ackTimeout,
+			Isolated: c.isolatedControllers[s.Label]})
 	}
 	return out
 }
 
-func (c *Core) viewTeams() []wire.AdminTeam {
+func (c *Controller) viewTeams() []wire.AdminTeam {
 	var out []wire.AdminTeam
 	for i := range c.settings.Cluster.Teams {
 		s := &c.settings.Cluster.Teams[i]
-		t := c.teamOf(s.Name)
+		t := c.team(s.Name)
 		v := wire.AdminTeam{Name: s.Name, Owner: c.teamOwner(s.Name), CPUsGuaranteed: s.CPUs, CPUsMax: s.CPUsMax,
-			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.after(t.placeFrom)}
+			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.isDue(t.nextPlacement)}
 		var used placement.Amount
 		for _, p := range t.pages {
-			for k := range p.entries {
-				used = used.Plus(p.entries[k].need(), float64(p.entries[k].Tasks.Len()))
+			for k := range p.allocations {
+				used = used.Plus(p.allocations[k].taskResources(), float64(p.allocations[k].Tasks.Len()))
 			}
 		}
 		v.CPUsUsed, v.GPUsUsed = used.Cores, used.Accelerators
 		for _, j := range c.jobs {
 			if j.spec.Team == s.Name {
 				v.Jobs++
-				v.WaitingTasks += j.spec.Tasks - j.done.Len() - c.placedOf(j.id)
+				v.WaitingTasks += j.spec.Tasks - j.completed.Len() - c.placedTasks(j.id)
 			}
 		}
 		out = append(out, v)
@@ -184,25 +184,25 @@
 	return out
 }
 
-func (c *Core) placedOf(id wire.JobID) int {
+func (c *Controller) placedTasks(id wire.JobID) int {
 	n := 0
-	for _, e := range c.ofJob[id] {
+	for _, e := range c.allocationsByJob[id] {
 		n += e.Tasks.Len()
 	}
 	return n
 }
 
-func (c *Core) viewMachines() []wire.AdminMachine {
+func (c *Controller) viewMachines() []wire.AdminMachine {
 	out := []wire.AdminMachine{}
-	for _, m := range c.inOrder() {
-		if m.gone {
+	for _, m := range c.orderedMachines() {
+		if m.terminated {
 			continue
 		}
-		v := wire.AdminMachine{ID: m.id, Type: m.kind, Zone: m.zone, Spot: m.spot, Status: m.status,
-			SilentS: c.now.Sub(c.lastSign(m)).Seconds(), Faulty: !c.after(m.badUntil), Reserved: m.reserved,
-			ProvisioningLate: m.unborn() && m.status == wire.MachineBooting && !c.bootExpected(m), PreemptionNotice: m.recallAt != 0}
-		v.TerminationReason = c.leaving[m.id].why
-		for _, e := range m.entries {
+		v := wire.AdminMachine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Status: m.status,
+			SilentS: c.now.Sub(c.lastSeen(m)).Seconds(), Faulty: !c.isDue(m.faultyUntil), Reserved: m.holdsHeadroom,
+			ProvisioningLate: m.isProvisioning() && m.status == wire.MachineBooting && !c.expectedToJoin(m), PreemptionNotice: m.preemptionAt != 0}
+		v.TerminationReason = c.terminating[m.id].reason
+		for _, e := range m.allocations {
 			v.Tasks += e.Tasks.Len()
 		}
 		out = append(out, v)
@@ -210,21 +210,21 @@
 	return out
 }
 
-// maxViewed bounds how many jobs one view shows.
-const maxViewed = 500
+// maxJobsInView bounds how many jobs one view shows.
+const maxJobsInView = 500
 
-func (c *Core) viewJobs() []wire.AdminJob {
+func (c *Controller) viewJobs() []wire.AdminJob {
 	out := []wire.AdminJob{}
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
 		v := wire.AdminJob{ID: id, Class: j.spec.Class, Team: j.spec.Team, Priority: j.spec.Priority, Tasks: j.spec.Tasks,
-			Done: j.done.Len(), Placed: c.placedOf(id), FailedOn: len(j.errors), BackoffS: max(0, j.notBefore.Sub(c.now).Seconds())}
+			Done: j.completed.Len(), Placed: c.placedTasks(id), FailedOn: len(j.failedMachines), BackoffS: max(0, j.retryAt.Sub(c.now).Seconds())}
 		v.Waiting = max(0, v.Tasks-v.Done-v.Placed)
 		if v.Waiting > 0 {
-			v.Reason = j.why
+			v.Reason = j.pendingReason
 		}
 		out = append(out, v)
-		if len(out) == maxViewed {
+		if len(out) == maxJobsInView {
 			break
 		}
 	}
--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -16,22 +16,22 @@
 
 // attested makes a controller with two siblings that has read all up to revision 100
 // at second 10, and has sent an attestation at each of the seconds 10 to 14; it is second 20.
-func attested() *Core {
+func attested() *Controller {
 	set := &config.Settings{Label: "rig-0", Siblings: []config.Sibling{{Label: "rig-1"}, {Label: "rig-2"}},
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
-	c.loaded, c.feed = true, 100
+	c.loaded, c.revision = true, 100
 	for i := range 5 {
 		c.now = Time(10+i) * Time(time.Second)
-		c.attest()
+		c.newWatermark()
 	}
-	c.inStep, c.now = Time(10*time.Second), Time(20*time.Second)
+	c.cacheCurrentAt, c.now = Time(10*time.Second), Time(20*time.Second)
 	return c
 }
 
 // word is a sibling's attestation that has heard the given one of ours.
-func word(c *Core, from string, process, number, heard uint64, since wire.Revision, w ...wire.Cancellation) *wire.PeerMessage {
+func word(c *Controller, from string, process, number, heard uint64, since wire.Revision, w ...wire.Cancellation) *wire.PeerMessage {
 	return &wire.PeerMessage{From: from, Watermark: &wire.CancellationWatermark{Process: process, Sequence: number, Revision: since, Since: since,
 		Acks: map[string]wire.WatermarkAck{c.settings.Label: {Process: c.process, Sequence: heard}}, Cancellations: w}}
 }
@@ -44,47 +44,47 @@
 // what nobody attests, until the feed was read since.
 func TestAttestations(t *testing.T) {
 	c := attested()
-	require.Equal(t, at(10), c.known())
+	require.Equal(t, at(10), c.cancellationsKnownAt())
 	// First lines: earlier processes of theirs may have told anything until now.
-	c.peerSaid(word(c, "rig-1", 7, 1, 5, 100))
-	c.peerSaid(word(c, "rig-2", 8, 1, 5, 100))
-	require.Equal(t, at(10), c.known(), "the feed was not read since they were first heard")
-	c.readTo(at(20))
+	c.handlePeerMessage(word(c, "rig-1", 7, 1, 5, 100))
+	c.handlePeerMessage(word(c, "rig-2", 8, 1, 5, 100))
+	require.Equal(t, at(10), c.cancellationsKnownAt(), "the feed was not read since they were first heard")
+	c.noteCacheCurrent(at(20))
 	c.now = at(40)
 	for range 3 {
-		c.attest() // 6 to 8, at second 40
+		c.newWatermark() // 6 to 8, at second 40
 	}
 	c.now = at(50)
-	c.peerSaid(word(c, "rig-1", 7, 2, 8, 100))
-	require.Equal(t, at(20), c.known(), "one of them has said nothing new")
-	c.peerSaid(word(c, "rig-2", 8, 2, 6, 100))
-	require.Equal(t, at(40), c.known(), "as far as both have heard of ours, not until now")
-	require.True(t, c.mayRenew())
-	require.False(t, c.mayLaunch())
+	c.handlePeerMessage(word(c, "rig-1", 7, 2, 8, 100))
+	require.Equal(t, at(20), c.cancellationsKnownAt(), "one of them has said nothing new")
+	c.handlePeerMessage(word(c, "rig-2", 8, 2, 6, 100))
+	require.Equal(t, at(40), c.cancellationsKnownAt(), "as far as both have heard of ours, not until now")
+	require.True(t, c.canRenewLeases())
+	require.False(t, c.canLaunch())
 	c.now = at(40 + 16.1)
-	require.False(t, c.mayRenew(), "a lease more would outlast cancel_s")
+	require.False(t, c.canRenewLeases(), "a lease more would outlast cancel_s")
 
 	// A withdrawal that is listed is known; a list that begins after what was read
 	// here proves nothing.
-	c.attest() // 9
-	c.peerSaid(word(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
-	c.peerSaid(word(c, "rig-2", 8, 3, 9, 140))
-	f, ok := c.ended("wk-000001")
+	c.newWatermark() // 9
+	c.handlePeerMessage(word(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
+	c.handlePeerMessage(word(c, "rig-2", 8, 3, 9, 140))
+	f, ok := c.completion("wk-000001")
 	require.True(t, ok)
 	require.Equal(t, wire.StatusCancelled, f.Status)
-	require.Equal(t, at(40), c.known())
-	c.peerSaid(word(c, "rig-2", 8, 4, 9, 100))
-	require.Equal(t, at(40+16.1), c.known())
+	require.Equal(t, at(40), c.cancellationsKnownAt())
+	c.handlePeerMessage(word(c, "rig-2", 8, 4, 9, 100))
+	require.Equal(t, at(40+16.1), c.cancellationsKnownAt())
 
 	// A new process of a sibling: what the one before told last is not known.
-	c.attest() // 10
-	c.peerSaid(word(c, "rig-2", 9, 1, 10, 100))
-	require.Equal(t, at(20), c.known())
-	require.False(t, c.mayRenew())
+	c.newWatermark() // 10
+	c.handlePeerMessage(word(c, "rig-2", 9, 1, 10, 100))
+	require.Equal(t, at(20), c.cancellationsKnownAt())
+	require.False(t, c.canRenewLeases())
 	// What an earlier process of ours was heard of means nothing.
-	c.peerSaid(&wire.PeerMessage{From: "rig-1", Watermark: &wire.CancellationWatermark{Process: 7, Sequence: 9,
+	c.handlePeerMessage(&wire.PeerMessage{From: "rig-1", Watermark: &wire.CancellationWatermark{Process: 7, Sequence: 9,
 		Acks: map[string]wire.WatermarkAck{"rig-0": {Process: c.process + 1, Sequence: 3}}}})
-	require.Equal(t, at(20), c.known())
+	require.Equal(t, at(20), c.cancellationsKnownAt())
 }
 
 // TestAttestationLists: an attestation lists all withdrawals after the revision that it names,
@@ -97,20 +97,20 @@
 		for i := range rapid.IntRange(0, 900).Draw(t, "withdrawals") {
 			version += wire.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 			id := wire.JobID(wire.TaskID{Job: "wk-1", Index: i}.String())
-			c.apply(record.JobKey(id), encode(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled}}), version)
+			c.apply(record.JobKey(id), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled}}), version)
 			all[version] = id
 			if rapid.IntRange(0, 200).Draw(t, "told") == 0 {
 				p := rapid.SampledFrom([]string{"rig-1", "rig-2"}).Draw(t, "by")
-				c.peerSaid(word(c, p, 7, 1, 5, version))
+				c.handlePeerMessage(word(c, p, 7, 1, 5, version))
 			}
 		}
-		c.feed = version
-		v := c.attest()
+		c.revision = version
+		v := c.newWatermark()
 		listed := map[wire.Revision]wire.JobID{}
 		for _, w := range v.Cancellations {
 			listed[w.Version] = w.Job
 		}
-		require.LessOrEqual(t, len(listed), mostWithdrawn)
+		require.LessOrEqual(t, len(listed), maxRecentCancellations)
 		for s, id := range all {
 			if s > v.Since {
 				require.Equal(t, id, listed[s])
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -10,69 +10,69 @@
 	"lilacrill/wire"
 )
 
-// cloudView is what this controller knows of the cloud, and what it is doing
+// provisioner is what this controller knows of the cloud, and what it is doing
 // there if it is the buyer.
-type cloudView struct {
-	catalogue   []wire.MachineType
-	catalogueAt Time
-	cataloguing bool
+type provisioner struct {
+	catalogue        []wire.MachineType
+	catalogueReadAt  Time
+	readingCatalogue bool
 
-	backlog []demand // tasks without room, as the last plan left them
-	lacking int      // tasks that the spare room falls short of
+	backlog         []unmetDemand // tasks without room, as the last plan left them
+	missingHeadroom int           // tasks that the spare room falls short of
 
-	claiming          bool
-	vacant            Time // since when nobody is known to buy
-	listing           bool
-	nextList          Time
-	lists             int // good lists since this controller became the buyer
-	hiring            int
-	nextBuy           Time
-	refused           map[capacity.Key]refusal
-	returning         bool
-	returned          map[wire.MachineID]bool   // asked to be returned, so not to be kept
-	toReturn          map[wire.MachineID]string // to be written down as going, and why
-	cutZones          map[string]cut            // zones that seem to be cut off
-	dearest           float64                   // the price of a core above which machines are left alone; 0: not known
-	returnsCall       bool                      // the list of them is being written
-	nextReturns       Time
-	nextMachineReview Time
-	toldCloud         map[wire.MachineID]wire.MachineStatus // as the siblings were told
-	boots             map[string]boots                      // by type
-	silentAt          []Time                                // when machines were given up for their silence
+	claiming               bool
+	vacantSince            Time // since when nobody is known to buy
+	listingMachines        bool
+	nextList               Time
+	listsSinceElected      int // good lists since this controller became the buyer
+	provisionCallsInFlight int
+	nextScaleOut           Time
+	capacityShortages      map[capacity.Key]capacityShortage
+	terminateCallInFlight  bool
+	terminateRequested     map[wire.MachineID]bool   // asked to be returned, so not to be kept
+	toTerminate            map[wire.MachineID]string // to be written down as going, and why
+	partitionedZones       map[string]partition      // zones that seem to be cut off
+	priceLimit             float64                   // the price of a core above which machines are left alone; 0: not known
+	recordingTerminations  bool                      // the list of them is being written
+	nextTerminationRecord  Time
+	nextMachineReview      Time
+	gossipedStatus         map[wire.MachineID]wire.MachineStatus // as the siblings were told
+	provisioningDelays     map[string]provisioningDelay          // by type
+	silentTerminations     []Time                                // when machines were given up for their silence
 }
 
-func (v *cloudView) init() {
-	v.refused = map[capacity.Key]refusal{}
-	v.boots = map[string]boots{}
-	v.toReturn = map[wire.MachineID]string{}
-	v.cutZones = map[string]cut{}
-	v.returned = map[wire.MachineID]bool{}
+func (v *provisioner) init() {
+	v.capacityShortages = map[capacity.Key]capacityShortage{}
+	v.provisioningDelays = map[string]provisioningDelay{}
+	v.toTerminate = map[wire.MachineID]string{}
+	v.partitionedZones = map[string]partition{}
+	v.terminateRequested = map[wire.MachineID]bool{}
 }
 
 const (
-	catalogueEvery     = time.Minute
-	listEvery          = 2 * time.Second
-	buyEvery           = 300 * time.Millisecond
-	machineReviewEvery = 200 * time.Millisecond
-	machineReviewMost  = 500 * time.Millisecond
-	returnsEvery       = 300 * time.Millisecond
-	claimPatience      = 3 * time.Second
-	refusalPause       = 5 * time.Second // doubled with every refusal in a row
-	refusalMost        = 40 * time.Second
-	hiresAtOnce        = 4
-	overPart           = 0.2 // of the time for a cancellation, that a machine may take to hear of it
-	overPartCut        = 0.5 // the same while it may be us who cannot be heard
-	askedBySome        = 2 * time.Second
-	cutLeast           = 5 // silent machines that a zone must have for replicas in it to be left alone
-	cutLeases          = 3
-	cutFor             = 40 * time.Second // after which a zone is tried again
-	silentWindow       = 10 * time.Second
-	silentLeast        = 4 // machines that may be given up in a window, however small the fleet
-	criticalTasksPart  = 2 // of that, one half is kept for machines with critical tasks
-	silentPart         = 4 // and at least every fourth of those that report
+	catalogueInterval             = time.Minute
+	listInterval                  = 2 * time.Second
+	scaleOutInterval              = 300 * time.Millisecond
+	machineReviewInterval         = 200 * time.Millisecond
+	maxMachineReviewInterval      = 500 * time.Millisecond
+	terminationRecordInterval     = 300 * time.Millisecond
+	leadershipClaimDelay          = 3 * time.Second
+	capacityBackoff               = 5 * time.Second // doubled with every refusal in a row
+	maxCapacityBackoff            = 40 * time.Second
+	maxProvisionCalls             = 4
+	completedTaskFraction         = 0.2 // of the time for a cancellation, that a machine may take to hear of it
+	completedTaskFractionIsolated = 0.5 // the same while it may be us who cannot be heard
+	probeGracePeriod              = 2 * time.Second
+	minPartitionedMachines        = 5 // silent machines that a zone must have for replicas in it to be left alone
+	partitionLeases               = 3
+	partitionLifetime             = 40 * time.Second // after which a zone is tried again
+	silentTerminationWindow       = 10 * time.Second
+	minSilentTerminations         = 4 // machines that may be given up in a window, however small the fleet
+	criticalTerminationDivisor    = 2 // of that, one half is kept for machines with critical tasks
+	silentTerminationDivisor      = 4 // and at least every fourth of those that report
 )
 
-func (c *Core) kind(name string) *wire.MachineType {
+func (c *Controller) machineTypeNamed(name string) *wire.MachineType {
 	for i := range c.catalogue {
 		if c.catalogue[i].Name == name {
 			return &c.catalogue[i]
@@ -81,150 +81,150 @@
 	return nil
 }
 
-func (c *Core) tickCloud() {
-	if !c.cataloguing && (len(c.catalogue) == 0 || c.now.Sub(c.catalogueAt) > catalogueEvery) && c.after(c.catalogueAt) {
+func (c *Controller) tickCloud() {
+	if !c.readingCatalogue && (len(c.catalogue) == 0 || c.now.Sub(c.catalogueReadAt) > catalogueInterval) && c.isDue(c.catalogueReadAt) {
 		c.readCatalogue()
 	}
-	if !c.whole() || !c.stateFresh() {
+	if !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	if c.buyer != c.boot {
-		c.lists = 0
-		c.claim()
+	if c.provisionerIncarnation != c.incarnation {
+		c.listsSinceElected = 0
+		c.claimProvisionerLeadership()
 		return
 	}
 	if c.isolated() {
-		c.resign()
+		c.resignProvisionerLeadership()
 		return
 	}
-	if c.behind {
+	if c.stale {
 		return // another may have bought in our place meanwhile
 	}
-	if !c.listing && c.after(c.nextList) {
-		c.list()
+	if !c.listingMachines && c.isDue(c.nextList) {
+		c.listMachines()
 	}
-	if c.after(c.nextMachineReview) {
-		c.nextMachineReview = c.now.Add(c.paced(machineReviewEvery, machineReviewMost))
+	if c.isDue(c.nextMachineReview) {
+		c.nextMachineReview = c.now.Add(c.stretchPause(machineReviewInterval, maxMachineReviewInterval))
 		c.reviewMachines()
 	}
-	c.writeReturns()
-	c.giveBack()
-	c.noteImages()
-	if c.after(c.nextBuy) {
-		c.nextBuy = c.now.Add(max(buyEvery, 3*c.planPause()))
-		c.buy()
+	c.recordTerminations()
+	c.terminateRecorded()
+	c.recordImages()
+	if c.isDue(c.nextScaleOut) {
+		c.nextScaleOut = c.now.Add(max(scaleOutInterval, 3*c.passPause()))
+		c.scaleOut()
 	}
 }
 
-func (c *Core) readCatalogue() {
-	c.cataloguing = true
-	c.do(ReadCatalogue{call(c, func(r CatalogueRead) {
-		c.cataloguing = false
-		c.outcome(r.Outcome, countCloudNot, countCloudLost)
-		if r.Outcome != Done {
+func (c *Controller) readCatalogue() {
+	c.readingCatalogue = true
+	c.emit(ReadCatalogue{call(c, func(r CatalogueResult) {
+		c.readingCatalogue = false
+		c.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
+		if r.Outcome != Succeeded {
 			// An old catalogue still serves; without any, ask again soon.
-			c.catalogueAt = c.now.Add(time.Second)
+			c.catalogueReadAt = c.now.Add(time.Second)
 			return
 		}
-		c.catalogue, c.catalogueAt, c.dirty = r.Catalogue.Types, c.now, true
+		c.catalogue, c.catalogueReadAt, c.dirty = r.Catalogue.Types, c.now, true
 	})})
 }
 
-// claim tries to become the buyer when there is none: one buyer at a time keeps
+// claimProvisionerLeadership tries to become the buyer when there is none: one buyer at a time keeps
 // controllers from renting twice for the same need.
-func (c *Core) claim() {
-	if c.buyer != 0 {
-		c.vacant = 0
+func (c *Controller) claimProvisionerLeadership() {
+	if c.provisionerIncarnation != 0 {
+		c.vacantSince = 0
 		return
 	}
-	if c.vacant == 0 {
-		c.vacant = c.now
+	if c.vacantSince == 0 {
+		c.vacantSince = c.now
 	}
-	if c.claiming || c.leaseID == 0 || !c.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.vacant) < claimPatience {
+	if c.claiming || c.leaseID == 0 || !c.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.vacantSince) < leadershipClaimDelay {
 		return
 	}
 	c.claiming = true
-	claim := c.put(record.ProvisionerKey, c.boot)
+	claim := c.putChange(record.ProvisionerKey, c.incarnation)
 	claim.LeaseID = c.leaseID
-	c.commit(ClassRest, wire.Transaction{
+	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{claim},
-	}, func(r Committed) {
+	}, func(r CommitResult) {
 		c.claiming = false
-		c.vacant = 0
-		if r.Outcome == Done {
+		c.vacantSince = 0
+		if r.Outcome == Succeeded {
 			c.log.Info("this controller now buys and returns machines")
 		} else {
-			c.barrier(func(bool) {})
+			c.readBarrier(func(bool) {})
 		}
 	})
 }
 
-// resign leaves buying to another controller, as one that reaches no workers
+// resignProvisionerLeadership leaves buying to another controller, as one that reaches no workers
 // cannot tell which machines are to be returned. If all are like this, nobody
 // can.
-func (c *Core) resign() {
-	if c.claiming || len(c.labels) == 0 || slices.Contains(c.labels, c.settings.Label) {
+func (c *Controller) resignProvisionerLeadership() {
+	if c.claiming || len(c.eligibleControllers) == 0 || slices.Contains(c.eligibleControllers, c.settings.Label) {
 		return
 	}
 	c.claiming = true
 	c.log.Info("this controller reaches no workers and leaves buying to another")
-	c.commit(ClassRest, wire.Transaction{
+	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{{Delete: record.ProvisionerKey}},
-	}, func(Committed) {
+	}, func(CommitResult) {
 		c.claiming = false
-		c.barrier(func(bool) {})
+		c.readBarrier(func(bool) {})
 	})
 }
 
-func (c *Core) list() {
-	c.listing = true
-	c.nextList = c.now.Add(listEvery)
-	c.do(ListMachines{call(c, func(r Listed) {
-		c.listing = false
-		c.outcome(r.Outcome, countCloudNot, countCloudLost)
-		if r.Outcome != Done {
+func (c *Controller) listMachines() {
+	c.listingMachines = true
+	c.nextList = c.now.Add(listInterval)
+	c.emit(ListMachines{call(c, func(r MachinesResult) {
+		c.listingMachines = false
+		c.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
+		if r.Outcome != Succeeded {
 			return
 		}
-		c.lists++
-		c.listed(r.Machines)
+		c.listsSinceElected++
+		c.applyMachineList(r.Machines)
 		// A list of several pages takes as many calls, which hires need as well.
-		c.nextList = max(c.nextList, c.now.Add(listEvery*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
-		c.tellList(r.Machines)
+		c.nextList = max(c.nextList, c.now.Add(listInterval*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
+		c.gossipMachineList(r.Machines)
 	})})
 }
 
-// tellList passes on what is new in the list: most of it never changes.
-func (c *Core) tellList(list []wire.CloudMachine) {
+// gossipMachineList passes on what is new in the list: most of it never changes.
+func (c *Controller) gossipMachineList(list []wire.CloudMachine) {
 	told := make(map[wire.MachineID]wire.MachineStatus, len(list))
 	var news []wire.CloudMachine
 	for i := range list {
 		l := &list[i]
 		told[l.ID] = l.Status
-		if c.toldCloud[l.ID] != l.Status {
+		if c.gossipedStatus[l.ID] != l.Status {
 			news = append(news, *l)
 		}
 	}
-	c.toldCloud = told
+	c.gossipedStatus = told
 	if len(news) > 0 {
-		line := c.newLine()
+		line := c.newPeerMessage()
 		line.CloudMachines = news
-		c.tell(line)
+		c.broadcast(line)
 	}
 }
 
-// listed takes a machine list. It lags, so absence from it proves nothing.
-func (c *Core) listed(list []wire.CloudMachine) {
+// applyMachineList takes a machine list. It lags, so absence from it proves nothing.
+func (c *Controller) applyMachineList(list []wire.CloudMachine) {
 	for _, l := range list {
-		m := c.machineOf(l.ID)
-		if m.newest == nil {
-			m.addr, m.kind, m.zone, m.spot = l.Addr, l.Type, l.Zone, l.Spot
+		m := c.machine(l.ID)
+		if m.latestHeartbeat == nil {
+			m.addr, m.machineType, m.zone, m.spot = l.Addr, l.Type, l.Zone, l.Spot
 		}
-		m.listed = c.now
+		m.lastListedAt = c.now
 		m.status = l.Status
-		if born := c.now.Add(-config.Seconds(l.AgeS)); m.born == 0 || born < m.born {
-			m.born = born
+		if born := c.now.Add(-config.Seconds(l.AgeS)); m.launchedAt == 0 || born < m.launchedAt {
+			m.launchedAt = born
 		}
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -10,26 +10,26 @@
 
 // commit runs a transaction and takes its changes into the cache when it went
 // through. The token comes by the feed alone (see store.token).
-func (c *Core) commit(class Class, txn wire.Transaction, then func(Committed)) {
-	c.commitKnown(class, txn, "", then)
+func (c *Controller) commit(class CallPriority, txn wire.Transaction, then func(CommitResult)) {
+	c.commitExceptPrefix(class, txn, "", then)
 }
 
-// commitKnown is commit for a caller that takes the keys under known (if not
+// commitExceptPrefix is commit for a caller that takes the keys under known (if not
 // empty) into the cache itself.
-func (c *Core) commitKnown(class Class, txn wire.Transaction, known string, then func(Committed)) {
+func (c *Controller) commitExceptPrefix(class CallPriority, txn wire.Transaction, known string, then func(CommitResult)) {
 	sent := c.now
-	c.spend(len(txn.Then))
-	c.do(Commit{call(c, func(r Committed) {
+	c.spendWrites(len(txn.Then))
+	c.emit(Commit{call(c, func(r CommitResult) {
 		c.count(countCommits, 1)
-		c.took(timeCommit, c.now.Sub(sent))
-		c.outcome(r.Outcome, countStateNot, countStateLost)
+		c.observe(latencyCommit, c.now.Sub(sent))
+		c.countFailure(r.Outcome, countStoreRefused, countStoreUnanswered)
 		switch r.Outcome {
-		case NotDone:
-			c.spend(-len(txn.Then)) // no tokens were used
-		case Done:
-			c.stateAnswered()
+		case NotExecuted:
+			c.spendWrites(-len(txn.Then)) // no tokens were used
+		case Succeeded:
+			c.noteStoreResponse()
 			c.count(countWritten, len(txn.Then))
-			c.written = max(c.written, r.Revision)
+			c.ownRevision = max(c.ownRevision, r.Revision)
 			for _, ch := range txn.Then {
 				switch {
 				case ch.Put == record.TokenKey || known != "" && strings.HasPrefix(ch.Put, known):
@@ -40,17 +40,17 @@
 				}
 			}
 		case Conflict:
-			c.stateAnswered()
+			c.noteStoreResponse()
 			c.count(countConflicts, 1)
 		}
 		then(r)
 	}), class, txn})
 }
 
-// put writes a record in the format in force.
-func (c *Core) put(key string, v any) wire.Change {
+// putChange writes a record in the format in force.
+func (c *Controller) putChange(key string, v any) wire.Change {
 	return wire.Change{Put: key, Value: record.Encode(c.rollout.Format(), key, v)}
 }
 
-// encode writes a record in the first format.
-func encode(v any) json.RawMessage { return record.Encode(record.FormatPlain, "", v) }
+// encodePlain writes a record in the first format.
+func encodePlain(v any) json.RawMessage { return record.Encode(record.FormatPlain, "", v) }
--- a/internal/core/crowd_test.go
+++ b/internal/core/crowd_test.go
@@ -25,16 +25,16 @@
 	for i := range 1000 {
 		spec := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Team: "guest", Shape: wire.ShapeArray,
 			Priority: wire.PriorityBestEffort, Tasks: 1, Cores: 1, MemGB: 1, Image: "img"}
-		c.out = c.out[:0]
-		c.submit(Submitted{Request: RequestID(i), Spec: spec})
-		require.Len(t, c.out, 1)
-		r, refused := c.out[0].(Reply)
+		c.outputs = c.outputs[:0]
+		c.submit(JobSubmitted{Request: RequestID(i), Spec: spec})
+		require.Len(t, c.outputs, 1)
+		r, refused := c.outputs[0].(Reply)
 		if !refused {
 			taken++
 			continue
 		}
 		require.Equal(t, 503, r.Status)
-		require.LessOrEqual(t, r.RetryAfter, comeBackMost)
+		require.LessOrEqual(t, r.RetryAfter, maxRetryDelay)
 		if taken+100 > i {
 			require.Greater(t, r.RetryAfter, last, "a time of its own")
 			last = r.RetryAfter
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -22,74 +22,74 @@
 // copy of a submission fails on one of them, whenever it comes.
 
 const (
-	// mostOver is how many ended jobs may stand in their own records before the
+	// maxCompletedInPlace is how many ended jobs may stand in their own records before the
 	// oldest are moved, and twice as many before that goes ahead of submissions.
-	mostOver  = 2000
-	fileEvery = time.Second
+	maxCompletedInPlace = 2000
+	archiveInterval     = time.Second
 )
 
-// ended finds how a job ended, if that is known here.
-func (c *Core) ended(id wire.JobID) (record.Completion, bool) {
-	if f, ok := c.over[id]; ok {
+// completion finds how a job ended, if that is known here.
+func (c *Controller) completion(id wire.JobID) (record.Completion, bool) {
+	if f, ok := c.completedJobs[id]; ok {
 		return f, true
 	}
-	f, ok := c.finals[id]
+	f, ok := c.archivedJobs[id]
 	return f, ok
 }
 
-// applyFinal takes a final state under a key of its own into the cache.
-func (c *Core) applyFinal(id wire.JobID, value json.RawMessage) error {
+// applyArchivedJob takes a final state under a key of its own into the cache.
+func (c *Controller) applyArchivedJob(id wire.JobID, value json.RawMessage) error {
 	var f record.Completion
 	if err := fastjson.Unmarshal(value, &f); err != nil {
 		return err
 	}
 	if !f.Status.IsTerminal() {
-		return errNotFinal
+		return errNotTerminal
 	}
-	c.remember(id, f)
+	c.cacheArchivedJob(id, f)
 	return nil
 }
 
-func (c *Core) remember(id wire.JobID, f record.Completion) {
-	if len(c.finals) >= maxFinals {
-		for old := range c.finals {
-			delete(c.finals, old)
+func (c *Controller) cacheArchivedJob(id wire.JobID, f record.Completion) {
+	if len(c.archivedJobs) >= maxArchivedJobs {
+		for old := range c.archivedJobs {
+			delete(c.archivedJobs, old)
 			break
 		}
 	}
-	c.finals[id] = f
+	c.archivedJobs[id] = f
 }
 
-// file moves the final states of some jobs that ended long ago to keys of their
+// archiveCompletedJobs moves the final states of some jobs that ended long ago to keys of their
 // own. Each controller moves its part of them.
-func (c *Core) file() {
-	if len(c.over) <= mostOver || c.filing || !c.after(c.nextFile) || !c.affords() || c.crowded() && len(c.over) <= 2*mostOver {
+func (c *Controller) archiveCompletedJobs() {
+	if len(c.completedJobs) <= maxCompletedInPlace || c.archiving || !c.isDue(c.nextArchive) || !c.canAffordWrite() || c.submissionsCrowded() && len(c.completedJobs) <= 2*maxCompletedInPlace {
 		return
 	}
-	c.nextFile = c.now.Add(fileEvery)
+	c.nextArchive = c.now.Add(archiveInterval)
 	type old struct {
 		id      wire.JobID
 		version wire.Revision
 	}
-	oldest := make([]old, 0, len(c.over))
-	for id := range c.over {
+	oldest := make([]old, 0, len(c.completedJobs))
+	for id := range c.completedJobs {
 		oldest = append(oldest, old{id, c.keyVersions[record.JobKey(id)]})
 	}
 	slices.SortFunc(oldest, func(a, b old) int { return cmp.Or(cmp.Compare(a.version, b.version), cmp.Compare(a.id, b.id)) })
 	var txn wire.Transaction
-	for _, o := range oldest[:len(oldest)-mostOver] {
-		if len(txn.Then)+2 > min(c.settings.Cluster.State.TxnOps, roundWrites) {
+	for _, o := range oldest[:len(oldest)-maxCompletedInPlace] {
+		if len(txn.Then)+2 > min(c.settings.Cluster.State.TxnOps, typicalTransactionWrites) {
 			break
 		}
-		if len(c.labels) > 0 && rendezvous.Highest(c.labels, string(o.id)) != c.settings.Label {
+		if len(c.eligibleControllers) > 0 && rendezvous.Highest(c.eligibleControllers, string(o.id)) != c.settings.Label {
 			continue
 		}
 		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.CompletionKey(o.id)})
-		txn.Then = append(txn.Then, c.put(record.CompletionKey(o.id), c.over[o.id]), wire.Change{Delete: record.JobKey(o.id)})
+		txn.Then = append(txn.Then, c.putChange(record.CompletionKey(o.id), c.completedJobs[o.id]), wire.Change{Delete: record.JobKey(o.id)})
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	c.filing = true
-	c.commit(ClassRest, txn, func(Committed) { c.filing = false })
+	c.archiving = true
+	c.commit(PriorityBackground, txn, func(CommitResult) { c.archiving = false })
 }
--- a/internal/core/ends_test.go
+++ b/internal/core/ends_test.go
@@ -22,29 +22,29 @@
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	name := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
-	for i := range mostOver + 2 {
-		c.apply(record.JobKey(name(i)), encode(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
+	for i := range maxCompletedInPlace + 2 {
+		c.apply(record.JobKey(name(i)), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
 	}
-	c.now, c.budgetAt, c.budget = Time(time.Hour), Time(time.Hour), 20
-	c.file()
-	require.Len(t, c.out, 1)
-	txn := c.out[0].(Commit).Txn
+	c.now, c.writeBudgetAt, c.writeBudget = Time(time.Hour), Time(time.Hour), 20
+	c.archiveCompletedJobs()
+	require.Len(t, c.outputs, 1)
+	txn := c.outputs[0].(Commit).Txn
 	require.Len(t, txn.Then, 4)
 	for i := range 2 {
 		require.Contains(t, txn.If, wire.Condition{Key: record.JobKey(name(i)), Version: wire.Revision(i + 1)})
 		require.Contains(t, txn.If, wire.Condition{Key: record.CompletionKey(name(i))})
 		require.Contains(t, txn.Then, wire.Change{Delete: record.JobKey(name(i))})
 	}
-	c.file()
-	require.Len(t, c.out, 1, "one at a time")
-	c.calls[c.nextCall].then(Committed{Revision: 9000})
-	require.Len(t, c.over, mostOver)
-	for i := range mostOver + 2 {
-		f, ok := c.ended(name(i))
+	c.archiveCompletedJobs()
+	require.Len(t, c.outputs, 1, "one at a time")
+	c.pendingCalls[c.nextCall].complete(CommitResult{Revision: 9000})
+	require.Len(t, c.completedJobs, maxCompletedInPlace)
+	for i := range maxCompletedInPlace + 2 {
+		f, ok := c.completion(name(i))
 		require.True(t, ok)
 		require.Equal(t, wire.StatusDone, f.Status)
 	}
 	c.now += Time(time.Minute)
-	c.file()
-	require.Len(t, c.out, 1, "few enough are left")
+	c.archiveCompletedJobs()
+	require.Len(t, c.outputs, 1, "few enough are left")
 }
--- a/internal/core/failing.go
+++ b/internal/core/failing.go
@@ -6,135 +6,135 @@
 	"lilacrill/wire"
 )
 
-// failing is what this controller knows of a job whose tasks fail. A job that was
+// crashLoopBackoff is what this controller knows of a job whose tasks fail. A job that was
 // submitted with a mistake fails on every machine until its user cancels it: it is
 // tried again and again, with few tasks, ever longer pauses between, and at nobody
 // else's cost.
-type failing struct {
-	errors    map[wire.MachineID]Time // machines on which tasks failed since one last went well
-	strikes   int                     // pauses that were made since then
-	notBefore Time                    // no new tasks before
-	runsFrom  Time                    // since when tasks were seen running without an error
-	well      bool                    // tasks of it went well
-	avoid     map[wire.MachineID]Time
+type crashLoopBackoff struct {
+	failedMachines      map[wire.MachineID]Time // machines on which tasks failed since one last went well
+	consecutiveBackoffs int                     // pauses that were made since then
+	retryAt             Time                    // no new tasks before
+	runningSince        Time                    // since when tasks were seen running without an error
+	hasSucceeded        bool                    // tasks of it went well
+	avoidMachines       map[wire.MachineID]Time
 }
 
 const (
-	// brokenLeast is on how many machines a job must have failed before it, and
+	// minFailedMachines is on how many machines a job must have failed before it, and
 	// not they, looks at fault.
-	brokenLeast = 3
-	// trialTasks is how many tasks of such a job are tried after a pause.
-	trialTasks = 2
-	// trialTime is how long a task may run without an error before the job counts
+	minFailedMachines = 3
+	// canaryTasks is how many tasks of such a job are tried after a pause.
+	canaryTasks = 2
+	// canaryPeriod is how long a task may run without an error before the job counts
 	// as one that runs after all.
-	trialTime = 15 * time.Second
-	// freeOnly is the number of pauses after which a job is given only what is
+	canaryPeriod = 15 * time.Second
+	// maxBackoffsWithPreemption is the number of pauses after which a job is given only what is
 	// free: nothing is rented, gathered or stopped for it any more.
-	freeOnly   = 2
-	leastPause = 2 * time.Second // doubled with every pause in a row
-	mostPause  = time.Minute
-	// errorsLast is how long an error is remembered: a service that goes on for
+	maxBackoffsWithPreemption = 2
+	minCrashLoopBackoff       = 2 * time.Second // doubled with every pause in a row
+	maxCrashLoopBackoff       = time.Minute
+	// failureLifetime is how long an error is remembered: a service that goes on for
 	// long meets several faulty machines in time.
-	errorsLast = 2 * time.Minute
+	failureLifetime = 2 * time.Minute
 
-	// faultyLeast is how many jobs must have failed on a machine that run well
+	// faultyMachineThreshold is how many jobs must have failed on a machine that run well
 	// elsewhere.
-	faultyLeast  = 2
-	avoidFull    = 3 * time.Second
-	avoidFaulty  = 2 * time.Minute
-	unknownPause = 2 * time.Second
-	badMachine   = 5 * time.Minute
+	faultyMachineThreshold = 2
+	avoidFullMachineFor    = 3 * time.Second
+	avoidFaultyMachineFor  = 2 * time.Minute
+	unknownCauseBackoff    = 2 * time.Second
+	faultyMachineLifetime  = 5 * time.Minute
 )
 
-// paused reports whether none of a job's tasks are to be placed for now. While it
+// inBackoff reports whether none of a job's tasks are to be placed for now. While it
 // pauses it takes part in nothing: it takes no room, no guarantee, no turn.
-func (c *Core) paused(j *job) bool { return j.unreadable || !c.after(j.notBefore) }
+func (c *Controller) inBackoff(j *job) bool { return j.unreadable || !c.isDue(j.retryAt) }
 
-// noteError remembers that a task of a job failed on a machine.
-func (c *Core) noteError(j *job, m *machine) {
-	for id, at := range j.errors {
-		if c.now.Sub(at) > errorsLast && j.strikes == 0 {
-			delete(j.errors, id)
+// noteTaskFailure remembers that a task of a job failed on a machine.
+func (c *Controller) noteTaskFailure(j *job, m *machine) {
+	for id, at := range j.failedMachines {
+		if c.now.Sub(at) > failureLifetime && j.consecutiveBackoffs == 0 {
+			delete(j.failedMachines, id)
 		}
 	}
-	j.avoid[m.id] = c.now.Add(avoidFaulty)
-	j.errors[m.id] = c.now
-	j.runsFrom = 0
-	m.faults[j.id] = c.now
-	if len(j.errors) >= brokenLeast && !c.paused(j) {
+	j.avoidMachines[m.id] = c.now.Add(avoidFaultyMachineFor)
+	j.failedMachines[m.id] = c.now
+	j.runningSince = 0
+	m.failedJobs[j.id] = c.now
+	if len(j.failedMachines) >= minFailedMachines && !c.inBackoff(j) {
 		// It fails wherever it runs: the job is at fault, not the machines.
-		pause := min(leastPause<<min(j.strikes, 10), mostPause)
-		j.strikes++
-		j.notBefore = c.now.Add(pause)
+		pause := min(minCrashLoopBackoff<<min(j.consecutiveBackoffs, 10), maxCrashLoopBackoff)
+		j.consecutiveBackoffs++
+		j.retryAt = c.now.Add(pause)
 		c.dirty = true
-		if j.strikes == 1 {
-			c.count(countFailing, 1)
+		if j.consecutiveBackoffs == 1 {
+			c.count(countCrashLoops, 1)
 			c.log.Info("job fails wherever it runs; it is tried again with few tasks", "job", j.id, "class", j.spec.Class,
-				"team", j.spec.Team, "machines", len(j.errors))
+				"team", j.spec.Team, "machines", len(j.failedMachines))
 		}
 	}
-	c.judge(m)
+	c.quarantineIfFaulty(m)
 }
 
-// noteWell remembers that a job runs well.
-func (c *Core) noteWell(j *job) {
-	j.well = true
-	if len(j.errors) == 0 && j.strikes == 0 {
+// noteTaskSuccess remembers that a job runs well.
+func (c *Controller) noteTaskSuccess(j *job) {
+	j.hasSucceeded = true
+	if len(j.failedMachines) == 0 && j.consecutiveBackoffs == 0 {
 		return
 	}
-	if j.strikes > 0 {
+	if j.consecutiveBackoffs > 0 {
 		c.log.Info("job runs after all", "job", j.id, "class", j.spec.Class)
 		c.dirty = true
 	}
-	clear(j.errors)
-	j.strikes, j.notBefore, j.runsFrom = 0, 0, 0
+	clear(j.failedMachines)
+	j.consecutiveBackoffs, j.retryAt, j.runningSince = 0, 0, 0
 }
 
-// trial is how many more tasks of a job that failed everywhere may be tried now.
+// limitToCanaries is how many more tasks of a job that failed everywhere may be tried now.
 // Once those that are tried have run for a while, it is not broken.
-func (c *Core) trial(j *job, count int) int {
-	if j.strikes == 0 || j.spec.Shape == wire.ShapeGang {
+func (c *Controller) limitToCanaries(j *job, count int) int {
+	if j.consecutiveBackoffs == 0 || j.spec.Shape == wire.ShapeGang {
 		return count
 	}
-	return min(count, max(0, trialTasks-c.placedOf(j.id)))
+	return min(count, max(0, canaryTasks-c.placedTasks(j.id)))
 }
 
-// noteRuns is told that a task of a failing job was seen running. If it goes on
+// noteCanaryRunning is told that a task of a failing job was seen running. If it goes on
 // like that for a while, the job is not at fault.
-func (c *Core) noteRuns(j *job) {
-	if j.runsFrom == 0 {
-		j.runsFrom = c.now
-	} else if c.now.Sub(j.runsFrom) > trialTime {
-		c.noteWell(j)
+func (c *Controller) noteCanaryRunning(j *job) {
+	if j.runningSince == 0 {
+		j.runningSince = c.now
+	} else if c.now.Sub(j.runningSince) > canaryPeriod {
+		c.noteTaskSuccess(j)
 	}
 }
 
-// judge calls a machine faulty when several jobs failed on it that do not fail
+// quarantineIfFaulty calls a machine faulty when several jobs failed on it that do not fail
 // elsewhere. A job of which no task has gone well yet may be at fault itself, and
 // tells half as much; one that was withdrawn tells nothing.
-func (c *Core) judge(m *machine) {
+func (c *Controller) quarantineIfFaulty(m *machine) {
 	n := 0.0
-	for id, at := range m.faults {
+	for id, at := range m.failedJobs {
 		j := c.jobs[id]
-		f, _ := c.ended(id)
+		f, _ := c.completion(id)
 		switch {
-		case c.now.Sub(at) > badMachine:
-			delete(m.faults, id)
-		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.errors) < brokenLeast && j.well:
+		case c.now.Sub(at) > faultyMachineLifetime:
+			delete(m.failedJobs, id)
+		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.failedMachines) < minFailedMachines && j.hasSucceeded:
 			n++
-		case j != nil && len(j.errors) < brokenLeast:
+		case j != nil && len(j.failedMachines) < minFailedMachines:
 			n += 0.5
 		}
 	}
-	if n >= faultyLeast && c.after(m.badUntil) {
-		m.badUntil = c.now.Add(badMachine)
+	if n >= faultyMachineThreshold && c.isDue(m.faultyUntil) {
+		m.faultyUntil = c.now.Add(faultyMachineLifetime)
 		c.log.Info("machine looks faulty", "machine", m.id, "jobs", n)
 	}
 }
 
-// noteExit remembers what an exit says of its machine and its job. All of this
+// noteTaskExit remembers what an exit says of its machine and its job. All of this
 // only steers the choice of machines.
-func (c *Core) noteExit(m *machine, t *wire.TaskStatus) {
+func (c *Controller) noteTaskExit(m *machine, t *wire.TaskStatus) {
 	c.log.Debug("task ended", "task", t.Task, "attempt", t.Attempt, "machine", m.id, "cause", t.Cause, "stored", t.Checkpointed)
 	j := c.jobs[t.Task.Job]
 	if j == nil {
@@ -142,12 +142,12 @@
 	}
 	switch t.Cause {
 	case wire.CauseNoRoom, wire.CauseInUse:
-		j.avoid[m.id] = c.now.Add(avoidFull)
+		j.avoidMachines[m.id] = c.now.Add(avoidFullMachineFor)
 	case wire.CauseUnknown:
-		j.notBefore = max(j.notBefore, c.now.Add(unknownPause))
+		j.retryAt = max(j.retryAt, c.now.Add(unknownCauseBackoff))
 	case wire.CauseError:
-		c.noteError(j, m)
+		c.noteTaskFailure(j, m)
 	case wire.CauseDone:
-		c.noteWell(j)
+		c.noteTaskSuccess(j)
 	}
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -7,90 +7,90 @@
 	"lilacrill/internal/record"
 )
 
-// load reads everything anew: at the start, and when the feed no longer goes
+// reloadCache reads everything anew: at the start, and when the feed no longer goes
 // back far enough.
-func (c *Core) load() {
-	c.do(Load{call(c, func(l Loaded) {
-		if l.Outcome != Done {
+func (c *Controller) reloadCache() {
+	c.emit(LoadKeys{call(c, func(l LoadResult) {
+		if l.Outcome != Succeeded {
 			c.loading = false
-			c.nextTry = c.now.Add(retryState)
+			c.nextAttempt = c.now.Add(storeRetryDelay)
 			return
 		}
-		c.stateAnswered()
-		finals := c.finals
-		c.store.init()
+		c.noteStoreResponse()
+		finals := c.archivedJobs
+		c.stateCache.init()
 		c.rollout.Reset()
-		c.shares.Reset()
-		c.finals = finals
-		c.withdrawn, c.withdrawnFrom = nil, 0
-		clear(c.overOn)
+		c.table.Reset()
+		c.archivedJobs = finals
+		c.recentCancellations, c.cancellationsSince = nil, 0
+		clear(c.machinesWithCompletedTasks)
 		for _, m := range c.machines {
-			m.entries = nil
+			m.allocations = nil
 		}
-		clear(c.ofJob)
-		clear(c.critical)
+		clear(c.allocationsByJob)
+		clear(c.criticalAllocations)
 		for _, e := range l.Entries {
 			c.apply(e.Key, e.Value, e.Version)
 		}
-		c.feed = l.First
-		c.forgetWithdrawn(l.First)
-		c.catchUp = l.Last
+		c.revision = l.First
+		c.forgetCancellations(l.First)
+		c.catchUpRevision = l.Last
 		c.loading, c.loaded = false, true
-		c.watch()
+		c.openWatch()
 	}), record.LoadPrefixes})
 }
 
-// watch keeps one open request on the feed.
-func (c *Core) watch() {
+// openWatch keeps one open request on the feed.
+func (c *Controller) openWatch() {
 	if c.watching || !c.loaded {
 		return
 	}
 	c.watching = true
-	block := watchBlock
-	if c.feed < c.catchUp {
+	block := watchTimeout
+	if c.revision < c.catchUpRevision {
 		block = 0
 	}
-	c.do(Follow{Call: call(c, func(f Fed) {
+	c.emit(Watch{Call: call(c, func(f WatchResult) {
 		c.watching = false
-		if !c.fed(f) {
-			c.watchFrom = c.now.Add(retryState)
+		if !c.applyWatchResult(f) {
+			c.nextWatch = c.now.Add(storeRetryDelay)
 			return
 		}
 		// A short pause lets changes gather: what a busy feed brings is wanted
 		// within a second, not at once.
-		c.watchFrom = c.now.Add(c.every(watchPause, watchPart))
-		if c.feed < c.catchUp {
-			c.watch()
+		c.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
+		if c.revision < c.catchUpRevision {
+			c.openWatch()
 		}
-	}), Class: ClassUrgent, Under: record.RootKey, After: c.feed, Block: block})
+	}), Priority: PriorityUrgent, Prefix: record.RootKey, After: c.revision, Block: block})
 }
 
 const (
-	watchBlock = 10 * time.Second
-	watchPause = 40 * time.Millisecond
-	// watchIdle is how long the feed must not have been read for a watch to be
+	watchTimeout  = 10 * time.Second
+	watchInterval = 40 * time.Millisecond
+	// watchIdleDelay is how long the feed must not have been read for a watch to be
 	// opened: while users ask, barriers bring all of it, and a watch would only have
 	// it decoded twice.
-	watchIdle  = 100 * time.Millisecond
-	retryState = 250 * time.Millisecond
-	// watchPart and barrierPart are the parts of this controller's requests that
+	watchIdleDelay  = 100 * time.Millisecond
+	storeRetryDelay = 250 * time.Millisecond
+	// watchRateFraction and barrierRateFraction are the parts of this controller's requests that
 	// reading the feed may take.
-	watchPart   = 0.25
-	barrierPart = 0.3
+	watchRateFraction   = 0.25
+	barrierRateFraction = 0.3
 )
 
-// every is the time between calls that may take a part of this controller's
+// callInterval is the time between calls that may take a part of this controller's
 // share of the state service's requests.
-func (c *Core) every(least time.Duration, part float64) time.Duration {
-	return max(least, config.Seconds(1/(part*c.share()*c.settings.Cluster.State.RPS)))
+func (c *Controller) callInterval(least time.Duration, part float64) time.Duration {
+	return max(least, config.Seconds(1/(part*c.rateFraction()*c.settings.Cluster.State.RPS)))
 }
 
-// fed takes an answer of the feed and reports whether it was one.
-func (c *Core) fed(f Fed) bool {
-	c.outcome(f.Outcome, countStateNot, countStateLost)
+// applyWatchResult takes an answer of the feed and reports whether it was one.
+func (c *Controller) applyWatchResult(f WatchResult) bool {
+	c.countFailure(f.Outcome, countStoreRefused, countStoreUnanswered)
 	switch f.Outcome {
-	case Done:
-	case TooOld:
+	case Succeeded:
+	case Compacted:
 		if c.loaded {
 			c.log.Info("the feed no longer goes back far enough; reading everything again")
 			c.loaded, c.loading = false, false
@@ -99,54 +99,54 @@
 	default:
 		return false
 	}
-	c.stateAnswered()
-	for _, l := range f.Feed.Events {
+	c.noteStoreResponse()
+	for _, l := range f.Response.Events {
 		if l.Put != "" {
 			c.apply(l.Put, l.Value, l.Version)
 		} else {
 			c.apply(l.Delete, nil, l.Version)
 		}
 	}
-	c.feed = max(c.feed, f.Feed.Revision)
+	c.revision = max(c.revision, f.Response.Revision)
 	if c.loaded {
-		c.readTo(c.asked)
+		c.noteCacheCurrent(c.callStartedAt)
 	}
-	for key, version := range c.dropped {
-		if version <= c.feed {
-			delete(c.dropped, key)
+	for key, version := range c.deletedKeys {
+		if version <= c.revision {
+			delete(c.deletedKeys, key)
 			delete(c.keyVersions, key)
 		}
 	}
 	return true
 }
 
-// barrier calls then once the cache holds everything that was written before
+// readBarrier calls then once the cache holds everything that was written before
 // now. All who wait share one request.
-func (c *Core) barrier(then func(ok bool)) {
+func (c *Controller) readBarrier(then func(ok bool)) {
 	if !c.loaded {
 		then(false)
 		return
 	}
-	c.queued = append(c.queued, then)
-	c.openBarrier()
+	c.barrierQueue = append(c.barrierQueue, then)
+	c.startBarrier()
 }
 
-func (c *Core) openBarrier() {
-	if c.barrierOpen || len(c.queued) == 0 || !c.after(c.barrierFrom) {
+func (c *Controller) startBarrier() {
+	if c.barrierInFlight || len(c.barrierQueue) == 0 || !c.isDue(c.nextBarrier) {
 		return
 	}
-	c.barrierOpen = true
-	c.barrierFrom = c.now.Add(c.every(0, barrierPart))
-	c.waiting, c.queued = c.queued, nil
-	after := c.feed
-	c.do(Follow{Call: call(c, func(f Fed) {
-		ok := after <= c.feed && c.fed(f)
-		c.barrierOpen = false
-		served := c.waiting
-		c.waiting = nil
+	c.barrierInFlight = true
+	c.nextBarrier = c.now.Add(c.callInterval(0, barrierRateFraction))
+	c.barrierWaiters, c.barrierQueue = c.barrierQueue, nil
+	after := c.revision
+	c.emit(Watch{Call: call(c, func(f WatchResult) {
+		ok := after <= c.revision && c.applyWatchResult(f)
+		c.barrierInFlight = false
+		served := c.barrierWaiters
+		c.barrierWaiters = nil
 		for _, then := range served {
 			then(ok)
 		}
-		c.openBarrier()
-	}), Class: ClassAccept, Under: record.RootKey, After: after})
+		c.startBarrier()
+	}), Priority: PriorityAdmission, Prefix: record.RootKey, After: after})
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -14,37 +14,37 @@
 
 // fleet is what this controller knows of the machines.
 type fleet struct {
-	machines              map[wire.MachineID]*machine
-	ordered               []*machine                  // by name; nil if that changed
-	imagesNoted           map[wire.MachineID][]string // as the state service has them
-	imageShards           map[int]map[wire.MachineID][]string
-	nextShard             int
-	labelSets             map[machineKind]placement.Tags
-	unheard               bool       // most machines leave our calls unanswered: it is us, not them
-	up                    int        // machines that are up, as far as known
-	asking                int        // machines that are being asked for their report
-	sendingOrders         int        // machines that are being told their orders
-	callsAtOnce           int        // direct calls to workers that may be under way at once
-	heldUrgent            []*machine // have orders, but too many calls are under way
-	heldRest              []*machine
-	noting                bool
-	lastDirect            Time // when a worker last spoke to this controller itself
-	reachableSince        Time // since when workers do, after a while in which none did
-	nextReachabilityProbe Time
-	nextNote              Time
-	timeouts              []timeout
+	machines                  map[wire.MachineID]*machine
+	machinesByID              []*machine                  // by name; nil if that changed
+	recordedImages            map[wire.MachineID][]string // as the state service has them
+	imageBuckets              map[int]map[wire.MachineID][]string
+	nextImageBucket           int
+	labelSets                 map[machineKind]placement.Tags
+	outboundSuspect           bool       // most machines leave our calls unanswered: it is us, not them
+	machinesUp                int        // machines that are up, as far as known
+	heartbeatRequestsInFlight int        // machines that are being asked for their report
+	commandCallsInFlight      int        // machines that are being told their orders
+	maxWorkerCalls            int        // direct calls to workers that may be under way at once
+	queuedUrgentCommands      []*machine // have orders, but too many calls are under way
+	queuedCommands            []*machine
+	recordingImages           bool
+	lastDirectHeartbeat       Time // when a worker last spoke to this controller itself
+	reachableSince            Time // since when workers do, after a while in which none did
+	nextReachabilityProbe     Time
+	nextImageRecord           Time
+	timers                    []timer
 }
 
-type timeout struct {
-	at   Time
-	then func()
+type timer struct {
+	at  Time
+	run func()
 }
 
 func (f *fleet) init(callsAtOnce int) {
-	f.callsAtOnce = callsAtOnce
+	f.maxWorkerCalls = callsAtOnce
 	f.machines = map[wire.MachineID]*machine{}
-	f.imagesNoted = map[wire.MachineID][]string{}
-	f.imageShards = map[int]map[wire.MachineID][]string{}
+	f.recordedImages = map[wire.MachineID][]string{}
+	f.imageBuckets = map[int]map[wire.MachineID][]string{}
 	f.labelSets = map[machineKind]placement.Tags{}
 }
 
@@ -56,61 +56,61 @@
 
 // machine is one machine as reported by its worker and listed by the cloud.
 type machine struct {
-	id    wire.MachineID
-	addr  string
-	kind  string
-	zone  string
-	spot  bool
-	share wire.ShardID
-	first Time // when it was first known here
-	// entries is what stands on it by the records, host what the planning pass under
+	id           wire.MachineID
+	addr         string
+	machineType  string
+	zone         string
+	spot         bool
+	shard        wire.ShardID
+	firstKnownAt Time // when it was first known here
+	// allocations is what stands on it by the records, host what the planning pass under
 	// way makes of it.
-	entries []*Entry
-	host    *placement.Host
-	status  wire.MachineStatus
-	listed  Time // when the list last had it
+	allocations  []*Allocation
+	host         *placement.Host
+	status       wire.MachineStatus
+	lastListedAt Time // when the list last had it
 
-	// newest is the newest report, whoever got it; direct is the newest that
+	// latestHeartbeat is the newest report, whoever got it; direct is the newest that
 	// this controller got itself. Only direct ones prove anything.
-	newest, direct *wire.Heartbeat
-	tasks          map[attemptKey]*wire.TaskStatus // of newest
-	directTasks    map[attemptKey]*wire.TaskStatus // of direct
-	heard          Time                            // when something new last came
-	heardDirect    Time
-	recallAt       Time // when the cloud takes it, if newest has a notice
+	latestHeartbeat, directHeartbeat *wire.Heartbeat
+	tasks                            map[attemptKey]*wire.TaskStatus // of newest
+	directTasks                      map[attemptKey]*wire.TaskStatus // of direct
+	lastHeartbeatAt                  Time                            // when something new last came
+	lastDirectAt                     Time
+	preemptionAt                     Time // when the cloud takes it, if newest has a notice
 
-	images map[string]Time // images it has, and when they were last seen in use
-	has    map[string]bool // the same, as placement reads it
+	imagesLastUsed map[string]Time // images it has, and when they were last seen in use
+	cachedImages   map[string]bool // the same, as placement reads it
 
 	pulling int // images that it is fetching
 
-	sentOn           Time            // when it was told to try another controller
-	redirected       Time            // when it was led to the owner of its share
-	told             *wire.Heartbeat // what the siblings were last told of it
-	unanswered       int             // direct calls without an answer since the last that had one, whatever it reports
-	unreachableSince Time            // when the first of them was made
+	redirectedToPeerAt  Time            // when it was told to try another controller
+	redirectedToOwnerAt Time            // when it was led to the owner of its share
+	gossipedHeartbeat   *wire.Heartbeat // what the siblings were last told of it
+	unansweredCalls     int             // direct calls without an answer since the last that had one, whatever it reports
+	unreachableSince    Time            // when the first of them was made
 
-	sendingOrders      bool
-	held               bool            // waits for its orders to be sent
-	holding            bool            // a launch is held back until the rest of its gang is nearer
-	settled            *wire.Heartbeat // the newest report if nothing has to be told that follows from it
-	again              bool            // something new came up while pushing
-	nextOrders         Time            // not before
-	requestingReport   bool
-	nextReportRequest  Time
-	unansweredRequests int // unanswered in a row
-	badUntil           Time
-	faults             map[wire.JobID]Time
+	sendingCommands             bool
+	commandsQueued              bool            // waits for its orders to be sent
+	launchDeferred              bool            // a launch is held back until the rest of its gang is nearer
+	reconciledHeartbeat         *wire.Heartbeat // the newest report if nothing has to be told that follows from it
+	resendCommands              bool            // something new came up while pushing
+	nextCommandsAt              Time            // not before
+	requestingHeartbeat         bool
+	nextHeartbeatRequest        Time
+	unansweredHeartbeatRequests int // unanswered in a row
+	faultyUntil                 Time
+	failedJobs                  map[wire.JobID]Time
 
-	uncleared map[attemptKey]wire.Revision // exited tasks without an entry, and the revision that is known to lack it
-	lacking   map[attemptKey]Time          // tasks of entries that its reports lack, and since when
-	strays    map[attemptKey]Time          // running tasks without an entry, and since when
-	gone      bool                         // the cloud confirmed that it was returned
-	goneAt    Time
-	leftAt    Time // when it left the list of those to be returned: it is gone unless heard since
-	born      Time // when it was rented, as far as known
-	idleSince Time
-	reserved  bool // holds room that is kept free
+	pendingCleanup      map[attemptKey]wire.Revision // exited tasks without an entry, and the revision that is known to lack it
+	missingSince        map[attemptKey]Time          // tasks of entries that its reports lack, and since when
+	orphanTasks         map[attemptKey]Time          // running tasks without an entry, and since when
+	terminated          bool                         // the cloud confirmed that it was returned
+	terminatedAt        Time
+	terminationLiftedAt Time // when it left the list of those to be returned: it is gone unless heard since
+	launchedAt          Time // when it was rented, as far as known
+	idleSince           Time
+	holdsHeadroom       bool // holds room that is kept free
 }
 
 type attemptKey struct {
@@ -119,49 +119,49 @@
 }
 
 // key names one of the entry's tasks.
-func (e *Entry) key(i int) attemptKey {
+func (e *Allocation) key(i int) attemptKey {
 	return attemptKey{wire.TaskID{Job: e.Job, Index: i}, e.Attempt}
 }
 
-func (c *Core) machineOf(id wire.MachineID) *machine {
+func (c *Controller) machine(id wire.MachineID) *machine {
 	m := c.machines[id]
 	if m == nil {
 		m = &machine{
-			id:        id,
-			share:     share.ShardOf(id),
-			first:     c.now,
-			images:    map[string]Time{},
-			has:       map[string]bool{},
-			faults:    map[wire.JobID]Time{},
-			uncleared: map[attemptKey]wire.Revision{},
-			strays:    map[attemptKey]Time{},
-			lacking:   map[attemptKey]Time{},
+			id:             id,
+			shard:          share.ShardOf(id),
+			firstKnownAt:   c.now,
+			imagesLastUsed: map[string]Time{},
+			cachedImages:   map[string]bool{},
+			failedJobs:     map[wire.JobID]Time{},
+			pendingCleanup: map[attemptKey]wire.Revision{},
+			orphanTasks:    map[attemptKey]Time{},
+			missingSince:   map[attemptKey]Time{},
 		}
 		c.machines[id] = m
-		c.ordered = nil
-		c.recallImages(m)
+		c.machinesByID = nil
+		c.restoreRecordedImages(m)
 	}
 	return m
 }
 
-// inOrder is the machines by name. It must not be changed.
-func (c *Core) inOrder() []*machine {
-	if c.ordered == nil {
-		c.ordered = slices.SortedFunc(maps.Values(c.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
+// orderedMachines is the machines by name. It must not be changed.
+func (c *Controller) orderedMachines() []*machine {
+	if c.machinesByID == nil {
+		c.machinesByID = slices.SortedFunc(maps.Values(c.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
 	}
-	return c.ordered
+	return c.machinesByID
 }
 
-// entriesOn is the records' entries on a machine.
-func (c *Core) entriesOn(id wire.MachineID) []*Entry {
+// allocationsOn is the records' entries on a machine.
+func (c *Controller) allocationsOn(id wire.MachineID) []*Allocation {
 	if m := c.machines[id]; m != nil {
-		return m.entries
+		return m.allocations
 	}
 	return nil
 }
 
 // running counts an entry's tasks that the newest report shows running.
-func (m *machine) running(e *Entry) int {
+func (m *machine) running(e *Allocation) int {
 	n := 0
 	for i := range e.Tasks.All {
 		if t := m.tasks[e.key(i)]; t != nil && t.State == wire.TaskRunning {
@@ -171,106 +171,108 @@
 	return n
 }
 
-// left reports whether a machine was returned, as far as can be told: asking it
+// isTerminated reports whether a machine was returned, as far as can be told: asking it
 // would only cost calls.
-func (m *machine) left() bool { return m.gone || m.leftAt > m.heard }
+func (m *machine) isTerminated() bool {
+	return m.terminated || m.terminationLiftedAt > m.lastHeartbeatAt
+}
 
 const (
-	ordersRetry        = time.Second
-	reportRequestRetry = 900 * time.Millisecond
-	// nextLookEvery is how often all machines are looked at.
-	nextLookEvery = 200 * time.Millisecond
-	forgetAfter   = 2 * time.Minute
-	sweepClears   = 45 * time.Second
-	manyClears    = 40
-	noteEvery     = time.Second
-	imageShards   = 24
-	notedImages   = 6  // of one machine, those seen in use last
-	maxImages     = 40 // remembered of one machine
+	commandRetryInterval     = time.Second
+	heartbeatRequestInterval = 900 * time.Millisecond
+	// fleetReviewInterval is how often all machines are looked at.
+	fleetReviewInterval   = 200 * time.Millisecond
+	forgetMachineAfter    = 2 * time.Minute
+	cleanupFenceInterval  = 45 * time.Second
+	cleanupFenceThreshold = 40
+	imageRecordInterval   = time.Second
+	imageBuckets          = 24
+	maxRecordedImages     = 6  // of one machine, those seen in use last
+	maxCachedImages       = 40 // remembered of one machine
 )
 
-func (c *Core) tickFleet() {
-	kept := c.timeouts[:0]
-	for _, t := range c.timeouts {
-		if c.after(t.at) {
-			t.then()
+func (c *Controller) tickFleet() {
+	kept := c.timers[:0]
+	for _, t := range c.timers {
+		if c.isDue(t.at) {
+			t.run()
 		} else {
 			kept = append(kept, t)
 		}
 	}
-	c.timeouts = kept
-	if !c.after(c.nextLook) {
+	c.timers = kept
+	if !c.isDue(c.nextFleetReview) {
 		return
 	}
-	c.nextLook = c.now.Add(nextLookEvery)
-	c.tickOver()
-	c.probeReachability()
+	c.nextFleetReview = c.now.Add(fleetReviewInterval)
+	c.tickCompletedTasks()
+	c.probeOwnReachability()
 	uncleared, oldest := 0, false
 	unreachable, reporting := 0, 0
 	var due []*machine // to be asked for their reports
-	c.up = 0
-	for _, m := range c.inOrder() {
-		if m.gone || c.now.Sub(c.lastSign(m)) > forgetAfter && c.now.Sub(m.listed) > forgetAfter {
-			if len(m.entries) == 0 && (!m.gone || c.now.Sub(m.goneAt) > forgetAfter) {
+	c.machinesUp = 0
+	for _, m := range c.orderedMachines() {
+		if m.terminated || c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.lastListedAt) > forgetMachineAfter {
+			if len(m.allocations) == 0 && (!m.terminated || c.now.Sub(m.terminatedAt) > forgetMachineAfter) {
 				delete(c.machines, m.id)
-				c.ordered = nil
+				c.machinesByID = nil
 			}
 			continue
 		}
-		if !m.left() && (m.newest != nil || m.status == wire.MachineRunning) {
-			c.up++
+		if !m.isTerminated() && (m.latestHeartbeat != nil || m.status == wire.MachineRunning) {
+			c.machinesUp++
 		}
-		uncleared = max(uncleared, len(m.uncleared))
-		oldest = oldest || len(m.uncleared) > 0
-		quiet := c.now.Sub(c.lastSign(m))
-		if m.newest != nil && quiet < forgetAfter {
+		uncleared = max(uncleared, len(m.pendingCleanup))
+		oldest = oldest || len(m.pendingCleanup) > 0
+		quiet := c.now.Sub(c.lastSeen(m))
+		if m.latestHeartbeat != nil && quiet < forgetMachineAfter {
 			reporting++
 			if m.unreachable() {
 				unreachable++
 			}
 		}
-		if m.settled != m.newest && c.after(m.nextOrders) && quiet < c.silentAsk(m) {
-			for _, e := range m.entries {
-				if e.Launcher == c.boot && e.Eviction == record.EvictionNone {
-					if c.sendOrders(m) {
-						c.count(countResent, 1)
+		if m.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.nextCommandsAt) && quiet < c.heartbeatTimeout(m) {
+			for _, e := range m.allocations {
+				if e.Launcher == c.incarnation && e.Eviction == record.EvictionNone {
+					if c.sendCommands(m) {
+						c.count(countLaunchRetries, 1)
 					}
 					break
 				}
 			}
 		}
-		if m.left() && len(m.entries) == 0 {
+		if m.isTerminated() && len(m.allocations) == 0 {
 			continue
 		}
 		// Ask a silent worker itself: it may have lost its way to us. So is one
 		// that left a call unanswered, though its reports go on.
-		if m.addr != "" && m.status != wire.MachineBooting && !m.requestingReport && c.after(m.nextReportRequest) &&
-			(m.unanswered > 0 || quiet > c.silentAsk(m) && c.asks(m, quiet)) {
+		if m.addr != "" && m.status != wire.MachineBooting && !m.requestingHeartbeat && c.isDue(m.nextHeartbeatRequest) &&
+			(m.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)) {
 			due = append(due, m)
 		}
 	}
-	c.requestReports(due)
-	c.unheard = unreachable > 2 && 3*unreachable > reporting
-	if uncleared > manyClears || oldest && c.now.Sub(c.lastBump) > sweepClears {
+	c.probeMachines(due)
+	c.outboundSuspect = unreachable > 2 && 3*unreachable > reporting
+	if uncleared > cleanupFenceThreshold || oldest && c.now.Sub(c.lastTokenRaise) > cleanupFenceInterval {
 		c.raiseToken()
 	}
 }
 
 // labelsOf is a machine's labels; all of a kind share them.
-func (c *Core) labelsOf(m *machine) placement.Tags {
-	return c.kindLabels(machineKind{m.kind, m.zone, m.spot})
+func (c *Controller) labelsOf(m *machine) placement.Tags {
+	return c.kindLabels(machineKind{m.machineType, m.zone, m.spot})
 }
 
-func (c *Core) kindLabels(k machineKind) placement.Tags {
+func (c *Controller) kindLabels(k machineKind) placement.Tags {
 	tags := c.labelSets[k]
 	if tags == nil {
-		tags = labels(k.kind, k.zone, k.spot)
+		tags = machineLabels(k.kind, k.zone, k.spot)
 		c.labelSets[k] = tags
 	}
 	return tags
 }
 
-func labels(kind, zone string, spot bool) placement.Tags {
+func machineLabels(kind, zone string, spot bool) placement.Tags {
 	s := "false"
 	if spot {
 		s = "true"
@@ -278,6 +280,6 @@
 	return placement.Tags{placement.LabelType: kind, placement.LabelZone: zone, placement.LabelSpot: s}
 }
 
-func amountOf(t *wire.MachineType) placement.Amount {
+func machineResources(t *wire.MachineType) placement.Amount {
 	return placement.Amount{Cores: t.Cores, Accelerators: t.Accelerators, MemGB: t.MemGB}
 }
--- a/internal/core/garbage.go
+++ b/internal/core/garbage.go
@@ -7,40 +7,40 @@
 	"lilacrill/wire"
 )
 
-// tickGarbage rewrites placement records that nothing stands on but what was
+// tickCleanup rewrites placement records that nothing stands on but what was
 // done of jobs that are over; others lose that when they are next written.
-func (c *Core) tickGarbage() {
-	if !c.whole() || !c.stateFresh() {
+func (c *Controller) tickCleanup() {
+	if !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	c.file()
-	if c.sweeping || !c.after(c.nextSweep) || !c.affords() {
+	c.archiveCompletedJobs()
+	if c.cleaning || !c.isDue(c.nextCleanup) || !c.canAffordWrite() {
 		return
 	}
-	c.nextSweep = c.now.Add(2 * time.Second)
+	c.nextCleanup = c.now.Add(2 * time.Second)
 	for _, name := range sortedKeys(c.teams) {
 		t := c.teams[name]
-		if t.writing != nil || !c.ownsTeam(name) {
+		if t.inFlight != nil || !c.ownsTeam(name) {
 			continue
 		}
 		for _, key := range sortedKeys(t.pages) {
 			p := t.pages[key]
-			if len(p.entries) > 0 || len(p.done) == 0 || len(c.living(p.done)) == len(p.done) {
+			if len(p.allocations) > 0 || len(p.completed) == 0 || len(c.uncompletedOnly(p.completed)) == len(p.completed) {
 				continue
 			}
-			d := page{done: c.living(p.done)}
-			c.sweeping = true
-			c.commit(ClassRest, wire.Transaction{
+			d := page{completed: c.uncompletedOnly(p.completed)}
+			c.cleaning = true
+			c.commit(PriorityBackground, wire.Transaction{
 				If:   []wire.Condition{{Key: key, Version: p.version}},
-				Then: []wire.Change{c.put(key, d.value())},
-			}, func(Committed) { c.sweeping = false })
+				Then: []wire.Change{c.putChange(key, d.value())},
+			}, func(CommitResult) { c.cleaning = false })
 			return
 		}
 	}
 }
 
-// living is what of the done sets belongs to jobs that are not over.
-func (c *Core) living(done map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
+// uncompletedOnly is what of the done sets belongs to jobs that are not over.
+func (c *Controller) uncompletedOnly(done map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	out := map[wire.JobID]record.TaskSet{}
 	for id, set := range done {
 		if c.jobs[id] != nil {
--- a/internal/core/handoff.go
+++ b/internal/core/handoff.go
@@ -15,100 +15,100 @@
 // its team, which waits a moment before the next turn. Siblings say what room they have.
 // All of it is hints: what is placed is decided by the conditions of the write.
 
-// handOff is a job that a controller is to place until some time.
-type handOff struct {
+// forwardedJob is a job that a controller is to place until some time.
+type forwardedJob struct {
 	to    string
 	until Time
 	tried []string
 }
 
-// handOffState is what this controller knows of jobs handed on and of siblings' room.
-type handOffState struct {
-	handOffs    map[wire.JobID]handOff
-	siblingRoom map[string][]wire.CapacityOffer // by sibling
-	toHandOn    []wire.ForwardedJob             // to be told once no write of the team is under way
-	nextOffer   Time
+// jobForwarding is what this controller knows of jobs handed on and of siblings' room.
+type jobForwarding struct {
+	forwarded         map[wire.JobID]forwardedJob
+	siblingCapacity   map[string][]wire.CapacityOffer // by sibling
+	outgoing          []wire.ForwardedJob             // to be told once no write of the team is under way
+	nextCapacityOffer Time
 }
 
 const (
-	// handOffLasts is how long a job is left to the controller that it was handed to.
-	handOffLasts = 2 * time.Second
-	// handOnPause and handOnPauseUrgent are the pauses after all have tried.
-	handOnPause       = time.Second
-	handOnPauseUrgent = 300 * time.Millisecond
-	// handOffsPerLine bounds how many jobs are handed on at once.
-	handOffsPerLine = 64
-	// offerEvery is how often siblings are told of room.
-	offerEvery = 500 * time.Millisecond
+	// forwardLifetime is how long a job is left to the controller that it was handed to.
+	forwardLifetime = 2 * time.Second
+	// forwardBackoff and criticalForwardBackoff are the pauses after all have tried.
+	forwardBackoff         = time.Second
+	criticalForwardBackoff = 300 * time.Millisecond
+	// maxForwardsPerMessage bounds how many jobs are handed on at once.
+	maxForwardsPerMessage = 64
+	// capacityOfferInterval is how often siblings are told of room.
+	capacityOfferInterval = 500 * time.Millisecond
 )
 
-func (s *handOffState) init() {
-	s.handOffs = map[wire.JobID]handOff{}
-	s.siblingRoom = map[string][]wire.CapacityOffer{}
+func (s *jobForwarding) init() {
+	s.forwarded = map[wire.JobID]forwardedJob{}
+	s.siblingCapacity = map[string][]wire.CapacityOffer{}
 }
 
-// holder is the controller that a job was handed to, if that still holds.
-func (c *Core) holder(id wire.JobID) (string, bool) {
-	h, ok := c.handOffs[id]
-	return h.to, ok && !c.after(h.until)
+// forwardedTo is the controller that a job was handed to, if that still holds.
+func (c *Controller) forwardedTo(id wire.JobID) (string, bool) {
+	h, ok := c.forwarded[id]
+	return h.to, ok && !c.isDue(h.until)
 }
 
-// handOn hands on a job that found no room here: to a controller that says it has room or,
+// forwardJob hands on a job that found no room here: to a controller that says it has room or,
 // without roomOnly, urgent work also to one that could stop others for it. It reports
 // whether it did.
-func (c *Core) handOn(w *waiting, roomOnly bool) bool {
+func (c *Controller) forwardJob(w *pendingJob, roomOnly bool) bool {
 	j := w.job
-	if !c.places(j) || !c.after(j.handOnFrom) || len(c.toHandOn) >= handOffsPerLine {
+	if !c.schedulesJob(j) || !c.isDue(j.nextForward) || len(c.outgoing) >= maxForwardsPerMessage {
 		return false
 	}
 	tried := []string{c.settings.Label}
-	if h, ok := c.handOffs[j.id]; ok && !c.after(h.until) {
+	if h, ok := c.forwarded[j.id]; ok && !c.isDue(h.until) {
 		tried = append(slices.Clone(h.tried), c.settings.Label)
 	}
-	next := c.nextHolder(w, tried, roomOnly)
+	next := c.nextForwardTarget(w, tried, roomOnly)
 	owner := c.teamOwner(j.spec.Team)
 	switch {
 	case next != "":
 	case roomOnly:
 		return false
 	case owner == c.settings.Label:
-		c.handedBack(j)
+		c.jobReturned(j)
 		return false
 	default:
 		next = owner
 		tried = append(tried, owner) // it comes back
 	}
-	j.handOnFrom = c.now.Add(handOnPauseUrgent)
-	c.handOffs[j.id] = handOff{next, c.now.Add(handOffLasts), tried}
-	c.toHandOn = append(c.toHandOn, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
-	c.count(countHandedOn, 1)
+	j.nextForward = c.now.Add(criticalForwardBackoff)
+	c.forwarded[j.id] = forwardedJob{next, c.now.Add(forwardLifetime), tried}
+	c.outgoing = append(c.outgoing, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
+	c.count(countJobsForwarded, 1)
 	return true
 }
 
-// handedBack is called when all controllers have tried a job of a team of ours.
-func (c *Core) handedBack(j *job) {
-	pause := handOnPause
+// jobReturned is called when all controllers have tried a job of a team of ours.
+func (c *Controller) jobReturned(j *job) {
+	pause := forwardBackoff
 	if j.spec.Priority == wire.PriorityCritical {
-		pause = handOnPauseUrgent
+		pause = criticalForwardBackoff
 	}
-	j.handOnFrom = c.now.Add(pause)
-	delete(c.handOffs, j.id)
+	j.nextForward = c.now.Add(pause)
+	delete(c.forwarded, j.id)
 	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone) {
-		c.collectFor = j.id
+		c.acquireFor = j.id
 	}
 }
 
-// nextHolder is a controller that has not tried a job and may have room for it; if none
+// nextForwardTarget is a controller that has not tried a job and may have room for it; if none
 // has, and roomOnly is not set, one that could stop less urgent work for it.
-func (c *Core) nextHolder(w *waiting, tried []string, roomOnly bool) string {
-	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.promised
+func (c *Controller) nextForwardTarget(w *pendingJob, tried []string, roomOnly bool) string {
+	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.guaranteed
 	other := ""
-	for _, label := range c.labels {
+	for _, label := range c.eligibleControllers {
 		p := c.peers[label]
-		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.heard) > peerSilence || c.shares.Owned(label) == 0 {
+		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.lastHeardAt) > peerTimeout || c.table.Owned(label) == 0 {
 			continue
 		}
-		if c.offersRoom(label, w.job) {
+		if c.offersCapacity(label, w.job) {
 			return label
 		}
 		if makesRoom && !roomOnly {
@@ -118,101 +118,101 @@
 	return other
 }
 
-// offersRoom reports whether a sibling says that it has room for a task of a job.
-func (c *Core) offersRoom(label string, j *job) bool {
-	for i := range c.siblingRoom[label] {
-		o := &c.siblingRoom[label][i]
+// offersCapacity reports whether a sibling says that it has room for a task of a job.
+func (c *Controller) offersCapacity(label string, j *job) bool {
+	for i := range c.siblingCapacity[label] {
+		o := &c.siblingCapacity[label][i]
 		free := placement.Amount{Cores: o.Cores, Accelerators: o.Accelerators, MemGB: o.MemGB}
-		if !free.Covers(j.req.Need) {
+		if !free.Covers(j.request.Need) {
 			continue
 		}
 		h := &placement.Host{Labels: c.kindLabels(machineKind{o.Type, o.Zone, o.Spot}), Free: free}
-		if (placement.Fleet{h}).Holds(j.req.Enforced, j.spec.Team, h) {
+		if (placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
 			return true
 		}
 	}
 	return false
 }
 
-// tellHandOffs tells the siblings of jobs that are handed on. Those of a team of which a
+// sendForwardedJobs tells the siblings of jobs that are handed on. Those of a team of which a
 // write is under way wait: whoever gets them would lose its own write to it.
-func (c *Core) tellHandOffs() {
-	if len(c.toHandOn) == 0 {
+func (c *Controller) sendForwardedJobs() {
+	if len(c.outgoing) == 0 {
 		return
 	}
-	line := c.newLine()
-	kept := c.toHandOn[:0]
-	for _, h := range c.toHandOn {
+	line := c.newPeerMessage()
+	kept := c.outgoing[:0]
+	for _, h := range c.outgoing {
 		j := c.jobs[h.Job]
 		switch {
 		case j == nil:
-		case c.teamOf(j.spec.Team).writing != nil:
+		case c.team(j.spec.Team).inFlight != nil:
 			kept = append(kept, h)
 		default:
 			line.ForwardedJobs = append(line.ForwardedJobs, h)
 		}
 	}
-	c.toHandOn = kept
+	c.outgoing = kept
 	if len(line.ForwardedJobs) > 0 {
-		c.tell(line)
+		c.broadcast(line)
 	}
 }
 
-// takeHandOffs takes a sibling's word on jobs that it hands on.
-func (c *Core) takeHandOffs(handOffs []wire.ForwardedJob) {
+// applyForwardedJobs takes a sibling's word on jobs that it hands on.
+func (c *Controller) applyForwardedJobs(handOffs []wire.ForwardedJob) {
 	for _, h := range handOffs {
 		j := c.jobs[h.Job]
 		if slices.Contains(h.Tried, h.To) { // it comes back to its team's owner
-			delete(c.handOffs, h.Job)
+			delete(c.forwarded, h.Job)
 			if j != nil && h.To == c.settings.Label {
-				c.handedBack(j)
+				c.jobReturned(j)
 			}
 			continue
 		}
-		c.handOffs[h.Job] = handOff{h.To, c.now.Add(handOffLasts), h.Tried}
+		c.forwarded[h.Job] = forwardedJob{h.To, c.now.Add(forwardLifetime), h.Tried}
 		if h.To == c.settings.Label {
 			c.dirty = true
-			c.urgent = c.urgent || j != nil && j.spec.Priority == wire.PriorityCritical
+			c.criticalDirty = c.criticalDirty || j != nil && j.spec.Priority == wire.PriorityCritical
 			if j != nil {
-				j.handOnFrom = 0
+				j.nextForward = 0
 			}
 		}
 	}
 }
 
-// forgetHandOffs drops what no longer holds.
-func (c *Core) forgetHandOffs() {
-	for id, h := range c.handOffs {
-		if c.after(h.until) {
-			delete(c.handOffs, id)
+// expireForwardedJobs drops what no longer holds.
+func (c *Controller) expireForwardedJobs() {
+	for id, h := range c.forwarded {
+		if c.isDue(h.until) {
+			delete(c.forwarded, id)
 		}
 	}
 }
 
-// offerRoom adds the room in this controller's shares to a line, from time to time.
-func (c *Core) offerRoom(line *wire.PeerMessage) {
-	if !c.sharded() || !c.after(c.nextOffer) {
+// addCapacityOffer adds the room in this controller's shares to a line, from time to time.
+func (c *Controller) addCapacityOffer(line *wire.PeerMessage) {
+	if !c.sharded() || !c.isDue(c.nextCapacityOffer) {
 		return
 	}
-	c.nextOffer = c.now.Add(offerEvery)
-	c.forgetHandOffs()
-	room := c.roomOffers()
+	c.nextCapacityOffer = c.now.Add(capacityOfferInterval)
+	c.expireForwardedJobs()
+	room := c.capacityOffers()
 	line.Capacity = &room
 }
 
-func (c *Core) roomOffers() []wire.CapacityOffer {
+func (c *Controller) capacityOffers() []wire.CapacityOffer {
 	best := map[machineKind]placement.Amount{}
 	var kinds []machineKind
-	for _, m := range c.inOrder() {
-		t := c.kind(m.kind)
-		if t == nil || !c.shares.Places(m.share) || !c.usable(m) {
+	for _, m := range c.orderedMachines() {
+		t := c.machineTypeNamed(m.machineType)
+		if t == nil || !c.table.Places(m.shard) || !c.acceptsTasks(m) {
 			continue
 		}
-		free := amountOf(t)
-		for _, e := range m.entries {
-			free = free.Plus(e.need(), -float64(e.Tasks.Len()))
+		free := machineResources(t)
+		for _, e := range m.allocations {
+			free = free.Plus(e.taskResources(), -float64(e.Tasks.Len()))
 		}
-		key := machineKind{m.kind, m.zone, m.spot}
+		key := machineKind{m.machineType, m.zone, m.spot}
 		most, known := best[key]
 		if !known {
 			kinds = append(kinds, key)
@@ -228,46 +228,46 @@
 	return offers
 }
 
-// collect asks for the shares whose machines, together with those of this controller, have
+// acquireShards asks for the shares whose machines, together with those of this controller, have
 // room for a job that needs it at once and that no controller alone can place.
-func (c *Core) collect() (share.Action, bool) {
-	j := c.jobs[c.collectFor]
-	c.collectFor = ""
-	if j == nil || c.collected != 0 && c.now.Sub(c.collected) < collectEvery || len(c.catalogue) == 0 {
+func (c *Controller) acquireShards() (share.Action, bool) {
+	j := c.jobs[c.acquireFor]
+	c.acquireFor = ""
+	if j == nil || c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquireInterval || len(c.catalogue) == 0 {
 		return share.Action{}, false
 	}
-	ids := c.sharesFor(j)
+	ids := c.shardsForJob(j)
 	if len(ids) == 0 {
 		return share.Action{}, false
 	}
-	a, due := c.sharePlanner.Acquire(ids, c.wall)
+	a, due := c.planner.Acquire(ids, c.wall)
 	if due {
-		c.collected = c.now
+		c.acquiredAt = c.now
 		c.log.Debug("shares asked for", "job", j.id, "shares", a.Shards)
 	}
 	return a, due
 }
 
-// sharesFor finds the shares of others whose machines a job needs, in the zone that comes
+// shardsForJob finds the shares of others whose machines a job needs, in the zone that comes
 // closest if it is to stay in one.
-func (c *Core) sharesFor(j *job) []wire.ShardID {
+func (c *Controller) shardsForJob(j *job) []wire.ShardID {
 	type candidate struct {
 		share     wire.ShardID
 		now, most int // tasks that there is room for, and if less urgent work is stopped
 	}
-	need := j.req.Need
+	need := j.request.Need
 	byZone, now, most := map[string][]candidate{}, map[string]int{}, map[string]int{}
-	fleet := c.hosts(map[string]*round{}, false, func(*page, *Entry, *placement.Host) {})
+	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
 	for _, h := range fleet {
-		if h.Closed || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.req.Enforced, j.spec.Team, h) {
+		if h.Closed || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
 			continue
 		}
 		m := c.machines[h.ID]
 		free := h.Free.Plus(h.Freeing, 1)
-		cand := candidate{share: m.share, now: free.Times(need, j.spec.Tasks)}
-		for _, e := range m.entries {
+		cand := candidate{share: m.shard, now: free.Times(need, j.spec.Tasks)}
+		for _, e := range m.allocations {
 			if e.Priority > j.spec.Priority.Level() {
-				free = free.Plus(e.need(), float64(e.Tasks.Len()))
+				free = free.Plus(e.taskResources(), float64(e.Tasks.Len()))
 			}
 		}
 		cand.most = free.Times(need, j.spec.Tasks)
@@ -289,7 +289,7 @@
 	slices.SortStableFunc(byZone[best], func(a, b candidate) int { return b.now - a.now })
 	have := 0
 	for _, cand := range byZone[best] {
-		if c.shares.Places(cand.share) {
+		if c.table.Places(cand.share) {
 			have += max(cand.now, cand.most)
 		}
 	}
@@ -298,7 +298,7 @@
 		if have >= j.spec.Tasks {
 			break
 		}
-		if cand.most > 0 && !c.shares.Places(cand.share) && !slices.Contains(ids, cand.share) {
+		if cand.most > 0 && !c.table.Places(cand.share) && !slices.Contains(ids, cand.share) {
 			ids = append(ids, cand.share)
 		}
 		if slices.Contains(ids, cand.share) {
--- a/internal/core/hearing.go
+++ b/internal/core/hearing.go
@@ -11,53 +11,53 @@
 	"lilacrill/wire"
 )
 
-// lastSign is when a machine last showed itself. One that has only just become
+// lastSeen is when a machine last showed itself. One that has only just become
 // known, or that we have had no chance to hear yet, as when this process stood
 // still itself, is not silent.
-func (c *Core) lastSign(m *machine) Time {
-	return max(m.heard, m.first, c.readyAt, c.awake, c.reachableSince)
+func (c *Controller) lastSeen(m *machine) Time {
+	return max(m.lastHeartbeatAt, m.firstKnownAt, c.readyAt, c.resumedAt, c.reachableSince)
 }
 
-// silentAsk is how long a worker may be silent before it is asked: its reports
+// heartbeatTimeout is how long a worker may be silent before it is asked: its reports
 // come every so often, give or take a quarter. Where tasks stand that somebody
 // waits for at every moment, reports may be too far apart to wait for the next.
-func (c *Core) silentAsk(m *machine) time.Duration {
+func (c *Controller) heartbeatTimeout(m *machine) time.Duration {
 	usual := config.Seconds(1.3 * c.settings.Cluster.Workers.ReportS)
 	if c.hasCriticalTasks(m) {
-		return min(usual, criticalTasksAsk)
+		return min(usual, criticalProbeAfter)
 	}
 	return usual
 }
 
 // hasCriticalTasks reports whether critical tasks stand on a machine.
-func (c *Core) hasCriticalTasks(m *machine) bool { return c.critical[m.id] > 0 }
+func (c *Controller) hasCriticalTasks(m *machine) bool { return c.criticalAllocations[m.id] > 0 }
 
-// asks reports whether it is up to this controller to ask a machine: one of the
+// shouldProbe reports whether it is up to this controller to ask a machine: one of the
 // living does, by the machine's name, and the buyer a little later, since it
 // must know for itself. While siblings are out of hearing, what they hear is not
 // passed on: each then asks for itself, or it would take most machines for
 // silent after a while, and place nothing on them.
-func (c *Core) asks(m *machine, quiet time.Duration) bool {
-	if quiet > config.Seconds(1.3*c.settings.Cluster.Workers.ReportS) && !c.siblingsWell() {
+func (c *Controller) shouldProbe(m *machine, quiet time.Duration) bool {
+	if quiet > config.Seconds(1.3*c.settings.Cluster.Workers.ReportS) && !c.allPeersHeard() {
 		return true
 	}
-	if c.buyer == c.boot && quiet > c.silentAsk(m)+buyerAsk {
+	if c.provisionerIncarnation == c.incarnation && quiet > c.heartbeatTimeout(m)+provisionerProbeDelay {
 		return true
 	}
-	return len(c.labels) == 0 || rendezvous.Highest(c.labels, string(m.id)) == c.settings.Label
+	return len(c.eligibleControllers) == 0 || rendezvous.Highest(c.eligibleControllers, string(m.id)) == c.settings.Label
 }
 
 const (
-	criticalTasksAsk = 1500 * time.Millisecond
-	buyerAsk         = 500 * time.Millisecond
-	// Of the direct calls that may be under way, one in asksPart is for asking,
-	// and one in urgentPart is kept for orders to machines with critical tasks.
-	asksPart, urgentPart = 4, 4
+	criticalProbeAfter    = 1500 * time.Millisecond
+	provisionerProbeDelay = 500 * time.Millisecond
+	// Of the direct calls that may be under way, one in probeCallDivisor is for asking,
+	// and one in urgentCallDivisor is kept for orders to machines with critical tasks.
+	probeCallDivisor, urgentCallDivisor = 4, 4
 )
 
-// tasksOf is a report's tasks. A machine may list an ended attempt beside
+// tasksByAttempt is a report's tasks. A machine may list an ended attempt beside
 // another one of the same task, so the task alone does not name them.
-func tasksOf(r *wire.Heartbeat) map[attemptKey]*wire.TaskStatus {
+func tasksByAttempt(r *wire.Heartbeat) map[attemptKey]*wire.TaskStatus {
 	tasks := make(map[attemptKey]*wire.TaskStatus, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -66,43 +66,43 @@
 	return tasks
 }
 
-// hear takes a report, got from the worker itself or passed on by a sibling.
-func (c *Core) hear(r *wire.Heartbeat, direct bool) {
-	m := c.machineOf(r.Machine)
+// applyHeartbeat takes a report, got from the worker itself or passed on by a sibling.
+func (c *Controller) applyHeartbeat(r *wire.Heartbeat, direct bool) {
+	m := c.machine(r.Machine)
 	if direct {
-		if c.inDoubt() {
+		if c.isolationSuspected() {
 			c.reachableSince = c.now
 		}
-		c.lastDirect = c.now
-		c.toTell[m.id] = true
+		c.lastDirectHeartbeat = c.now
+		c.gossipMachines[m.id] = true
 	}
-	if direct && (m.direct == nil || r.Newer(m.direct)) {
-		if m.direct == nil || !sameReport(m.direct, r) {
-			m.lookAgain()
+	if direct && (m.directHeartbeat == nil || r.Newer(m.directHeartbeat)) {
+		if m.directHeartbeat == nil || !sameStatus(m.directHeartbeat, r) {
+			m.markForReview()
 			c.dirty = true
 		}
-		m.direct, m.directTasks, m.heardDirect = r, tasksOf(r), c.now
-		for key, since := range m.lacking {
-			if m.directTasks[key] != nil || c.now.Sub(since) > forgetAfter {
-				delete(m.lacking, key)
+		m.directHeartbeat, m.directTasks, m.lastDirectAt = r, tasksByAttempt(r), c.now
+		for key, since := range m.missingSince {
+			if m.directTasks[key] != nil || c.now.Sub(since) > forgetMachineAfter {
+				delete(m.missingSince, key)
 			}
 		}
 	}
-	if m.newest != nil && !r.Newer(m.newest) {
+	if m.latestHeartbeat != nil && !r.Newer(m.latestHeartbeat) {
 		return
 	}
-	before, first := m.tasks, m.newest == nil
+	before, first := m.tasks, m.latestHeartbeat == nil
 	// A report that only says that the machine is still there changes no plan.
-	c.dirty = c.dirty || first || !sameReport(m.newest, r) || !c.reports(m)
-	c.backFrom(m)
-	m.newest, m.tasks, m.heard, m.unansweredRequests = r, tasksOf(r), c.now, 0
-	m.addr, m.kind, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
+	c.dirty = c.dirty || first || !sameStatus(m.latestHeartbeat, r) || !c.heartbeatsOnTime(m)
+	c.resetUnansweredAfterSilence(m)
+	m.latestHeartbeat, m.tasks, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = r, tasksByAttempt(r), c.now, 0
+	m.addr, m.machineType, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
 	if first {
-		c.cameUp(m)
+		c.noteJoined(m)
 	}
-	m.recallAt = 0
+	m.preemptionAt = 0
 	if r.PreemptionNoticeS != nil {
-		m.recallAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+		m.preemptionAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 	pulling := map[string]bool{}
 	for id, t := range m.tasks {
@@ -110,81 +110,83 @@
 			pulling[j.spec.Image] = true
 		}
 		if j := c.jobs[id.task.Job]; j != nil && (t.State == wire.TaskRunning || t.State == wire.TaskWaiting) {
-			c.sawImage(m, j.spec.Image)
+			c.noteImageUse(m, j.spec.Image)
 			if !j.started {
-				c.log.Debug("job started", "job", j.id, "class", j.spec.Class, "after_s", float64(c.wall-j.at)/1000)
+				c.log.Debug("job started", "job", j.id, "class", j.spec.Class, "after_s", float64(c.wall-j.acceptedAt)/1000)
 				j.started = true
-				c.took(timeStart, time.Duration(max(0, c.wall-j.at))*time.Millisecond)
+				c.observe(latencyJobStart, time.Duration(max(0, c.wall-j.acceptedAt))*time.Millisecond)
 			}
 		}
-		if j := c.jobs[id.task.Job]; j != nil && j.strikes > 0 && t.State == wire.TaskRunning {
-			c.noteRuns(j)
+		if j := c.jobs[id.task.Job]; j != nil && j.consecutiveBackoffs > 0 && t.State == wire.TaskRunning {
+			c.noteCanaryRunning(j)
 		}
 		if old := before[id]; t.State == wire.TaskExited && (old == nil || old.State != wire.TaskExited) {
-			c.noteExit(m, t)
+			c.noteTaskExit(m, t)
 		}
 	}
 	m.pulling = len(pulling)
 	if !direct && c.ready {
-		c.confirm(m)
+		c.confirmDirectly(m)
 	}
 }
 
-// backFrom is called when a machine is heard. What it left unanswered while
+// resetUnansweredAfterSilence is called when a machine is heard. What it left unanswered while
 // nothing came from it either does not show that it hears nothing.
-func (c *Core) backFrom(m *machine) {
-	if c.now.Sub(m.heard) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+reportSlack {
-		m.unanswered = 0
+func (c *Controller) resetUnansweredAfterSilence(m *machine) {
+	if c.now.Sub(m.lastHeartbeatAt) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack {
+		m.unansweredCalls = 0
 	}
 }
 
-// heardAgain takes a sibling's word that a machine reported what it had
+// applyUnchangedHeartbeat takes a sibling's word that a machine reported what it had
 // reported before.
-func (c *Core) heardAgain(h *wire.UnchangedHeartbeat) {
+func (c *Controller) applyUnchangedHeartbeat(h *wire.UnchangedHeartbeat) {
 	m := c.machines[h.Machine]
-	if m == nil || m.newest == nil || m.newest.AgentEpoch != h.AgentEpoch || m.newest.Sequence >= h.Sequence {
+	if m == nil || m.latestHeartbeat == nil || m.latestHeartbeat.AgentEpoch != h.AgentEpoch || m.latestHeartbeat.Sequence >= h.Sequence {
 		return
 	}
-	c.backFrom(m)
-	r := *m.newest
+	c.resetUnansweredAfterSilence(m)
+	r := *m.latestHeartbeat
 	r.Sequence, r.Token = h.Sequence, h.Token
-	m.newest, m.heard, m.unansweredRequests = &r, c.now, 0
+	m.latestHeartbeat, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = &r, c.now, 0
 	if c.ready {
-		c.confirm(m)
+		c.confirmDirectly(m)
 	}
 }
 
-// confirm asks a machine itself when a passed-on report hints at something that
+// confirmDirectly asks a machine itself when a passed-on report hints at something that
 // this controller, as its owner, should write down: hints prove nothing.
-func (c *Core) confirm(m *machine) {
-	if m.requestingReport || m.direct == m.newest || !c.after(m.nextReportRequest) || !c.mayAsk() {
+func (c *Controller) confirmDirectly(m *machine) {
+	if m.requestingHeartbeat || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.nextHeartbeatRequest) || !c.canProbe() {
 		return
 	}
-	for _, e := range m.entries {
+	for _, e := range m.allocations {
 		if !c.ownsTeam(e.page.team) {
 			continue
 		}
 		for i := range e.Tasks.All {
 			t := m.tasks[e.key(i)]
-			if t == nil && (e.Eviction != record.EvictionNone || c.jobs[e.Job] == nil || !c.live(e.Launcher) || m.newest.AgentEpoch > e.Session) ||
+			if t == nil && (e.Eviction != record.EvictionNone || c.jobs[e.Job] == nil || !c.isAlive(e.Launcher) || m.latestHeartbeat.AgentEpoch > e.AgentEpoch) ||
 				t != nil && t.State == wire.TaskExited {
-				c.requestReport(m)
+				c.probeMachine(m)
 				return
 			}
 		}
 	}
 }
 
-// mayAsk reports whether another machine may be asked now. When hundreds hang,
+// canProbe reports whether another machine may be asked now. When hundreds hang,
 // calls to them would pile up otherwise, with a socket each.
-func (c *Core) mayAsk() bool { return c.asking < max(1, c.callsAtOnce/asksPart) }
+func (c *Controller) canProbe() bool {
+	return c.heartbeatRequestsInFlight < max(1, c.maxWorkerCalls/probeCallDivisor)
+}
 
-// requestReports asks machines for their reports, as many as may be asked at a time:
+// probeMachines asks machines for their reports, as many as may be asked at a time:
 // those with critical tasks first, and of the rest those that were not asked for the
 // longest time. In the order of their names, a few that hang were asked over and over
 // while others that hang were never found silent.
-func (c *Core) requestReports(due []*machine) {
-	if len(due) == 0 || !c.mayAsk() {
+func (c *Controller) probeMachines(due []*machine) {
+	if len(due) == 0 || !c.canProbe() {
 		return
 	}
 	slices.SortStableFunc(due, func(a, b *machine) int {
@@ -194,105 +196,107 @@
 			}
 			return 1
 		}
-		return cmp.Compare(a.nextReportRequest, b.nextReportRequest)
+		return cmp.Compare(a.nextHeartbeatRequest, b.nextHeartbeatRequest)
 	})
 	for _, m := range due {
-		if !c.mayAsk() {
+		if !c.canProbe() {
 			return
 		}
-		c.requestReport(m)
+		c.probeMachine(m)
 	}
 }
 
-// requestReport asks a worker for its report.
-func (c *Core) requestReport(m *machine) {
-	m.requestingReport = true
-	m.nextReportRequest = c.now.Add(reportRequestRetry)
-	c.asking++
+// probeMachine asks a worker for its report.
+func (c *Controller) probeMachine(m *machine) {
+	m.requestingHeartbeat = true
+	m.nextHeartbeatRequest = c.now.Add(heartbeatRequestInterval)
+	c.heartbeatRequestsInFlight++
 	c.count(countProbes, 1)
 	asked := c.now
-	c.do(Show{call(c, func(a Answered) {
-		m.requestingReport = false
-		c.asking--
-		if a.Report == nil {
-			m.unansweredRequests++
+	c.emit(RequestHeartbeat{call(c, func(a WorkerResponse) {
+		m.requestingHeartbeat = false
+		c.heartbeatRequestsInFlight--
+		if a.Heartbeat == nil {
+			m.unansweredHeartbeatRequests++
 		}
-		c.reached(m, asked, a)
-		c.answered(m, a)
+		c.notePingResult(m, asked, a)
+		c.applyWorkerResponse(m, a)
 	}), m.addr})
 }
 
-// reached notes whether a worker answers what it is asked. One whose reports
+// notePingResult notes whether a worker answers what it is asked. One whose reports
 // arrive, but which nothing reaches, looks well while its lease runs out.
-func (c *Core) reached(m *machine, asked Time, a Answered) {
-	if a.Report != nil {
-		m.unanswered = 0
+func (c *Controller) notePingResult(m *machine, asked Time, a WorkerResponse) {
+	if a.Heartbeat != nil {
+		m.unansweredCalls = 0
 		return
 	}
 	if asked < c.reachableSince {
 		return // it was us
 	}
-	if m.unanswered == 0 || m.unreachableSince < c.reachableSince {
-		m.unreachableSince, m.unanswered = asked, 0
+	if m.unansweredCalls == 0 || m.unreachableSince < c.reachableSince {
+		m.unreachableSince, m.unansweredCalls = asked, 0
 	}
-	m.unanswered++
+	m.unansweredCalls++
 }
 
 // unreachable reports whether a machine seems not to hear what it is told: it gets
 // no new work.
-func (m *machine) unreachable() bool { return m.unanswered >= unreachableCalls }
+func (m *machine) unreachable() bool { return m.unansweredCalls >= unreachableThreshold }
 
-// unreachableCalls is how many direct calls in a row a machine may leave unanswered
+// unreachableThreshold is how many direct calls in a row a machine may leave unanswered
 // before it counts as one that does not hear.
-const unreachableCalls = 2
+const unreachableThreshold = 2
 
-// answered takes a worker's own answer to /do or /show.
-func (c *Core) answered(m *machine, a Answered) {
-	if a.Report == nil || a.Report.Machine != m.id {
+// applyWorkerResponse takes a worker's own answer to /do or /show.
+func (c *Controller) applyWorkerResponse(m *machine, a WorkerResponse) {
+	if a.Heartbeat == nil || a.Heartbeat.Machine != m.id {
 		return
 	}
-	c.hear(a.Report, true)
-	if a.Report.Token > c.token {
-		c.barrier(func(bool) {})
+	c.applyHeartbeat(a.Heartbeat, true)
+	if a.Heartbeat.Token > c.token {
+		c.readBarrier(func(bool) {})
 	}
 }
 
 // isolated reports whether this controller reaches no workers, though there are some
 // that are up: where machines were only just rented, or none comes up, nobody hears
 // any, and if all took that for their own fault nobody would rent others.
-func (c *Core) isolated() bool {
-	return c.ready && c.up > 0 && c.now.Sub(max(c.lastDirect, c.readyAt, c.awake)) > isolatedAfter
+func (c *Controller) isolated() bool {
+	return c.ready && c.machinesUp > 0 && c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt, c.resumedAt)) > isolatedAfter
 }
 
-// inDoubt reports whether no worker has spoken to this controller for a moment,
+// isolationSuspected reports whether no worker has spoken to this controller for a moment,
 // though it asked some that siblings hear: whatever it takes for silent
 // meanwhile, it may be the one that is cut off. Once a buyer gave up hundreds of
 // machines in the time that it took to find that out.
-func (c *Core) inDoubt() bool { return c.now.Sub(max(c.lastDirect, c.readyAt, c.awake)) > doubtAfter }
+func (c *Controller) isolationSuspected() bool {
+	return c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt, c.resumedAt)) > isolationSuspectedAfter
+}
 
 const (
 	reachabilityProbeAfter      = 500 * time.Millisecond
 	reachabilityProbeEvery      = 300 * time.Millisecond
 	reachabilityProbeCandidates = 4 // machines heard last, of which one is asked
-	doubtAfter                  = 1500 * time.Millisecond
+	isolationSuspectedAfter     = 1500 * time.Millisecond
 	isolatedAfter               = 3 * time.Second
 )
 
-// probeReachability asks some worker for its report when none has spoken to us for a while:
+// probeOwnReachability asks some worker for its report when none has spoken to us for a while:
 // they may all report to others, or we may be cut off.
-func (c *Core) probeReachability() {
-	if c.now.Sub(max(c.lastDirect, c.readyAt)) < reachabilityProbeAfter || !c.after(c.nextReachabilityProbe) {
+func (c *Controller) probeOwnReachability() {
+	if c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt)) < reachabilityProbeAfter || !c.isDue(c.nextReachabilityProbe) {
 		return
 	}
 	c.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
 	var known []*machine // the ones heard last, in order
-	for _, m := range c.inOrder() {
-		if m.addr == "" || m.gone || m.requestingReport || c.now.Sub(m.heard) >= forgetAfter || m.newest == nil {
+	for _, m := range c.orderedMachines() {
+		if m.addr == "" || m.terminated || m.requestingHeartbeat || c.now.Sub(m.lastHeartbeatAt) >= forgetMachineAfter || m.latestHeartbeat == nil {
 			continue
 		}
 		// One that answers is as good as any other; one that did not may be dead.
 		i, _ := slices.BinarySearchFunc(known, m, func(a, b *machine) int {
-			return cmp.Or(cmp.Compare(a.unanswered, b.unanswered), -cmp.Compare(a.heard, b.heard))
+			return cmp.Or(cmp.Compare(a.unansweredCalls, b.unansweredCalls), -cmp.Compare(a.lastHeartbeatAt, b.lastHeartbeatAt))
 		})
 		if i < reachabilityProbeCandidates {
 			known = slices.Insert(known, i, m)
@@ -300,6 +304,6 @@
 		}
 	}
 	if len(known) > 0 {
-		c.requestReport(known[c.rand.IntN(len(known))])
+		c.probeMachine(known[c.rand.IntN(len(known))])
 	}
 }
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -13,25 +13,25 @@
 	"lilacrill/wire"
 )
 
-// sawImage notes that a machine has an image; of very many the one that was
+// noteImageUse notes that a machine has an image; of very many the one that was
 // seen longest ago is forgotten.
-func (c *Core) sawImage(m *machine, image string) {
-	if _, known := m.images[image]; !known && len(m.images) >= maxImages {
+func (c *Controller) noteImageUse(m *machine, image string) {
+	if _, known := m.imagesLastUsed[image]; !known && len(m.imagesLastUsed) >= maxCachedImages {
 		oldest := image
-		for _, name := range sortedKeys(m.images) {
-			if oldest == image || m.images[name] < m.images[oldest] {
+		for _, name := range sortedKeys(m.imagesLastUsed) {
+			if oldest == image || m.imagesLastUsed[name] < m.imagesLastUsed[oldest] {
 				oldest = name
 			}
 		}
-		delete(m.images, oldest)
-		delete(m.has, oldest)
+		delete(m.imagesLastUsed, oldest)
+		delete(m.cachedImages, oldest)
 	}
-	m.images[image], m.has[image] = c.now, true
+	m.imagesLastUsed[image], m.cachedImages[image] = c.now, true
 }
 
-// applyImages takes over what was noted of machines' images, so that a
+// applyImageBucket takes over what was noted of machines' images, so that a
 // controller that has just started knows them too.
-func (c *Core) applyImages(shard string, value json.RawMessage) error {
+func (c *Controller) applyImageBucket(shard string, value json.RawMessage) error {
 	n, err := strconv.Atoi(shard)
 	if err != nil {
 		return err
@@ -42,59 +42,59 @@
 			return err
 		}
 	}
-	for id := range c.imageShards[n] {
-		delete(c.imagesNoted, id)
+	for id := range c.imageBuckets[n] {
+		delete(c.recordedImages, id)
 	}
-	c.imageShards[n] = noted
+	c.imageBuckets[n] = noted
 	for id, images := range noted {
-		c.imagesNoted[id] = images
+		c.recordedImages[id] = images
 		if m := c.machines[id]; m != nil {
-			c.recallImages(m)
+			c.restoreRecordedImages(m)
 		}
 	}
 	return nil
 }
 
-func (c *Core) recallImages(m *machine) {
-	for _, image := range c.imagesNoted[m.id] {
-		if _, ok := m.images[image]; !ok && len(m.images) < maxImages {
-			m.images[image], m.has[image] = 0, true
+func (c *Controller) restoreRecordedImages(m *machine) {
+	for _, image := range c.recordedImages[m.id] {
+		if _, ok := m.imagesLastUsed[image]; !ok && len(m.imagesLastUsed) < maxCachedImages {
+			m.imagesLastUsed[image], m.cachedImages[image] = 0, true
 		}
 	}
 }
 
-// noteImages writes down which images machines have, a number of machines to a
+// recordImages writes down which images machines have, a number of machines to a
 // record and one record at a time. It is the buyer's task, since it knows all
 // machines.
-func (c *Core) noteImages() {
-	if c.noting || !c.after(c.nextNote) || !c.affords() {
+func (c *Controller) recordImages() {
+	if c.recordingImages || !c.isDue(c.nextImageRecord) || !c.canAffordWrite() {
 		return
 	}
-	c.nextNote = c.now.Add(noteEvery)
-	c.nextShard = (c.nextShard + 1) % imageShards
-	shard := c.nextShard
-	noted := c.notedOf(shard)
-	if maps.EqualFunc(noted, c.imageShards[shard], slices.Equal[[]string]) {
+	c.nextImageRecord = c.now.Add(imageRecordInterval)
+	c.nextImageBucket = (c.nextImageBucket + 1) % imageBuckets
+	shard := c.nextImageBucket
+	noted := c.imagesInBucket(shard)
+	if maps.EqualFunc(noted, c.imageBuckets[shard], slices.Equal[[]string]) {
 		return
 	}
-	c.noting = true
-	c.commit(ClassRest, wire.Transaction{Then: []wire.Change{c.put(record.ImageKey(shard), noted)}}, func(Committed) { c.noting = false })
+	c.recordingImages = true
+	c.commit(PriorityBackground, wire.Transaction{Then: []wire.Change{c.putChange(record.ImageKey(shard), noted)}}, func(CommitResult) { c.recordingImages = false })
 }
 
-// notedOf is what is to be noted of a shard's machines: of each the images seen in use
+// imagesInBucket is what is to be noted of a shard's machines: of each the images seen in use
 // last, as many as let all of them fit into one value. With a number that was fixed, a
 // part of the machines of a fleet beyond some 3,000 was left out altogether.
-func (c *Core) notedOf(shard int) map[wire.MachineID][]string {
+func (c *Controller) imagesInBucket(shard int) map[wire.MachineID][]string {
 	latest := map[wire.MachineID][]string{}
-	for _, m := range c.inOrder() {
-		if m.newest == nil || m.gone || shardOf(m.id) != shard || len(m.images) == 0 {
+	for _, m := range c.orderedMachines() {
+		if m.latestHeartbeat == nil || m.terminated || imageBucketOf(m.id) != shard || len(m.imagesLastUsed) == 0 {
 			continue
 		}
-		images := sortedKeys(m.images)
-		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.images[a], m.images[b]) })
+		images := sortedKeys(m.imagesLastUsed)
+		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.imagesLastUsed[a], m.imagesLastUsed[b]) })
 		latest[m.id] = images
 	}
-	for most := notedImages; most > 1; most-- {
+	for most := maxRecordedImages; most > 1; most-- {
 		if noted, whole := fitImages(latest, most, c.pageLimit()); whole {
 			return noted
 		}
@@ -123,9 +123,9 @@
 	return noted, true
 }
 
-// shardOf is the record that notes a machine's images.
-func shardOf(id wire.MachineID) int {
+// imageBucketOf is the record that notes a machine's images.
+func imageBucketOf(id wire.MachineID) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return int(h.Sum32() % imageShards)
+	return int(h.Sum32() % imageBuckets)
 }
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -19,18 +19,18 @@
 		set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
 		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 		for i := range machines {
-			m := c.machineOf(wire.MachineID(fmt.Sprintf("m-%06d", i)))
-			m.newest = &wire.Heartbeat{}
+			m := c.machine(wire.MachineID(fmt.Sprintf("m-%06d", i)))
+			m.latestHeartbeat = &wire.Heartbeat{}
 			for k := range 8 {
 				c.now = Time(i*8 + k)
-				c.sawImage(m, fmt.Sprintf("image-%02d", k))
+				c.noteImageUse(m, fmt.Sprintf("image-%02d", k))
 			}
 		}
 		total := 0
-		for shard := range imageShards {
-			noted := c.notedOf(shard)
+		for shard := range imageBuckets {
+			noted := c.imagesInBucket(shard)
 			total += len(noted)
-			require.LessOrEqual(t, len(encode(noted)), c.pageLimit())
+			require.LessOrEqual(t, len(encodePlain(noted)), c.pageLimit())
 			for id, images := range noted {
 				require.NotEmpty(t, images, id)
 				require.Contains(t, images, "image-07", "the latest")
--- a/internal/core/index.go
+++ b/internal/core/index.go
@@ -11,39 +11,39 @@
 
 // index adds a page's entries to the index of the records, unindex takes them
 // out again.
-func (c *Core) index(p *page) {
-	p.look = true
-	for i := range p.entries {
-		e := &p.entries[i]
-		e.page, e.on = p, c.machineOf(e.Machine)
-		e.on.settled = nil
-		e.on.entries = append(e.on.entries, e)
-		c.ofJob[e.Job] = append(c.ofJob[e.Job], e)
+func (c *Controller) index(p *page) {
+	p.needsReview = true
+	for i := range p.allocations {
+		e := &p.allocations[i]
+		e.page, e.host = p, c.machine(e.Machine)
+		e.host.reconciledHeartbeat = nil
+		e.host.allocations = append(e.host.allocations, e)
+		c.allocationsByJob[e.Job] = append(c.allocationsByJob[e.Job], e)
 		if c.jobs[e.Job] == nil {
-			c.noteOver(e.Machine)
+			c.noteCompletedTasksOn(e.Machine)
 		}
 		if e.Priority == wire.PriorityCritical.Level() {
-			c.critical[e.Machine]++
+			c.criticalAllocations[e.Machine]++
 		}
 	}
 }
 
-func (c *Core) unindex(p *page) {
-	here := func(e *Entry) bool { return e.page == p }
-	for i := range p.entries {
-		e := &p.entries[i]
-		e.on.settled = nil
-		e.on.entries = slices.DeleteFunc(e.on.entries, here)
-		dropWhere(c.ofJob, e.Job, here)
+func (c *Controller) unindex(p *page) {
+	here := func(e *Allocation) bool { return e.page == p }
+	for i := range p.allocations {
+		e := &p.allocations[i]
+		e.host.reconciledHeartbeat = nil
+		e.host.allocations = slices.DeleteFunc(e.host.allocations, here)
+		deleteWhere(c.allocationsByJob, e.Job, here)
 		if e.Priority == wire.PriorityCritical.Level() {
-			if c.critical[e.Machine]--; c.critical[e.Machine] == 0 {
-				delete(c.critical, e.Machine)
+			if c.criticalAllocations[e.Machine]--; c.criticalAllocations[e.Machine] == 0 {
+				delete(c.criticalAllocations, e.Machine)
 			}
 		}
 	}
 }
 
-func dropWhere[K comparable](m map[K][]*Entry, k K, drop func(*Entry) bool) {
+func deleteWhere[K comparable](m map[K][]*Allocation, k K, drop func(*Allocation) bool) {
 	if left := slices.DeleteFunc(m[k], drop); len(left) > 0 {
 		m[k] = left
 	} else {
@@ -51,29 +51,29 @@
 	}
 }
 
-// located is an entry with the page it stands on.
-type located struct {
-	page  *page
-	entry *Entry
+// locatedAllocation is an entry with the page it stands on.
+type locatedAllocation struct {
+	page       *page
+	allocation *Allocation
 }
 
-// entriesOf finds a job's entries, as its team's round would leave them.
-func (c *Core) entriesOf(r *round, id wire.JobID) []located {
-	var out []located
+// jobAllocations finds a job's entries, as its team's round would leave them.
+func (c *Controller) jobAllocations(r *placementTransaction, id wire.JobID) []locatedAllocation {
+	var out []locatedAllocation
 	seen := map[string]bool{}
 	look := func(p *page) {
 		if p == nil || seen[p.key] {
 			return
 		}
 		seen[p.key] = true
-		d := r.view(p)
-		for i := range d.entries {
-			if d.entries[i].Job == id {
-				out = append(out, located{p, &d.entries[i]})
+		d := r.stagedOrCurrent(p)
+		for i := range d.allocations {
+			if d.allocations[i].Job == id {
+				out = append(out, locatedAllocation{p, &d.allocations[i]})
 			}
 		}
 	}
-	for _, e := range c.ofJob[id] {
+	for _, e := range c.allocationsByJob[id] {
 		look(e.page)
 	}
 	for _, key := range sortedKeys(r.pages) {
@@ -82,26 +82,26 @@
 	return out
 }
 
-// hosts builds the fleet as placement sees it: what is on the machines by the
-// records, with the rounds that are being written. With ownShares it holds the machines in
+// buildHosts builds the fleet as placement sees it: what is on the machines by the
+// records, with the rounds that are being written. With ownShards it holds the machines in
 // this controller's shares and, closed, those with tasks of jobs that it places, since
 // rules read them; visit gets no host of others.
-func (c *Core) hosts(rounds map[string]*round, ownShares bool, visit func(*page, *Entry, *placement.Host)) placement.Fleet {
+func (c *Controller) buildHosts(rounds map[string]*placementTransaction, ownShares bool, visit func(*page, *Allocation, *placement.Host)) placement.Fleet {
 	room := make([]placement.Host, len(c.machines))
 	fleet := make(placement.Fleet, 0, len(c.machines))
-	for i, m := range c.inOrder() {
+	for i, m := range c.orderedMachines() {
 		m.host = nil
-		t := c.kind(m.kind)
-		if t == nil || m.newest == nil || m.gone || ownShares && !c.shares.Places(m.share) {
+		t := c.machineTypeNamed(m.machineType)
+		if t == nil || m.latestHeartbeat == nil || m.terminated || ownShares && !c.table.Places(m.shard) {
 			continue
 		}
 		h := &room[i]
-		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: amountOf(t), Closed: !c.usable(m),
-			Free: amountOf(t), Slots: maxPerHost, Images: m.has, Price: t.OnDemandPrice, Pulling: m.pulling}
+		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: machineResources(t), Closed: !c.acceptsTasks(m),
+			Free: machineResources(t), Slots: maxTasksPerMachine, Images: m.cachedImages, Price: t.OnDemandPrice, Pulling: m.pulling}
 		if m.spot {
 			h.Price = t.SpotPrice
 		}
-		if !c.after(m.badUntil) {
+		if !c.isDue(m.faultyUntil) {
 			h.Penalty = 1
 		}
 		fleet = append(fleet, h)
@@ -112,14 +112,14 @@
 	var j *job
 	var tags placement.Tags
 	within := false
-	c.planned(rounds, func(p *page, e *Entry) {
-		m := e.on
+	c.visitStagedAllocations(rounds, func(p *page, e *Allocation) {
+		m := e.host
 		if m == nil {
-			m = c.machineOf(e.Machine) // it is of a round that is being made
+			m = c.machine(e.Machine) // it is of a round that is being made
 		}
 		h := m.host
-		if h == nil && ownShares && !c.shares.Places(m.share) {
-			if j := c.jobs[e.Job]; j == nil || !c.places(j) {
+		if h == nil && ownShares && !c.table.Places(m.shard) {
+			if j := c.jobs[e.Job]; j == nil || !c.schedulesJob(j) {
 				visit(p, e, nil)
 				return
 			}
@@ -131,19 +131,19 @@
 			fleet = append(fleet, h)
 		}
 		if e.Job != last {
-			last, j, within = e.Job, c.jobs[e.Job], c.within[e.Job]
+			last, j, within = e.Job, c.jobs[e.Job], c.guaranteedJobs[e.Job]
 			if j != nil {
-				tags = j.req.Tags
+				tags = j.request.Tags
 			} else {
 				tags = e.tags()
 			}
 		}
 		n := e.Tasks.Len()
-		h.Free = h.Free.Plus(e.need(), -float64(n))
+		h.Free = h.Free.Plus(e.taskResources(), -float64(n))
 		h.Slots -= n
 		g := placement.Group{Team: p.team, Tags: tags, Count: n}
 		if e.Eviction != record.EvictionNone || j == nil {
-			h.Freeing = h.Freeing.Plus(e.need(), float64(n))
+			h.Freeing = h.Freeing.Plus(e.taskResources(), float64(n))
 			g.Stopping = true
 		} else {
 			h.Ranks |= 1 << e.Priority
@@ -155,28 +155,28 @@
 	return fleet
 }
 
-// planned visits all entries as the rounds under way will leave them.
-func (c *Core) planned(rounds map[string]*round, visit func(*page, *Entry)) {
+// visitStagedAllocations visits all entries as the rounds under way will leave them.
+func (c *Controller) visitStagedAllocations(rounds map[string]*placementTransaction, visit func(*page, *Allocation)) {
 	for _, name := range sortedKeys(c.teams) {
 		t := c.teams[name]
-		r := t.writing
+		r := t.inFlight
 		if r == nil {
 			r = rounds[name]
 		}
-		for _, p := range t.planPages(r) {
-			for i := range p.entries {
-				visit(p, &p.entries[i])
+		for _, p := range t.stagedPages(r) {
+			for i := range p.allocations {
+				visit(p, &p.allocations[i])
 			}
 		}
 	}
 }
 
-// planPages are the team's pages as a round leaves them.
-func (t *team) planPages(r *round) []*page {
-	out := t.inOrder()
+// stagedPages are the team's pages as a round leaves them.
+func (t *team) stagedPages(r *placementTransaction) []*page {
+	out := t.orderedPages()
 	if r != nil {
 		for i, p := range out {
-			out[i] = r.view(p)
+			out[i] = r.stagedOrCurrent(p)
 		}
 	}
 	if r != nil {
@@ -189,21 +189,21 @@
 	return out
 }
 
-// usable reports whether a machine may take new tasks now.
-func (c *Core) usable(m *machine) bool {
-	if m == nil || m.newest == nil || m.left() || m.recallAt != 0 || m.status == wire.MachineFailed {
+// acceptsTasks reports whether a machine may take new tasks now.
+func (c *Controller) acceptsTasks(m *machine) bool {
+	if m == nil || m.latestHeartbeat == nil || m.isTerminated() || m.preemptionAt != 0 || m.status == wire.MachineFailed {
 		return false
 	}
-	if _, going := c.leaving[m.id]; going {
+	if _, going := c.terminating[m.id]; going {
 		return false
 	}
-	if m.unreachable() && !c.unheard {
+	if m.unreachable() && !c.outboundSuspect {
 		return false
 	}
-	return c.reports(m) && slices.Contains(c.settings.Cluster.Zones, m.zone)
+	return c.heartbeatsOnTime(m) && slices.Contains(c.settings.Cluster.Zones, m.zone)
 }
 
-// reports reports whether a machine was heard within its reporting interval.
-func (c *Core) reports(m *machine) bool {
-	return c.now.Sub(m.heard) < config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+reportSlack
+// heartbeatsOnTime reports whether a machine was heard within its reporting interval.
+func (c *Controller) heartbeatsOnTime(m *machine) bool {
+	return c.now.Sub(m.lastHeartbeatAt) < config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -22,23 +22,23 @@
 // CallID names a call that the core asked for.
 type CallID uint64
 
-// Class orders calls when tokens are short: the lowest first.
-type Class int
+// CallPriority orders calls when tokens are short: the lowest first.
+type CallPriority int
 
 // The classes of calls, most urgent first.
 const (
-	ClassLease Class = iota
-	ClassUrgent
-	ClassAccept
-	ClassRest
-	Classes
+	PriorityLease CallPriority = iota
+	PriorityUrgent
+	PriorityAdmission
+	PriorityBackground
+	PriorityLevels
 )
 
 // Input is something that happened.
 type Input interface{ isInput() }
 
-// request is an input whose sender waits for a Reply.
-type request interface{ requestID() RequestID }
+// requestInput is an input whose sender waits for a Reply.
+type requestInput interface{ requestID() RequestID }
 
 // Output is something to do.
 type Output interface{ isOutput() }
@@ -48,54 +48,54 @@
 	// Tick only lets time pass.
 	Tick struct{}
 
-	// Submitted is a checked submission.
-	Submitted struct {
+	// JobSubmitted is a checked submission.
+	JobSubmitted struct {
 		Request RequestID
 		Spec    wire.JobSpec
 	}
-	// Polled asks for a job's state.
-	Polled struct {
+	// JobPolled asks for a job's state.
+	JobPolled struct {
 		Request RequestID
 		Job     wire.JobID
 	}
-	// CancelAsked asks for a job to be withdrawn.
-	CancelAsked struct {
+	// CancelRequested asks for a job to be withdrawn.
+	CancelRequested struct {
 		Request RequestID
 		Job     wire.JobID
 	}
-	// Reported is a worker's report.
-	Reported struct {
-		Request RequestID
-		Report  *wire.Heartbeat
+	// HeartbeatReceived is a worker's report.
+	HeartbeatReceived struct {
+		Request   RequestID
+		Heartbeat *wire.Heartbeat
 	}
-	// Returned carries the result of a call.
-	Returned struct {
+	// CallCompleted carries the result of a call.
+	CallCompleted struct {
 		Call   CallID
 		Result any
 	}
-	// ViewAsked is an operator who wants to look.
-	ViewAsked struct {
+	// ViewRequested is an operator who wants to look.
+	ViewRequested struct {
 		Request RequestID
 		View    wire.AdminView
 	}
-	// ChangeAsked is an operator who wants to change settings.
-	ChangeAsked struct {
+	// SettingsChangeRequested is an operator who wants to change settings.
+	SettingsChangeRequested struct {
 		Request RequestID
 		Change  wire.AdminSettings
 	}
-	// RolloutAsked is an operator who wants to change the rollout of a format.
-	RolloutAsked struct {
+	// RolloutChangeRequested is an operator who wants to change the rollout of a format.
+	RolloutChangeRequested struct {
 		Request RequestID
 		Change  wire.AdminRolloutChange
 	}
-	// SharesAsked is an operator who wants to change the shares.
-	SharesAsked struct {
+	// ShardChangeRequested is an operator who wants to change the shares.
+	ShardChangeRequested struct {
 		Request RequestID
 		Change  wire.AdminShardChange
 	}
-	// PeerSaid is a line from another controller.
-	PeerSaid struct {
-		Line *wire.PeerMessage
+	// PeerMessageReceived is a line from another controller.
+	PeerMessageReceived struct {
+		Message *wire.PeerMessage
 	}
 )
 
@@ -109,81 +109,81 @@
 		// RetryAfter, if above 0, tells the user when to come back.
 		RetryAfter time.Duration
 	}
-	// Load reads all keys under the prefixes; the result is a Loaded.
-	Load struct {
+	// LoadKeys reads all keys under the prefixes; the result is a Loaded.
+	LoadKeys struct {
 		Call     CallID
 		Prefixes []string
 	}
-	// Follow reads the feed; the result is a Fed.
-	Follow struct {
-		Call  CallID
-		Class Class
-		Under string
-		After wire.Revision
-		Block time.Duration
+	// Watch reads the feed; the result is a Fed.
+	Watch struct {
+		Call     CallID
+		Priority CallPriority
+		Prefix   string
+		After    wire.Revision
+		Block    time.Duration
 	}
-	// Fetch reads one key; the result is a Fetched.
-	Fetch struct {
+	// GetKey reads one key; the result is a Fetched.
+	GetKey struct {
 		Call CallID
 		Key  string
 	}
 	// Commit runs a transaction; the result is a Committed.
 	Commit struct {
-		Call  CallID
-		Class Class
-		Txn   wire.Transaction
+		Call     CallID
+		Priority CallPriority
+		Txn      wire.Transaction
 	}
-	// Grant asks for a lease; the result is a Granted.
-	Grant struct {
+	// GrantLease asks for a lease; the result is a Granted.
+	GrantLease struct {
 		Call CallID
 		TTL  time.Duration
 	}
-	// Extend renews a lease; the result is a Granted.
-	Extend struct {
+	// RenewLease renews a lease; the result is a Granted.
+	RenewLease struct {
 		Call    CallID
 		LeaseID wire.LeaseID
 	}
-	// Share tells what part of the state service's limits this controller may
+	// SetRateShare tells what part of the state service's limits this controller may
 	// use.
-	Share struct{ Part float64 }
-	// ReadCatalogue asks the cloud; the result is a CatalogueRead.
+	SetRateShare struct{ Fraction float64 }
+	// ReadCatalogue asks the cloud; the result is a CatalogueResult.
 	ReadCatalogue struct{ Call CallID }
 	// ListMachines asks the cloud for all machines; the result is a Listed.
 	ListMachines struct{ Call CallID }
-	// HireMachines rents; the result is a Hired.
-	HireMachines struct {
-		Call CallID
-		Hire wire.ProvisionRequest
+	// ProvisionMachines rents; the result is a Hired.
+	ProvisionMachines struct {
+		Call    CallID
+		Request wire.ProvisionRequest
 	}
-	// ReturnMachines gives machines back; the result is a GivenBack.
-	ReturnMachines struct {
-		Call  CallID
-		Names []wire.MachineID
+	// TerminateMachines gives machines back; the result is a TerminateResult.
+	TerminateMachines struct {
+		Call     CallID
+		Machines []wire.MachineID
 	}
-	// Order sends commands to a worker; the result is an Answered.
-	Order struct {
+	// SendCommands sends commands to a worker; the result is an Answered.
+	SendCommands struct {
 		Call CallID
 		Addr string
 		Body wire.CommandRequest
 	}
-	// Show asks a worker for its report; the result is an Answered.
-	Show struct {
+	// RequestHeartbeat asks a worker for its report; the result is an Answered.
+	RequestHeartbeat struct {
 		Call CallID
 		Addr string
 	}
-	// Tell sends a line to all siblings.
-	Tell struct{ Line *wire.PeerMessage }
+	// Broadcast sends a line to all siblings.
+	Broadcast struct{ Message *wire.PeerMessage }
 	// RolloutEvent is something that happened to this process in a rollout, for whoever
 	// traces it.
 	RolloutEvent struct {
-		Kind     RolloutEventKind
-		Format   wire.Format // in force
-		Boot     wire.FencingToken
-		Revision wire.Revision // up to which this process knows all changes
+		Kind        RolloutEventKind
+		Format      wire.Format // in force
+		Incarnation wire.FencingToken
+		Revision    wire.Revision // up to which this process knows all changes
 	}
-	// Retire says that this process must end, and why: it would misread what others
+	// Shutdown says that this process must end, and why: it would misread what others
 	// write.
-	Retire struct{ Cause error }
+	Shutdown struct{ Cause error }
 )
 
 // RolloutEventKind is what happened to a process in a rollout.
@@ -210,114 +210,114 @@
 
 // The outcomes of calls.
 const (
-	// Done: it was executed.
-	Done Outcome = iota
+	// Succeeded: it was executed.
+	Succeeded Outcome = iota
 	// Conflict: a condition failed, and nothing was changed.
 	Conflict
-	// NotDone: it was certainly not executed.
-	NotDone
+	// NotExecuted: it was certainly not executed.
+	NotExecuted
 	// Unknown: it may have been executed, or may yet be.
 	Unknown
-	// Missing: what it names does not exist.
-	Missing
-	// TooOld: the feed no longer goes back that far.
-	TooOld
+	// NotFound: what it names does not exist.
+	NotFound
+	// Compacted: the feed no longer goes back that far.
+	Compacted
 )
 
 // The results of calls.
 type (
-	// Loaded answers a Load.
-	Loaded struct {
+	// LoadResult answers a Load.
+	LoadResult struct {
 		Outcome Outcome
 		Entries []wire.Entry
 		// First is the revision before the first read, Last that of the last.
 		First, Last wire.Revision
 	}
-	// Fed answers a Follow.
-	Fed struct {
-		Outcome Outcome
-		Feed    wire.WatchResponse
+	// WatchResult answers a Follow.
+	WatchResult struct {
+		Outcome  Outcome
+		Response wire.WatchResponse
 	}
-	// Fetched answers a Fetch.
-	Fetched struct {
+	// GetResult answers a Fetch.
+	GetResult struct {
 		Outcome Outcome
 		Value   json.RawMessage
 		Version wire.Revision
 	}
-	// Committed answers a Commit.
-	Committed struct {
+	// CommitResult answers a Commit.
+	CommitResult struct {
 		Outcome  Outcome
 		Revision wire.Revision
 		Failed   []string
 	}
-	// Granted answers a Grant or an Extend.
-	Granted struct {
+	// LeaseResult answers a Grant or an Extend.
+	LeaseResult struct {
 		Outcome Outcome
 		LeaseID wire.LeaseID
 	}
-	// CatalogueRead answers a ReadCatalogue.
-	CatalogueRead struct {
+	// CatalogueResult answers a ReadCatalogue.
+	CatalogueResult struct {
 		Outcome   Outcome
 		Catalogue wire.Catalogue
 	}
-	// Listed answers a ListMachines.
-	Listed struct {
+	// MachinesResult answers a ListMachines.
+	MachinesResult struct {
 		Outcome  Outcome
 		Machines []wire.CloudMachine
 	}
-	// Hired answers a HireMachines; with NotDone and Refused there was no
+	// ProvisionResult answers a ProvisionMachines; with NotExecuted and Refused there was no
 	// capacity.
-	Hired struct {
-		Outcome Outcome
-		Refused bool
-		Names   []wire.MachineID
+	ProvisionResult struct {
+		Outcome    Outcome
+		NoCapacity bool
+		Machines   []wire.MachineID
 	}
-	// GivenBack answers a ReturnMachines.
-	GivenBack struct{ Outcome Outcome }
-	// Answered answers an Order or a Show. Executed says that the orders were
+	// TerminateResult answers a TerminateMachines.
+	TerminateResult struct{ Outcome Outcome }
+	// WorkerResponse answers an Order or a Show. Executed says that the orders were
 	// carried out; a Report may come either way.
-	Answered struct {
-		Outcome  Outcome
-		Executed bool
-		Report   *wire.Heartbeat
+	WorkerResponse struct {
+		Outcome   Outcome
+		Executed  bool
+		Heartbeat *wire.Heartbeat
 	}
 )
 
-func (Tick) isInput()         {}
-func (Submitted) isInput()    {}
-func (Polled) isInput()       {}
-func (CancelAsked) isInput()  {}
-func (Reported) isInput()     {}
-func (Returned) isInput()     {}
-func (PeerSaid) isInput()     {}
-func (ViewAsked) isInput()    {}
-func (ChangeAsked) isInput()  {}
-func (RolloutAsked) isInput() {}
-func (SharesAsked) isInput()  {}
+func (Tick) isInput()                    {}
+func (JobSubmitted) isInput()            {}
+func (JobPolled) isInput()               {}
+func (CancelRequested) isInput()         {}
+func (HeartbeatReceived) isInput()       {}
+func (CallCompleted) isInput()           {}
+func (PeerMessageReceived) isInput()     {}
+func (ViewRequested) isInput()           {}
+func (SettingsChangeRequested) isInput() {}
+func (RolloutChangeRequested) isInput()  {}
+func (ShardChangeRequested) isInput()    {}
 
-func (Reply) isOutput()          {}
-func (Load) isOutput()           {}
-func (Follow) isOutput()         {}
-func (Fetch) isOutput()          {}
-func (Commit) isOutput()         {}
-func (Grant) isOutput()          {}
-func (Extend) isOutput()         {}
-func (Share) isOutput()          {}
-func (ReadCatalogue) isOutput()  {}
-func (ListMachines) isOutput()   {}
-func (HireMachines) isOutput()   {}
-func (ReturnMachines) isOutput() {}
-func (Order) isOutput()          {}
-func (Show) isOutput()           {}
-func (Tell) isOutput()           {}
-func (RolloutEvent) isOutput()   {}
-func (Retire) isOutput()         {}
+func (Reply) isOutput()             {}
+func (LoadKeys) isOutput()          {}
+func (Watch) isOutput()             {}
+func (GetKey) isOutput()            {}
+func (Commit) isOutput()            {}
+func (GrantLease) isOutput()        {}
+func (RenewLease) isOutput()        {}
+func (SetRateShare) isOutput()      {}
+func (ReadCatalogue) isOutput()     {}
+func (ListMachines) isOutput()      {}
+func (ProvisionMachines) isOutput() {}
+func (TerminateMachines) isOutput() {}
+func (SendCommands) isOutput()      {}
+func (RequestHeartbeat) isOutput()  {}
+func (Broadcast) isOutput()         {}
+func (RolloutEvent) isOutput()      {}
+func (Shutdown) isOutput()          {}
 
-func (in Submitted) requestID() RequestID    { return in.Request }
-func (in Polled) requestID() RequestID       { return in.Request }
-func (in CancelAsked) requestID() RequestID  { return in.Request }
-func (in Reported) requestID() RequestID     { return in.Request }
-func (in ViewAsked) requestID() RequestID    { return in.Request }
-func (in ChangeAsked) requestID() RequestID  { return in.Request }
-func (in RolloutAsked) requestID() RequestID { return in.Request }
-func (in SharesAsked) requestID() RequestID  { return in.Request }
+func (in JobSubmitted) requestID() RequestID            { return in.Request }
+func (in JobPolled) requestID() RequestID               { return in.Request }
+func (in CancelRequested) requestID() RequestID         { return in.Request }
+func (in HeartbeatReceived) requestID() RequestID       { return in.Request }
+func (in ViewRequested) requestID() RequestID           { return in.Request }
+func (in SettingsChangeRequested) requestID() RequestID { return in.Request }
+func (in RolloutChangeRequested) requestID() RequestID  { return in.Request }
+func (in ShardChangeRequested) requestID() RequestID    { return in.Request }
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -16,68 +16,68 @@
 
 // The names of the counts and times.
 const (
-	countAccepted         = "jobs_accepted"
-	countRefused          = "requests_refused"
-	countDone             = "jobs_done"
-	countWithdrawn        = "jobs_withdrawn"
-	countCommits          = "commits"
-	countWritten          = "values_written"
-	countLines            = "lines_told"
-	countConflicts        = "commit_conflicts"
-	countBusy             = "placements_busy"
-	countPlaced           = "tasks_placed"
-	countRelaxed          = "preferred_relaxed"
-	countPreempted        = "tasks_preempted"
-	countFailing          = "jobs_failing_everywhere"
-	countResent           = "launches_resent"
-	countFences           = "fences"
-	countTakeOvers        = "take_overs"
-	countStateNot         = "state_calls_refused"
-	countStateLost        = "state_calls_unanswered"
-	countCloudNot         = "cloud_calls_refused"
-	countCloudLost        = "cloud_calls_unanswered"
-	countHired            = "machines_rented"
-	countNoCapacity       = "hires_without_capacity"
-	countSentOn           = "workers_sent_on"
-	countProbes           = "workers_asked"
-	countHeldBack         = "answers_held_back_spells"
-	countPasses           = "planning_passes"
-	countLooked           = "records_searched_for_proofs"
-	countLagging          = "spells_behind"
-	countUnwritten        = "machines_returned_unwritten"
-	countRedirected       = "workers_redirected"
-	countHandedOn         = "jobs_handed_on"
-	countShares           = "shares_" // + what was done
-	countShareChangesLost = "share_changes_lost"
-	countReturned         = "machines_returned_" // + why
+	countAccepted             = "jobs_accepted"
+	countRefused              = "requests_refused"
+	countDone                 = "jobs_done"
+	countCancelled            = "jobs_withdrawn"
+	countCommits              = "commits"
+	countWritten              = "values_written"
+	countPeerMessages         = "lines_told"
+	countConflicts            = "commit_conflicts"
+	countPlacementBackoffs    = "placements_busy"
+	countPlaced               = "tasks_placed"
+	countRelaxed              = "preferred_relaxed"
+	countPreempted            = "tasks_preempted"
+	countCrashLoops           = "jobs_failing_everywhere"
+	countLaunchRetries        = "launches_resent"
+	countFences               = "fences"
+	countTakeOvers            = "take_overs"
+	countStoreRefused         = "state_calls_refused"
+	countStoreUnanswered      = "state_calls_unanswered"
+	countCloudRefused         = "cloud_calls_refused"
+	countCloudUnanswered      = "cloud_calls_unanswered"
+	countProvisioned          = "machines_rented"
+	countNoCapacity           = "hires_without_capacity"
+	countPeerRedirects        = "workers_sent_on"
+	countProbes               = "workers_asked"
+	countRenewalsSuspended    = "answers_held_back_spells"
+	countPasses               = "planning_passes"
+	countPagesReviewed        = "records_searched_for_proofs"
+	countLagging              = "spells_behind"
+	countTerminatedUnrecorded = "machines_returned_unwritten"
+	countOwnerRedirects       = "workers_redirected"
+	countJobsForwarded        = "jobs_handed_on"
+	countShardActions         = "shares_" // + what was done
+	countShardConflicts       = "share_changes_lost"
+	countTerminated           = "machines_returned_" // + why
 
-	timeAccept = "acceptance"
-	timeStart  = "job_start"
-	timeCommit = "commit"
+	latencyAdmission = "acceptance"
+	latencyJobStart  = "job_start"
+	latencyCommit    = "commit"
 )
 
-// slowest is the longest time that is told apart from longer ones.
-const slowest = time.Hour
+// maxLatency is the longest time that is told apart from longer ones.
+const maxLatency = time.Hour
 
 func (m *metrics) init() {
 	m.counts = map[string]uint64{}
 	m.times = map[string]*hdrhistogram.Histogram{}
-	for _, name := range []string{timeAccept, timeStart, timeCommit} {
-		m.times[name] = hdrhistogram.New(1, slowest.Milliseconds(), 2)
+	for _, name := range []string{latencyAdmission, latencyJobStart, latencyCommit} {
+		m.times[name] = hdrhistogram.New(1, maxLatency.Milliseconds(), 2)
 	}
 }
 
 func (m *metrics) count(name string, n int) { m.counts[name] += uint64(n) }
 
-func (m *metrics) took(name string, d time.Duration) {
+func (m *metrics) observe(name string, d time.Duration) {
 	// The value is cut to what the histogram holds, so recording cannot fail.
-	_ = m.times[name].RecordValue(min(max(d, time.Millisecond), slowest).Milliseconds())
+	_ = m.times[name].RecordValue(min(max(d, time.Millisecond), maxLatency).Milliseconds())
 }
 
-// outcome counts calls that did not go through.
-func (m *metrics) outcome(o Outcome, refused, lost string) {
+// countFailure counts calls that did not go through.
+func (m *metrics) countFailure(o Outcome, refused, lost string) {
 	switch o {
-	case NotDone:
+	case NotExecuted:
 		m.count(refused, 1)
 	case Unknown:
 		m.count(lost, 1)
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -5,29 +5,29 @@
 // ownsTeam reports whether this controller is a team's owner: the one that looks
 // after whatever its jobs need beyond the first placement. It is only a hint
 // that spares lost writes; safety rests on the conditions of the writes.
-func (c *Core) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
+func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
 
-func (c *Core) teamOwner(team string) string {
+func (c *Controller) teamOwner(team string) string {
 	if s, ok := c.teamOwners[team]; ok {
 		return s
 	}
-	best := rendezvous.Highest(c.labels, team)
+	best := rendezvous.Highest(c.eligibleControllers, team)
 	c.teamOwners[team] = best
 	return best
 }
 
-// assign shares out the teams and the state service's limits among the living
+// assignOwnership shares out the teams and the state service's limits among the living
 // controllers. All come to the same result once they know of the same ones;
 // until then it costs lost writes and refused calls, not safety.
-func (c *Core) assign() {
+func (c *Controller) assignOwnership() {
 	var labels []string
 	weight := map[string]float64{}
-	for _, label := range sortedKeys(c.nodes) {
+	for _, label := range sortedKeys(c.liveControllers) {
 		weight[label] = 1
-		if c.nodes[label] == c.buyer {
+		if c.liveControllers[label] == c.provisionerIncarnation {
 			weight[label]++
 		}
-		if !c.isolatedNodes[label] {
+		if !c.isolatedControllers[label] {
 			labels = append(labels, label)
 		}
 	}
@@ -52,9 +52,9 @@
 	if own == 0 {
 		own, sum = 1, sum+1 // not enrolled yet
 	}
-	c.labels = labels
-	if part := own / sum; part != c.part {
-		c.part = part
-		c.do(Share{part})
+	c.eligibleControllers = labels
+	if part := own / sum; part != c.assignedRateFraction {
+		c.assignedRateFraction = part
+		c.emit(SetRateShare{part})
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -10,141 +10,141 @@
 	"lilacrill/wire"
 )
 
-// placing is one pass over what waits.
-type placing struct {
-	rounds map[string]*round
-	fleet  placement.Fleet
-	used   map[string]placement.Amount // of the teams' limits
-	own    map[wire.JobID][]*placement.Host
-	// full holds what found no room, by all that a search depends on: what needs
+// schedulingPass is one pass over what waits.
+type schedulingPass struct {
+	transactions map[string]*placementTransaction
+	fleet        placement.Fleet
+	teamUsage    map[string]placement.Amount // of the teams' limits
+	hostsOfJob   map[wire.JobID][]*placement.Host
+	// unsatisfiable holds what found no room, by all that a search depends on: what needs
 	// as much need not look again in this pass.
-	full map[search][]placement.Amount
-	// ranked holds the machines in order for what many jobs need alike.
-	ranked map[like]*placement.Ranking
-	// held says that work waits for accelerators, on ordinary or on any machines:
+	unsatisfiable map[searchKey][]placement.Amount
+	// rankings holds the machines in order for what many jobs need alike.
+	rankings map[rankingKey]*placement.Ranking
+	// reserveAccelerators says that work waits for accelerators, on ordinary or on any machines:
 	// what needs none and is less urgent then leaves those that have some alone.
 	// Otherwise it comes back, placed by another controller, to each machine that
 	// it was just stopped on, and a gang never finds enough of them at once.
-	held, heldSpot bool
-	// gathering holds the zones in which room is being gathered, each for one job.
-	gathering map[string]bool
-	// warmOnly has jobs take only machines that have their image.
-	warmOnly bool
-	// ownShares says that it looks at the machines in this controller's shares only.
-	ownShares bool
+	reserveAccelerators, reserveSpotAccelerators bool
+	// gatheringZones holds the zones in which room is being gathered, each for one job.
+	gatheringZones map[string]bool
+	// cachedImageOnly has jobs take only machines that have their image.
+	cachedImageOnly bool
+	// ownShards says that it looks at the machines in this controller's shares only.
+	ownShards bool
 }
 
-// search is what the result of looking for room depends on, beside the amount.
-type search struct {
-	team     string
-	rank     int
-	spot     bool
-	promised bool
-	stopping bool // others
-	held     bool
-	dear     bool // it leaves dear machines alone
+// searchKey is what the result of looking for room depends on, beside the amount.
+type searchKey struct {
+	team               string
+	priority           int
+	spot               bool
+	guaranteed         bool
+	preempting         bool // others
+	avoidsAccelerators bool
+	avoidsExpensive    bool // it leaves dear machines alone
 }
 
-// like is what a search for room depends on that others can share the ranking of.
-type like struct {
-	search
-	need   placement.Amount
-	image  string
-	single bool
-	warm   bool // machines that have the image only
+// rankingKey is what a search for room depends on that others can share the ranking of.
+type rankingKey struct {
+	searchKey
+	need            placement.Amount
+	image           string
+	single          bool
+	cachedImageOnly bool // machines that have the image only
 }
 
-// rank readies the machines for a search, or takes what an earlier one readied.
-func (c *Core) rank(p *placing, k search, j *job, warm bool, o *placement.Options) {
-	if !plain(j) || o.Probes > 0 || o.Whole {
+// reuseRanking readies the machines for a search, or takes what an earlier one readied.
+func (c *Controller) reuseRanking(p *schedulingPass, k searchKey, j *job, warm bool, o *placement.Options) {
+	if !hasPlainConstraints(j) || o.Probes > 0 || o.Whole {
 		return
 	}
-	key := like{k, j.req.Need, j.spec.Image, j.req.Single, warm}
-	r := p.ranked[key]
+	key := rankingKey{k, j.request.Need, j.spec.Image, j.request.Single, warm}
+	r := p.rankings[key]
 	if r == nil {
-		r = p.fleet.Rank(j.req, *o)
-		p.ranked[key] = r
+		r = p.fleet.Rank(j.request, *o)
+		p.rankings[key] = r
 	}
 	o.Ranking = r
 }
 
-// place gives waiting tasks machines, in this controller's shares while they are in use.
+// schedule gives waiting tasks machines, in this controller's shares while they are in use.
 // Without rest it looks at critical work alone.
-func (c *Core) place(rounds map[string]*round, rest bool) {
+func (c *Controller) schedule(rounds map[string]*placementTransaction, rest bool) {
 	if len(c.catalogue) == 0 {
 		return
 	}
 	if !c.sharded() {
-		if c.concerns(rest) {
-			c.placeOn(rounds, rest, false)
+		if c.needsSchedulingPass(rest) {
+			c.runSchedulingPass(rounds, rest, false)
 		}
 		return
 	}
-	if rest && c.buyer == c.boot && c.after(c.nextFleetSurvey) {
-		c.surveyFleet()
+	if rest && c.provisionerIncarnation == c.incarnation && c.isDue(c.nextFleetEstimate) {
+		c.estimateFleetDemand()
 	}
-	if c.waitsForUs(rest) {
-		c.placeOn(rounds, rest, true)
+	if c.hasPendingJobs(rest) {
+		c.runSchedulingPass(rounds, rest, true)
 	}
 }
 
-// surveyFleet plans over the whole fleet without writing anything, so that the buyer knows
+// estimateFleetDemand plans over the whole fleet without writing anything, so that the buyer knows
 // what lacks room anywhere.
-func (c *Core) surveyFleet() {
-	c.nextFleetSurvey = c.now.Add(max(surveyEvery, 3*c.planPause()))
-	c.placeOn(map[string]*round{}, true, false)
+func (c *Controller) estimateFleetDemand() {
+	c.nextFleetEstimate = c.now.Add(max(demandEstimateInterval, 3*c.passPause()))
+	c.runSchedulingPass(map[string]*placementTransaction{}, true, false)
 }
 
-// placeOn is one pass. On the whole fleet it plans for all teams, so that what this
+// runSchedulingPass is one pass. On the whole fleet it plans for all teams, so that what this
 // controller places leaves room for more urgent work that others will place, and writes
 // only for those that it answers for. In its own shares it plans for those alone.
-func (c *Core) placeOn(rounds map[string]*round, rest, ownShares bool) {
+func (c *Controller) runSchedulingPass(rounds map[string]*placementTransaction, rest, ownShares bool) {
 	c.count(countPasses, 1)
-	p := &placing{rounds: rounds, ownShares: ownShares, used: map[string]placement.Amount{}, own: map[wire.JobID][]*placement.Host{},
-		full: map[search][]placement.Amount{}, gathering: map[string]bool{},
-		ranked: map[like]*placement.Ranking{}}
+	p := &schedulingPass{transactions: rounds, ownShards: ownShares, teamUsage: map[string]placement.Amount{}, hostsOfJob: map[wire.JobID][]*placement.Host{},
+		unsatisfiable: map[searchKey][]placement.Amount{}, gatheringZones: map[string]bool{},
+		rankings: map[rankingKey]*placement.Ranking{}}
 	placed := map[wire.JobID]record.TaskSet{}
 	zones := map[wire.JobID]string{}
-	p.fleet = c.hosts(rounds, ownShares, func(pg *page, e *Entry, h *placement.Host) {
-		p.used[pg.team] = p.used[pg.team].Plus(e.need(), float64(e.Tasks.Len()))
+	p.fleet = c.buildHosts(rounds, ownShares, func(pg *page, e *Allocation, h *placement.Host) {
+		p.teamUsage[pg.team] = p.teamUsage[pg.team].Plus(e.taskResources(), float64(e.Tasks.Len()))
 		placed[e.Job] = placed[e.Job].With(e.Tasks)
 		if h != nil {
-			p.own[e.Job] = append(p.own[e.Job], h)
+			p.hostsOfJob[e.Job] = append(p.hostsOfJob[e.Job], h)
 		}
 		zones[e.Job] = pg.zone
 	})
-	queue := c.queue(rounds, placed, zones, rest)
+	queue := c.pendingJobs(rounds, placed, zones, rest)
 	if rest {
-		c.spareDear(queue)
+		c.updatePriceLimit(queue)
 	}
 	if ownShares {
-		queue = slices.DeleteFunc(queue, func(w waiting) bool { return !c.places(w.job) })
+		queue = slices.DeleteFunc(queue, func(w pendingJob) bool { return !c.schedulesJob(w.job) })
 	}
-	c.criticalWaits = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
+	c.criticalPending = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
 	backlog := c.backlog
 	c.backlog = nil
 	for i := range queue {
-		p.keepFor(&queue[i], c)
+		p.reserveAcceleratorsFor(&queue[i], c)
 	}
 	reserved := !rest
-	var later []*waiting
+	var later []*pendingJob
 	for i := range queue {
 		w := &queue[i]
 		if w.job.spec.Priority != wire.PriorityCritical && !reserved {
 			reserved = true
-			c.reserve(p)
+			c.reserveHeadroom(p)
 		}
-		p.warmOnly = w.job.spec.Priority.Level() >= wire.PriorityNormal.Level() && !w.overdue && !w.promised && plain(w.job) && c.coldSlow(w.job)
-		if c.placeJob(p, w); p.warmOnly {
+		p.cachedImageOnly = w.job.spec.Priority.Level() >= wire.PriorityNormal.Level() && !w.overdue && !w.guaranteed && hasPlainConstraints(w.job) && c.imagePullIsSlow(w.job)
+		if c.placeJob(p, w); p.cachedImageOnly {
 			later = append(later, w)
 		}
 	}
 	if !reserved {
-		c.reserve(p)
+		c.reserveHeadroom(p)
 	}
 	// What is left over once every job took the machines that have its image goes
 	// to whoever is first: fetching one holds a machine up as long as many a task.
-	p.warmOnly = false
+	p.cachedImageOnly = false
 	for _, w := range later {
 		if !w.missing.Empty() {
 			c.placeJob(p, w)
@@ -155,77 +155,77 @@
 	}
 }
 
-func (c *Core) placeJob(p *placing, w *waiting) {
+func (c *Controller) placeJob(p *schedulingPass, w *pendingJob) {
 	j := w.job
 	team := j.spec.Team
-	count := c.trial(j, p.room(c, w))
+	count := c.limitToCanaries(j, p.tasksWithinLimit(c, w))
 	whole := j.spec.Shape == wire.ShapeGang
-	if count == 0 && j.strikes > 0 {
-		j.why = "its tasks fail on every machine; some are tried now"
+	if count == 0 && j.consecutiveBackoffs > 0 {
+		j.pendingReason = "its tasks fail on every machine; some are tried now"
 		return
 	}
 	if count == 0 {
-		j.why = "the team is at its limit"
+		j.pendingReason = "the team is at its limit"
 		return
 	}
-	r := p.rounds[team]
-	t := c.teamOf(team)
-	act := r != nil && (!r.urgentOnly || j.spec.Priority == wire.PriorityCritical) &&
-		t.writing == nil && c.after(t.placeFrom) && c.places(j) && c.fits(r, 0)
-	if p.own[j.id] == nil {
-		p.own[j.id] = []*placement.Host{} // none is known, rather than nothing
-	}
-	o := placement.Options{Relax: c.chosen.Affinity == config.AffinityPreferred, Whole: whole, Rand: c.rand, Own: p.own[j.id]}
-	hold := p.leaves(j)
-	spare := c.leavesDear(w)
-	if len(j.avoid) > 0 || hold || spare {
+	r := p.transactions[team]
+	t := c.team(team)
+	act := r != nil && (!r.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
+		t.inFlight == nil && c.isDue(t.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(r, 0)
+	if p.hostsOfJob[j.id] == nil {
+		p.hostsOfJob[j.id] = []*placement.Host{} // none is known, rather than nothing
+	}
+	o := placement.Options{Relax: c.values.Affinity == config.AffinityPreferred, Whole: whole, Rand: c.rand, Own: p.hostsOfJob[j.id]}
+	hold := p.avoidsAccelerators(j)
+	spare := c.avoidsExpensive(w)
+	if len(j.avoidMachines) > 0 || hold || spare {
 		o.Usable = func(h *placement.Host) bool {
-			until, avoid := j.avoid[h.ID]
-			return (!avoid || c.after(until)) && !(hold && p.keeps(h)) && !(spare && c.tooDear(c.machines[h.ID]))
+			until, avoid := j.avoidMachines[h.ID]
+			return (!avoid || c.isDue(until)) && !(hold && p.isReserved(h)) && !(spare && c.abovePriceLimit(c.machines[h.ID]))
 		}
 	}
-	if act && t.tries > 0 {
-		o.Probes, o.Skip, o.Relax = c.chosen.ProbeHosts, t.locked, false
+	if act && t.lostPlacements > 0 {
+		o.Probes, o.Skip, o.Relax = c.values.ProbeHosts, t.contendedMachines, false
 	}
-	j.why = "being placed"
-	choices := c.choose(p, w, &count, o)
+	j.pendingReason = "being placed"
+	choices := c.chooseMachines(p, w, &count, o)
 	missing := w.missing
 	attempt := wire.Attempt(0)
 	for _, ch := range choices {
-		p.used[team] = p.used[team].Plus(j.req.Need, float64(ch.Count))
+		p.teamUsage[team] = p.teamUsage[team].Plus(j.request.Need, float64(ch.Count))
 		m := c.machines[ch.Machine]
 		for left := ch.Count; left > 0; {
 			var tasks record.TaskSet
-			tasks, missing = missing.Take(min(left, c.entryTasks()))
+			tasks, missing = missing.Take(min(left, c.maxTasksPerAllocation()))
 			left -= tasks.Len()
 			if !act {
 				continue
 			}
 			if attempt == 0 {
-				attempt = wire.Attempt(c.serial())
+				attempt = wire.Attempt(c.nextSerial())
 			}
-			e := Entry{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: attempt, Launcher: c.boot,
+			e := Allocation{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: attempt, Launcher: c.incarnation,
 				Cores: j.spec.Cores, Accelerators: j.spec.Accelerators, MemGB: j.spec.MemGB,
-				Priority: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, Session: m.newest.AgentEpoch, Tasks: tasks}
-			if !c.fits(r, 0) || !c.add(r, m.zone, e) {
+				Priority: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, AgentEpoch: m.latestHeartbeat.AgentEpoch, Tasks: tasks}
+			if !c.hasCapacityFor(r, 0) || !c.stageAllocation(r, m.zone, e) {
 				act = false
 				if whole {
 					// A gang is placed as a whole or not at all.
-					c.unadd(r, attempt)
+					c.unstageAttempt(r, attempt)
 				}
 				continue
 			}
-			r.places = true
+			r.placesTasks = true
 			if c.sharded() {
-				r.shares[m.share] = true
+				r.shards[m.shard] = true
 			}
 			r.urgent = r.urgent || j.spec.Priority == wire.PriorityCritical
-			r.conds[record.JobKey(j.id)] = j.version
-			r.skip[m.id] = true
-			r.tell[m.id] = true
+			r.conditions[record.JobKey(j.id)] = j.version
+			r.usedMachines[m.id] = true
+			r.notifyMachines[m.id] = true
 			c.count(countPlaced, tasks.Len())
 			c.log.Debug("tasks placed", "job", j.id, "class", j.spec.Class, "machine", m.id, "attempt", attempt, "tasks", tasks.Len(),
-				"image", m.has[j.spec.Image], "promised", w.promised)
+				"image", m.cachedImages[j.spec.Image], "promised", w.guaranteed)
 		}
 		if ch.Relaxed && act {
 			c.count(countRelaxed, ch.Count)
@@ -233,83 +233,85 @@
 		}
 	}
 	w.missing = missing
-	if count > 0 && !p.warmOnly {
-		c.wanting(p, w, count)
+	if count > 0 && !p.cachedImageOnly {
+		c.handleUnmetDemand(p, w, count)
 	}
 }
 
-// room is how many of a job's tasks its team's limit leaves room for: it counts
+// tasksWithinLimit is how many of a job's tasks its team's limit leaves room for: it counts
 // whatever may still be on a machine.
-func (p *placing) room(c *Core, w *waiting) int {
+func (p *schedulingPass) tasksWithinLimit(c *Controller, w *pendingJob) int {
 	set := c.teamSettings(w.job.spec.Team)
 	if set == nil {
 		return 0
 	}
 	cpus, gpus := set.Limits()
 	count := placement.Amount{Cores: cpus, Accelerators: gpus, MemGB: config.Unlimited}.
-		Plus(p.used[w.job.spec.Team], -1).Times(w.job.req.Need, w.missing.Len())
+		Plus(p.teamUsage[w.job.spec.Team], -1).Times(w.job.request.Need, w.missing.Len())
 	if w.job.spec.Shape == wire.ShapeGang && count < w.job.spec.Tasks {
 		return 0
 	}
 	return count
 }
 
-// keepFor has machines with accelerators kept for a job that waits for some,
+// reserveAcceleratorsFor has machines with accelerators kept for a job that waits for some,
 // before anything is placed: less urgent work within a guarantee comes before
 // urgent work beyond one, and would take them although it needs none.
-func (p *placing) keepFor(w *waiting, c *Core) {
-	if w.job.req.Need.Accelerators > 0 && w.job.strikes <= freeOnly && p.room(c, w) > 0 {
-		p.held, p.heldSpot = true, p.heldSpot || w.job.spec.Spot
+func (p *schedulingPass) reserveAcceleratorsFor(w *pendingJob, c *Controller) {
+	if w.job.request.Need.Accelerators > 0 && w.job.consecutiveBackoffs <= maxBackoffsWithPreemption && p.tasksWithinLimit(c, w) > 0 {
+		p.reserveAccelerators, p.reserveSpotAccelerators = true, p.reserveSpotAccelerators || w.job.spec.Spot
 	}
 }
 
-// leaves reports whether a job is to leave machines alone that are kept.
-func (p *placing) leaves(j *job) bool {
-	return p.held && j.req.Need.Accelerators == 0 && j.spec.Priority.Level() > wire.PriorityHigh.Level()
+// avoidsAccelerators reports whether a job is to leave machines alone that are kept.
+func (p *schedulingPass) avoidsAccelerators(j *job) bool {
+	return p.reserveAccelerators && j.request.Need.Accelerators == 0 && j.spec.Priority.Level() > wire.PriorityHigh.Level()
 }
 
-// leavesDear reports whether a job leaves machines alone that are too dear for
+// avoidsExpensive reports whether a job leaves machines alone that are too dear for
 // work in no hurry.
-func (c *Core) leavesDear(w *waiting) bool {
-	return !w.promised && !math.IsInf(c.dearest, 1) && c.patience(w.job) > 0
+func (c *Controller) avoidsExpensive(w *pendingJob) bool {
+	return !w.guaranteed && !math.IsInf(c.priceLimit, 1) && c.waitTolerance(w.job) > 0
 }
 
-// keeps reports whether a machine is kept for work that waits for accelerators.
-func (p *placing) keeps(h *placement.Host) bool {
-	return h.Total.Accelerators > 0 && (p.heldSpot || h.Labels[placement.LabelSpot] != "true")
+// isReserved reports whether a machine is kept for work that waits for accelerators.
+func (p *schedulingPass) isReserved(h *placement.Host) bool {
+	return h.Total.Accelerators > 0 && (p.reserveSpotAccelerators || h.Labels[placement.LabelSpot] != "true")
 }
 
-// entryTasks is how many tasks one entry may hold, so that it fits on a page
+// maxTasksPerAllocation is how many tasks one entry may hold, so that it fits on a page
 // together with others.
-func (c *Core) entryTasks() int { return max(1, min(maxPerHost, c.pageLimit()/32)) }
+func (c *Controller) maxTasksPerAllocation() int {
+	return max(1, min(maxTasksPerMachine, c.pageLimit()/32))
+}
 
-// plain reports whether a search for room for the job depends on nothing but
+// hasPlainConstraints reports whether a search for room for the job depends on nothing but
 // what search says.
-func plain(j *job) bool {
+func hasPlainConstraints(j *job) bool {
 	s := &j.spec
-	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.avoid) == 0
+	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.avoidMachines) == 0
 }
 
-// hopeless reports whether something that needs no more found no room in this
+// knownUnsatisfiable reports whether something that needs no more found no room in this
 // pass.
-func (p *placing) hopeless(k search, j *job) bool {
-	return plain(j) && slices.ContainsFunc(p.full[k], func(a placement.Amount) bool { return j.req.Need.Covers(a) })
+func (p *schedulingPass) knownUnsatisfiable(k searchKey, j *job) bool {
+	return hasPlainConstraints(j) && slices.ContainsFunc(p.unsatisfiable[k], func(a placement.Amount) bool { return j.request.Need.Covers(a) })
 }
 
-// noRoom notes that a job found none.
-func (p *placing) noRoom(k search, j *job) {
-	if plain(j) {
-		p.full[k] = append(p.full[k], j.req.Need)
+// noteUnsatisfiable notes that a job found none.
+func (p *schedulingPass) noteUnsatisfiable(k searchKey, j *job) {
+	if hasPlainConstraints(j) {
+		p.unsatisfiable[k] = append(p.unsatisfiable[k], j.request.Need)
 	}
 }
 
-// choose finds machines for a job's tasks and takes what it dealt with off
+// chooseMachines finds machines for a job's tasks and takes what it dealt with off
 // count. Urgent work goes where its image is already, since fetching one takes
 // longer than stopping something less urgent that stands in the way.
-func (c *Core) choose(p *placing, w *waiting, count *int, o placement.Options) []placement.Choice {
+func (c *Controller) chooseMachines(p *schedulingPass, w *pendingJob, count *int, o placement.Options) []placement.Choice {
 	j := w.job
-	free := search{spot: j.spec.Spot, held: p.leaves(j), dear: c.leavesDear(w)}
-	if p.hopeless(free, j) {
+	free := searchKey{spot: j.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(j), avoidsExpensive: c.avoidsExpensive(w)}
+	if p.knownUnsatisfiable(free, j) {
 		return nil
 	}
 	usable := o.Usable
@@ -317,56 +319,56 @@
 	warm := o
 	warm.Usable = hasImage
 	warm.Relax = false
-	c.rank(p, free, j, true, &warm)
-	choices := p.fleet.Choose(j.req, *count, w.zone, warm)
+	c.reuseRanking(p, free, j, true, &warm)
+	choices := p.fleet.Choose(j.request, *count, w.zone, warm)
 	take := func() {
 		for _, ch := range choices {
 			*count -= ch.Count
-			p.own[j.id] = append(p.own[j.id], c.machines[ch.Machine].host)
+			p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], c.machines[ch.Machine].host)
 			if j.spec.SingleZone {
 				w.zone = ch.Zone
 			}
 		}
 	}
 	take()
-	if *count == 0 || p.warmOnly {
+	if *count == 0 || p.cachedImageOnly {
 		return choices
 	}
-	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.strikes <= freeOnly && c.coldSlow(j) {
-		*count = c.awaitRoom(p, w, slices.Concat(j.req.Enforced, j.req.Preferred), *count, hasImage)
+	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.consecutiveBackoffs <= maxBackoffsWithPreemption && c.imagePullIsSlow(j) {
+		*count = c.awaitFreeingCapacity(p, w, slices.Concat(j.request.Enforced, j.request.Preferred), *count, hasImage)
 	}
 	first := choices
-	o.Own = p.own[j.id]
-	c.rank(p, free, j, false, &o)
-	choices = p.fleet.Choose(j.req, *count, w.zone, o)
+	o.Own = p.hostsOfJob[j.id]
+	c.reuseRanking(p, free, j, false, &o)
+	choices = p.fleet.Choose(j.request, *count, w.zone, o)
 	take()
 	if *count > 0 && o.Probes == 0 && o.Relax {
-		p.noRoom(free, j)
+		p.noteUnsatisfiable(free, j)
 	}
 	return append(first, choices...)
 }
 
-// slowFetch is how long an image may take to fetch before it is worth stopping
+// slowImagePullS is how long an image may take to fetch before it is worth stopping
 // other work to do without.
-const slowFetch = 0.5
+const slowImagePullS = 0.5
 
-// coldSlow reports whether a start without the image would be noticed.
-func (c *Core) coldSlow(j *job) bool {
+// imagePullIsSlow reports whether a start without the image would be noticed.
+func (c *Controller) imagePullIsSlow(j *job) bool {
 	best := 0.0
 	for i := range c.catalogue {
-		if t := &c.catalogue[i]; amountOf(t).Covers(j.req.Need) {
+		if t := &c.catalogue[i]; machineResources(t).Covers(j.request.Need) {
 			best = max(best, t.PullGBPerS)
 		}
 	}
-	return best == 0 || j.spec.ImageGB/best > slowFetch
+	return best == 0 || j.spec.ImageGB/best > slowImagePullS
 }
 
-// awaitRoom has tasks wait for room that is being freed on some machines, or
+// awaitFreeingCapacity has tasks wait for room that is being freed on some machines, or
 // has less urgent work there stopped, and returns how many still have none.
 //
 // The rules are those that the placement itself will go by. Where they were
 // laxer, tasks would be stopped pass after pass for room that is never taken.
-func (c *Core) awaitRoom(p *placing, w *waiting, rules []placement.Node, count int, usable func(*placement.Host) bool) int {
+func (c *Controller) awaitFreeingCapacity(p *schedulingPass, w *pendingJob, rules []placement.Node, count int, usable func(*placement.Host) bool) int {
 	j := w.job
 	if w.zone != "" {
 		rules = append(slices.Clip(rules), placement.InZone(w.zone))
@@ -375,7 +377,7 @@
 	if (j.spec.SingleZone && w.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
 		return count
 	}
-	rd := p.fleet.Reading(p.own[j.id])
+	rd := p.fleet.Reading(p.hostsOfJob[j.id])
 	for _, h := range p.fleet {
 		if count == 0 {
 			return 0
@@ -384,86 +386,86 @@
 			continue
 		}
 		room := h.Free.Plus(h.Freeing, 1)
-		if !room.Covers(j.req.Need) || !usable(h) || !rd.Holds(rules, j.spec.Team, h) {
+		if !room.Covers(j.request.Need) || !usable(h) || !rd.Holds(rules, j.spec.Team, h) {
 			continue
 		}
-		n := room.Times(j.req.Need, count)
-		if j.req.Single {
+		n := room.Times(j.request.Need, count)
+		if j.request.Single {
 			n = 1
 		}
-		c.book(p, rd, j, h, n)
+		c.reserveFreeingCapacity(p, rd, j, h, n)
 		count -= n
 	}
-	if count > 0 && c.places(j) {
+	if count > 0 && c.schedulesJob(j) {
 		count = c.preempt(p, rd, rules, w, count, usable)
 	}
 	return count
 }
 
-// book keeps room that is being freed for tasks of a job.
-func (c *Core) book(p *placing, rd *placement.Reading, j *job, h *placement.Host, n int) {
-	rd.Book(j.req, h, n)
-	p.own[j.id] = append(p.own[j.id], h)
+// reserveFreeingCapacity keeps room that is being freed for tasks of a job.
+func (c *Controller) reserveFreeingCapacity(p *schedulingPass, rd *placement.Reading, j *job, h *placement.Host, n int) {
+	rd.Book(j.request, h, n)
+	p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], h)
 }
 
-// places reports whether this controller answers for a job's placement: a new
+// schedulesJob reports whether this controller answers for a job's placement: a new
 // job's first placement is up to the one that accepted it, everything else to
 // its team's owner.
 //
 // While shares are in use, a job may have been handed on.
-func (c *Core) places(j *job) bool {
-	if to, handed := c.holder(j.id); handed && c.sharded() {
+func (c *Controller) schedulesJob(j *job) bool {
+	if to, handed := c.forwardedTo(j.id); handed && c.sharded() {
 		return to == c.settings.Label
 	}
-	if c.now.Sub(j.seen) < firstTime && c.live(j.by) {
-		return j.by == c.boot && !c.isolated()
+	if c.now.Sub(j.firstSeen) < acceptorPriorityPeriod && c.isAlive(j.acceptedBy) {
+		return j.acceptedBy == c.incarnation && !c.isolated()
 	}
 	return c.ownsTeam(j.spec.Team)
 }
 
-// wanting deals with tasks that found no room: they wait for room that is being
+// handleUnmetDemand deals with tasks that found no room: they wait for room that is being
 // freed, or have less urgent work stopped, or else stand in the backlog that
 // the buyer sees.
-func (c *Core) wanting(p *placing, w *waiting, count int) {
-	if w.job.strikes > freeOnly {
-		w.job.why = "its tasks fail on every machine; tried again when something is free"
+func (c *Controller) handleUnmetDemand(p *schedulingPass, w *pendingJob, count int) {
+	if w.job.consecutiveBackoffs > maxBackoffsWithPreemption {
+		w.job.pendingReason = "its tasks fail on every machine; tried again when something is free"
 		return
 	}
-	if p.ownShares && c.handOn(w, true) {
-		w.job.why = "no machine in this controller's shares has room: handed on"
+	if p.ownShards && c.forwardJob(w, true) {
+		w.job.pendingReason = "no machine in this controller's shares has room: handed on"
 		return
 	}
 	if j := w.job; j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone && w.zone == "") {
-		zone, lacking := c.gather(p, w, count)
-		j.why = "not enough machines that fit have room at once"
-		if lacking > 0 && p.ownShares {
-			c.handOn(w, false)
+		zone, lacking := c.gatherCapacity(p, w, count)
+		j.pendingReason = "not enough machines that fit have room at once"
+		if lacking > 0 && p.ownShards {
+			c.forwardJob(w, false)
 		}
 		if lacking > 0 {
-			c.backlog = append(c.backlog, demand{job: j, count: lacking, promised: w.promised, zone: zone})
+			c.backlog = append(c.backlog, unmetDemand{job: j, count: lacking, guaranteed: w.guaranteed, zone: zone})
 		}
 		return
 	}
 	usable := func(*placement.Host) bool { return true }
-	if p.leaves(w.job) {
-		usable = func(h *placement.Host) bool { return !p.keeps(h) }
-	}
-	stop := search{w.job.spec.Team, w.job.spec.Priority.Level(), w.job.spec.Spot, w.promised, true, false, false}
-	if !p.hopeless(stop, w.job) {
-		rules := w.job.req.Enforced
-		if c.chosen.Affinity == config.AffinityEnforced {
-			rules = slices.Concat(rules, w.job.req.Preferred)
+	if p.avoidsAccelerators(w.job) {
+		usable = func(h *placement.Host) bool { return !p.isReserved(h) }
+	}
+	stop := searchKey{w.job.spec.Team, w.job.spec.Priority.Level(), w.job.spec.Spot, w.guaranteed, true, false, false}
+	if !p.knownUnsatisfiable(stop, w.job) {
+		rules := w.job.request.Enforced
+		if c.values.Affinity == config.AffinityEnforced {
+			rules = slices.Concat(rules, w.job.request.Preferred)
 		}
-		count = c.awaitRoom(p, w, rules, count, usable)
+		count = c.awaitFreeingCapacity(p, w, rules, count, usable)
 		if count > 0 {
-			p.noRoom(stop, w.job)
+			p.noteUnsatisfiable(stop, w.job)
 		}
 	}
 	if count > 0 {
-		w.job.why = "no machine that fits has room"
-		if p.ownShares {
-			c.handOn(w, false)
+		w.job.pendingReason = "no machine that fits has room"
+		if p.ownShards {
+			c.forwardJob(w, false)
 		}
-		c.backlog = append(c.backlog, demand{job: w.job, count: count, promised: w.promised})
+		c.backlog = append(c.backlog, unmetDemand{job: w.job, count: count, guaranteed: w.guaranteed})
 	}
 }
