--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -9,75 +9,75 @@
 	"lilacrill/wire"
 )
 
-// planner decides which tasks go where.
-type planner struct {
-	dirty         bool
-	urgent        bool // something came in that a waiting critical job needs
-	lostSome      bool // machines are gone with what stood on them
-	criticalWaits bool
-	nextPlan      Time
-	nextRest      Time
-	nextUrgent    Time // no round for critical work alone before, while many submissions wait
-	nextSurvey    Time
-	nextLook      Time
-	lastBump      Time
-	lastTick      Time
-	lag           float64 // how late ticks come of late, in ticks
-	lagging       bool
-	nextSweep     Time
-	sweeping      bool
+// scheduler decides which tasks go where.
+type scheduler struct {
+	dirty              bool
+	criticalDirty      bool // something came in that a waiting critical job needs
+	machinesLost       bool // machines are gone with what stood on them
+	criticalPending    bool
+	nextPass           Time
+	nextNonCritical    Time
+	nextCriticalOnly   Time // no round for critical work alone before, while many submissions wait
+	nextDemandEstimate Time
+	nextFleetReview    Time
+	lastTokenRaise     Time
+	lastTick           Time
+	lag                float64 // how late ticks come of late, in ticks
+	lagging            bool
+	nextCleanup        Time
+	cleaning           bool
 
 	// The index of the records: real ones for commands, and with the rounds
 	// that are being written for planning.
-	ofJob      map[wire.JobID][]*Entry
-	critical   map[wire.MachineID]int // entries of critical tasks
-	teamOwners map[string]string      // team to controller, as far as asked since the living changed
-	within     map[wire.JobID]bool    // the jobs within their teams' guarantees
+	allocationsByJob    map[wire.JobID][]*Allocation
+	criticalAllocations map[wire.MachineID]int // entries of critical tasks
+	teamOwners          map[string]string      // team to controller, as far as asked since the living changed
+	guaranteedJobs      map[wire.JobID]bool    // the jobs within their teams' guarantees
 }
 
-// plannerTeam is what the planner keeps of a team.
-type plannerTeam struct {
-	writing   *round
-	notBefore Time // no round before
-	proofFrom Time // when proofs may be written here though another is the owner
-	lastTurn  Time
-	placeFrom Time                    // no placements before: after lost writes
-	tries     int                     // lost writes in a row
-	firstTry  Time                    // when the first of them was sent
-	locked    map[wire.MachineID]bool // machines of the lost writes
+// teamSchedule is what the planner keeps of a team.
+type teamSchedule struct {
+	inFlight           *placementTransaction
+	nextTransaction    Time // no round before
+	nextExitCollection Time // when proofs may be written here though another is the owner
+	lastTurn           Time
+	nextPlacement      Time                    // no placements before: after lost writes
+	lostPlacements     int                     // lost writes in a row
+	firstLostAt        Time                    // when the first of them was sent
+	contendedMachines  map[wire.MachineID]bool // machines of the lost writes
 }
 
-func (p *planner) init() {
-	p.ofJob = map[wire.JobID][]*Entry{}
-	p.critical = map[wire.MachineID]int{}
+func (p *scheduler) init() {
+	p.allocationsByJob = map[wire.JobID][]*Allocation{}
+	p.criticalAllocations = map[wire.MachineID]int{}
 	p.teamOwners = map[string]string{}
 }
 
 const (
-	// planEvery and planPerMachine bound what planning costs.
-	planEvery      = 30 * time.Millisecond
-	planPerMachine = 60 * time.Microsecond
-	// surveyEvery is how often the buyer looks at what waits at least.
-	surveyEvery = time.Second
-	idlePlan    = 500 * time.Millisecond
-	idleMost    = 2 * time.Second
-	// firstTime is how long the placement of a new job is left to the controller
+	// passInterval and passIntervalPerMachine bound what planning costs.
+	passInterval           = 30 * time.Millisecond
+	passIntervalPerMachine = 60 * time.Microsecond
+	// demandEstimateInterval is how often the buyer looks at what waits at least.
+	demandEstimateInterval = time.Second
+	idlePassInterval       = 500 * time.Millisecond
+	maxIdlePassInterval    = 2 * time.Second
+	// acceptorPriorityPeriod is how long the placement of a new job is left to the controller
 	// that accepted it.
-	firstTime = 500 * time.Millisecond
-	// proofTime is how long the writing down of proofs is left to the owner:
+	acceptorPriorityPeriod = 500 * time.Millisecond
+	// exitCollectionDelay is how long the writing down of proofs is left to the owner:
 	// one writer per team spares lost writes.
-	proofTime   = time.Second
-	notDoneWait = 200 * time.Millisecond
-	reportSlack = 2 * time.Second
-	maxPerHost  = 300
-	maxTxnBytes = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
-	// crowdedPart is the part of the writes that rounds may take meanwhile.
-	crowdedPart = 0.4
-	// restEvery is how often what can wait is planned at most.
-	restEvery = 250 * time.Millisecond
+	exitCollectionDelay = time.Second
+	commitRetryDelay    = 200 * time.Millisecond
+	heartbeatSlack      = 2 * time.Second
+	maxTasksPerMachine  = 300
+	maxTxnBytes         = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
+	// crowdedWriteFraction is the part of the writes that rounds may take meanwhile.
+	crowdedWriteFraction = 0.4
+	// nonCriticalInterval is how often what can wait is planned at most.
+	nonCriticalInterval = 250 * time.Millisecond
 )
 
-func (c *Core) teamSettings(name string) *config.Team {
+func (c *Controller) teamSettings(name string) *config.Team {
 	for i := range c.settings.Cluster.Teams {
 		if c.settings.Cluster.Teams[i].Name == name {
 			return &c.settings.Cluster.Teams[i]
@@ -86,86 +86,86 @@
 	return nil
 }
 
-// plan runs one pass over all that waits, if there is reason to. What can wait
+// runScheduler runs one pass over all that waits, if there is reason to. What can wait
 // gathers until this controller's share of the writes allows another round.
-func (c *Core) plan() {
-	if !c.ready || !c.whole() || !c.stateFresh() || !c.after(c.nextPlan) {
+func (c *Controller) runScheduler() {
+	if !c.ready || !c.cacheComplete() || !c.storeReachable() || !c.isDue(c.nextPass) {
 		return
 	}
 	// What stood on machines that are gone is not made to wait.
-	rest := c.lostSome || c.after(c.nextRest) && c.affords()
-	if !rest && c.buyer == c.boot && c.after(c.nextSurvey) {
+	rest := c.machinesLost || c.isDue(c.nextNonCritical) && c.canAffordWrite()
+	if !rest && c.provisionerIncarnation == c.incarnation && c.isDue(c.nextDemandEstimate) {
 		// What waits must be bought for even while nothing can be written.
-		c.nextSurvey = c.now.Add(surveyEvery)
-		c.nextPlan = c.now.Add(c.planPause())
+		c.nextDemandEstimate = c.now.Add(demandEstimateInterval)
+		c.nextPass = c.now.Add(c.passPause())
 		if c.sharded() {
-			c.surveyFleet()
+			c.estimateFleetDemand()
 		} else {
-			c.place(map[string]*round{}, true)
+			c.schedule(map[string]*placementTransaction{}, true)
 		}
 		return
 	}
-	if !rest && !c.urgent || !c.dirty && !c.after(c.nextPlan.Add(c.paced(idlePlan, idleMost))) {
+	if !rest && !c.criticalDirty || !c.dirty && !c.isDue(c.nextPass.Add(c.stretchPause(idlePassInterval, maxIdlePassInterval))) {
 		return
 	}
 	c.dirty = !rest // what could not be looked at now is looked at later
-	c.urgent = false
-	c.nextPlan = c.now.Add(c.planPause())
+	c.criticalDirty = false
+	c.nextPass = c.now.Add(c.passPause())
 	if rest {
-		c.nextRest = c.now.Add(max(c.paced(restEvery, planMost), 2*c.planPause()))
-		c.nextSurvey = c.now.Add(surveyEvery)
+		c.nextNonCritical = c.now.Add(max(c.stretchPause(nonCriticalInterval, maxPassPause), 2*c.passPause()))
+		c.nextDemandEstimate = c.now.Add(demandEstimateInterval)
 	}
-	paced := c.crowded() && !c.after(c.nextUrgent)
+	paced := c.submissionsCrowded() && !c.isDue(c.nextCriticalOnly)
 	if paced {
-		c.urgent = true
+		c.criticalDirty = true
 		if !rest {
 			return
 		}
 	}
 	for _, name := range sortedKeys(c.teams) {
-		c.unlock(c.teams[name])
+		c.expirePlacementRetries(c.teams[name])
 	}
-	rounds := c.turnOf(rest)
+	rounds := c.startTransactions(rest)
 	if rest {
-		c.endJobs(rounds)
-		c.mendGangs(rounds)
-		c.drain(rounds)
+		c.completeJobs(rounds)
+		c.evictBrokenGangs(rounds)
+		c.evictFromPreemptedMachines(rounds)
 	}
 	// Critical work waits for no turn.
 	for _, name := range sortedKeys(c.teams) {
-		if t := c.teams[name]; !paced && rounds[name] == nil && t.writing == nil && c.after(t.notBefore) {
-			rounds[name] = c.newRound(t)
-			rounds[name].urgentOnly = true
+		if t := c.teams[name]; !paced && rounds[name] == nil && t.inFlight == nil && c.isDue(t.nextTransaction) {
+			rounds[name] = c.newPlacementTransaction(t)
+			rounds[name].criticalOnly = true
 		}
 	}
-	c.place(rounds, rest)
+	c.schedule(rounds, rest)
 	wrote, ops := false, 0
 	for _, name := range sortedKeys(rounds) {
 		if r := rounds[name]; !r.empty() {
-			c.write(r)
+			c.commitPlacements(r)
 			wrote = true
-			ops += r.ops
+			ops += r.operations
 		}
 	}
-	c.nextUrgent = c.now.Add(config.Seconds(float64(ops) / (c.writeRate() * crowdedPart)))
+	c.nextCriticalOnly = c.now.Add(config.Seconds(float64(ops) / (c.writeRate() * crowdedWriteFraction)))
 	if !wrote {
-		c.nextRest = c.nextPlan
+		c.nextNonCritical = c.nextPass
 	}
 }
 
-// crowded reports whether so many submissions wait to be written that rounds for
+// submissionsCrowded reports whether so many submissions wait to be written that rounds for
 // critical work are to leave writes to them. Such rounds go first, and each team
 // could write one after the other, with a job or two in each: hundreds of jobs
 // that came at once were then accepted at a few a second, and what they need was
 // rented as late. The more jobs there are in a round, the fewer writes each takes.
-func (c *Core) crowded() bool { return c.accepting >= acceptLeast }
+func (c *Controller) submissionsCrowded() bool { return c.submissionsInFlight >= minAdmissionQueue }
 
-// turnOf starts rounds for the teams whose turn it is. A round is made when it
+// startTransactions starts rounds for the teams whose turn it is. A round is made when it
 // can be written at once: one that waits in line for its tokens is based on
 // what is no longer so, and is lost. So teams take turns, unless machines are
 // gone with what stood on them.
-func (c *Core) turnOf(rest bool) map[string]*round {
-	rounds := map[string]*round{}
+func (c *Controller) startTransactions(rest bool) map[string]*placementTransaction {
+	rounds := map[string]*placementTransaction{}
 	if !rest {
 		return rounds
 	}
@@ -173,73 +173,73 @@
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(c.teams[a].lastTurn, c.teams[b].lastTurn) })
 	for _, name := range names {
 		t := c.teams[name]
-		if t.writing != nil || !c.after(t.notBefore) {
+		if t.inFlight != nil || !c.isDue(t.nextTransaction) {
 			continue
 		}
-		r := c.newRound(t)
-		c.takeProofs(r)
+		r := c.newPlacementTransaction(t)
+		c.collectTaskExits(r)
 		switch {
 		case r.empty() || c.ownsTeam(name):
-			t.proofFrom = 0
-		case t.proofFrom == 0:
-			t.proofFrom = c.now.Add(proofTime)
+			t.nextExitCollection = 0
+		case t.nextExitCollection == 0:
+			t.nextExitCollection = c.now.Add(exitCollectionDelay)
 			continue
-		case !c.after(t.proofFrom):
+		case !c.isDue(t.nextExitCollection):
 			continue
 		}
-		if r.empty() && !c.awaits(name) {
+		if r.empty() && !c.teamNeedsWork(name) {
 			continue
 		}
 		rounds[name] = r
 		t.lastTurn = c.now
-		if !c.lostSome {
+		if !c.machinesLost {
 			c.dirty = true // others may wait for their turn
 			break
 		}
 	}
-	c.lostSome = false
+	c.machinesLost = false
 	return rounds
 }
 
-// awaits reports whether a team has something that is this controller's to do:
+// teamNeedsWork reports whether a team has something that is this controller's to do:
 // tasks without a machine, or whatever else its owner looks after.
-func (c *Core) awaits(team string) bool {
+func (c *Controller) teamNeedsWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
-	if ownsTeam && slices.ContainsFunc(c.inOrder(), func(m *machine) bool { return m.recallAt != 0 }) {
+	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.preemptionAt != 0 }) {
 		return true
 	}
 	for id, j := range c.jobs {
 		if j.spec.Team != team {
 			continue
 		}
-		if done := j.done.Len(); ownsTeam && done >= j.spec.Tasks || !c.paused(j) && done+c.placedOf(id) < j.spec.Tasks && c.places(j) {
+		if done := j.completed.Len(); ownsTeam && done >= j.spec.Tasks || !c.inBackoff(j) && done+c.placedTasks(id) < j.spec.Tasks && c.schedulesJob(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// planPause is the least time between passes, which cost in proportion to the
+// passPause is the least time between passes, which cost in proportion to the
 // fleet.
-func (c *Core) planPause() time.Duration {
-	return c.paced(planEvery+time.Duration(len(c.machines))*planPerMachine, planMost)
+func (c *Controller) passPause() time.Duration {
+	return c.stretchPause(passInterval+time.Duration(len(c.machines))*passIntervalPerMachine, maxPassPause)
 }
 
-// paced is a pause of what can be put off, stretched where this process has a small
+// stretchPause is a pause of what can be put off, stretched where this process has a small
 // share of a processor, and further while it falls behind: leases, answers and what
 // waits for them come first. It is not stretched beyond most.
-func (c *Core) paced(pause, most time.Duration) time.Duration {
-	stretch := max(1, usualShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.lag)
+func (c *Controller) stretchPause(pause, most time.Duration) time.Duration {
+	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.lag)
 	return max(pause, min(most, time.Duration(float64(pause)*stretch)))
 }
 
-// noteLag is called at every tick: how late ticks come shows whether this process
+// measureLag is called at every tick: how late ticks come shows whether this process
 // keeps up.
-func (c *Core) noteLag() {
-	late := min(c.now.Sub(c.lastTick)-TickEvery, stoodStill)
-	c.lag += lagWeight * (max(0, float64(late)/float64(TickEvery)) - c.lag)
+func (c *Controller) measureLag() {
+	late := min(c.now.Sub(c.lastTick)-TickEvery, stallThreshold)
+	c.lag += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - c.lag)
 	c.lastTick = c.now
-	if late := c.lag > lagHigh; late != c.lagging && (late || c.lag < lagLow) {
+	if late := c.lag > lagThreshold; late != c.lagging && (late || c.lag < lagRecovered) {
 		c.lagging = late
 		if late {
 			c.count(countLagging, 1)
@@ -254,13 +254,13 @@
 const (
 	// TickEvery is how often the core is to be given a Tick.
 	TickEvery = 50 * time.Millisecond
-	// usualShare is the share of a processor that pauses are meant for.
-	usualShare = 0.18
-	planMost   = time.Second
-	lagWeight  = 0.1 // of the last tick, in the mean
-	// lagHigh and lagLow are how late ticks come, in ticks, when a process is said to
+	// referenceCoreShare is the share of a processor that pauses are meant for.
+	referenceCoreShare = 0.18
+	maxPassPause       = time.Second
+	lagSmoothing       = 0.1 // of the last tick, in the mean
+	// lagThreshold and lagRecovered are how late ticks come, in ticks, when a process is said to
 	// fall behind, and to keep up again.
-	lagHigh, lagLow = 3.0, 0.5
+	lagThreshold, lagRecovered = 3.0, 0.5
 )
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
@@ -272,16 +272,16 @@
 	return keys
 }
 
-// concerns reports whether anything waits that this controller answers for. The
+// needsSchedulingPass reports whether anything waits that this controller answers for. The
 // buyer also has to know what else does, and whether enough room is kept free.
-func (c *Core) concerns(rest bool) bool {
-	return rest && c.buyer == c.boot || c.waitsForUs(rest)
+func (c *Controller) needsSchedulingPass(rest bool) bool {
+	return rest && c.provisionerIncarnation == c.incarnation || c.hasPendingJobs(rest)
 }
 
-// waitsForUs reports whether anything waits that this controller answers for.
-func (c *Core) waitsForUs(rest bool) bool {
+// hasPendingJobs reports whether anything waits that this controller answers for.
+func (c *Controller) hasPendingJobs(rest bool) bool {
 	for id, j := range c.jobs {
-		if (rest || j.spec.Priority == wire.PriorityCritical) && !c.paused(j) && j.done.Len()+c.placedOf(id) < j.spec.Tasks && c.places(j) {
+		if (rest || j.spec.Priority == wire.PriorityCritical) && !c.inBackoff(j) && j.completed.Len()+c.placedTasks(id) < j.spec.Tasks && c.schedulesJob(j) {
 			return true
 		}
 	}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -10,67 +10,67 @@
 	"lilacrill/wire"
 )
 
-// waiting is a job with tasks that are not placed.
-type waiting struct {
-	job      *job
-	missing  record.TaskSet
-	zone     string // where its tasks are, if it is to stay together
-	promised bool   // within its team's guarantee
-	due      int64  // the next target that it can still meet, in Unix milliseconds
-	late     bool   // not all can be in time, and this one is not among those chosen
-	overdue  bool   // it has waited so long for its first start that it is put off no more
+// pendingJob is a job with tasks that are not placed.
+type pendingJob struct {
+	job            *job
+	missing        record.TaskSet
+	zone           string // where its tasks are, if it is to stay together
+	guaranteed     bool   // within its team's guarantee
+	deadline       int64  // the next target that it can still meet, in Unix milliseconds
+	missesDeadline bool   // not all can be in time, and this one is not among those chosen
+	overdue        bool   // it has waited so long for its first start that it is put off no more
 }
 
-// chance orders what can still be in time, what no longer can, and what nobody stated
+// deadlineClass orders what can still be in time, what no longer can, and what nobody stated
 // a time for: a huge array without any once went ahead of all work that was late.
-func (w *waiting) chance() int {
+func (w *pendingJob) deadlineClass() int {
 	switch {
-	case w.late:
+	case w.missesDeadline:
 		return 1
-	case w.due == never:
+	case w.deadline == noDeadline:
 		return 2
 	}
 	return 0
 }
 
-// queue is all that waits, most urgent first.
-func (c *Core) queue(rounds map[string]*round, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []waiting {
+// pendingJobs is all that waits, most urgent first.
+func (c *Controller) pendingJobs(rounds map[string]*placementTransaction, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []pendingJob {
 	if rest {
-		c.within = c.promised()
+		c.guaranteedJobs = c.findGuaranteedJobs()
 	}
-	var queue []waiting
+	var queue []pendingJob
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
 		if !rest && j.spec.Priority != wire.PriorityCritical {
 			continue
 		}
-		if c.holds(id) {
-			j.why = "its record, or a placement record of its team, cannot be read"
+		if c.jobUnreadable(id) {
+			j.pendingReason = "its record, or a placement record of its team, cannot be read"
 			continue
 		}
-		if c.paused(j) {
-			j.why = "its tasks failed; they are tried again after a pause"
+		if c.inBackoff(j) {
+			j.pendingReason = "its tasks failed; they are tried again after a pause"
 			continue
 		}
-		missing := record.Span(0, j.spec.Tasks).Without(j.done).Without(placed[id])
-		if r := c.teamOf(j.spec.Team).writing; r != nil {
-			missing = missing.Without(r.done[id])
+		missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(placed[id])
+		if r := c.team(j.spec.Team).inFlight; r != nil {
+			missing = missing.Without(r.completed[id])
 		} else if r := rounds[j.spec.Team]; r != nil {
-			missing = missing.Without(r.done[id])
+			missing = missing.Without(r.completed[id])
 		}
 		if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
 			continue
 		}
-		w := waiting{job: j, missing: missing, promised: c.within[id]}
-		w.due, w.late = c.due(j)
+		w := pendingJob{job: j, missing: missing, guaranteed: c.guaranteedJobs[id]}
+		w.deadline, w.missesDeadline = c.deadlineOf(j)
 		// What fails everywhere has begun; it must not go ahead of others for ever.
-		w.overdue = c.waited(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.strikes == 0
+		w.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.consecutiveBackoffs == 0
 		if j.spec.SingleZone {
 			w.zone = zones[id]
 		}
 		queue = append(queue, w)
 	}
-	order := func(a, b waiting) int {
+	order := func(a, b pendingJob) int {
 		ra, rb := a.job.spec.Priority.Level(), b.job.spec.Priority.Level()
 		if ra == 0 || rb == 0 {
 			if d := cmp.Compare(ra, rb); d != 0 {
@@ -78,21 +78,23 @@
 			}
 		}
 		if a.overdue || b.overdue {
-			return cmp.Or(-cmp.Compare(btoi(a.overdue), btoi(b.overdue)), cmp.Compare(a.job.at, b.job.at), cmp.Compare(a.job.id, b.job.id))
+			return cmp.Or(-cmp.Compare(boolToInt(a.overdue), boolToInt(b.overdue)), cmp.Compare(a.job.acceptedAt, b.job.acceptedAt), cmp.Compare(a.job.id, b.job.id))
 		}
-		return cmp.Or(-cmp.Compare(btoi(a.promised), btoi(b.promised)), cmp.Compare(ra, rb),
-			cmp.Compare(a.chance(), b.chance()), cmp.Compare(a.due, b.due), cmp.Compare(a.job.at, b.job.at),
+		return cmp.Or(-cmp.Compare(boolToInt(a.guaranteed), boolToInt(b.guaranteed)), cmp.Compare(ra, rb),
+			cmp.Compare(a.deadlineClass(), b.deadlineClass()), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.job.acceptedAt, b.job.acceptedAt),
 			cmp.Compare(a.job.id, b.job.id))
 	}
 	slices.SortFunc(queue, order)
-	if rest && c.giveUpSome(queue) {
+	if rest && c.deferLargestLateJobs(queue) {
 		slices.SortFunc(queue, order)
 	}
 	return queue
 }
 
-// waited is how long ago a job was accepted.
-func (c *Core) waited(j *job) time.Duration { return time.Duration(c.wall-j.at) * time.Millisecond }
+// pendingFor is how long ago a job was accepted.
+func (c *Controller) pendingFor(j *job) time.Duration {
+	return time.Duration(c.wall-j.acceptedAt) * time.Millisecond
+}
 
 // overdueAfter is how long a job may wait for its first start before it goes
 // ahead of all but critical work, whatever its rank, its size and its chances
@@ -100,18 +102,18 @@
 // off without end. Users expect them to begin within four minutes.
 const overdueAfter = 100 * time.Second
 
-// giveUpSome marks jobs late when not all can be in time: taking them as they
+// deferLargestLateJobs marks jobs late when not all can be in time: taking them as they
 // are due, whenever one would be too late, the largest so far is put off. That
 // leaves the most jobs in time. It reports whether it marked any.
-func (c *Core) giveUpSome(queue []waiting) bool {
+func (c *Controller) deferLargestLateJobs(queue []pendingJob) bool {
 	cores := 0.0
 	for _, m := range c.machines {
-		if t := c.kind(m.kind); t != nil && c.usable(m) {
+		if t := c.machineTypeNamed(m.machineType); t != nil && c.acceptsTasks(m) {
 			cores += t.Cores
 		}
 	}
 	for _, j := range c.jobs {
-		if j.spec.Shape == wire.ShapeService && j.strikes == 0 && !j.unreadable {
+		if j.spec.Shape == wire.ShapeService && j.consecutiveBackoffs == 0 && !j.unreadable {
 			cores -= j.spec.Cores * float64(j.spec.Tasks)
 		}
 	}
@@ -126,12 +128,12 @@
 	}
 	for i := range queue {
 		w := &queue[i]
-		if w.late || w.due == never || w.job.spec.Accelerators > 0 || c.waited(w.job) > overdueAfter {
+		if w.missesDeadline || w.deadline == noDeadline || w.job.spec.Accelerators > 0 || c.pendingFor(w.job) > overdueAfter {
 			continue
 		}
 		picked = append(picked, i)
 		sum += work(i)
-		if sum/cores <= float64(w.due-c.wall)/1000 {
+		if sum/cores <= float64(w.deadline-c.wall)/1000 {
 			continue
 		}
 		k := 0
@@ -141,51 +143,51 @@
 			}
 		}
 		sum -= work(picked[k])
-		queue[picked[k]].late = true
+		queue[picked[k]].missesDeadline = true
 		picked = slices.Delete(picked, k, k+1)
 		any = true
 	}
 	return any
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// never is the due time of jobs that nobody expects to end by a certain time.
-const never = int64(1) << 62
+// noDeadline is the due time of jobs that nobody expects to end by a certain time.
+const noDeadline = int64(1) << 62
 
-// due is when a job should be complete: by its deadline or, without one, within
+// deadlineOf is when a job should be complete: by its deadline or, without one, within
 // the times that the objectives set for its class. Of several it is the first
 // that can still be met; late says that none can.
-func (c *Core) due(j *job) (due int64, late bool) {
+func (c *Controller) deadlineOf(j *job) (due int64, late bool) {
 	least := c.wall + int64(j.spec.RuntimeS*1000)
 	if j.spec.DeadlineS > 0 {
-		due = j.at + int64(j.spec.DeadlineS*1000)
+		due = j.acceptedAt + int64(j.spec.DeadlineS*1000)
 		return due, due < least
 	}
-	due = never
+	due = noDeadline
 	for _, o := range c.settings.Cluster.Objectives {
 		if o.Kind != "finished" || o.Class != j.spec.Class {
 			continue
 		}
 		late = true
-		if t := j.at + int64(o.WithinS*1000); t >= least && t < due {
+		if t := j.acceptedAt + int64(o.WithinS*1000); t >= least && t < due {
 			due = t
 		}
 	}
-	return due, late && due == never
+	return due, late && due == noDeadline
 }
 
-// promised finds the jobs that lie within their team's guarantee: those that fit
+// findGuaranteedJobs finds the jobs that lie within their team's guarantee: those that fit
 // into it together with the team's earlier jobs.
-func (c *Core) promised() map[wire.JobID]bool {
+func (c *Controller) findGuaranteedJobs() map[wire.JobID]bool {
 	byTeam := map[string][]*job{}
 	for _, j := range c.jobs {
-		if j.strikes > 0 || j.unreadable {
+		if j.consecutiveBackoffs > 0 || j.unreadable {
 			continue // it takes nothing, so it takes up no guarantee
 		}
 		byTeam[j.spec.Team] = append(byTeam[j.spec.Team], j)
@@ -196,10 +198,10 @@
 		if set == nil {
 			continue
 		}
-		slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) })
+		slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(a.acceptedAt, b.acceptedAt), cmp.Compare(a.id, b.id)) })
 		var sum placement.Amount
 		for _, j := range jobs {
-			sum = sum.Plus(j.req.Need, float64(j.spec.Tasks))
+			sum = sum.Plus(j.request.Need, float64(j.spec.Tasks))
 			if sum.Cores <= set.CPUs+1e-6 && sum.Accelerators <= set.GPUs+1e-6 {
 				out[j.id] = true
 			}
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -24,10 +24,10 @@
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	c.wall = 100_000
 	add := func(id wire.JobID, team, class string, tasks int, at int64) *job {
-		j := &job{id: id, at: at, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
+		j := &job{id: id, acceptedAt: at, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
 			Priority: wire.PriorityNormal, Tasks: tasks, Cores: 1, RuntimeS: 5}}
-		j.req = placement.NewRequest(&j.spec)
-		j.errors, j.avoid = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+		j.request = placement.NewRequest(&j.spec)
+		j.failedMachines, j.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
 		c.jobs[id] = j
 		return j
 	}
@@ -37,10 +37,10 @@
 	add("wk-000004", "guest", "parcel", 100, 90_000)
 	add("wk-000005", "desk", "sweep", 20, 95_000)
 	for _, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
-		c.noteError(broken, c.machineOf(id))
+		c.noteTaskFailure(broken, c.machine(id))
 	}
 	var order []wire.JobID
-	for _, w := range c.queue(map[string]*round{}, nil, nil, true) {
+	for _, w := range c.pendingJobs(map[string]*placementTransaction{}, nil, nil, true) {
 		order = append(order, w.job.id)
 	}
 	require.Equal(t, []wire.JobID{"wk-000005", "wk-000004", "wk-000003", "wk-000002"}, order,
@@ -54,23 +54,23 @@
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	j := &job{id: "wk-000001", spec: wire.JobSpec{Shape: wire.ShapeArray, Tasks: 200}}
-	j.errors, j.avoid = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+	j.failedMachines, j.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
 	c.jobs[j.id] = j
-	require.Equal(t, 200, c.trial(j, 200))
+	require.Equal(t, 200, c.limitToCanaries(j, 200))
 	for i, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
-		c.noteError(j, c.machineOf(id))
-		require.Equal(t, i == 2, c.paused(j))
+		c.noteTaskFailure(j, c.machine(id))
+		require.Equal(t, i == 2, c.inBackoff(j))
 	}
-	require.Equal(t, trialTasks, c.trial(j, 200))
+	require.Equal(t, canaryTasks, c.limitToCanaries(j, 200))
 	p := &page{key: record.PlacementKey("red", "east", 0), team: "red", zone: "east",
-		entries: []Entry{{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: 1}, Machine: "m-000004", Tasks: record.Span(0, 2)}}}
-	c.turn(p)
-	require.Zero(t, c.trial(j, 198))
-	before := j.notBefore
+		allocations: []Allocation{{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: 1}, Machine: "m-000004", Tasks: record.Span(0, 2)}}}
+	c.replacePage(p)
+	require.Zero(t, c.limitToCanaries(j, 198))
+	before := j.retryAt
 	c.now = before
-	c.noteError(j, c.machineOf("m-000004"))
-	require.Greater(t, j.notBefore.Sub(before), leastPause, "pauses grow")
-	c.noteWell(j)
-	require.Equal(t, 198, c.trial(j, 198))
-	require.False(t, c.paused(j))
+	c.noteTaskFailure(j, c.machine("m-000004"))
+	require.Greater(t, j.retryAt.Sub(before), minCrashLoopBackoff, "pauses grow")
+	c.noteTaskSuccess(j)
+	require.Equal(t, 198, c.limitToCanaries(j, 198))
+	require.False(t, c.inBackoff(j))
 }
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -14,14 +14,14 @@
 // rolloutState is this process's part in the rollout of formats.
 type rolloutState struct {
 	rollout *rollout.Tracker
-	// retired is why this process must not serve; nil while it may.
-	retired        error
+	// shutdownCause is why this process must not serve; nil while it may.
+	shutdownCause  error
 	activating     bool
 	nextActivation Time // when the next automatic activation is thought of
 }
 
-// activationEvery is how often an automatic activation is thought of.
-const activationEvery = time.Second
+// activationInterval is how often an automatic activation is thought of.
+const activationInterval = time.Second
 
 func (s *rolloutState) init(settings *config.Settings) {
 	var siblings []string
@@ -34,12 +34,12 @@
 // applyRollout takes the format in force. It comes before any record of that format:
 // the feed is in order, and a controller that reads everything anew reads it first and
 // acts on nothing before it has caught up.
-func (c *Core) applyRollout(value []byte, version wire.Revision) {
+func (c *Controller) applyRollout(value []byte, version wire.Revision) {
 	before := c.rollout.Format()
 	c.rollout.ApplyState(value, version)
-	c.shares.ApplyFormat(c.rollout.Format())
-	if c.retired = c.rollout.Readable(); c.retired != nil {
-		c.log.Error("this process must not serve", "err", c.retired)
+	c.table.ApplyFormat(c.rollout.Format())
+	if c.shutdownCause = c.rollout.Readable(); c.shutdownCause != nil {
+		c.log.Error("this process must not serve", "err", c.shutdownCause)
 		return
 	}
 	if f := c.rollout.Format(); f != before {
@@ -49,44 +49,44 @@
 }
 
 // rolloutEvent tells whoever traces the rollout what happened to this process in it.
-func (c *Core) rolloutEvent(kind RolloutEventKind) {
-	c.do(RolloutEvent{Kind: kind, Format: c.rollout.Format(), Boot: c.boot, Revision: c.feed})
+func (c *Controller) rolloutEvent(kind RolloutEventKind) {
+	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.Format(), Incarnation: c.incarnation, Revision: c.revision})
 }
 
-// retireNow takes back what this step wanted to do, since it may rest on records that
+// emitShutdown takes back what this step wanted to do, since it may rest on records that
 // were misread, and says that the process must end.
-func (c *Core) retireNow() {
+func (c *Controller) emitShutdown() {
 	var refused []Output
-	for _, o := range c.out {
+	for _, o := range c.outputs {
 		if r, ok := o.(Reply); ok {
-			refused = append(refused, c.retiredReply(r.Request))
+			refused = append(refused, c.shutdownReply(r.Request))
 		}
 	}
-	c.out = append(refused, Retire{c.retired})
+	c.outputs = append(refused, Shutdown{c.shutdownCause})
 	c.rolloutEvent(RolloutRetired)
 }
 
-// refuseRetired answers what still comes to a process that is about to end.
-func (c *Core) refuseRetired(in Input) {
-	if r, waits := in.(request); waits {
-		c.do(c.retiredReply(r.requestID()))
+// refuseWhileShuttingDown answers what still comes to a process that is about to end.
+func (c *Controller) refuseWhileShuttingDown(in Input) {
+	if r, waits := in.(requestInput); waits {
+		c.emit(c.shutdownReply(r.requestID()))
 	}
 }
 
-func (c *Core) retiredReply(r RequestID) Reply {
-	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.retired.Error()}, RetryAfter: comeBackLater}
+func (c *Controller) shutdownReply(r RequestID) Reply {
+	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.shutdownCause.Error()}, RetryAfter: longRetryDelay}
 }
 
 // tickRollout activates a format that all controllers are ready for, where the
 // deployment wants that. One controller tries, so that writes are not lost; whether it
 // may is up to the transaction.
-func (c *Core) tickRollout() {
+func (c *Controller) tickRollout() {
 	set := &c.settings.Features.Rollout
-	if set.Activation != config.ActivationAutomatic || c.activating || c.buyer != c.boot || !c.after(c.nextActivation) ||
-		!c.whole() || !c.stateFresh() {
+	if set.Activation != config.ActivationAutomatic || c.activating || c.provisionerIncarnation != c.incarnation || !c.isDue(c.nextActivation) ||
+		!c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	c.nextActivation = c.now.Add(activationEvery)
+	c.nextActivation = c.now.Add(activationInterval)
 	next, due := c.rollout.Automatic(rollout.Time(c.now), set.Settle())
 	if !due {
 		return
@@ -96,9 +96,9 @@
 		return
 	}
 	c.activating = true
-	c.commit(ClassRest, txn, func(r Committed) {
-		c.barrier(func(bool) { c.activating = false })
-		if r.Outcome == Done {
+	c.commit(PriorityBackground, txn, func(r CommitResult) {
+		c.readBarrier(func(bool) { c.activating = false })
+		if r.Outcome == Succeeded {
 			c.rolloutEvent(RolloutActivated)
 			c.log.Info("format activated: all controllers have been ready for it", "format", next)
 		}
@@ -106,18 +106,18 @@
 }
 
 // viewRollout answers with the rollout as of now or later.
-func (c *Core) viewRollout(r RequestID) {
+func (c *Controller) viewRollout(r RequestID) {
 	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.rollout.View()) })
 }
 
 // afterBarrier goes on once the cache holds all that was written before now; if that
 // cannot be had it answers the request itself.
-func (c *Core) afterBarrier(r RequestID, then func()) {
-	if !c.stateFresh() {
+func (c *Controller) afterBarrier(r RequestID, then func()) {
+	if !c.storeReachable() {
 		c.unavailable(r, "state service unavailable")
 		return
 	}
-	c.barrier(func(ok bool) {
+	c.readBarrier(func(ok bool) {
 		if !ok {
 			c.unavailable(r, "state service unavailable")
 			return
@@ -127,11 +127,11 @@
 }
 
 // changeRollout carries out what an operator asks of the rollout.
-func (c *Core) changeRollout(in RolloutAsked) {
-	if !c.serving(in.Request) {
+func (c *Controller) changeRollout(in RolloutChangeRequested) {
+	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.operatorChange(in.Request, "rollout", func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) }, rolloutStatus, func() {
+	c.operatorChange(in.Request, "rollout", func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) }, rolloutErrorStatus, func() {
 		c.rolloutEvent(RolloutChanged)
 		c.log.Info("rollout changed by an operator", "format", c.rollout.Format(), "activate", in.Change.Activate != nil,
 			"exclude", in.Change.Exclude, "reason", in.Change.Reason, "include", in.Change.Include)
@@ -139,7 +139,7 @@
 	})
 }
 
-func (c *Core) rolloutTransaction(change wire.AdminRolloutChange) (wire.Transaction, error) {
+func (c *Controller) rolloutTransaction(change wire.AdminRolloutChange) (wire.Transaction, error) {
 	switch {
 	case change.Activate != nil:
 		return c.rollout.Activate(*change.Activate, change.Version)
@@ -150,8 +150,8 @@
 	}
 }
 
-// rolloutStatus is the status with which a change of the rollout is refused.
-func rolloutStatus(err error) int {
+// rolloutErrorStatus is the status with which a change of the rollout is refused.
+func rolloutErrorStatus(err error) int {
 	var field *rollout.FieldError
 	if errors.As(err, &field) {
 		return http.StatusBadRequest
@@ -161,12 +161,12 @@
 
 // valueBound is the most that a record may expand to: what a value may take or, where
 // that limit was lowered since, what a transaction may.
-func (c *Core) valueBound() int { return max(c.pageLimit(), maxTxnBytes) }
+func (c *Controller) valueBound() int { return max(c.pageLimit(), maxTxnBytes) }
 
 // noteReadable notes whether a record could be understood. One that could not, damaged
 // or of a shape that is not known here, takes nothing else down: what is known of the
 // job or the team from before stands, and nothing new is done on that ground.
-func (c *Core) noteReadable(key string, err error) {
+func (c *Controller) noteReadable(key string, err error) {
 	if err == nil {
 		delete(c.unreadable, key)
 		return
--- a/internal/core/round_test.go
+++ b/internal/core/round_test.go
@@ -19,15 +19,15 @@
 	set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
-	c.turn(p)
+	c.replacePage(p)
 	c.keyVersions[p.key] = p.version
-	r := c.newRound(c.teamOf("blue"))
-	c.draft(r, p)
-	r.places = true
-	c.write(r)
-	require.Empty(t, c.out, "nothing changed, so nothing is written")
-	r.conds[p.key] = p.version
-	c.adopt(r, 9)
+	r := c.newPlacementTransaction(c.team("blue"))
+	c.stagePage(r, p)
+	r.placesTasks = true
+	c.commitPlacements(r)
+	require.Empty(t, c.outputs, "nothing changed, so nothing is written")
+	r.conditions[p.key] = p.version
+	c.applyCommittedPages(r, 9)
 	require.Equal(t, wire.Revision(5), c.keyVersions[p.key])
-	require.Equal(t, wire.Revision(5), c.teamOf("blue").pages[p.key].version)
+	require.Equal(t, wire.Revision(5), c.team("blue").pages[p.key].version)
 }
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -7,100 +7,100 @@
 	"lilacrill/wire"
 )
 
-// session is this process's place among the controllers.
-type session struct {
+// membership is this process's place among the controllers.
+type membership struct {
 	loading, loaded bool
-	catchUp         wire.Revision // the cache is whole once the feed is here
-	nextTry         Time
-	watchFrom       Time
-	behind          bool // the state service was away, and what changed meanwhile is not known yet
-	catching        bool
-
-	boot    wire.FencingToken // the token this process raised when it started
-	joining bool
-	ready   bool
-	readyAt Time
-	counter uint64
-
-	part     float64  // of the state service's limits
-	labels   []string // the living controllers that reach workers
-	budget   float64  // writes that may be made now; below 0 after a large round
-	budgetAt Time
-
-	leaseID       wire.LeaseID
-	leaseCallOpen bool
-	nextExtend    Time
-	enrolled      bool // our node record hangs on the present permit
+	catchUpRevision wire.Revision // the cache is whole once the feed is here
+	nextAttempt     Time
+	nextWatch       Time
+	stale           bool // the state service was away, and what changed meanwhile is not known yet
+	catchingUp      bool
+
+	incarnation wire.FencingToken // the token this process raised when it started
+	joining     bool
+	ready       bool
+	readyAt     Time
+	lastSerial  uint64
+
+	assignedRateFraction float64  // of the state service's limits
+	eligibleControllers  []string // the living controllers that reach workers
+	writeBudget          float64  // writes that may be made now; below 0 after a large round
+	writeBudgetAt        Time
+
+	leaseID           wire.LeaseID
+	leaseCallInFlight bool
+	nextRenewal       Time
+	enrolled          bool // our node record hangs on the present permit
 }
 
 const (
-	nodeTTL     = 5 * time.Second
-	extendEvery = 800 * time.Millisecond
+	membershipLeaseTTL   = 5 * time.Second
+	leaseRenewalInterval = 800 * time.Millisecond
 )
 
-// whole reports whether the cache is complete up to its feed.
-func (c *Core) whole() bool { return c.loaded && c.feed >= c.catchUp }
+// cacheComplete reports whether the cache is complete up to its feed.
+func (c *Controller) cacheComplete() bool { return c.loaded && c.revision >= c.catchUpRevision }
 
-func (c *Core) tickSession() {
+func (c *Controller) tickMembership() {
 	if !c.loaded {
-		if !c.loading && c.after(c.nextTry) {
+		if !c.loading && c.isDue(c.nextAttempt) {
 			c.loading = true
-			c.load()
+			c.reloadCache()
 		}
-	} else if !c.watching && c.after(c.watchFrom) && c.now.Sub(c.inStep) > watchIdle {
-		c.watch()
+	} else if !c.watching && c.isDue(c.nextWatch) && c.now.Sub(c.cacheCurrentAt) > watchIdleDelay {
+		c.openWatch()
 	}
-	if !c.leaseCallOpen && c.after(c.nextExtend) {
+	if !c.leaseCallInFlight && c.isDue(c.nextRenewal) {
 		c.tickLease()
 	}
-	if c.behind && !c.catching && c.stateFresh() {
-		c.catching = true
-		c.barrier(func(ok bool) {
-			c.catching = false
-			c.behind = !ok
+	if c.stale && !c.catchingUp && c.storeReachable() {
+		c.catchingUp = true
+		c.readBarrier(func(ok bool) {
+			c.catchingUp = false
+			c.stale = !ok
 		})
 	}
-	c.keepStep()
-	c.openBarrier()
-	if c.enrolled && (c.nodes[c.settings.Label] != c.boot || c.isolatedNodes[c.settings.Label] != c.isolated()) {
+	c.keepCacheCurrent()
+	c.startBarrier()
+	if c.enrolled && (c.liveControllers[c.settings.Label] != c.incarnation || c.isolatedControllers[c.settings.Label] != c.isolated()) {
 		// A late copy of an earlier enrolment may hang the record on a lease that
 		// has since run out; or others should know that we no longer hear workers.
 		c.enrolled = false
 	}
-	if c.whole() && c.leaseID != 0 && !c.enrolled && !c.joining && c.after(c.nextTry) {
+	if c.cacheComplete() && c.leaseID != 0 && !c.enrolled && !c.joining && c.isDue(c.nextAttempt) {
 		c.join()
 	}
-	if !c.ready && c.boot != 0 && c.token >= c.boot {
+	if !c.ready && c.incarnation != 0 && c.token >= c.incarnation {
 		c.ready, c.readyAt = true, c.now
 		c.rolloutEvent(RolloutReady)
-		c.log.Info("ready", "boot", c.boot, "ledger", c.feed, "jobs", len(c.jobs))
+		c.log.Info("ready", "boot", c.incarnation, "ledger", c.revision, "jobs", len(c.jobs))
 	}
 }
 
-func (c *Core) tickLease() {
-	c.leaseCallOpen = true
-	c.nextExtend = c.now.Add(extendEvery)
-	then := func(g Granted) {
-		c.leaseCallOpen = false
+func (c *Controller) tickLease() {
+	c.leaseCallInFlight = true
+	c.nextRenewal = c.now.Add(leaseRenewalInterval)
+	then := func(g LeaseResult) {
+		c.leaseCallInFlight = false
 		switch g.Outcome {
-		case Done:
-			c.stateAnswered()
+		case Succeeded:
+			c.noteStoreResponse()
 			if g.LeaseID != 0 && g.LeaseID != c.leaseID {
 				c.leaseID, c.enrolled = g.LeaseID, false
 			}
-		case Missing:
-			c.stateAnswered()
+		case NotFound:
+			c.noteStoreResponse()
 			c.log.Warn("the lease ran out")
 			c.leaseID, c.enrolled = 0, false
-			c.nextExtend = c.now
+			c.nextRenewal = c.now
 		default:
-			c.nextExtend = c.now.Add(retryState)
+			c.nextRenewal = c.now.Add(storeRetryDelay)
 		}
 	}
 	if c.leaseID == 0 {
-		c.do(Grant{call(c, then), nodeTTL})
+		c.emit(GrantLease{call(c, then), membershipLeaseTTL})
 	} else {
-		c.do(Extend{call(c, then), c.leaseID})
+		c.emit(RenewLease{call(c, then), c.leaseID})
 	}
 }
 
@@ -111,58 +111,58 @@
 //
 // It demands the format in force that this process knows: one that cannot read a newer
 // format is neither listed before it learns of that nor after.
-func (c *Core) join() {
+func (c *Controller) join() {
 	c.joining = true
-	boot := c.boot
+	boot := c.incarnation
 	txn := wire.Transaction{If: []wire.Condition{c.rollout.Demand()}}
 	if boot == 0 {
 		boot = c.token + 1
 		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.keyVersions[record.TokenKey]})
-		txn.Then = []wire.Change{c.put(record.TokenKey, boot),
-			c.put(record.RegistrationKey(c.settings.Label), c.registration(boot))}
+		txn.Then = []wire.Change{c.putChange(record.TokenKey, boot),
+			c.putChange(record.RegistrationKey(c.settings.Label), c.registration(boot))}
 	}
-	node := c.put(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: boot, Isolated: c.isolated()})
+	node := c.putChange(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: boot, Isolated: c.isolated()})
 	node.LeaseID = c.leaseID
 	txn.Then = append(txn.Then, node)
 	leaseID := c.leaseID
-	c.commit(ClassLease, txn, func(r Committed) {
+	c.commit(PriorityLease, txn, func(r CommitResult) {
 		c.joining = false
 		switch r.Outcome {
-		case Done:
-			if c.boot == 0 {
-				c.boot = boot
-				c.shares.Joined(boot)
+		case Succeeded:
+			if c.incarnation == 0 {
+				c.incarnation = boot
+				c.table.Joined(boot)
 				c.rolloutEvent(RolloutRegistered)
 			}
 			c.enrolled = c.leaseID == leaseID
 		case Conflict:
-			c.barrier(func(bool) {})
-			c.nextTry = c.now.Add(50 * time.Millisecond)
+			c.readBarrier(func(bool) {})
+			c.nextAttempt = c.now.Add(50 * time.Millisecond)
 			return
-		case Missing:
+		case NotFound:
 			c.leaseID, c.enrolled = 0, false
-			c.nextExtend = c.now
+			c.nextRenewal = c.now
 		default:
-			c.nextTry = c.now.Add(retryState)
+			c.nextAttempt = c.now.Add(storeRetryDelay)
 		}
 		// The token is adopted from the feed.
-		c.barrier(func(bool) {})
+		c.readBarrier(func(bool) {})
 	})
 }
 
 // registration is what this process registers.
-func (c *Core) registration(boot wire.FencingToken) record.Registration {
+func (c *Controller) registration(boot wire.FencingToken) record.Registration {
 	m := c.rollout.Registration(boot)
-	m.Sharding = c.enablesShares()
+	m.Sharding = c.shardingEnabled()
 	return m
 }
 
-// live reports whether the process with this boot is known to be alive.
-func (c *Core) live(boot wire.FencingToken) bool {
-	if boot == c.boot {
+// isAlive reports whether the process with this boot is known to be alive.
+func (c *Controller) isAlive(boot wire.FencingToken) bool {
+	if boot == c.incarnation {
 		return true
 	}
-	for _, b := range c.nodes {
+	for _, b := range c.liveControllers {
 		if b == boot {
 			return true
 		}
@@ -170,12 +170,12 @@
 	return false
 }
 
-// isolatedBoot reports whether the process with this boot reaches no workers, by its
+// isIsolatedIncarnation reports whether the process with this boot reaches no workers, by its
 // own word.
-func (c *Core) isolatedBoot(boot wire.FencingToken) bool {
-	for label, b := range c.nodes {
+func (c *Controller) isIsolatedIncarnation(boot wire.FencingToken) bool {
+	for label, b := range c.liveControllers {
 		if b == boot {
-			return c.isolatedNodes[label]
+			return c.isolatedControllers[label]
 		}
 	}
 	return false
@@ -183,9 +183,9 @@
 
 // name makes a name or number that no other process ever makes: the boot, then
 // a counter.
-func (c *Core) serial() uint64 {
-	c.counter++
-	return uint64(c.boot)<<serialBits | c.counter
+func (c *Controller) nextSerial() uint64 {
+	c.lastSerial++
+	return uint64(c.incarnation)<<serialBits | c.lastSerial
 }
 
 // serialBits leaves room for 16 million names a process and for a boot number
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -13,51 +13,51 @@
 	"lilacrill/wire"
 )
 
-// shareState is this process's part in the shares of the machines (docs/shares.md).
-type shareState struct {
-	shares        *share.Table
-	sharePlanner  *share.Planner
-	shareWriting  bool // a change of the shares is being written
-	nextShareLook Time
-	// collectFor is a job that needs the room of several controllers at once, and
+// shardState is this process's part in the shares of the machines (docs/shares.md).
+type shardState struct {
+	table      *share.Table
+	planner    *share.Planner
+	writing    bool // a change of the shares is being written
+	nextReview Time
+	// acquireFor is a job that needs the room of several controllers at once, and
 	// collected when shares were last asked for.
-	collectFor wire.JobID
-	collected  Time
+	acquireFor wire.JobID
+	acquiredAt Time
 	redirects  *rate.Limiter
-	// nextFleetSurvey is when the buyer looks at the whole fleet again.
-	nextFleetSurvey Time
+	// nextFleetEstimate is when the buyer looks at the whole fleet again.
+	nextFleetEstimate Time
 }
 
 const (
-	// shareLookEvery is how often the shares are looked at.
-	shareLookEvery = 100 * time.Millisecond
-	// sharesPerWrite is how many shares one transaction changes at most.
-	sharesPerWrite = 6
-	// shareConditions is what a placement may demand beside shares and the heads of
+	// shardReviewInterval is how often the shares are looked at.
+	shardReviewInterval = 100 * time.Millisecond
+	// maxShardsPerTransaction is how many shares one transaction changes at most.
+	maxShardsPerTransaction = 6
+	// shardReservedConditions is what a placement may demand beside shares and the heads of
 	// zones: the list of machines to be returned, the token, its job and some pages.
-	shareConditions = 8
+	shardReservedConditions = 8
 	// redirectsPerSecond bounds how fast workers are led to the owners of their shares.
 	redirectsPerSecond = 20
-	// redirectAgain is how long a worker that came back is not redirected again.
-	redirectAgain = time.Minute
-	// collectedLasts is how long shares that were asked for are not handed on again.
-	collectedLasts = 6 * time.Second
-	collectEvery   = 2 * time.Second
+	// redirectCooldown is how long a worker that came back is not redirected again.
+	redirectCooldown = time.Minute
+	// acquiredHoldPeriod is how long shares that were asked for are not handed on again.
+	acquiredHoldPeriod = 6 * time.Second
+	acquireInterval    = 2 * time.Second
 )
 
-func (s *shareState) init(settings *config.Settings) {
-	s.shares = share.New(settings.Label)
-	s.sharePlanner = share.NewPlanner(s.shares, min(sharesPerWrite, settings.Cluster.State.TxnOps-1))
+func (s *shardState) init(settings *config.Settings) {
+	s.table = share.New(settings.Label)
+	s.planner = share.NewPlanner(s.table, min(maxShardsPerTransaction, settings.Cluster.State.TxnOps-1))
 	s.redirects = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
 }
 
-// enablesShares reports whether this process may take part in shares: its features say so,
+// shardingEnabled reports whether this process may take part in shares: its features say so,
 // and a placement in all of them fits a transaction.
-func (c *Core) enablesShares() bool {
+func (c *Controller) shardingEnabled() bool {
 	if !c.settings.Features.Shares.Enabled {
 		return false
 	}
-	need := share.Count + len(c.settings.Cluster.Zones) + shareConditions
+	need := share.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
 	if most := 4 * c.settings.Cluster.State.TxnOps; most < need {
 		c.log.Warn("shares stay off: a transaction of the state service may have too few conditions", "conditions", most, "wanted", need)
 		return false
@@ -66,167 +66,167 @@
 }
 
 // sharded reports whether each controller places in its own shares only.
-func (c *Core) sharded() bool { return c.shares.Enabled() }
+func (c *Controller) sharded() bool { return c.table.Enabled() }
 
-// placingIn reports whether a placement in a share is being written, or may yet be.
-func (c *Core) placingIn(id wire.ShardID) bool {
+// hasPlacementIn reports whether a placement in a share is being written, or may yet be.
+func (c *Controller) hasPlacementIn(id wire.ShardID) bool {
 	for _, t := range c.teams {
-		if t.writing != nil && t.writing.shares[id] {
+		if t.inFlight != nil && t.inFlight.shards[id] {
 			return true
 		}
 	}
 	return false
 }
 
-// tickShares does what this controller has to do about the shares, one change at a time.
-func (c *Core) tickShares() {
-	if c.shareWriting || !c.after(c.nextShareLook) || !c.whole() || !c.stateFresh() || c.behind {
+// tickShards does what this controller has to do about the shares, one change at a time.
+func (c *Controller) tickShards() {
+	if c.writing || !c.isDue(c.nextReview) || !c.cacheComplete() || !c.storeReachable() || c.stale {
 		return
 	}
-	c.nextShareLook = c.now.Add(shareLookEvery)
-	if c.buyer == c.boot {
-		if a, due := c.switchShares(); due {
-			c.writeShares(a)
+	c.nextReview = c.now.Add(shardReviewInterval)
+	if c.provisionerIncarnation == c.incarnation {
+		if a, due := c.shardingSwitch(); due {
+			c.commitShardAction(a)
 			return
 		}
 	}
 	if !c.sharded() {
 		return
 	}
-	if a, due := c.collect(); due {
-		c.writeShares(a)
+	if a, due := c.acquireShards(); due {
+		c.commitShardAction(a)
 		return
 	}
-	hold := c.collected != 0 && c.now.Sub(c.collected) < collectedLasts
-	a, due := c.sharePlanner.Next(share.Time(c.now), c.wall, c.placingIn, hold)
+	hold := c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquiredHoldPeriod
+	a, due := c.planner.Next(share.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// Moves wait for their part of the writes: when operators moved all shares at once,
 	// what that took was paid back for a minute without a placement (TestShuffle).
-	if c.spend(0); due && (a.Kind == share.TakeOver || c.budget >= 0) {
-		c.writeShares(a)
+	if c.spendWrites(0); due && (a.Kind == share.TakeOver || c.writeBudget >= 0) {
+		c.commitShardAction(a)
 	}
 }
 
-// switchShares is the change that switches shares on or off, if that is due. It rewrites
+// shardingSwitch is the change that switches shares on or off, if that is due. It rewrites
 // the list of machines to be returned as it is: all placements demand that list, so none
 // that was under way before comes after it, whoever made it (TestRulesHoldWithShares).
-func (c *Core) switchShares() (share.Action, bool) {
-	a, due := c.shares.SwitchPolicy()
-	if !due || c.returnsCall {
+func (c *Controller) shardingSwitch() (share.Action, bool) {
+	a, due := c.table.SwitchPolicy()
+	if !due || c.recordingTerminations {
 		return share.Action{}, false
 	}
 	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]})
-	a.Txn.Then = append(a.Txn.Then, c.put(record.TerminationsKey, c.returns))
+	a.Txn.Then = append(a.Txn.Then, c.putChange(record.TerminationsKey, c.terminations))
 	return a, len(a.Txn.If) <= 4*c.settings.Cluster.State.TxnOps
 }
 
-// writeShares runs a change of the shares. After one that was lost or not answered the
+// commitShardAction runs a change of the shares. After one that was lost or not answered the
 // records are read before the next.
-func (c *Core) writeShares(a share.Action) {
-	c.shareWriting = true
-	class := ClassRest
+func (c *Controller) commitShardAction(a share.Action) {
+	c.writing = true
+	class := PriorityBackground
 	if a.Kind == share.TakeOver || a.Kind == share.Adopt {
-		class = ClassUrgent // nobody places there meanwhile
+		class = PriorityUrgent // nobody places there meanwhile
 	}
-	c.commit(class, a.Txn, func(r Committed) {
-		if r.Outcome != Done {
-			c.count(countShareChangesLost, 1)
-			c.barrier(func(bool) { c.shareWriting = false })
+	c.commit(class, a.Txn, func(r CommitResult) {
+		if r.Outcome != Succeeded {
+			c.count(countShardConflicts, 1)
+			c.readBarrier(func(bool) { c.writing = false })
 			return
 		}
-		c.shareWriting = false
-		c.count(countShares+string(a.Kind), max(1, len(a.Shards)))
+		c.writing = false
+		c.count(countShardActions+string(a.Kind), max(1, len(a.Shards)))
 		c.log.Info("shares: "+string(a.Kind), "shares", a.Shards, "why", a.Reason)
 	})
 }
 
-// applyShares takes a record of the shares.
-func (c *Core) applyShares(key string, value []byte, version wire.Revision) error {
-	c.dirty, c.urgent = true, c.urgent || c.criticalWaits
+// applyShardRecord takes a record of the shares.
+func (c *Controller) applyShardRecord(key string, value []byte, version wire.Revision) error {
+	c.dirty, c.criticalDirty = true, c.criticalDirty || c.criticalPending
 	if key != record.ShardPolicyKey {
-		return c.shares.ApplyShare(key, value, version)
+		return c.table.ApplyShare(key, value, version)
 	}
 	before := c.sharded()
-	err := c.shares.ApplyPolicy(value, version)
+	err := c.table.ApplyPolicy(value, version)
 	if now := c.sharded(); now != before {
 		c.log.Info("shares in use", "now", now, "revision", version)
 	}
 	return err
 }
 
-// redirect leads a worker to the controller that owns its share, if it can be had without
+// redirectToOwner leads a worker to the controller that owns its share, if it can be had without
 // a renewal lost: its lease was renewed here a moment ago, and the owner is well. It
 // reports whether the request was answered.
-func (c *Core) redirect(in Reported) bool {
-	m := c.machineOf(in.Report.Machine)
-	if !c.sharded() || m.direct == nil || !in.Report.Newer(m.direct) || len(c.stopsOf(m)) > 0 {
+func (c *Controller) redirectToOwner(in HeartbeatReceived) bool {
+	m := c.machine(in.Heartbeat.Machine)
+	if !c.sharded() || m.directHeartbeat == nil || !in.Heartbeat.Newer(m.directHeartbeat) || len(c.stopCommands(m)) > 0 {
 		return false
 	}
-	owner := c.shares.Owner(m.share)
+	owner := c.table.Owner(m.shard)
 	p := c.peers[owner.Label]
 	switch {
-	case owner.Label == c.settings.Label || !c.shares.Live(owner) || c.isolatedNodes[owner.Label]:
+	case owner.Label == c.settings.Label || !c.table.Live(owner) || c.isolatedControllers[owner.Label]:
 		return false
-	case p == nil || !p.fresh || c.now.Sub(p.heard) > 2*heartbeatEvery:
+	case p == nil || !p.storeReachable || c.now.Sub(p.lastHeardAt) > 2*peerHeartbeatInterval:
 		return false
-	case c.now.Sub(m.heardDirect) > config.Seconds(2*c.settings.Cluster.Workers.ReportS):
+	case c.now.Sub(m.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS):
 		return false
-	case m.redirected != 0 && c.now.Sub(m.redirected) < redirectAgain:
+	case m.redirectedToOwnerAt != 0 && c.now.Sub(m.redirectedToOwnerAt) < redirectCooldown:
 		return false
 	case !c.redirects.AllowN(time.Unix(0, int64(c.now)), 1):
 		return false
 	}
-	m.redirected = c.now
-	c.count(countRedirected, 1)
-	c.hear(in.Report, true)
+	m.redirectedToOwnerAt = c.now
+	c.count(countOwnerRedirects, 1)
+	c.applyHeartbeat(in.Heartbeat, true)
 	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Controller: owner.Label})
 	return true
 }
 
-// viewShares answers with the shares as of now or later.
-func (c *Core) viewShares(r RequestID) {
-	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.sharesView()) })
+// viewShards answers with the shares as of now or later.
+func (c *Controller) viewShards(r RequestID) {
+	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.shardsView()) })
 }
 
-func (c *Core) sharesView() wire.AdminShards {
-	v := c.shares.View(c.wall)
+func (c *Controller) shardsView() wire.AdminShards {
+	v := c.table.View(c.wall)
 	for _, m := range c.machines {
-		if m.left() || int(m.share) >= len(v.Shards) {
+		if m.isTerminated() || int(m.shard) >= len(v.Shards) {
 			continue
 		}
-		s := &v.Shards[m.share]
+		s := &v.Shards[m.shard]
 		s.Machines++
-		for _, e := range m.entries {
+		for _, e := range m.allocations {
 			s.CoresUsed += e.Cores * float64(e.Tasks.Len())
 		}
 	}
 	return v
 }
 
-// changeShares carries out what an operator asks of the shares.
-func (c *Core) changeShares(in SharesAsked) {
-	if !c.serving(in.Request) {
+// changeShards carries out what an operator asks of the shares.
+func (c *Controller) changeShards(in ShardChangeRequested) {
+	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.operatorChange(in.Request, "shares", func() (wire.Transaction, error) { return c.shareTransaction(in.Change) }, shareStatus, func() {
+	c.operatorChange(in.Request, "shares", func() (wire.Transaction, error) { return c.shardTransaction(in.Change) }, shardErrorStatus, func() {
 		c.log.Info("shares changed by an operator", "move", in.Change.Move, "to", in.Change.To, "drain", in.Change.Drain,
 			"reason", in.Change.Reason, "end_drain", in.Change.EndDrain)
-		c.reply(in.Request, http.StatusOK, c.sharesView())
+		c.reply(in.Request, http.StatusOK, c.shardsView())
 	})
 }
 
-func (c *Core) shareTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
+func (c *Controller) shardTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
 	switch {
 	case change.Move != nil:
-		return c.shares.Move(*change.Move, change.To, change.Epoch, c.wall)
+		return c.table.Move(*change.Move, change.To, change.Epoch, c.wall)
 	case change.Drain != "":
-		return c.shares.Drain(change.Drain, change.Reason)
+		return c.table.Drain(change.Drain, change.Reason)
 	default:
-		return c.shares.EndDrain(change.EndDrain)
+		return c.table.EndDrain(change.EndDrain)
 	}
 }
 
-// shareStatus is the status with which a change of the shares is refused.
-func shareStatus(err error) int {
+// shardErrorStatus is the status with which a change of the shares is refused.
+func shardErrorStatus(err error) int {
 	var unknown *share.NotFoundError
 	var field *share.InvalidFieldError
 	switch {
--- a/internal/core/spares.go
+++ b/internal/core/spares.go
@@ -13,50 +13,50 @@
 	"lilacrill/wire"
 )
 
-// reserve keeps room free for tasks that must start at once, before less urgent
+// reserveHeadroom keeps room free for tasks that must start at once, before less urgent
 // ones are placed.
 //
 // In its own shares a controller keeps its part of that room, and leaves it to the buyer's
 // look at the whole fleet what is lacking.
-func (c *Core) reserve(p *placing) {
-	if p.ownShares {
-		for _, s := range c.spares() {
-			p.fleet.Choose(s.Request, c.ownPart(s), "", placement.Options{Relax: true})
+func (c *Controller) reserveHeadroom(p *schedulingPass) {
+	if p.ownShards {
+		for _, s := range c.headroomDemands() {
+			p.fleet.Choose(s.Request, c.ownHeadroom(s), "", placement.Options{Relax: true})
 		}
 		return
 	}
 	for _, m := range c.machines {
-		m.reserved = false
+		m.holdsHeadroom = false
 	}
-	c.lacking = 0
-	for _, s := range c.spares() {
+	c.missingHeadroom = 0
+	for _, s := range c.headroomDemands() {
 		left := s.Count
 		for _, ch := range p.fleet.Choose(s.Request, s.Count, "", placement.Options{
 			Relax: true,
 		}) {
 			left -= ch.Count
-			c.machines[ch.Machine].reserved = true
+			c.machines[ch.Machine].holdsHeadroom = true
 		}
-		c.lacking += left
+		c.missingHeadroom += left
 	}
 }
 
-// ownPart is how much of some spare room is up to this controller. Each unit belongs to a
+// ownHeadroom is how much of some spare room is up to this controller. Each unit belongs to a
 // share, as machines do: so all parts together are the whole, however small it is.
-func (c *Core) ownPart(s capacity.Demand) int {
+func (c *Controller) ownHeadroom(s capacity.Demand) int {
 	n := 0
 	for unit := range s.Count {
 		name := wire.MachineID(s.Request.Image + "/" + strconv.Itoa(unit))
-		if c.shares.Places(share.ShardOf(name)) {
+		if c.table.Places(share.ShardOf(name)) {
 			n++
 		}
 	}
 	return n
 }
 
-// spares is the room to be kept free: for every class that is promised a short
+// headroomDemands is the room to be kept free: for every class that is promised a short
 // wait, for some part of the tasks it has now.
-func (c *Core) spares() []capacity.Demand {
+func (c *Controller) headroomDemands() []capacity.Demand {
 	type seen struct {
 		spec  *wire.JobSpec
 		tasks int
@@ -67,7 +67,7 @@
 	classes := map[key]*seen{}
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		if j.strikes > 0 || j.unreadable {
+		if j.consecutiveBackoffs > 0 || j.unreadable {
 			continue
 		}
 		k := key{j.spec.Class, j.spec.Image}
@@ -77,7 +77,7 @@
 			classes[k] = s
 		}
 		s.spec = &j.spec
-		s.tasks += j.spec.Tasks - j.done.Len()
+		s.tasks += j.spec.Tasks - j.completed.Len()
 	}
 	promised := map[string]bool{}
 	for _, o := range c.settings.Cluster.Objectives {
@@ -98,7 +98,7 @@
 		spec := *s.spec
 		spec.ID, spec.Zone, spec.SpreadZones, spec.SingleZone, spec.Shape = "", "", false, false, wire.ShapeArray
 		out = append(out, capacity.Demand{Request: placement.NewRequest(&spec),
-			Count: c.chosen.SpareLeast + int(math.Ceil(c.chosen.SpareShare*float64(s.tasks)))})
+			Count: c.values.SpareLeast + int(math.Ceil(c.values.SpareShare*float64(s.tasks)))})
 	}
 	return out
 }
--- a/internal/core/stopping.go
+++ b/internal/core/stopping.go
@@ -9,26 +9,26 @@
 	"lilacrill/wire"
 )
 
-// halt marks tasks of an entry to be stopped.
-func (c *Core) halt(r *round, p *page, e *Entry, tasks record.TaskSet, how record.Eviction) {
+// stageEviction marks tasks of an entry to be stopped.
+func (c *Controller) stageEviction(r *placementTransaction, p *page, e *Allocation, tasks record.TaskSet, how record.Eviction) {
 	if c.unreadable[p.key] != nil {
 		return
 	}
-	d := c.draft(r, p)
-	for i := range d.entries {
-		x := &d.entries[i]
-		if !sameEntry(x, e) || x.Eviction >= how {
+	d := c.stagePage(r, p)
+	for i := range d.allocations {
+		x := &d.allocations[i]
+		if !sameAllocation(x, e) || x.Eviction >= how {
 			continue
 		}
 		stopped := x.Tasks.And(tasks)
 		if stopped.Empty() {
 			continue
 		}
-		r.tell[e.Machine] = true
+		r.notifyMachines[e.Machine] = true
 		rest := x.Tasks.Without(stopped)
 		part := *x
 		part.Tasks = stopped
-		if d.size+part.roomAfter(nil) > c.pageLimit() {
+		if d.size+part.encodedSizeAfter(nil) > c.pageLimit() {
 			rest = record.TaskSet{} // no room to split the entry: stop all of it
 		}
 		// What was fenced was the launcher before, not this stop.
@@ -38,49 +38,49 @@
 		}
 		x.Tasks = rest
 		part.Eviction, part.Fence = how, 0
-		d.size += part.roomAfter(nil)
-		d.entries = append(d.entries, part)
+		d.size += part.encodedSizeAfter(nil)
+		d.allocations = append(d.allocations, part)
 		return
 	}
 }
 
-// haltJob marks all of a job's tasks to be stopped.
-func (c *Core) haltJob(r *round, id wire.JobID, how record.Eviction) {
-	for _, l := range c.entriesOf(r, id) {
-		if l.entry.Eviction < how {
-			e := *l.entry
-			c.halt(r, l.page, &e, e.Tasks, how)
+// stageJobEviction marks all of a job's tasks to be stopped.
+func (c *Controller) stageJobEviction(r *placementTransaction, id wire.JobID, how record.Eviction) {
+	for _, l := range c.jobAllocations(r, id) {
+		if l.allocation.Eviction < how {
+			e := *l.allocation
+			c.stageEviction(r, l.page, &e, e.Tasks, how)
 		}
 	}
 }
 
-// drain stops tasks on machines that the cloud is about to take, as late as
+// evictFromPreemptedMachines stops tasks on machines that the cloud is about to take, as late as
 // they can still save.
-func (c *Core) drain(rounds map[string]*round) {
-	for _, m := range c.inOrder() {
-		if m.recallAt == 0 {
+func (c *Controller) evictFromPreemptedMachines(rounds map[string]*placementTransaction) {
+	for _, m := range c.orderedMachines() {
+		if m.preemptionAt == 0 {
 			continue
 		}
-		for _, e := range m.entries {
+		for _, e := range m.allocations {
 			j := c.jobs[e.Job]
 			if j == nil || e.Eviction != record.EvictionNone || !c.ownsTeam(j.spec.Team) {
 				continue
 			}
 			r := rounds[j.spec.Team]
-			if r == nil || !c.fits(r, 4) {
+			if r == nil || !c.hasCapacityFor(r, 4) {
 				continue
 			}
 			saves := j.spec.CheckpointIntervalS > 0
-			left := m.recallAt.Sub(c.now).Seconds()
-			if saves && left < j.spec.CheckpointSaveS+2*saveMargin || j.spec.Shape == wire.ShapeService {
+			left := m.preemptionAt.Sub(c.now).Seconds()
+			if saves && left < j.spec.CheckpointSaveS+2*checkpointMarginS || j.spec.Shape == wire.ShapeService {
 				if j.spec.Shape == wire.ShapeGang {
-					c.haltJob(r, j.id, record.EvictionGraceful)
+					c.stageJobEviction(r, j.id, record.EvictionGraceful)
 					continue
 				}
-				for _, l := range c.entriesOf(r, j.id) {
-					if l.entry.Machine == m.id && l.entry.Eviction == record.EvictionNone {
-						x := *l.entry
-						c.halt(r, l.page, &x, x.Tasks, record.EvictionGraceful)
+				for _, l := range c.jobAllocations(r, j.id) {
+					if l.allocation.Machine == m.id && l.allocation.Eviction == record.EvictionNone {
+						x := *l.allocation
+						c.stageEviction(r, l.page, &x, x.Tasks, record.EvictionGraceful)
 					}
 				}
 			}
@@ -91,17 +91,17 @@
 // preempt stops tasks to make room and returns how many tasks still have none.
 // Work within its team's guarantee is stopped only where nothing else will do,
 // and only for urgent work.
-func (c *Core) preempt(p *placing, rd *placement.Reading, rules []placement.Node, w *waiting, count int, usable func(*placement.Host) bool) int {
-	count = c.preemptSome(p, rd, rules, w, count, usable, false)
+func (c *Controller) preempt(p *schedulingPass, rd *placement.Reading, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool) int {
+	count = c.preemptCandidates(p, rd, rules, w, count, usable, false)
 	if count > 0 && w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
-		count = c.preemptSome(p, rd, rules, w, count, usable, true)
+		count = c.preemptCandidates(p, rd, rules, w, count, usable, true)
 	}
 	return count
 }
 
-func (c *Core) preemptSome(p *placing, rd *placement.Reading, rules []placement.Node, w *waiting, count int, usable func(*placement.Host) bool, promised bool) int {
+func (c *Controller) preemptCandidates(p *schedulingPass, rd *placement.Reading, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool, promised bool) int {
 	j := w.job
-	need := j.req.Need
+	need := j.request.Need
 	type option struct {
 		host    *placement.Host
 		pulling int
@@ -110,13 +110,13 @@
 	var options []option
 	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
 	for _, h := range p.fleet {
-		if h.Closed || h.Ranks&lower == 0 && !(w.promised && h.Beyond) || !h.Total.Covers(need) {
+		if h.Closed || h.Ranks&lower == 0 && !(w.guaranteed && h.Beyond) || !h.Total.Covers(need) {
 			continue
 		}
 		room := h.Free.Plus(h.Freeing, 1)
-		for _, e := range c.entriesOn(h.ID) {
-			if c.preemptable(p.rounds, e, w, promised) {
-				room = room.Plus(e.need(), float64(e.Tasks.Len()))
+		for _, e := range c.allocationsOn(h.ID) {
+			if c.preemptable(p.transactions, e, w, promised) {
+				room = room.Plus(e.taskResources(), float64(e.Tasks.Len()))
 			}
 		}
 		if room.Covers(need) && usable(h) && rd.Holds(rules, j.spec.Team, h) {
@@ -127,8 +127,8 @@
 		return cmp.Or(cmp.Compare(a.pulling, b.pulling), -cmp.Compare(a.free, b.free), cmp.Compare(a.host.ID, b.host.ID))
 	})
 	for _, o := range options {
-		for count > 0 && rd.Holds(rules, j.spec.Team, o.host) && c.makeRoom(p.rounds, o.host, w, promised) {
-			c.book(p, rd, j, o.host, 1)
+		for count > 0 && rd.Holds(rules, j.spec.Team, o.host) && c.makeRoom(p.transactions, o.host, w, promised) {
+			c.reserveFreeingCapacity(p, rd, j, o.host, 1)
 			count--
 			c.count(countPreempted, 1)
 			c.log.Debug("work stopped for a more urgent job", "job", j.id, "class", j.spec.Class, "machine", o.host.ID)
@@ -140,9 +140,9 @@
 // preemptable reports whether a job may have an entry stopped: one of lower
 // rank, or, to get its team's guarantee, one that another team runs beyond its
 // own. Urgent work is never stopped for a guarantee.
-func (c *Core) preemptable(rounds map[string]*round, e *Entry, w *waiting, promised bool) bool {
+func (c *Controller) preemptable(rounds map[string]*placementTransaction, e *Allocation, w *pendingJob, promised bool) bool {
 	j := c.jobs[e.Job]
-	if j == nil || e.Eviction != record.EvictionNone || c.within[e.Job] && !promised {
+	if j == nil || e.Eviction != record.EvictionNone || c.guaranteedJobs[e.Job] && !promised {
 		return false
 	}
 	// Old work is not stopped for what is merely of higher rank: it would start
@@ -151,22 +151,22 @@
 	if j.spec.CheckpointIntervalS > 0 {
 		least = wire.PriorityHigh
 	}
-	if c.waited(j) > overdueAfter && w.job.spec.Priority.Level() > least.Level() {
+	if c.pendingFor(j) > overdueAfter && w.job.spec.Priority.Level() > least.Level() {
 		return false
 	}
 	lower := e.Priority > w.job.spec.Priority.Level()
-	beyond := w.promised && !c.within[e.Job] && j.spec.Team != w.job.spec.Team && e.Priority >= wire.PriorityNormal.Level()
+	beyond := w.guaranteed && !c.guaranteedJobs[e.Job] && j.spec.Team != w.job.spec.Team && e.Priority >= wire.PriorityNormal.Level()
 	if !lower && !beyond {
 		return false
 	}
 	r := rounds[j.spec.Team]
-	return r != nil && c.fits(r, 4)
+	return r != nil && c.hasCapacityFor(r, 4)
 }
 
 // makeRoom halts the least urgent tasks of a machine until there is room, or
 // none if there would not be.
-func (c *Core) makeRoom(rounds map[string]*round, h *placement.Host, w *waiting, promised bool) bool {
-	need := w.job.req.Need
+func (c *Controller) makeRoom(rounds map[string]*placementTransaction, h *placement.Host, w *pendingJob, promised bool) bool {
+	need := w.job.request.Need
 	how := record.EvictionGraceful
 	if w.job.spec.Priority == wire.PriorityCritical {
 		how = record.EvictionImmediate // it cannot wait for others to save
@@ -175,22 +175,22 @@
 	if room.Covers(need) {
 		return true
 	}
-	var victims []*Entry
-	for _, e := range c.entriesOn(h.ID) {
+	var victims []*Allocation
+	for _, e := range c.allocationsOn(h.ID) {
 		if c.preemptable(rounds, e, w, promised) {
 			victims = append(victims, e)
 		}
 	}
-	slices.SortFunc(victims, func(a, b *Entry) int {
-		return cmp.Or(cmp.Compare(btoi(c.within[a.Job]), btoi(c.within[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
+	slices.SortFunc(victims, func(a, b *Allocation) int {
+		return cmp.Or(cmp.Compare(boolToInt(c.guaranteedJobs[a.Job]), boolToInt(c.guaranteedJobs[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
 	})
 	type stop struct {
-		e     *Entry
+		e     *Allocation
 		tasks record.TaskSet
 	}
 	var stops []stop
 	for _, e := range victims {
-		left := c.unhalted(rounds, e)
+		left := c.notYetEvicted(rounds, e)
 		for !left.Empty() && !room.Covers(need) {
 			var one record.TaskSet
 			if e.Shape == wire.ShapeGang {
@@ -200,7 +200,7 @@
 				one, left = last, left.Without(last)
 			}
 			stops = append(stops, stop{e, one})
-			room = room.Plus(e.need(), float64(one.Len()))
+			room = room.Plus(e.taskResources(), float64(one.Len()))
 		}
 	}
 	if !room.Covers(need) {
@@ -209,27 +209,27 @@
 	for _, s := range stops {
 		r := rounds[c.jobs[s.e.Job].spec.Team]
 		if s.e.Shape == wire.ShapeGang {
-			c.haltJob(r, s.e.Job, how)
+			c.stageJobEviction(r, s.e.Job, how)
 		} else {
-			for _, l := range c.entriesOf(r, s.e.Job) {
-				if l.entry.Machine == s.e.Machine && l.entry.Attempt == s.e.Attempt && l.entry.Eviction == record.EvictionNone {
-					x := *l.entry
-					c.halt(r, l.page, &x, s.tasks, how)
+			for _, l := range c.jobAllocations(r, s.e.Job) {
+				if l.allocation.Machine == s.e.Machine && l.allocation.Attempt == s.e.Attempt && l.allocation.Eviction == record.EvictionNone {
+					x := *l.allocation
+					c.stageEviction(r, l.page, &x, s.tasks, how)
 				}
 			}
 		}
-		h.Freeing = h.Freeing.Plus(s.e.need(), float64(s.tasks.Len()))
+		h.Freeing = h.Freeing.Plus(s.e.taskResources(), float64(s.tasks.Len()))
 	}
 	return true
 }
 
-// unhalted is what of an entry the rounds have not stopped yet.
-func (c *Core) unhalted(rounds map[string]*round, e *Entry) record.TaskSet {
+// notYetEvicted is what of an entry the rounds have not stopped yet.
+func (c *Controller) notYetEvicted(rounds map[string]*placementTransaction, e *Allocation) record.TaskSet {
 	var left record.TaskSet
 	r := rounds[c.jobs[e.Job].spec.Team]
-	for _, l := range c.entriesOf(r, e.Job) {
-		if l.entry.Machine == e.Machine && l.entry.Attempt == e.Attempt && l.entry.Eviction == record.EvictionNone {
-			left = left.With(l.entry.Tasks)
+	for _, l := range c.jobAllocations(r, e.Job) {
+		if l.allocation.Machine == e.Machine && l.allocation.Attempt == e.Attempt && l.allocation.Eviction == record.EvictionNone {
+			left = left.With(l.allocation.Tasks)
 		}
 	}
 	return left
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -11,60 +11,60 @@
 )
 
 const (
-	// submitPatience is how long a submission may wait for the state service
+	// submitTimeout is how long a submission may wait for the state service
 	// before its user is told to come back.
-	submitPatience = 1500 * time.Millisecond
-	comeBack       = time.Second
-	comeBackLater  = 2 * time.Second
-	// acceptAhead is how much of this controller's writes submissions may have in
-	// line, and acceptLeast how many of them in any case.
-	acceptAhead = 800 * time.Millisecond
-	acceptLeast = 4
-	// acceptPart is how many submissions users are told to come back with, as a part
+	submitTimeout  = 1500 * time.Millisecond
+	retryDelay     = time.Second
+	longRetryDelay = 2 * time.Second
+	// admissionQueueTime is how much of this controller's writes submissions may have in
+	// line, and minAdmissionQueue how many of them in any case.
+	admissionQueueTime = 800 * time.Millisecond
+	minAdmissionQueue  = 4
+	// admissionOversubscription is how many submissions users are told to come back with, as a part
 	// of the writes: some more than can be taken, since the others' share of the
-	// writes is not always used. comeBackMost is the longest time that a user is
+	// writes is not always used. maxRetryDelay is the longest time that a user is
 	// told: they give up after a minute.
-	acceptPart   = 1.3
-	comeBackMost = 10 * time.Second
+	admissionOversubscription = 1.3
+	maxRetryDelay             = 10 * time.Second
 )
 
-func (c *Core) reply(r RequestID, status int, body any) {
-	c.do(Reply{Request: r, Status: status, Body: body})
+func (c *Controller) reply(r RequestID, status int, body any) {
+	c.emit(Reply{Request: r, Status: status, Body: body})
 }
 
-func (c *Core) refuse(r RequestID, status int, why string, after time.Duration) {
+func (c *Controller) refuse(r RequestID, status int, why string, after time.Duration) {
 	c.count(countRefused, 1)
-	c.do(Reply{Request: r, Status: status, Body: wire.ErrorResponse{Error: why}, RetryAfter: after})
+	c.emit(Reply{Request: r, Status: status, Body: wire.ErrorResponse{Error: why}, RetryAfter: after})
 }
 
-func (c *Core) unavailable(r RequestID, why string) {
-	c.refuse(r, http.StatusServiceUnavailable, why, comeBack)
+func (c *Controller) unavailable(r RequestID, why string) {
+	c.refuse(r, http.StatusServiceUnavailable, why, retryDelay)
 }
 
-// serving reports whether user requests can be decided now, and answers the
+// ensureServing reports whether user requests can be decided now, and answers the
 // request if not.
-func (c *Core) serving(r RequestID) bool {
+func (c *Controller) ensureServing(r RequestID) bool {
 	switch {
-	case !c.ready || !c.whole():
+	case !c.ready || !c.cacheComplete():
 		c.unavailable(r, "starting")
-	case !c.stateFresh():
-		c.refuse(r, http.StatusServiceUnavailable, "state service unavailable", comeBackLater)
+	case !c.storeReachable():
+		c.refuse(r, http.StatusServiceUnavailable, "state service unavailable", longRetryDelay)
 	default:
 		return true
 	}
 	return false
 }
 
-func (c *Core) submit(in Submitted) {
-	if f, ok := c.ended(in.Spec.ID); ok {
-		c.reply(in.Request, http.StatusOK, finalStatus(in.Spec.ID, f))
+func (c *Controller) submit(in JobSubmitted) {
+	if f, ok := c.completion(in.Spec.ID); ok {
+		c.reply(in.Request, http.StatusOK, completionStatus(in.Spec.ID, f))
 		return
 	}
-	if !c.serving(in.Request) {
+	if !c.ensureServing(in.Request) {
 		return
 	}
 	if c.jobs[in.Spec.ID] != nil {
-		c.lookUp(in.Request, in.Spec.ID, func(s wire.JobStatus, found bool) {
+		c.lookUpJob(in.Request, in.Spec.ID, func(s wire.JobStatus, found bool) {
 			if found {
 				c.reply(in.Request, http.StatusOK, s)
 			} else {
@@ -77,10 +77,10 @@
 		c.unavailable(in.Request, "machine types not known yet")
 		return
 	}
-	if why := c.neverRuns(&in.Spec); why != "" {
+	if why := c.rejectionReason(&in.Spec); why != "" {
 		// What was accepted once is not refused now, even if the catalogue has
 		// changed since: so first make sure that it is new.
-		c.lookUp(in.Request, in.Spec.ID, func(s wire.JobStatus, found bool) {
+		c.lookUpJob(in.Request, in.Spec.ID, func(s wire.JobStatus, found bool) {
 			if found {
 				c.reply(in.Request, http.StatusOK, s)
 			} else {
@@ -94,29 +94,29 @@
 
 // accept writes the job down before its user is told. Should the answer of the
 // state service be lost, the user's retry finds the job or writes it again.
-func (c *Core) accept(in Submitted) {
+func (c *Controller) accept(in JobSubmitted) {
 	id := in.Spec.ID
-	if rate := c.writeRate(); float64(c.accepting) >= max(acceptLeast, rate*acceptAhead.Seconds()) {
+	if rate := c.writeRate(); float64(c.submissionsInFlight) >= max(minAdmissionQueue, rate*admissionQueueTime.Seconds()) {
 		// More would only wait in line until their users ask again.
-		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextTurn())
+		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
 		return
 	}
-	c.accepting++
+	c.submissionsInFlight++
 	open, asked := true, c.now
-	c.timeouts = append(c.timeouts, timeout{c.now.Add(submitPatience), func() {
+	c.timers = append(c.timers, timer{c.now.Add(submitTimeout), func() {
 		if open {
 			open = false
 			c.unavailable(in.Request, "state service slow")
 		}
 	}})
-	c.commit(ClassAccept, wire.Transaction{
+	c.commit(PriorityAdmission, wire.Transaction{
 		If:   []wire.Condition{{Key: record.JobKey(id)}, {Key: record.CompletionKey(id)}},
-		Then: []wire.Change{c.put(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.boot})},
-	}, func(r Committed) {
-		c.accepting--
-		if r.Outcome == Done {
+		Then: []wire.Change{c.putChange(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.incarnation})},
+	}, func(r CommitResult) {
+		c.submissionsInFlight--
+		if r.Outcome == Succeeded {
 			c.count(countAccepted, 1)
-			c.took(timeAccept, c.now.Sub(asked))
+			c.observe(latencyAdmission, c.now.Sub(asked))
 			c.log.Debug("job accepted", "job", id, "team", in.Spec.Team, "tasks", in.Spec.Tasks)
 		}
 		if !open {
@@ -124,10 +124,10 @@
 		}
 		open = false
 		switch r.Outcome {
-		case Done:
+		case Succeeded:
 			c.reply(in.Request, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.StatusPending})
 		case Conflict:
-			c.lookUp(in.Request, id, func(s wire.JobStatus, found bool) {
+			c.lookUpJob(in.Request, id, func(s wire.JobStatus, found bool) {
 				if found {
 					c.reply(in.Request, http.StatusOK, s)
 				} else {
@@ -140,20 +140,20 @@
 	})
 }
 
-// nextTurn is when a user whose submission cannot be taken now should come back:
+// nextRetryDelay is when a user whose submission cannot be taken now should come back:
 // each is given a time of its own, as far apart as submissions can be written.
 // Told the same, all would come back at once, and most of them in vain.
-func (c *Core) nextTurn() time.Duration {
-	c.turnAt = max(c.turnAt, c.now.Add(comeBack)).Add(config.Seconds(1 / (c.writeRate() * acceptPart)))
-	wait := c.turnAt.Sub(c.now)
-	if wait > comeBackMost {
-		wait = comeBackMost - time.Duration(c.rand.Int64N(int64(comeBackMost/2)))
+func (c *Controller) nextRetryDelay() time.Duration {
+	c.nextRetryAt = max(c.nextRetryAt, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	wait := c.nextRetryAt.Sub(c.now)
+	if wait > maxRetryDelay {
+		wait = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
 	}
 	return wait
 }
 
-// neverRuns says why a job can never run, or "".
-func (c *Core) neverRuns(j *wire.JobSpec) string {
+// rejectionReason says why a job can never run, or "".
+func (c *Controller) rejectionReason(j *wire.JobSpec) string {
 	t := c.teamSettings(j.Team)
 	if t == nil {
 		return "unknown team"
@@ -175,11 +175,11 @@
 	fits := map[string]bool{} // the zones with machines that a task fits
 	for i := range c.catalogue {
 		m := &c.catalogue[i]
-		if !amountOf(m).Covers(req.Need) {
+		if !machineResources(m).Covers(req.Need) {
 			continue
 		}
 		for _, zone := range m.Zones {
-			h := &placement.Host{Labels: labels(m.Name, zone, false)}
+			h := &placement.Host{Labels: machineLabels(m.Name, zone, false)}
 			if (placement.Fleet{h}).Holds(req.Enforced, j.Team, h) {
 				fits[zone] = true
 			}
@@ -194,28 +194,28 @@
 	return ""
 }
 
-func finalStatus(id wire.JobID, f record.Completion) wire.JobStatus {
+func completionStatus(id wire.JobID, f record.Completion) wire.JobStatus {
 	return wire.JobStatus{ID: id, Status: f.Status, Done: f.Done}
 }
 
-// lookUp finds a job's state as of now or later: after a barrier, since another
+// lookUpJob finds a job's state as of now or later: after a barrier, since another
 // controller may have told its user something newer. If that cannot be done,
 // it answers the request itself.
-func (c *Core) lookUp(r RequestID, id wire.JobID, then func(s wire.JobStatus, found bool)) {
-	if f, ok := c.ended(id); ok {
-		then(finalStatus(id, f), true)
+func (c *Controller) lookUpJob(r RequestID, id wire.JobID, then func(s wire.JobStatus, found bool)) {
+	if f, ok := c.completion(id); ok {
+		then(completionStatus(id, f), true)
 		return
 	}
-	if !c.serving(r) {
+	if !c.ensureServing(r) {
 		return
 	}
-	c.barrier(func(ok bool) {
+	c.readBarrier(func(ok bool) {
 		if !ok {
 			c.unavailable(r, "state service unavailable")
 			return
 		}
-		if f, ok := c.ended(id); ok {
-			then(finalStatus(id, f), true)
+		if f, ok := c.completion(id); ok {
+			then(completionStatus(id, f), true)
 			return
 		}
 		if j := c.jobs[id]; j != nil && j.unreadable {
@@ -225,17 +225,17 @@
 			then(c.status(j), true)
 			return
 		}
-		c.do(Fetch{call(c, func(f Fetched) {
+		c.emit(GetKey{call(c, func(f GetResult) {
 			switch f.Outcome {
-			case Done:
+			case Succeeded:
 				c.apply(record.CompletionKey(id), f.Value, f.Version)
-				if f, ok := c.ended(id); ok {
-					then(finalStatus(id, f), true)
+				if f, ok := c.completion(id); ok {
+					then(completionStatus(id, f), true)
 				} else {
 					c.unavailable(r, "record not understood")
 				}
-			case Missing:
-				c.stateAnswered()
+			case NotFound:
+				c.noteStoreResponse()
 				then(wire.JobStatus{}, false)
 			default:
 				c.unavailable(r, "state service unavailable")
@@ -244,9 +244,9 @@
 	})
 }
 
-func (c *Core) status(j *job) wire.JobStatus {
-	s := wire.JobStatus{ID: j.id, Status: wire.StatusPending, Done: j.done.Len()}
-	for _, e := range c.ofJob[j.id] {
+func (c *Controller) status(j *job) wire.JobStatus {
+	s := wire.JobStatus{ID: j.id, Status: wire.StatusPending, Done: j.completed.Len()}
+	for _, e := range c.allocationsByJob[j.id] {
 		if m := c.machines[e.Machine]; m != nil {
 			s.Running += m.running(e)
 		}
@@ -257,8 +257,8 @@
 	return s
 }
 
-func (c *Core) poll(r RequestID, id wire.JobID) {
-	c.lookUp(r, id, func(s wire.JobStatus, found bool) {
+func (c *Controller) poll(r RequestID, id wire.JobID) {
+	c.lookUpJob(r, id, func(s wire.JobStatus, found bool) {
 		if found {
 			c.reply(r, http.StatusOK, s)
 		} else {
@@ -270,8 +270,8 @@
 // cancel writes the job's end before its user is told. From then on no
 // placement of it can be committed (each demands the job's record), and its
 // entries, now without a job, are stopped by whoever sees them.
-func (c *Core) cancel(r RequestID, id wire.JobID) {
-	c.lookUp(r, id, func(s wire.JobStatus, found bool) {
+func (c *Controller) cancel(r RequestID, id wire.JobID) {
+	c.lookUpJob(r, id, func(s wire.JobStatus, found bool) {
 		j := c.jobs[id]
 		switch {
 		case !found:
@@ -285,18 +285,18 @@
 			return
 		}
 		end := record.Completion{Status: wire.StatusCancelled, Done: s.Done}
-		c.commit(ClassUrgent, wire.Transaction{
+		c.commit(PriorityUrgent, wire.Transaction{
 			If:   []wire.Condition{{Key: record.JobKey(id), Version: j.version}},
-			Then: []wire.Change{c.put(record.JobKey(id), record.CompletedJob{Completion: end})},
-		}, func(done Committed) {
+			Then: []wire.Change{c.putChange(record.JobKey(id), record.CompletedJob{Completion: end})},
+		}, func(done CommitResult) {
 			switch done.Outcome {
-			case Done:
-				c.count(countWithdrawn, 1)
+			case Succeeded:
+				c.count(countCancelled, 1)
 				c.log.Debug("job withdrawn", "job", id)
-				c.reply(r, http.StatusOK, finalStatus(id, end))
-				c.sendOrdersOfJob(id)
+				c.reply(r, http.StatusOK, completionStatus(id, end))
+				c.sendCommandsForJob(id)
 			case Conflict:
-				c.lookUp(r, id, func(s wire.JobStatus, found bool) {
+				c.lookUpJob(r, id, func(s wire.JobStatus, found bool) {
 					if found && s.Status.IsTerminal() {
 						c.reply(r, http.StatusOK, s)
 					} else {
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -1,32 +1,34 @@
 package core
 
-// share is this controller's part of the state service's limits.
-func (c *Core) share() float64 {
-	if c.part == 0 {
+// rateFraction is this controller's part of the state service's limits.
+func (c *Controller) rateFraction() float64 {
+	if c.assignedRateFraction == 0 {
 		return 1
 	}
-	return c.part
+	return c.assignedRateFraction
 }
 
-// writeShare leaves a little of the writes, for leases and acceptance.
-const writeShare = 0.85
+// backgroundWriteFraction leaves a little of the writes, for leases and acceptance.
+const backgroundWriteFraction = 0.85
 
-// spend takes writes off what this controller may write by now.
-func (c *Core) spend(writes int) {
+// spendWrites takes writes off what this controller may write by now.
+func (c *Controller) spendWrites(writes int) {
 	rate := c.writeRate()
-	c.budget = min(max(rate, 1), c.budget+rate*c.now.Sub(c.budgetAt).Seconds()) - float64(writes)
-	c.budgetAt = c.now
+	c.writeBudget = min(max(rate, 1), c.writeBudget+rate*c.now.Sub(c.writeBudgetAt).Seconds()) - float64(writes)
+	c.writeBudgetAt = c.now
 }
 
 // writeRate is how many writes a second this controller may make.
-func (c *Core) writeRate() float64 { return writeShare * c.share() * c.settings.Cluster.State.WriteRPS }
+func (c *Controller) writeRate() float64 {
+	return backgroundWriteFraction * c.rateFraction() * c.settings.Cluster.State.WriteRPS
+}
 
-// affords reports whether writes that can wait may be made now: they gather
+// canAffordWrite reports whether writes that can wait may be made now: they gather
 // while there is nothing left, and go in fewer and larger rounds.
-func (c *Core) affords() bool {
-	c.spend(0)
-	return c.budget >= min(c.writeRate()*0.6, roundWrites)
+func (c *Controller) canAffordWrite() bool {
+	c.spendWrites(0)
+	return c.writeBudget >= min(c.writeRate()*0.6, typicalTransactionWrites)
 }
 
-// roundWrites is about what a round writes.
-const roundWrites = 6
+// typicalTransactionWrites is about what a round writes.
+const typicalTransactionWrites = 6
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return problem(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.Submitted{Request: r, Spec: spec} })
+	return s.ask(c, func(r core.RequestID) core.Input { return core.JobSubmitted{Request: r, Spec: spec} })
 }
 
 func (s *Server) poll(c fiber.Ctx) error {
@@ -151,7 +151,7 @@
 	if !ok {
 		return problem(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.Polled{Request: r, Job: id} })
+	return s.ask(c, func(r core.RequestID) core.Input { return core.JobPolled{Request: r, Job: id} })
 }
 
 func (s *Server) cancel(c fiber.Ctx) error {
@@ -159,7 +159,7 @@
 	if !ok {
 		return problem(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.CancelAsked{Request: r, Job: id} })
+	return s.ask(c, func(r core.RequestID) core.Input { return core.CancelRequested{Request: r, Job: id} })
 }
 
 func jobID(c fiber.Ctx) (wire.JobID, bool) {
@@ -183,5 +183,5 @@
 		s.log.Warn("worker's report dropped", "from", c.IP(), "err", err)
 		return problem(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(id core.RequestID) core.Input { return core.Reported{Request: id, Report: r} })
+	return s.ask(c, func(id core.RequestID) core.Input { return core.HeartbeatReceived{Request: id, Heartbeat: r} })
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -23,7 +23,7 @@
 func (ready) Ask(makeInput func(core.RequestID) core.Input) (<-chan core.Reply, bool) {
 	ch := make(chan core.Reply, 1)
 	reply := core.Reply{Status: http.StatusOK, Body: wire.JobStatus{ID: "wk-000001", Status: wire.StatusPending}}
-	if _, worker := makeInput(1).(core.Reported); worker {
+	if _, worker := makeInput(1).(core.HeartbeatReceived); worker {
 		reply.Body = wire.HeartbeatResponse{Token: 1}
 	}
 	ch <- reply
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// catchUp has a controller read what was written.
+// catchUpRevision has a controller read what was written.
 func (c *cluster) catchUp(n *node) {
 	feed := c.store.Feed(record.RootKey, n.read)
 	for _, l := range feed.Events {
@@ -148,7 +148,7 @@
 		before[id] = shareIn(c.store, id)
 		alive[id] = liveIn(c.store, before[id].Owner)
 	}
-	if c.store.Multi(txn).Outcome != core.Done {
+	if c.store.Multi(txn).Outcome != core.Succeeded {
 		return
 	}
 	for id, old := range before {
@@ -240,9 +240,9 @@
 					c.run(txn)
 				}
 			case "drain":
-				if txn, err := n.table.Drain(n.label, "drawn"); err == nil && c.store.Multi(txn).Outcome == core.Done {
+				if txn, err := n.table.Drain(n.label, "drawn"); err == nil && c.store.Multi(txn).Outcome == core.Succeeded {
 					drained[n.label] = true
-				} else if txn, err := n.table.EndDrain(n.label); err == nil && c.store.Multi(txn).Outcome == core.Done {
+				} else if txn, err := n.table.EndDrain(n.label); err == nil && c.store.Multi(txn).Outcome == core.Succeeded {
 					delete(drained, n.label)
 				}
 			}
--- a/internal/standin/failing_test.go
+++ b/internal/standin/failing_test.go
@@ -59,7 +59,7 @@
 					require.False(t, m.Faulty, "seed %d: %s is blamed", seed, m.ID)
 				}
 			}
-			w.step(n, core.ViewAsked{Request: n.request, View: wire.ViewMachines})
+			w.step(n, core.ViewRequested{Request: n.request, View: wire.ViewMachines})
 		}
 		w.Run(time.Second)
 		require.Empty(t, w.Unfinished(), "seed %d", seed)
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	w.step(n, core.ViewAsked{Request: n.request, View: wire.ViewMachines})
+	w.step(n, core.ViewRequested{Request: n.request, View: wire.ViewMachines})
 	w.Run(80 * time.Second)
 	require.Equal(t, []wire.MachineID{w.machines[1].id}, faulty)
 	require.Empty(t, w.Unfinished())
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -85,7 +85,7 @@
 			return
 		}
 		switch c := s.store.Multi(t); c.Outcome {
-		case core.Done:
+		case core.Succeeded:
 			if s.log != nil {
 				s.log.carriedOut(s.store, t)
 			}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -158,7 +158,7 @@
 	}
 	w.after(4*time.Second, func() { finish(m.nextNode) })
 	r := m.report()
-	w.toNode(n, func(id core.RequestID) core.Input { return core.Reported{Request: id, Report: r} },
+	w.toNode(n, func(id core.RequestID) core.Input { return core.HeartbeatReceived{Request: id, Heartbeat: r} },
 		func(rep core.Reply) {
 			if m.inboundCut {
 				return
@@ -182,13 +182,13 @@
 func (m *machine) nextNode() { m.node = (m.node + 1) % len(m.w.nodes) }
 
 // do is POST /do.
-func (m *machine) do(body wire.CommandRequest) core.Answered {
+func (m *machine) do(body wire.CommandRequest) core.WorkerResponse {
 	if body.Token < m.token || body.AgentEpoch != m.session {
-		return core.Answered{Outcome: core.NotDone, Report: m.report()}
+		return core.WorkerResponse{Outcome: core.NotExecuted, Heartbeat: m.report()}
 	}
 	m.token = body.Token
 	m.obey(body.Commands)
-	return core.Answered{Outcome: core.Done, Executed: true, Report: m.report()}
+	return core.WorkerResponse{Outcome: core.Succeeded, Executed: true, Heartbeat: m.report()}
 }
 
 func (m *machine) obey(orders []wire.Command) {
--- a/internal/standin/rollout_test.go
+++ b/internal/standin/rollout_test.go
@@ -38,7 +38,7 @@
 // changeRollout asks a controller for a change; the reply is there some time later.
 func (w *World) changeRollout(i int, change wire.AdminRolloutChange) *core.Reply {
 	reply := &core.Reply{}
-	w.toNode(w.nodes[i], func(id core.RequestID) core.Input { return core.RolloutAsked{Request: id, Change: change} },
+	w.toNode(w.nodes[i], func(id core.RequestID) core.Input { return core.RolloutChangeRequested{Request: id, Change: change} },
 		func(r core.Reply) { *reply = r })
 	return reply
 }
@@ -365,7 +365,7 @@
 	w.Run(7 * second)
 	lease := w.store.Grant(w.now, core.Time(time.Hour))
 	enrol := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
-	require.Equal(t, core.Done, w.store.Multi(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
+	require.Equal(t, core.Succeeded, w.store.Multi(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
 	w.Run(second)
 	require.Contains(t, w.mustChange(t, 0, w.activation(), http.StatusConflict), "rig-2 runs a build that does not register")
 	w.mustChange(t, 0, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
@@ -411,7 +411,7 @@
 		require.True(t, ok, key)
 		damaged[key] = value
 		spoilt := json.RawMessage(`"KLUv/WQ="`)
-		require.Equal(t, core.Done, w.store.Multi(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
+		require.Equal(t, core.Succeeded, w.store.Multi(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
 			Then: []wire.Change{{Put: key, Value: spoilt}}}).Outcome)
 	}
 	damage(record.JobKey(spec.ID))
@@ -430,7 +430,7 @@
 	}
 	w.Run(25 * second)
 	reply := &core.Reply{}
-	w.toNode(w.nodes[0], func(id core.RequestID) core.Input { return core.Polled{Request: id, Job: spec.ID} }, func(r core.Reply) { *reply = r })
+	w.toNode(w.nodes[0], func(id core.RequestID) core.Input { return core.JobPolled{Request: id, Job: spec.ID} }, func(r core.Reply) { *reply = r })
 	w.Run(second)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
 	require.Len(t, w.jobs[spec.ID].on(), 2, "its tasks run on")
@@ -444,7 +444,7 @@
 
 	for key, value := range damaged {
 		_, version, _ := w.store.Get(key)
-		require.Equal(t, core.Done, w.store.Multi(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
+		require.Equal(t, core.Succeeded, w.store.Multi(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
 			Then: []wire.Change{{Put: key, Value: value}}}).Outcome)
 	}
 	finish(t, w)
@@ -462,12 +462,12 @@
 	})
 	w.Run(6 * second)
 	stored := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":50,"of_a_later_release":{"x":[1]}}`)}
-	require.Equal(t, core.Done, w.store.Multi(wire.Transaction{Then: []wire.Change{stored}}).Outcome)
+	require.Equal(t, core.Succeeded, w.store.Multi(wire.Transaction{Then: []wire.Change{stored}}).Outcome)
 	w.Run(2 * second)
 	_, version, _ := w.store.Get(record.SettingsKey)
 	reply := &core.Reply{}
 	change := wire.AdminSettings{Version: version, Settings: json.RawMessage(`{"spare_least":3}`)}
-	w.toNode(w.nodes[1], func(id core.RequestID) core.Input { return core.ChangeAsked{Request: id, Change: change} }, func(r core.Reply) { *reply = r })
+	w.toNode(w.nodes[1], func(id core.RequestID) core.Input { return core.SettingsChangeRequested{Request: id, Change: change} }, func(r core.Reply) { *reply = r })
 	w.Run(2 * second)
 	require.Equal(t, http.StatusOK, reply.Status, "%v", reply.Body)
 	value, _, _ := w.store.Get(record.SettingsKey)
@@ -476,9 +476,9 @@
 	require.Contains(t, string(value), `"spare_least":3`)
 
 	strange := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":"for ever"}`)}
-	require.Equal(t, core.Done, w.store.Multi(wire.Transaction{Then: []wire.Change{strange}}).Outcome)
+	require.Equal(t, core.Succeeded, w.store.Multi(wire.Transaction{Then: []wire.Change{strange}}).Outcome)
 	w.Run(2 * second)
-	w.toNode(w.nodes[1], func(id core.RequestID) core.Input { return core.ChangeAsked{Request: id, Change: change} }, func(r core.Reply) { *reply = r })
+	w.toNode(w.nodes[1], func(id core.RequestID) core.Input { return core.SettingsChangeRequested{Request: id, Change: change} }, func(r core.Reply) { *reply = r })
 	w.Run(2 * second)
 	require.Equal(t, http.StatusConflict, reply.Status)
 	value, _, _ = w.store.Get(record.SettingsKey)
--- a/internal/standin/shares_cases_test.go
+++ b/internal/standin/shares_cases_test.go
@@ -207,7 +207,7 @@
 func (w *World) changeSettings(settings string) {
 	_, version, _ := w.store.Get(record.SettingsKey)
 	w.toNode(w.nodes[0], func(id core.RequestID) core.Input {
-		return core.ChangeAsked{Request: id, Change: wire.AdminSettings{Version: version, Settings: json.RawMessage(settings)}}
+		return core.SettingsChangeRequested{Request: id, Change: wire.AdminSettings{Version: version, Settings: json.RawMessage(settings)}}
 	}, func(core.Reply) {})
 	w.Run(second)
 }
--- a/internal/standin/shares_test.go
+++ b/internal/standin/shares_test.go
@@ -56,10 +56,10 @@
 	return owned
 }
 
-// changeShares asks a controller for a change; the reply is there some time later.
+// changeShards asks a controller for a change; the reply is there some time later.
 func (w *World) changeShares(i int, change wire.AdminShardChange) *core.Reply {
 	reply := &core.Reply{}
-	w.toNode(w.nodes[i], func(id core.RequestID) core.Input { return core.SharesAsked{Request: id, Change: change} },
+	w.toNode(w.nodes[i], func(id core.RequestID) core.Input { return core.ShardChangeRequested{Request: id, Change: change} },
 		func(r core.Reply) { *reply = r })
 	return reply
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -83,11 +83,11 @@
 // the keys again.
 func (s *Store) Forget() { s.log, s.forgotten = nil, s.revision }
 
-// TooOld reports whether the feed no longer goes back to a revision.
+// Compacted reports whether the feed no longer goes back to a revision.
 func (s *Store) TooOld(after wire.Revision) bool { return after < s.forgotten }
 
 // Multi runs a transaction.
-func (s *Store) Multi(t wire.Transaction) core.Committed {
+func (s *Store) Multi(t wire.Transaction) core.CommitResult {
 	var failed []string
 	for _, c := range t.If {
 		if s.values[c.Key].version != c.Version {
@@ -95,11 +95,11 @@
 		}
 	}
 	if failed != nil {
-		return core.Committed{Outcome: core.Conflict, Revision: s.revision, Failed: failed}
+		return core.CommitResult{Outcome: core.Conflict, Revision: s.revision, Failed: failed}
 	}
 	for _, ch := range t.Then {
 		if ch.LeaseID != 0 && s.leases[ch.LeaseID] == nil {
-			return core.Committed{Outcome: core.Missing}
+			return core.CommitResult{Outcome: core.NotFound}
 		}
 	}
 	if len(t.Then) > 0 {
@@ -117,7 +117,7 @@
 	if s.OnChange != nil && len(t.Then) > 0 {
 		s.OnChange()
 	}
-	return core.Committed{Outcome: core.Done, Revision: s.revision}
+	return core.CommitResult{Outcome: core.Succeeded, Revision: s.revision}
 }
 
 // Grant makes a lease.
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -23,7 +23,7 @@
 	try = func() {
 		j.submitted = true
 		asked := w.now
-		w.ask(func(id core.RequestID) core.Input { return core.Submitted{Request: id, Spec: spec} },
+		w.ask(func(id core.RequestID) core.Input { return core.JobSubmitted{Request: id, Spec: spec} },
 			func(r core.Reply, ok bool) {
 				if s, good := r.Body.(wire.JobStatus); ok && good && (r.Status == 200 || r.Status == 201) {
 					w.tell(j, asked, s.Status)
@@ -47,7 +47,7 @@
 func (w *World) SubmitImpossible(spec wire.JobSpec) {
 	var try func()
 	try = func() {
-		w.ask(func(id core.RequestID) core.Input { return core.Submitted{Request: id, Spec: spec} }, func(r core.Reply, ok bool) {
+		w.ask(func(id core.RequestID) core.Input { return core.JobSubmitted{Request: id, Spec: spec} }, func(r core.Reply, ok bool) {
 			switch {
 			case ok && r.Status == 422:
 				w.Seen["refused for good"]++
@@ -73,7 +73,7 @@
 		case j.accepted && !j.told.IsTerminal():
 			w.Seen["submitted again"]++
 			asked := w.now
-			w.ask(func(r core.RequestID) core.Input { return core.Submitted{Request: r, Spec: j.spec} }, func(r core.Reply, ok bool) {
+			w.ask(func(r core.RequestID) core.Input { return core.JobSubmitted{Request: r, Spec: j.spec} }, func(r core.Reply, ok bool) {
 				if s, good := r.Body.(wire.JobStatus); ok && good {
 					w.tell(j, asked, s.Status)
 				} else if ok && r.Status < 429 {
@@ -118,7 +118,7 @@
 				w.Seen["close look"]++
 				asked := w.now
 				if (i+n.index)%3 == 0 {
-					w.askAt(n, func(id core.RequestID) core.Input { return core.Submitted{Request: id, Spec: j.spec} },
+					w.askAt(n, func(id core.RequestID) core.Input { return core.JobSubmitted{Request: id, Spec: j.spec} },
 						func(r core.Reply, ok bool) {
 							if s, good := r.Body.(wire.JobStatus); ok && good {
 								w.tell(j, asked, s.Status)
@@ -197,7 +197,7 @@
 
 func (w *World) pollAt(n *node, j *userJob) {
 	asked := w.now
-	w.askAt(n, func(id core.RequestID) core.Input { return core.Polled{Request: id, Job: j.spec.ID} },
+	w.askAt(n, func(id core.RequestID) core.Input { return core.JobPolled{Request: id, Job: j.spec.ID} },
 		func(r core.Reply, ok bool) {
 			switch {
 			case ok && r.Status == 200:
@@ -210,7 +210,7 @@
 
 // AskUnknown polls a job that nobody submitted.
 func (w *World) AskUnknown(id wire.JobID) {
-	w.ask(func(r core.RequestID) core.Input { return core.Polled{Request: r, Job: id} },
+	w.ask(func(r core.RequestID) core.Input { return core.JobPolled{Request: r, Job: id} },
 		func(r core.Reply, ok bool) {
 			if ok && r.Status == 200 {
 				w.breaks("invented: %s", id)
@@ -241,7 +241,7 @@
 		}
 		j.cancelAsk = true
 		asked := w.now
-		w.ask(func(r core.RequestID) core.Input { return core.CancelAsked{Request: r, Job: id} },
+		w.ask(func(r core.RequestID) core.Input { return core.CancelRequested{Request: r, Job: id} },
 			func(r core.Reply, ok bool) {
 				if s, good := r.Body.(wire.JobStatus); ok && good && s.Status.IsTerminal() {
 					w.tell(j, asked, s.Status)
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -113,7 +113,7 @@
 }
 
 type watcher struct {
-	f    core.Follow
+	f    core.Watch
 	n    *node
 	gen  int
 	done bool
@@ -121,7 +121,7 @@
 
 type node struct {
 	index   int
-	core    *core.Core
+	core    *core.Controller
 	gen     int
 	born    core.Time
 	replies map[core.RequestID]func(core.Reply)
@@ -325,7 +325,7 @@
 func (w *World) returned(n *node, gen int, d time.Duration, id core.CallID, result any) {
 	w.after(d, func() {
 		if n.gen == gen {
-			w.step(n, core.Returned{Call: id, Result: result})
+			w.step(n, core.CallCompleted{Call: id, Result: result})
 		}
 	})
 }
@@ -339,32 +339,32 @@
 		if then != nil && w.rng.Float64() >= w.Loss {
 			w.after(w.latency(), func() { then(o) })
 		}
-	case core.Load:
+	case core.LoadKeys:
 		w.load(n, o)
-	case core.Follow:
+	case core.Watch:
 		if o.Block == 0 {
-			w.state(n, o.Call, core.Fed{Outcome: core.NotDone}, core.Fed{Outcome: core.Unknown}, func() any { return w.fed(o) })
+			w.state(n, o.Call, core.WatchResult{Outcome: core.NotExecuted}, core.WatchResult{Outcome: core.Unknown}, func() any { return w.fed(o) })
 			return
 		}
 		wt := &watcher{f: o, n: n, gen: gen}
 		w.watchers = append(w.watchers, wt)
 		w.after(w.latency(), func() { w.serveWatcher(wt, false) })
 		w.after(o.Block, func() { w.serveWatcher(wt, true) })
-	case core.Fetch:
-		w.state(n, o.Call, core.Fetched{Outcome: core.NotDone}, core.Fetched{Outcome: core.Unknown}, func() any {
+	case core.GetKey:
+		w.state(n, o.Call, core.GetResult{Outcome: core.NotExecuted}, core.GetResult{Outcome: core.Unknown}, func() any {
 			v, version, ok := w.store.Get(o.Key)
 			if !ok {
-				return core.Fetched{Outcome: core.Missing}
+				return core.GetResult{Outcome: core.NotFound}
 			}
-			return core.Fetched{Value: v, Version: version}
+			return core.GetResult{Value: v, Version: version}
 		})
 	case core.Commit:
 		w.checkLimits(o.Txn)
 		reads := n.reads
-		exec := func() core.Committed {
+		exec := func() core.CommitResult {
 			before, owners := w.placements(o.Txn), w.owners(o.Txn)
 			r := w.store.Multi(o.Txn)
-			if r.Outcome == core.Done {
+			if r.Outcome == core.Succeeded {
 				w.checkPlacements(o.Txn, before)
 				w.checkOwners(n, o.Txn, before)
 				w.checkShares(o.Txn, owners)
@@ -376,74 +376,74 @@
 			return r
 		}
 		if (w.rng.Float64() < w.LateWrites || w.LateBy[n.index] || w.LatePlacements && w.places(o.Txn)) && !w.StateDown && !w.CutState[n.index] {
-			w.returned(n, gen, giveUp, o.Call, core.Committed{Outcome: core.Unknown})
+			w.returned(n, gen, giveUp, o.Call, core.CommitResult{Outcome: core.Unknown})
 			d := w.latency()
 			if !w.LateAtOnce {
 				d = 2*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
 			}
 			w.after(d, func() {
-				if exec().Outcome == core.Done {
+				if exec().Outcome == core.Succeeded {
 					w.Seen["unanswered write"]++
 				}
 			})
 			return
 		}
-		w.state(n, o.Call, core.Committed{Outcome: core.NotDone}, core.Committed{Outcome: core.Unknown}, func() any { return exec() })
-	case core.Grant:
-		w.state(n, o.Call, core.Granted{Outcome: core.NotDone}, core.Granted{Outcome: core.Unknown}, func() any {
-			return core.Granted{LeaseID: w.store.Grant(w.now, core.Time(o.TTL))}
+		w.state(n, o.Call, core.CommitResult{Outcome: core.NotExecuted}, core.CommitResult{Outcome: core.Unknown}, func() any { return exec() })
+	case core.GrantLease:
+		w.state(n, o.Call, core.LeaseResult{Outcome: core.NotExecuted}, core.LeaseResult{Outcome: core.Unknown}, func() any {
+			return core.LeaseResult{LeaseID: w.store.Grant(w.now, core.Time(o.TTL))}
 		})
-	case core.Extend:
-		w.state(n, o.Call, core.Granted{Outcome: core.NotDone}, core.Granted{Outcome: core.Unknown}, func() any {
+	case core.RenewLease:
+		w.state(n, o.Call, core.LeaseResult{Outcome: core.NotExecuted}, core.LeaseResult{Outcome: core.Unknown}, func() any {
 			if !w.store.Extend(w.now, o.LeaseID) {
-				return core.Granted{Outcome: core.Missing}
+				return core.LeaseResult{Outcome: core.NotFound}
 			}
-			return core.Granted{LeaseID: o.LeaseID}
+			return core.LeaseResult{LeaseID: o.LeaseID}
 		})
 	case core.RolloutEvent:
 		w.Seen[string(o.Kind)]++
-	case core.Retire:
+	case core.Shutdown:
 		w.Retired = append(w.Retired, Retirement{Controller: n.index, Cause: o.Cause})
 		w.after(0, func() {
 			if n.gen == gen {
 				w.Stop(n.index)
 			}
 		})
-	case core.Share:
+	case core.SetRateShare:
 	case core.ReadCatalogue:
-		w.cloud(n, o.Call, core.CatalogueRead{Outcome: core.NotDone}, func() any {
-			return core.CatalogueRead{Catalogue: wire.Catalogue{Types: w.types}}
+		w.cloud(n, o.Call, core.CatalogueResult{Outcome: core.NotExecuted}, func() any {
+			return core.CatalogueResult{Catalogue: wire.Catalogue{Types: w.types}}
 		})
 	case core.ListMachines:
-		w.cloud(n, o.Call, core.Listed{Outcome: core.NotDone}, func() any {
-			return core.Listed{Machines: w.lists[w.rng.IntN(min(len(w.lists), 5))+max(0, len(w.lists)-5)].list}
+		w.cloud(n, o.Call, core.MachinesResult{Outcome: core.NotExecuted}, func() any {
+			return core.MachinesResult{Machines: w.lists[w.rng.IntN(min(len(w.lists), 5))+max(0, len(w.lists)-5)].list}
 		})
-	case core.HireMachines:
-		w.cloud(n, o.Call, core.Hired{Outcome: core.Unknown}, func() any { return w.hire(o.Hire) })
-	case core.ReturnMachines:
-		w.cloud(n, o.Call, core.GivenBack{Outcome: core.Unknown}, func() any {
-			for _, id := range o.Names {
+	case core.ProvisionMachines:
+		w.cloud(n, o.Call, core.ProvisionResult{Outcome: core.Unknown}, func() any { return w.hire(o.Request) })
+	case core.TerminateMachines:
+		w.cloud(n, o.Call, core.TerminateResult{Outcome: core.Unknown}, func() any {
+			for _, id := range o.Machines {
 				if m := w.byID[id]; m != nil {
 					w.noteMoving("machine returned out of a share that moves", id)
 					m.vanish()
 					m.up = false
 				}
 			}
-			return core.GivenBack{}
+			return core.TerminateResult{}
 		})
-	case core.Order:
-		w.direct(n, o.Call, o.Addr, 2*time.Second, func(m *machine) core.Answered { return m.do(o.Body) })
-	case core.Show:
-		w.direct(n, o.Call, o.Addr, 800*time.Millisecond, func(m *machine) core.Answered { return core.Answered{Report: m.report()} })
-	case core.Tell:
-		w.checkLine(o.Line)
+	case core.SendCommands:
+		w.direct(n, o.Call, o.Addr, 2*time.Second, func(m *machine) core.WorkerResponse { return m.do(o.Body) })
+	case core.RequestHeartbeat:
+		w.direct(n, o.Call, o.Addr, 800*time.Millisecond, func(m *machine) core.WorkerResponse { return core.WorkerResponse{Heartbeat: m.report()} })
+	case core.Broadcast:
+		w.checkLine(o.Message)
 		for _, s := range w.nodes {
 			if s != n && s.core != nil && !w.CutPeers[n.index] && !w.CutPeers[s.index] && w.rng.Float64() >= max(w.Loss, w.PeerLoss) {
-				line := *o.Line
+				line := *o.Message
 				to, togen := s, s.gen
 				w.after(w.latency(), func() {
 					if to.gen == togen {
-						w.step(to, core.PeerSaid{Line: &line})
+						w.step(to, core.PeerMessageReceived{Message: &line})
 					}
 				})
 				w.lineLate(to, line)
--- a/internal/standin/world_cloud.go
+++ b/internal/standin/world_cloud.go
@@ -26,9 +26,9 @@
 	})
 }
 
-func (w *World) hire(h wire.ProvisionRequest) core.Hired {
+func (w *World) hire(h wire.ProvisionRequest) core.ProvisionResult {
 	if names, ok := w.hires[h.Name]; ok {
-		return core.Hired{Names: names}
+		return core.ProvisionResult{Machines: names}
 	}
 	i := slices.IndexFunc(w.types, func(t wire.MachineType) bool { return t.Name == h.Type })
 	inUse := 0
@@ -39,7 +39,7 @@
 	}
 	number := min(h.Count, w.Capacity-inUse)
 	if i < 0 || number <= 0 {
-		return core.Hired{Outcome: core.NotDone, Refused: true}
+		return core.ProvisionResult{Outcome: core.NotExecuted, NoCapacity: true}
 	}
 	var names []wire.MachineID
 	for range number {
@@ -51,7 +51,7 @@
 		w.noteMoving("machine rented into a share that moves", names[len(names)-1])
 	}
 	w.hires[h.Name] = names
-	return core.Hired{Names: names}
+	return core.ProvisionResult{Machines: names}
 }
 
 // AddMachine rents a machine that comes up after boot.
--- a/internal/standin/world_state.go
+++ b/internal/standin/world_state.go
@@ -140,15 +140,15 @@
 
 func attemptName(job wire.JobID, attempt wire.Attempt) string { return fmt.Sprint(job, " ", attempt) }
 
-func (w *World) load(n *node, o core.Load) {
+func (w *World) load(n *node, o core.LoadKeys) {
 	gen := n.gen
-	var r core.Loaded
+	var r core.LoadResult
 	var next func(i int)
 	next = func(i int) {
 		switch {
 		case n.gen != gen:
 		case w.StateDown || w.CutState[n.index] || w.rng.Float64() < w.Loss:
-			w.returned(n, gen, giveUp, o.Call, core.Loaded{Outcome: core.NotDone})
+			w.returned(n, gen, giveUp, o.Call, core.LoadResult{Outcome: core.NotExecuted})
 		case i == len(o.Prefixes):
 			w.returned(n, gen, w.latency(), o.Call, r)
 		default:
@@ -164,11 +164,11 @@
 }
 
 // fed is the feed's answer.
-func (w *World) fed(f core.Follow) core.Fed {
+func (w *World) fed(f core.Watch) core.WatchResult {
 	if w.store.TooOld(f.After) {
-		return core.Fed{Outcome: core.TooOld}
+		return core.WatchResult{Outcome: core.Compacted}
 	}
-	return core.Fed{Feed: w.store.Feed(f.Under, f.After)}
+	return core.WatchResult{Response: w.store.Feed(f.Prefix, f.After)}
 }
 
 // feed serves the open watches after a change.
@@ -186,14 +186,14 @@
 		wt.done = true
 	} else if !w.StateDown && !w.CutState[wt.n.index] {
 		f := w.fed(wt.f)
-		if f.Outcome == core.Done && len(f.Feed.Events) == 0 && !timeout {
+		if f.Outcome == core.Succeeded && len(f.Response.Events) == 0 && !timeout {
 			return
 		}
 		wt.done = true
 		w.returned(wt.n, wt.gen, w.latency(), wt.f.Call, f)
 	} else if timeout {
 		wt.done = true
-		w.returned(wt.n, wt.gen, w.latency(), wt.f.Call, core.Fed{Outcome: core.Unknown})
+		w.returned(wt.n, wt.gen, w.latency(), wt.f.Call, core.WatchResult{Outcome: core.Unknown})
 	}
 	w.watchers = slices.DeleteFunc(w.watchers, func(x *watcher) bool { return x.done })
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -60,34 +60,34 @@
 	switch {
 	case err != nil && errors.Is(err, httpcall.ErrNotSent):
 		c.log.Debug("state service not reached", "call", what, "err", err)
-		return core.NotDone
+		return core.NotExecuted
 	case err != nil:
 		c.log.Debug("state service gave no answer", "call", what, "err", err)
 		return core.Unknown
 	}
 	switch status {
 	case http.StatusOK:
-		return core.Done
+		return core.Succeeded
 	case http.StatusConflict:
 		return core.Conflict
 	case http.StatusNotFound:
-		return core.Missing
+		return core.NotFound
 	case http.StatusGone:
-		return core.TooOld
+		return core.Compacted
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		c.log.Debug("state service refused", "call", what, "status", status)
-		return core.NotDone
+		return core.NotExecuted
 	case http.StatusBadRequest:
 		c.log.Error("state service found a call malformed", "call", what)
-		return core.NotDone
+		return core.NotExecuted
 	}
 	c.log.Warn("state service answered oddly", "call", what, "status", status)
 	return core.Unknown
 }
 
 // Follow reads the feed.
-func (c *Client) Follow(f core.Follow, then func(core.Fed)) {
-	q := url.Values{"under": {f.Under}, "after": {strconv.FormatUint(uint64(f.After), 10)}}
+func (c *Client) Follow(f core.Watch, then func(core.WatchResult)) {
+	q := url.Values{"under": {f.Prefix}, "after": {strconv.FormatUint(uint64(f.After), 10)}}
 	timeout := callTimeout
 	calls := c.calls
 	if f.Block > 0 {
@@ -95,46 +95,46 @@
 		timeout = f.Block + blockSlack
 		calls = c.feed
 	}
-	c.queue.add(f.Class, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var r core.Fed
-		status, err := calls.Call(http.MethodGet, "/follow?"+q.Encode(), nil, timeout, map[int]any{200: &r.Feed})
+	c.queue.add(f.Priority, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+		var r core.WatchResult
+		status, err := calls.Call(http.MethodGet, "/follow?"+q.Encode(), nil, timeout, map[int]any{200: &r.Response})
 		r.Outcome = c.outcome("follow", status, err)
 		then(r)
-	}, expire: func() { then(core.Fed{Outcome: core.NotDone}) }})
+	}, expire: func() { then(core.WatchResult{Outcome: core.NotExecuted}) }})
 }
 
 // Commit runs a transaction.
-func (c *Client) Commit(m core.Commit, then func(core.Committed)) {
+func (c *Client) Commit(m core.Commit, then func(core.CommitResult)) {
 	timeout := callTimeout
-	if m.Class == core.ClassLease {
+	if m.Priority == core.PriorityLease {
 		timeout = leaseTimeout
 	}
-	c.queue.add(m.Class, &waiter{writes: len(m.Txn.Then), deadline: time.Now().Add(queueTime), run: func() {
+	c.queue.add(m.Priority, &waiter{writes: len(m.Txn.Then), deadline: time.Now().Add(queueTime), run: func() {
 		var a wire.TransactionResponse
 		var problem wire.ErrorResponse
 		status, err := c.calls.Call(http.MethodPost, "/multi", m.Txn, timeout,
 			map[int]any{200: &a, 409: &a, 400: &problem})
-		r := core.Committed{Revision: a.Revision, Failed: a.Failed}
+		r := core.CommitResult{Revision: a.Revision, Failed: a.Failed}
 		if status == http.StatusBadRequest && err == nil && problem.Error == "no such lease" {
-			r.Outcome = core.Missing
+			r.Outcome = core.NotFound
 		} else {
 			r.Outcome = c.outcome("multi", status, err)
 		}
 		then(r)
-	}, expire: func() { then(core.Committed{Outcome: core.NotDone}) }})
+	}, expire: func() { then(core.CommitResult{Outcome: core.NotExecuted}) }})
 }
 
 // Fetch reads one key.
-func (c *Client) Fetch(f core.Fetch, then func(core.Fetched)) {
-	c.queue.add(core.ClassAccept, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+func (c *Client) Fetch(f core.GetKey, then func(core.GetResult)) {
+	c.queue.add(core.PriorityAdmission, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var e wire.Entry
 		status, err := c.calls.Call(http.MethodGet, "/kv/"+f.Key, nil, callTimeout, map[int]any{200: &e})
-		then(core.Fetched{Outcome: c.outcome("get", status, err), Value: e.Value, Version: e.Version})
-	}, expire: func() { then(core.Fetched{Outcome: core.NotDone}) }})
+		then(core.GetResult{Outcome: c.outcome("get", status, err), Value: e.Value, Version: e.Version})
+	}, expire: func() { then(core.GetResult{Outcome: core.NotExecuted}) }})
 }
 
 // Grant asks for a lease.
-func (c *Client) Grant(g core.Grant, then func(core.Granted)) {
+func (c *Client) Grant(g core.GrantLease, then func(core.LeaseResult)) {
 	body := struct {
 		TTL int64 `json:"ttl_ms"`
 	}{g.TTL.Milliseconds()}
@@ -142,12 +142,12 @@
 }
 
 // Extend renews a lease.
-func (c *Client) Extend(e core.Extend, then func(core.Granted)) {
+func (c *Client) Extend(e core.RenewLease, then func(core.LeaseResult)) {
 	c.lease("/leases/"+strconv.FormatUint(uint64(e.LeaseID), 10)+"/extend", struct{}{}, e.LeaseID, then)
 }
 
-func (c *Client) lease(path string, body any, leaseID wire.LeaseID, then func(core.Granted)) {
-	c.queue.add(core.ClassLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+func (c *Client) lease(path string, body any, leaseID wire.LeaseID, then func(core.LeaseResult)) {
+	c.queue.add(core.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var a struct {
 			LeaseID wire.LeaseID `json:"permit"`
 		}
@@ -155,20 +155,20 @@
 		if a.LeaseID == 0 {
 			a.LeaseID = leaseID
 		}
-		then(core.Granted{Outcome: c.outcome("lease", status, err), LeaseID: a.LeaseID})
-	}, expire: func() { then(core.Granted{Outcome: core.NotDone}) }})
+		then(core.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: a.LeaseID})
+	}, expire: func() { then(core.LeaseResult{Outcome: core.NotExecuted}) }})
 }
 
 // Load reads all keys under the prefixes.
-func (c *Client) Load(l core.Load, then func(core.Loaded)) {
+func (c *Client) Load(l core.LoadKeys, then func(core.LoadResult)) {
 	go func() {
-		var r core.Loaded
+		var r core.LoadResult
 		for i, prefix := range l.Prefixes {
 			after := ""
 			for {
 				page, outcome := c.list(prefix, after)
-				if outcome != core.Done {
-					then(core.Loaded{Outcome: outcome})
+				if outcome != core.Succeeded {
+					then(core.LoadResult{Outcome: outcome})
 					return
 				}
 				if i == 0 && after == "" {
@@ -196,12 +196,12 @@
 		outcome core.Outcome
 	}
 	ch := make(chan result, 1)
-	c.queue.add(core.ClassLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+	c.queue.add(core.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var r result
 		status, err := c.calls.Call(http.MethodGet, "/kv?"+q.Encode(), nil, 2*callTimeout, map[int]any{200: &r.page})
 		r.outcome = c.outcome("list", status, err)
 		ch <- r
-	}, expire: func() { ch <- result{outcome: core.NotDone} }})
+	}, expire: func() { ch <- result{outcome: core.NotExecuted} }})
 	r := <-ch
 	return r.page, r.outcome
 }
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -55,32 +55,32 @@
 	}}
 	client := startClient(t, recorder)
 
-	fetched := make(chan core.Fetched, 1)
-	client.Fetch(core.Fetch{Key: "a/b"}, func(r core.Fetched) { fetched <- r })
-	require.Equal(t, core.Fetched{Outcome: core.Done, Value: entry.Value, Version: entry.Version}, <-fetched)
+	fetched := make(chan core.GetResult, 1)
+	client.Fetch(core.GetKey{Key: "a/b"}, func(r core.GetResult) { fetched <- r })
+	require.Equal(t, core.GetResult{Outcome: core.Succeeded, Value: entry.Value, Version: entry.Version}, <-fetched)
 
-	loaded := make(chan core.Loaded, 1)
-	client.Load(core.Load{Prefixes: []string{"l/j/", "l/p/"}}, func(r core.Loaded) { loaded <- r })
-	require.Equal(t, core.Loaded{Outcome: core.Done, Entries: append(entries.Entries, entries.Entries...),
+	loaded := make(chan core.LoadResult, 1)
+	client.Load(core.LoadKeys{Prefixes: []string{"l/j/", "l/p/"}}, func(r core.LoadResult) { loaded <- r })
+	require.Equal(t, core.LoadResult{Outcome: core.Succeeded, Entries: append(entries.Entries, entries.Entries...),
 		First: entries.Revision, Last: entries.Revision}, <-loaded)
 
 	var transaction wire.Transaction
 	golden.NewFiller(2).Fill(&transaction)
-	commit := make(chan core.Committed, 1)
-	client.Commit(core.Commit{Txn: transaction}, func(r core.Committed) { commit <- r })
-	require.Equal(t, core.Committed{Outcome: core.Done, Revision: committed.Revision, Failed: committed.Failed}, <-commit)
+	commit := make(chan core.CommitResult, 1)
+	client.Commit(core.Commit{Txn: transaction}, func(r core.CommitResult) { commit <- r })
+	require.Equal(t, core.CommitResult{Outcome: core.Succeeded, Revision: committed.Revision, Failed: committed.Failed}, <-commit)
 
-	fed := make(chan core.Fed, 1)
+	fed := make(chan core.WatchResult, 1)
 	for _, block := range []time.Duration{0, time.Second} {
-		client.Follow(core.Follow{Under: "l/", After: 431, Block: block}, func(r core.Fed) { fed <- r })
-		require.Equal(t, core.Fed{Outcome: core.Done, Feed: feed}, <-fed)
+		client.Follow(core.Watch{Prefix: "l/", After: 431, Block: block}, func(r core.WatchResult) { fed <- r })
+		require.Equal(t, core.WatchResult{Outcome: core.Succeeded, Response: feed}, <-fed)
 	}
 
-	granted := make(chan core.Granted, 1)
-	client.Grant(core.Grant{TTL: 5 * time.Second}, func(r core.Granted) { granted <- r })
-	require.Equal(t, core.Granted{Outcome: core.Done, LeaseID: 7}, <-granted)
-	client.Extend(core.Extend{LeaseID: 7}, func(r core.Granted) { granted <- r })
-	require.Equal(t, core.Granted{Outcome: core.Done, LeaseID: 7}, <-granted)
+	granted := make(chan core.LeaseResult, 1)
+	client.Grant(core.GrantLease{TTL: 5 * time.Second}, func(r core.LeaseResult) { granted <- r })
+	require.Equal(t, core.LeaseResult{Outcome: core.Succeeded, LeaseID: 7}, <-granted)
+	client.Extend(core.RenewLease{LeaseID: 7}, func(r core.LeaseResult) { granted <- r })
+	require.Equal(t, core.LeaseResult{Outcome: core.Succeeded, LeaseID: 7}, <-granted)
 
 	golden.Compare(t, "requests.txt", recorder.Requests())
 }
--- a/internal/statestore/tokens_test.go
+++ b/internal/statestore/tokens_test.go
@@ -21,13 +21,13 @@
 	q := newQueue(100, 100)
 	now := time.Now()
 	drain(q, now)
-	order := make(chan core.Class, 8)
-	for _, class := range []core.Class{core.ClassRest, core.ClassAccept, core.ClassLease, core.ClassUrgent} {
+	order := make(chan core.CallPriority, 8)
+	for _, class := range []core.CallPriority{core.PriorityBackground, core.PriorityAdmission, core.PriorityLease, core.PriorityUrgent} {
 		q.add(class, &waiter{deadline: now.Add(time.Hour), run: func() { order <- class }, expire: func() { t.Error("expired") }})
 	}
 	require.Positive(t, q.step(now), "ran without a token")
 	require.Empty(t, order)
-	for _, want := range []core.Class{core.ClassLease, core.ClassUrgent, core.ClassAccept, core.ClassRest} {
+	for _, want := range []core.CallPriority{core.PriorityLease, core.PriorityUrgent, core.PriorityAdmission, core.PriorityBackground} {
 		now = now.Add(11 * time.Millisecond)
 		q.step(now)
 		require.Equal(t, want, <-order)
@@ -43,7 +43,7 @@
 	drain(q, now)
 	var expired sync.WaitGroup
 	expired.Add(1)
-	q.add(core.ClassRest, &waiter{deadline: now.Add(time.Millisecond), run: func() { t.Error("ran") }, expire: expired.Done})
+	q.add(core.PriorityBackground, &waiter{deadline: now.Add(time.Millisecond), run: func() { t.Error("ran") }, expire: expired.Done})
 	q.step(now.Add(time.Second))
 	expired.Wait()
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -57,7 +57,7 @@
 	now := time.Now()
 	ctx := trace.ContextWithRemoteSpanContext(context.Background(), rolloutOf(subject(e)))
 	_, span := t.spans.Start(ctx, string(e.Kind), trace.WithTimestamp(t.last), trace.WithAttributes(
-		attribute.Int("format", int(e.Format)), attribute.Int64("boot", int64(e.Boot)), attribute.Int64("revision", int64(e.Revision))))
+		attribute.Int("format", int(e.Format)), attribute.Int64("boot", int64(e.Incarnation)), attribute.Int64("revision", int64(e.Revision))))
 	span.End(trace.WithTimestamp(now))
 	t.last = now
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -79,33 +79,33 @@
 }
 
 // Do sends orders.
-func (c *Client) Do(addr string, body wire.CommandRequest, then func(core.Answered)) {
+func (c *Client) Do(addr string, body wire.CommandRequest, then func(core.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodPost, "/do", body, doTimeout)) }()
 }
 
 // Show asks for a report.
-func (c *Client) Show(addr string, then func(core.Answered)) {
+func (c *Client) Show(addr string, then func(core.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodGet, "/show", nil, showTimeout)) }()
 }
 
-func (c *Client) call(addr, method, path string, body any, timeout time.Duration) core.Answered {
+func (c *Client) call(addr, method, path string, body any, timeout time.Duration) core.WorkerResponse {
 	e := c.acquire(addr)
 	defer c.release(e)
 	var r wire.Heartbeat
 	status, err := e.client.Call(method, path, body, timeout, map[int]any{200: &r, 409: &r})
 	if err != nil {
 		c.log.Debug("worker gave no answer", "addr", addr, "call", path, "err", err)
-		return core.Answered{Outcome: core.Unknown}
+		return core.WorkerResponse{Outcome: core.Unknown}
 	}
-	a := core.Answered{Outcome: core.NotDone}
+	a := core.WorkerResponse{Outcome: core.NotExecuted}
 	if status == http.StatusOK {
-		a.Outcome, a.Executed = core.Done, true
+		a.Outcome, a.Executed = core.Succeeded, true
 	}
 	if status == http.StatusOK || status == http.StatusConflict {
 		if err := r.Check(); err != nil {
 			c.log.Warn("worker's report dropped", "addr", addr, "err", err)
 		} else {
-			a.Report = &r
+			a.Heartbeat = &r
 		}
 	}
 	return a
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -28,9 +28,9 @@
 	c := New(slog.New(slog.NewTextHandler(io.Discard, nil)), bound)
 	for range 2 {
 		for _, addr := range addrs {
-			done := make(chan core.Answered, 1)
-			c.Show(addr, func(a core.Answered) { done <- a })
-			require.NotNil(t, (<-done).Report)
+			done := make(chan core.WorkerResponse, 1)
+			c.Show(addr, func(a core.WorkerResponse) { done <- a })
+			require.NotNil(t, (<-done).Heartbeat)
 			c.mu.Lock()
 			require.LessOrEqual(t, len(c.workers), bound)
 			require.Equal(t, len(c.workers), c.recent.Len())
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -29,11 +29,11 @@
 
 	var request wire.CommandRequest
 	golden.NewFiller(2).Fill(&request)
-	want := core.Answered{Outcome: core.Done, Executed: true, Report: &report}
-	answered := make(chan core.Answered, 1)
-	client.Do(addr, request, func(a core.Answered) { answered <- a })
+	want := core.WorkerResponse{Outcome: core.Succeeded, Executed: true, Heartbeat: &report}
+	answered := make(chan core.WorkerResponse, 1)
+	client.Do(addr, request, func(a core.WorkerResponse) { answered <- a })
 	require.Equal(t, want, <-answered)
-	client.Show(addr, func(a core.Answered) { answered <- a })
+	client.Show(addr, func(a core.WorkerResponse) { answered <- a })
 	require.Equal(t, want, <-answered)
 	golden.Compare(t, "requests.txt", recorder.Requests())
 }
