--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -25,18 +25,18 @@
 	if value != nil {
 		// Values that a newer release stored and this one does not allow make it
 		// keep what it has.
-		if chosen, c.unreadableCause = config.ReadOperator(value); c.unreadableCause != nil {
-			return c.unreadableCause
+		if chosen, c.operator.unreadableCause = config.ReadOperator(value); c.operator.unreadableCause != nil {
+			return c.operator.unreadableCause
 		}
 	}
-	c.values, c.version, c.dirty = chosen, version, true
+	c.operator.values, c.operator.version, c.scheduler.dirty = chosen, version, true
 	c.log.Info("operators' settings apply", "version", version, "settings", string(value))
 	return nil
 }
 
 // handleView answers an operator who wants to look.
 func (c *Controller) handleView(in ViewRequested) {
-	if !c.ready {
+	if !c.membership.ready {
 		c.unavailable(in.Request, "starting")
 		return
 	}
@@ -69,11 +69,11 @@
 }
 
 func (c *Controller) viewSettings() wire.AdminSettings {
-	b, err := json.Marshal(c.values)
+	b, err := json.Marshal(c.operator.values)
 	if err != nil {
 		panic(err) // numbers and a word: cannot fail
 	}
-	return wire.AdminSettings{Version: c.version, Settings: b}
+	return wire.AdminSettings{Version: c.operator.version, Settings: b}
 }
 
 // operatorChange carries out a change of what is stored, named what, that an operator asks
@@ -115,20 +115,20 @@
 			c.unavailable(in.Request, "state service unavailable")
 			return
 		}
-		next, err := c.values.With(in.Change.Settings)
+		next, err := c.operator.values.With(in.Change.Settings)
 		switch {
-		case c.unreadableCause != nil:
-			c.refuse(in.Request, http.StatusConflict, "the stored settings cannot be read by this release: "+c.unreadableCause.Error(), 0)
+		case c.operator.unreadableCause != nil:
+			c.refuse(in.Request, http.StatusConflict, "the stored settings cannot be read by this release: "+c.operator.unreadableCause.Error(), 0)
 			return
 		case err != nil:
 			c.refuse(in.Request, http.StatusBadRequest, err.Error(), 0)
 			return
-		case in.Change.Version != c.version:
+		case in.Change.Version != c.operator.version:
 			c.reply(in.Request, http.StatusConflict, wire.ErrorResponse{Error: "stale version: read the settings again"})
 			return
 		}
 		c.commit(PriorityAdmission, wire.Transaction{
-			If:   []wire.Condition{{Key: record.SettingsKey, Version: c.keyVersions[record.SettingsKey]}},
+			If:   []wire.Condition{{Key: record.SettingsKey, Version: c.cache.keyVersions[record.SettingsKey]}},
 			Then: []wire.Change{c.putChange(record.SettingsKey, next)},
 		}, func(r CommitResult) {
 			switch r.Outcome {
@@ -144,17 +144,17 @@
 }
 
 func (c *Controller) viewControllers() []wire.AdminController {
-	out := []wire.AdminController{{Label: c.settings.Label, Incarnation: c.incarnation, Alive: true, Provisioner: c.provisionerIncarnation == c.incarnation, Self: true,
-		StoreReachable: c.storeReachable(), HeardFrom: true, HearsUs: true, Isolated: c.isolated(), Revision: c.revision, Token: c.token,
-		StoreLagS: c.now.Sub(c.cacheCurrentAt).Seconds(), CancellationLagS: c.now.Sub(c.cancellationsKnownAt()).Seconds(), RenewsLeases: c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness(),
-		TimerLagS: c.lag * TickEvery.Seconds()}}
+	out := []wire.AdminController{{Label: c.settings.Label, Incarnation: c.membership.incarnation, Alive: true, Provisioner: c.cache.provisionerIncarnation == c.membership.incarnation, Self: true,
+		StoreReachable: c.storeReachable(), HeardFrom: true, HearsUs: true, Isolated: c.isolated(), Revision: c.cache.revision, Token: c.cache.token,
+		StoreLagS: c.now.Sub(c.cancellations.cacheCurrentAt).Seconds(), CancellationLagS: c.now.Sub(c.cancellationsKnownAt()).Seconds(), RenewsLeases: c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness(),
+		TimerLagS: c.scheduler.lag * TickEvery.Seconds()}}
 	for _, s := range c.settings.Siblings {
-		boot, alive := c.liveControllers[s.Label]
+		boot, alive := c.cache.liveControllers[s.Label]
 		p := c.peers[s.Label]
-		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.provisionerIncarnation == boot,
+		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.cache.provisionerIncarnation == boot,
 			StoreReachable: p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 3*peerHeartbeatInterval,
 			HeardFrom:      p != nil && c.now.Sub(p.lastHeardAt) <= peerTimeout, HearsUs: p != nil && c.now.Sub(p.ackedAt) <= ackTimeout,
-			Isolated: c.isolatedControllers[s.Label]})
+			Isolated: c.cache.isolatedControllers[s.Label]})
 	}
 	return out
 }
@@ -163,9 +163,9 @@
 	var out []wire.AdminTeam
 	for i := range c.settings.Cluster.Teams {
 		s := &c.settings.Cluster.Teams[i]
-		t := c.team(s.Name)
+		t := c.cache.team(s.Name)
 		v := wire.AdminTeam{Name: s.Name, Owner: c.teamOwner(s.Name), CPUsGuaranteed: s.CPUs, CPUsMax: s.CPUsMax,
-			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.isDue(t.nextPlacement)}
+			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.isDue(t.schedule.nextPlacement)}
 		var used placement.Amount
 		for _, p := range t.pages {
 			for k := range p.allocations {
@@ -173,7 +173,7 @@
 			}
 		}
 		v.CPUsUsed, v.GPUsUsed = used.Cores, used.Accelerators
-		for _, j := range c.jobs {
+		for _, j := range c.cache.jobs {
 			if j.spec.Team == s.Name {
 				v.Jobs++
 				v.WaitingTasks += j.spec.Tasks - j.completed.Len() - c.placedTasks(j.id)
@@ -186,7 +186,7 @@
 
 func (c *Controller) placedTasks(id wire.JobID) int {
 	n := 0
-	for _, e := range c.allocationsByJob[id] {
+	for _, e := range c.scheduler.allocationsByJob[id] {
 		n += e.Tasks.Len()
 	}
 	return n
@@ -201,7 +201,7 @@
 		v := wire.AdminMachine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Status: m.status,
 			SilentS: c.now.Sub(c.lastSeen(m)).Seconds(), Faulty: !c.isDue(m.faultyUntil), Reserved: m.holdsHeadroom,
 			ProvisioningLate: m.isProvisioning() && m.status == wire.MachineBooting && !c.expectedToJoin(m), PreemptionNotice: m.preemptionAt != 0}
-		v.TerminationReason = c.terminating[m.id].reason
+		v.TerminationReason = c.cache.terminating[m.id].reason
 		for _, e := range m.allocations {
 			v.Tasks += e.Tasks.Len()
 		}
@@ -215,10 +215,10 @@
 
 func (c *Controller) viewJobs() []wire.AdminJob {
 	out := []wire.AdminJob{}
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
 		v := wire.AdminJob{ID: id, Class: j.spec.Class, Team: j.spec.Team, Priority: j.spec.Priority, Tasks: j.spec.Tasks,
-			Done: j.completed.Len(), Placed: c.placedTasks(id), FailedOn: len(j.failedMachines), BackoffS: max(0, j.retryAt.Sub(c.now).Seconds())}
+			Done: j.completed.Len(), Placed: c.placedTasks(id), FailedOn: len(j.crashLoop.failedMachines), BackoffS: max(0, j.crashLoop.retryAt.Sub(c.now).Seconds())}
 		v.Waiting = max(0, v.Tasks-v.Done-v.Placed)
 		if v.Waiting > 0 {
 			v.Reason = j.pendingReason
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -19,8 +19,8 @@
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		Teams: []config.Team{{Name: "guest"}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
-	c.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east"}}}
-	c.ready, c.loaded = true, true
+	c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east"}}}
+	c.membership.ready, c.membership.loaded = true, true
 	taken, last := 0, time.Duration(0)
 	for i := range 1000 {
 		spec := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Team: "guest", Shape: wire.ShapeArray,
--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -18,12 +18,12 @@
 		e.page, e.host = p, c.machine(e.Machine)
 		e.host.reconciledHeartbeat = nil
 		e.host.allocations = append(e.host.allocations, e)
-		c.allocationsByJob[e.Job] = append(c.allocationsByJob[e.Job], e)
-		if c.jobs[e.Job] == nil {
+		c.scheduler.allocationsByJob[e.Job] = append(c.scheduler.allocationsByJob[e.Job], e)
+		if c.cache.jobs[e.Job] == nil {
 			c.noteCompletedTasksOn(e.Machine)
 		}
 		if e.Priority == wire.PriorityCritical.Level() {
-			c.criticalAllocations[e.Machine]++
+			c.scheduler.criticalAllocations[e.Machine]++
 		}
 	}
 }
@@ -34,10 +34,10 @@
 		e := &p.allocations[i]
 		e.host.reconciledHeartbeat = nil
 		e.host.allocations = slices.DeleteFunc(e.host.allocations, here)
-		deleteWhere(c.allocationsByJob, e.Job, here)
+		deleteWhere(c.scheduler.allocationsByJob, e.Job, here)
 		if e.Priority == wire.PriorityCritical.Level() {
-			if c.criticalAllocations[e.Machine]--; c.criticalAllocations[e.Machine] == 0 {
-				delete(c.criticalAllocations, e.Machine)
+			if c.scheduler.criticalAllocations[e.Machine]--; c.scheduler.criticalAllocations[e.Machine] == 0 {
+				delete(c.scheduler.criticalAllocations, e.Machine)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	for _, e := range c.allocationsByJob[id] {
+	for _, e := range c.scheduler.allocationsByJob[id] {
 		look(e.page)
 	}
 	for _, key := range sortedKeys(r.pages) {
@@ -87,12 +87,12 @@
 // this controller's shares and, closed, those with tasks of jobs that it places, since
 // rules read them; visit gets no host of others.
 func (c *Controller) buildHosts(rounds map[string]*placementTransaction, ownShares bool, visit func(*page, *Allocation, *placement.Host)) placement.Fleet {
-	room := make([]placement.Host, len(c.machines))
-	fleet := make(placement.Fleet, 0, len(c.machines))
+	room := make([]placement.Host, len(c.fleet.machines))
+	fleet := make(placement.Fleet, 0, len(c.fleet.machines))
 	for i, m := range c.orderedMachines() {
 		m.host = nil
 		t := c.machineTypeNamed(m.machineType)
-		if t == nil || m.latestHeartbeat == nil || m.terminated || ownShares && !c.table.Places(m.shard) {
+		if t == nil || m.latestHeartbeat == nil || m.terminated || ownShares && !c.shards.table.Places(m.shard) {
 			continue
 		}
 		h := &room[i]
@@ -118,8 +118,8 @@
 			m = c.machine(e.Machine) // it is of a round that is being made
 		}
 		h := m.host
-		if h == nil && ownShares && !c.table.Places(m.shard) {
-			if j := c.jobs[e.Job]; j == nil || !c.schedulesJob(j) {
+		if h == nil && ownShares && !c.shards.table.Places(m.shard) {
+			if j := c.cache.jobs[e.Job]; j == nil || !c.schedulesJob(j) {
 				visit(p, e, nil)
 				return
 			}
@@ -131,7 +131,7 @@
 			fleet = append(fleet, h)
 		}
 		if e.Job != last {
-			last, j, within = e.Job, c.jobs[e.Job], c.guaranteedJobs[e.Job]
+			last, j, within = e.Job, c.cache.jobs[e.Job], c.scheduler.guaranteedJobs[e.Job]
 			if j != nil {
 				tags = j.request.Tags
 			} else {
@@ -157,9 +157,9 @@
 
 // visitStagedAllocations visits all entries as the rounds under way will leave them.
 func (c *Controller) visitStagedAllocations(rounds map[string]*placementTransaction, visit func(*page, *Allocation)) {
-	for _, name := range sortedKeys(c.teams) {
-		t := c.teams[name]
-		r := t.inFlight
+	for _, name := range sortedKeys(c.cache.teams) {
+		t := c.cache.teams[name]
+		r := t.schedule.inFlight
 		if r == nil {
 			r = rounds[name]
 		}
@@ -194,10 +194,10 @@
 	if m == nil || m.latestHeartbeat == nil || m.isTerminated() || m.preemptionAt != 0 || m.status == wire.MachineFailed {
 		return false
 	}
-	if _, going := c.terminating[m.id]; going {
+	if _, going := c.cache.terminating[m.id]; going {
 		return false
 	}
-	if m.unreachable() && !c.outboundSuspect {
+	if m.unreachable() && !c.fleet.outboundSuspect {
 		return false
 	}
 	return c.heartbeatsOnTime(m) && slices.Contains(c.settings.Cluster.Zones, m.zone)
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -30,10 +30,10 @@
 
 // completion finds how a job ended, if that is known here.
 func (c *Controller) completion(id wire.JobID) (record.Completion, bool) {
-	if f, ok := c.completedJobs[id]; ok {
+	if f, ok := c.cache.completedJobs[id]; ok {
 		return f, true
 	}
-	f, ok := c.archivedJobs[id]
+	f, ok := c.cache.archivedJobs[id]
 	return f, ok
 }
 
@@ -51,29 +51,29 @@
 }
 
 func (c *Controller) cacheArchivedJob(id wire.JobID, f record.Completion) {
-	if len(c.archivedJobs) >= maxArchivedJobs {
-		for old := range c.archivedJobs {
-			delete(c.archivedJobs, old)
+	if len(c.cache.archivedJobs) >= maxArchivedJobs {
+		for old := range c.cache.archivedJobs {
+			delete(c.cache.archivedJobs, old)
 			break
 		}
 	}
-	c.archivedJobs[id] = f
+	c.cache.archivedJobs[id] = f
 }
 
 // archiveCompletedJobs moves the final states of some jobs that ended long ago to keys of their
 // own. Each controller moves its part of them.
 func (c *Controller) archiveCompletedJobs() {
-	if len(c.completedJobs) <= maxCompletedInPlace || c.archiving || !c.isDue(c.nextArchive) || !c.canAffordWrite() || c.submissionsCrowded() && len(c.completedJobs) <= 2*maxCompletedInPlace {
+	if len(c.cache.completedJobs) <= maxCompletedInPlace || c.cache.archiving || !c.isDue(c.cache.nextArchive) || !c.canAffordWrite() || c.submissionsCrowded() && len(c.cache.completedJobs) <= 2*maxCompletedInPlace {
 		return
 	}
-	c.nextArchive = c.now.Add(archiveInterval)
+	c.cache.nextArchive = c.now.Add(archiveInterval)
 	type old struct {
 		id      wire.JobID
 		version wire.Revision
 	}
-	oldest := make([]old, 0, len(c.completedJobs))
-	for id := range c.completedJobs {
-		oldest = append(oldest, old{id, c.keyVersions[record.JobKey(id)]})
+	oldest := make([]old, 0, len(c.cache.completedJobs))
+	for id := range c.cache.completedJobs {
+		oldest = append(oldest, old{id, c.cache.keyVersions[record.JobKey(id)]})
 	}
 	slices.SortFunc(oldest, func(a, b old) int { return cmp.Or(cmp.Compare(a.version, b.version), cmp.Compare(a.id, b.id)) })
 	var txn wire.Transaction
@@ -81,15 +81,15 @@
 		if len(txn.Then)+2 > min(c.settings.Cluster.State.TxnOps, typicalTransactionWrites) {
 			break
 		}
-		if len(c.eligibleControllers) > 0 && rendezvous.Highest(c.eligibleControllers, string(o.id)) != c.settings.Label {
+		if len(c.membership.eligibleControllers) > 0 && rendezvous.Highest(c.membership.eligibleControllers, string(o.id)) != c.settings.Label {
 			continue
 		}
 		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.CompletionKey(o.id)})
-		txn.Then = append(txn.Then, c.putChange(record.CompletionKey(o.id), c.completedJobs[o.id]), wire.Change{Delete: record.JobKey(o.id)})
+		txn.Then = append(txn.Then, c.putChange(record.CompletionKey(o.id), c.cache.completedJobs[o.id]), wire.Change{Delete: record.JobKey(o.id)})
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	c.archiving = true
-	c.commit(PriorityBackground, txn, func(CommitResult) { c.archiving = false })
+	c.cache.archiving = true
+	c.commit(PriorityBackground, txn, func(CommitResult) { c.cache.archiving = false })
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -25,7 +25,7 @@
 	for i := range maxCompletedInPlace + 2 {
 		c.apply(record.JobKey(name(i)), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
 	}
-	c.now, c.writeBudgetAt, c.writeBudget = Time(time.Hour), Time(time.Hour), 20
+	c.now, c.membership.writeBudgetAt, c.membership.writeBudget = Time(time.Hour), Time(time.Hour), 20
 	c.archiveCompletedJobs()
 	require.Len(t, c.outputs, 1)
 	txn := c.outputs[0].(Commit).Txn
@@ -38,7 +38,7 @@
 	c.archiveCompletedJobs()
 	require.Len(t, c.outputs, 1, "one at a time")
 	c.pendingCalls[c.nextCall].complete(CommitResult{Revision: 9000})
-	require.Len(t, c.completedJobs, maxCompletedInPlace)
+	require.Len(t, c.cache.completedJobs, maxCompletedInPlace)
 	for i := range maxCompletedInPlace + 2 {
 		f, ok := c.completion(name(i))
 		require.True(t, ok)
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -63,7 +63,7 @@
 	request    *placement.Request
 
 	// What follows is only known here.
-	crashLoopBackoff
+	crashLoop     crashLoopBackoff
 	firstSeen     Time
 	pendingReason string // why tasks of it wait
 	started       bool   // its first start was counted
@@ -87,7 +87,7 @@
 	pages       map[string]*page
 	orderedKeys []string       // the pages' keys in order; nil if there are new ones
 	pageCount   map[string]int // zone to number of pages
-	teamSchedule
+	schedule    teamSchedule
 }
 
 // maxArchivedJobs bounds the remembered final states; older ones are fetched again.
@@ -118,7 +118,7 @@
 // apply takes one change into the cache, unless it is older than what is
 // there. A nil value drops the key.
 func (c *Controller) apply(key string, value json.RawMessage, version wire.Revision) {
-	if c.shutdownCause != nil {
+	if c.rollout.shutdownCause != nil {
 		return // what follows may be of a format that is not read here
 	}
 	if id, ok := strings.CutPrefix(key, record.CompletionPrefix); ok {
@@ -128,14 +128,14 @@
 		}
 		return
 	}
-	if version <= c.keyVersions[key] {
+	if version <= c.cache.keyVersions[key] {
 		return
 	}
-	c.keyVersions[key] = version
+	c.cache.keyVersions[key] = version
 	if value == nil {
-		c.deletedKeys[key] = version
+		c.cache.deletedKeys[key] = version
 	} else {
-		delete(c.deletedKeys, key)
+		delete(c.cache.deletedKeys, key)
 	}
 	var err error
 	switch {
@@ -143,8 +143,8 @@
 		c.applyRollout(value, version)
 	case strings.HasPrefix(key, record.RegistrationPrefix):
 		label := strings.TrimPrefix(key, record.RegistrationPrefix)
-		c.table.ApplyMember(label, value, version)
-		err = c.rollout.ApplyMember(label, value, version)
+		c.shards.table.ApplyMember(label, value, version)
+		err = c.rollout.tracker.ApplyMember(label, value, version)
 	case key == record.ShardPolicyKey || strings.HasPrefix(key, record.ShardPrefix):
 		err = c.applyShardRecord(key, value, version)
 	case key == record.TokenKey:
@@ -152,13 +152,13 @@
 		if value != nil {
 			err = fastjson.Unmarshal(value, &n)
 		}
-		if err == nil && n > c.token {
-			c.token, c.tokenVersion = n, version
+		if err == nil && n > c.cache.token {
+			c.cache.token, c.cache.tokenVersion = n, version
 		}
 	case key == record.ProvisionerKey:
-		c.provisionerIncarnation = 0
+		c.cache.provisionerIncarnation = 0
 		if value != nil {
-			err = fastjson.Unmarshal(value, &c.provisionerIncarnation)
+			err = fastjson.Unmarshal(value, &c.cache.provisionerIncarnation)
 		}
 		c.assignOwnership()
 	case key == record.SettingsKey:
@@ -166,17 +166,17 @@
 	case strings.HasPrefix(key, record.LivenessPrefix):
 		label := strings.TrimPrefix(key, record.LivenessPrefix)
 		if value == nil {
-			delete(c.liveControllers, label)
-			delete(c.isolatedControllers, label)
-			c.rollout.ApplyNode(label, 0, version)
-			c.table.ApplyController(label, record.Liveness{}, version, shard.Time(c.now))
+			delete(c.cache.liveControllers, label)
+			delete(c.cache.isolatedControllers, label)
+			c.rollout.tracker.ApplyNode(label, 0, version)
+			c.shards.table.ApplyController(label, record.Liveness{}, version, shard.Time(c.now))
 		} else {
 			var n record.Liveness
 			if err = fastjson.Unmarshal(value, &n); err == nil {
-				c.liveControllers[label] = n.Incarnation
-				c.isolatedControllers[label] = n.Isolated
-				c.rollout.ApplyNode(label, n.Incarnation, version)
-				c.table.ApplyController(label, n, version, shard.Time(c.now))
+				c.cache.liveControllers[label] = n.Incarnation
+				c.cache.isolatedControllers[label] = n.Isolated
+				c.rollout.tracker.ApplyNode(label, n.Incarnation, version)
+				c.shards.table.ApplyController(label, n, version, shard.Time(c.now))
 			}
 		}
 		c.assignOwnership()
@@ -193,14 +193,14 @@
 }
 
 func (c *Controller) applyJob(id wire.JobID, value json.RawMessage, version wire.Revision) error {
-	c.dirty = true
-	for _, e := range c.allocationsByJob[id] {
+	c.scheduler.dirty = true
+	for _, e := range c.scheduler.allocationsByJob[id] {
 		e.host.reconciledHeartbeat, e.page.needsReview = nil, true
 	}
 	if value == nil {
 		// It was moved, in the same change, to a key of its own.
-		delete(c.jobs, id)
-		delete(c.completedJobs, id)
+		delete(c.cache.jobs, id)
+		delete(c.cache.completedJobs, id)
 		return nil
 	}
 	var r record.Job
@@ -212,25 +212,25 @@
 		if !r.Completion.Status.IsTerminal() {
 			return errNotTerminal
 		}
-		delete(c.jobs, id)
-		if _, known := c.completedJobs[id]; !known && r.Completion.Status == wire.StatusCancelled {
+		delete(c.cache.jobs, id)
+		if _, known := c.cache.completedJobs[id]; !known && r.Completion.Status == wire.StatusCancelled {
 			c.noteCancellation(wire.Cancellation{Job: id, Version: version, Done: r.Completion.Done})
 		}
-		c.completedJobs[id] = *r.Completion
-		for _, e := range c.allocationsByJob[id] {
+		c.cache.completedJobs[id] = *r.Completion
+		for _, e := range c.scheduler.allocationsByJob[id] {
 			c.noteCompletedTasksOn(e.Machine)
 		}
 		return nil
 	}
-	j := c.jobs[id]
+	j := c.cache.jobs[id]
 	if j == nil {
 		j = c.newJob(id)
 		// While everything is read anew, a page may have come before its job.
-		for _, p := range c.team(r.Spec.Team).pages {
+		for _, p := range c.cache.team(r.Spec.Team).pages {
 			j.completed = j.completed.With(p.completed[id])
 		}
 	}
-	c.criticalDirty = c.criticalDirty || r.Spec.Priority == wire.PriorityCritical
+	c.scheduler.criticalDirty = c.scheduler.criticalDirty || r.Spec.Priority == wire.PriorityCritical
 	j.spec, j.acceptedAt, j.acceptedBy, j.version, j.unreadable = r.Spec, r.AcceptedAt, r.AcceptedBy, version, false
 	j.request = placement.NewRequest(&j.spec)
 	return nil
@@ -239,8 +239,8 @@
 // markJobUnreadable keeps a job whose record cannot be understood as it is: its tasks run on,
 // none is placed or taken for the last one, and its users are told to come back.
 func (c *Controller) markJobUnreadable(id wire.JobID, version wire.Revision) {
-	delete(c.completedJobs, id)
-	j := c.jobs[id]
+	delete(c.cache.completedJobs, id)
+	j := c.cache.jobs[id]
 	if j == nil {
 		j = c.newJob(id)
 		j.spec = wire.JobSpec{ID: id, Tasks: wire.MaxTasks}
@@ -251,8 +251,8 @@
 
 func (c *Controller) newJob(id wire.JobID) *job {
 	j := &job{id: id, firstSeen: c.now}
-	j.failedMachines, j.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
-	c.jobs[id] = j
+	j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+	c.cache.jobs[id] = j
 	return j
 }
 
@@ -260,7 +260,7 @@
 // stands on it is not known, so nothing of the team is placed or cleared, and its
 // limit, its gangs and what its machines report without a record are left alone.
 func (c *Controller) teamUnreadable(team string) bool {
-	for key := range c.unreadable {
+	for key := range c.cache.unreadable {
 		if strings.HasPrefix(key, record.PlacementPrefix+team+"/") {
 			return true
 		}
@@ -270,8 +270,8 @@
 
 // jobUnreadable reports whether what a machine reports of a job cannot be judged.
 func (c *Controller) jobUnreadable(id wire.JobID) bool {
-	j := c.jobs[id]
-	return len(c.unreadable) > 0 && j != nil && (j.unreadable || c.teamUnreadable(j.spec.Team))
+	j := c.cache.jobs[id]
+	return len(c.cache.unreadable) > 0 && j != nil && (j.unreadable || c.teamUnreadable(j.spec.Team))
 }
 
 func (c *Controller) applyPlacementPage(key string, value json.RawMessage, version wire.Revision) error {
@@ -295,7 +295,7 @@
 // replacePage puts a page, as it was read or written, in the place of the one before
 // and keeps the index of the records in step.
 func (c *Controller) replacePage(p *page) {
-	t := c.team(p.team)
+	t := c.cache.team(p.team)
 	if old := t.pages[p.key]; old != nil {
 		c.unindex(old)
 	} else {
@@ -305,11 +305,11 @@
 	t.pageCount[p.zone] = max(t.pageCount[p.zone], p.number+1)
 	c.index(p)
 	for id, set := range p.completed {
-		if j := c.jobs[id]; j != nil {
+		if j := c.cache.jobs[id]; j != nil {
 			j.completed = j.completed.With(set)
 		}
 	}
-	c.dirty = true
+	c.scheduler.dirty = true
 }
 
 // orderedPages is the team's pages by key.
@@ -337,14 +337,14 @@
 	for why, names := range d.Pending {
 		for _, id := range names {
 			since := version
-			if old, ok := c.terminating[id]; ok {
+			if old, ok := c.cache.terminating[id]; ok {
 				since = old.since
 			}
 			leaving[id] = pendingTermination{why, since}
 		}
 	}
-	for id := range c.terminating {
-		if m := c.machines[id]; m != nil && leaving[id].reason == "" {
+	for id := range c.cache.terminating {
+		if m := c.fleet.machines[id]; m != nil && leaving[id].reason == "" {
 			m.terminationLiftedAt = c.now
 		}
 	}
@@ -353,9 +353,9 @@
 		if m := c.machine(id); !m.terminated {
 			m.terminated, m.terminatedAt = true, c.now
 			m.markForReview()
-			c.machinesLost, c.criticalDirty = true, true
+			c.scheduler.machinesLost, c.scheduler.criticalDirty = true, true
 		}
 	}
-	c.terminations, c.terminating, c.dirty = d, leaving, true
+	c.cache.terminations, c.cache.terminating, c.scheduler.dirty = d, leaving, true
 	return nil
 }
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -88,25 +88,25 @@
 		p := c.peers[s.Label]
 		// What an earlier process of a sibling told users is known only if the feed
 		// was read since a line of the present one came.
-		if p == nil || c.cacheCurrentAt < p.firstHeardAt {
-			return c.cacheCurrentAt
+		if p == nil || c.cancellations.cacheCurrentAt < p.firstHeardAt {
+			return c.cancellations.cacheCurrentAt
 		}
 		least = min(least, p.cancellationsKnownAt)
 	}
-	return max(c.cacheCurrentAt, least)
+	return max(c.cancellations.cacheCurrentAt, least)
 }
 
 // canRenewLeases reports whether workers may be answered, and logs when that changes.
 func (c *Controller) canRenewLeases() bool {
 	ok := c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness()
-	if ok != c.renewsLeases {
-		c.renewsLeases = ok
+	if ok != c.cancellations.renewsLeases {
+		c.cancellations.renewsLeases = ok
 		if ok {
 			c.log.Info("workers are answered again")
 		} else {
-			c.count(countRenewalsSuspended, 1)
+			c.metrics.count(countRenewalsSuspended, 1)
 			c.log.Info("workers are not answered: jobs may have been withdrawn that this controller does not know of",
-				"known_for", c.now.Sub(c.cancellationsKnownAt()), "in_step_for", c.now.Sub(c.cacheCurrentAt))
+				"known_for", c.now.Sub(c.cancellationsKnownAt()), "in_step_for", c.now.Sub(c.cancellations.cacheCurrentAt))
 		}
 	}
 	return ok
@@ -119,51 +119,53 @@
 }
 
 // noteCacheCurrent notes that the cache holds all that was written before a moment.
-func (c *Controller) noteCacheCurrent(at Time) { c.cacheCurrentAt = max(c.cacheCurrentAt, at) }
+func (c *Controller) noteCacheCurrent(at Time) {
+	c.cancellations.cacheCurrentAt = max(c.cancellations.cacheCurrentAt, at)
+}
 
 // keepCacheCurrent reads the feed if nobody has for a while: an open watch only tells that
 // something changed, not that nothing did.
 func (c *Controller) keepCacheCurrent() {
-	if c.cacheComplete() && c.storeReachable() && c.now.Sub(c.cacheCurrentAt) > barrierInterval && !c.barrierInFlight && len(c.barrierQueue) == 0 {
+	if c.cacheComplete() && c.storeReachable() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval && !c.cache.barrierInFlight && len(c.cache.barrierQueue) == 0 {
 		c.readBarrier(func(bool) {})
 	}
 }
 
 // noteCancellation remembers a withdrawal for the siblings.
 func (c *Controller) noteCancellation(w wire.Cancellation) {
-	i, _ := slices.BinarySearchFunc(c.recentCancellations, w, func(a, b wire.Cancellation) int {
+	i, _ := slices.BinarySearchFunc(c.cancellations.recentCancellations, w, func(a, b wire.Cancellation) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Job, b.Job))
 	})
-	c.recentCancellations = slices.Insert(c.recentCancellations, i, w)
-	if more := len(c.recentCancellations) - maxRecentCancellations; more > 0 {
-		c.forgetCancellations(c.recentCancellations[more-1].Version)
+	c.cancellations.recentCancellations = slices.Insert(c.cancellations.recentCancellations, i, w)
+	if more := len(c.cancellations.recentCancellations) - maxRecentCancellations; more > 0 {
+		c.forgetCancellations(c.cancellations.recentCancellations[more-1].Version)
 	}
 	for _, p := range c.peers {
 		if !p.storeReachable {
-			c.nextWatermark = min(c.nextWatermark, c.now.Add(minWatermarkInterval)) // it cannot read of it
+			c.cancellations.nextWatermark = min(c.cancellations.nextWatermark, c.now.Add(minWatermarkInterval)) // it cannot read of it
 		}
 	}
 }
 
 // forgetCancellations drops the withdrawals up to a revision.
 func (c *Controller) forgetCancellations(upTo wire.Revision) {
-	c.cancellationsSince = max(c.cancellationsSince, upTo)
-	i, _ := slices.BinarySearchFunc(c.recentCancellations, upTo+1, func(w wire.Cancellation, l wire.Revision) int {
+	c.cancellations.cancellationsSince = max(c.cancellations.cancellationsSince, upTo)
+	i, _ := slices.BinarySearchFunc(c.cancellations.recentCancellations, upTo+1, func(w wire.Cancellation, l wire.Revision) int {
 		return cmp.Compare(w.Version, l)
 	})
-	c.recentCancellations = slices.Delete(c.recentCancellations, 0, i)
+	c.cancellations.recentCancellations = slices.Delete(c.cancellations.recentCancellations, 0, i)
 }
 
 // newWatermark is this controller's word as of now. Only a process that has read nothing
 // yet, and so told nobody anything, and one that holds everything can give it.
 func (c *Controller) newWatermark() *wire.CancellationWatermark {
-	c.nextWatermark = c.now.Add(watermarkInterval)
-	c.watermarkSequence++
-	c.watermarksSent = append(c.watermarksSent, c.now)
-	if len(c.watermarksSent) > maxWatermarksKept {
-		c.watermarksSent = c.watermarksSent[1:]
+	c.cancellations.nextWatermark = c.now.Add(watermarkInterval)
+	c.cancellations.watermarkSequence++
+	c.cancellations.watermarksSent = append(c.cancellations.watermarksSent, c.now)
+	if len(c.cancellations.watermarksSent) > maxWatermarksKept {
+		c.cancellations.watermarksSent = c.cancellations.watermarksSent[1:]
 	}
-	v := &wire.CancellationWatermark{Process: c.process, Sequence: c.watermarkSequence, Revision: c.revision}
+	v := &wire.CancellationWatermark{Process: c.cancellations.process, Sequence: c.cancellations.watermarkSequence, Revision: c.cache.revision}
 	lowest, listening := wire.Revision(math.MaxUint64), wire.Revision(math.MaxUint64)
 	for _, s := range c.settings.Siblings {
 		p := c.peers[s.Label]
@@ -180,9 +182,9 @@
 			listening = min(listening, p.revision)
 		}
 	}
-	c.forgetCancellations(min(lowest, c.revision))
-	v.Since = max(c.cancellationsSince, min(listening, c.revision))
-	for _, w := range c.recentCancellations {
+	c.forgetCancellations(min(lowest, c.cache.revision))
+	v.Since = max(c.cancellations.cancellationsSince, min(listening, c.cache.revision))
+	for _, w := range c.cancellations.recentCancellations {
 		if w.Version > v.Since {
 			v.Cancellations = append(v.Cancellations, w)
 		}
@@ -200,18 +202,18 @@
 	for _, w := range v.Cancellations {
 		// What is not newer than the feed is known, or was moved since to a key of
 		// its own.
-		if w.Version > c.revision && c.loaded {
+		if w.Version > c.cache.revision && c.membership.loaded {
 			c.apply(record.JobKey(w.Job), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled, Done: w.Done}}), w.Version)
 		}
 	}
 	echo, ok := v.Acks[c.settings.Label]
-	if !ok || echo.Process != c.process || echo.Sequence > c.watermarkSequence {
+	if !ok || echo.Process != c.cancellations.process || echo.Sequence > c.cancellations.watermarkSequence {
 		return
 	}
-	if i := len(c.watermarksSent) - 1 - int(c.watermarkSequence-echo.Sequence); i >= 0 {
-		p.ackedAt = max(p.ackedAt, c.watermarksSent[i])
-		if c.cacheComplete() && c.revision >= v.Since {
-			p.cancellationsKnownAt = max(p.cancellationsKnownAt, c.watermarksSent[i])
+	if i := len(c.cancellations.watermarksSent) - 1 - int(c.cancellations.watermarkSequence-echo.Sequence); i >= 0 {
+		p.ackedAt = max(p.ackedAt, c.cancellations.watermarksSent[i])
+		if c.cacheComplete() && c.cache.revision >= v.Since {
+			p.cancellationsKnownAt = max(p.cancellationsKnownAt, c.cancellations.watermarksSent[i])
 		}
 	}
 }
@@ -221,12 +223,12 @@
 // it from before all controllers ended until after its time was up, as the one that
 // came back gave it all of the time again.
 func (c *Controller) noteCompletedTasksOn(id wire.MachineID) {
-	if _, ok := c.machinesWithCompletedTasks[id]; ok {
+	if _, ok := c.cancellations.machinesWithCompletedTasks[id]; ok {
 		return
 	}
-	c.machinesWithCompletedTasks[id] = c.cancellationsKnownAt()
-	if c.loading {
-		c.machinesWithCompletedTasks[id] = c.now.Add(-config.Seconds(c.settings.Cluster.Workers.CancelS))
+	c.cancellations.machinesWithCompletedTasks[id] = c.cancellationsKnownAt()
+	if c.membership.loading {
+		c.cancellations.machinesWithCompletedTasks[id] = c.now.Add(-config.Seconds(c.settings.Cluster.Workers.CancelS))
 	}
 }
 
@@ -234,9 +236,9 @@
 // whether there is anything, whether some of it may still run or start, and whether
 // it may still start, since its worker has not shown that no launch can come.
 func (c *Controller) completedTasksOn(id wire.MachineID) (held, open, lacking bool) {
-	m := c.machines[id]
+	m := c.fleet.machines[id]
 	for _, e := range c.allocationsOn(id) {
-		if c.jobs[e.Job] != nil {
+		if c.cache.jobs[e.Job] != nil {
 			continue
 		}
 		held = true
@@ -262,7 +264,7 @@
 // withdrawn so long ago that the machine's lease is not to be renewed: a launch
 // that was sent in time may be held up for as long as its session lasts.
 func (c *Controller) mayStartCancelledTask(m *machine) bool {
-	since, ok := c.machinesWithCompletedTasks[m.id]
+	since, ok := c.cancellations.machinesWithCompletedTasks[m.id]
 	if !ok || c.now.Sub(since) <= c.maxRenewalStaleness() {
 		return false
 	}
@@ -274,10 +276,10 @@
 // they have stopped them, and returns what cannot be told.
 func (c *Controller) tickCompletedTasks() {
 	var names []wire.MachineID
-	for _, id := range sortedKeys(c.machinesWithCompletedTasks) {
+	for _, id := range sortedKeys(c.cancellations.machinesWithCompletedTasks) {
 		held, open, _ := c.completedTasksOn(id)
 		if !held {
-			delete(c.machinesWithCompletedTasks, id)
+			delete(c.cancellations.machinesWithCompletedTasks, id)
 			continue
 		}
 		m := c.machine(id)
@@ -290,11 +292,11 @@
 		if m.latestHeartbeat == nil && m.addr != "" && !m.requestingHeartbeat && c.isDue(m.nextHeartbeatRequest) && c.canProbe() {
 			c.probeMachine(m) // it cannot be told before it was heard
 		}
-		if c.cannotCommand(m) && c.now.Sub(c.machinesWithCompletedTasks[id]) > c.unrecordedTerminationDelay(m) && len(names) < wire.MaxTerminate {
+		if c.cannotCommand(m) && c.now.Sub(c.cancellations.machinesWithCompletedTasks[id]) > c.unrecordedTerminationDelay(m) && len(names) < wire.MaxTerminate {
 			names = append(names, id)
 		}
 	}
-	if len(names) > 0 && !c.terminateCallInFlight {
+	if len(names) > 0 && !c.provisioner.terminateCallInFlight {
 		c.terminateUnrecorded(names)
 	}
 }
@@ -303,7 +305,7 @@
 // is not known here, had time to report and did not.
 func (c *Controller) cannotCommand(m *machine) bool {
 	if m.addr == "" {
-		return c.now.Sub(max(m.firstKnownAt, c.readyAt, c.resumedAt, c.reachableSince)) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+time.Second && !c.isolationSuspected()
+		return c.now.Sub(max(m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+time.Second && !c.isolationSuspected()
 	}
 	return m.unansweredCalls >= unreachableThreshold
 }
@@ -312,7 +314,7 @@
 // looks after a team of the ended work there, or the machine reports here.
 func (c *Controller) isResponsibleFor(m *machine) bool {
 	return m.directHeartbeat != nil && m.directHeartbeat == m.latestHeartbeat ||
-		slices.ContainsFunc(m.allocations, func(e *Allocation) bool { return c.jobs[e.Job] == nil && c.ownsTeam(e.page.team) })
+		slices.ContainsFunc(m.allocations, func(e *Allocation) bool { return c.cache.jobs[e.Job] == nil && c.ownsTeam(e.page.team) })
 }
 
 // unrecordedTerminationDelay is how long a machine that cannot be told may hold ended work before
@@ -322,7 +324,7 @@
 	part := unrecordedFraction
 	if !c.storeReachable() {
 		part = unrecordedFractionIsolated
-		if c.provisionerIncarnation == c.incarnation && !c.isolationSuspected() {
+		if c.cache.provisionerIncarnation == c.membership.incarnation && !c.isolationSuspected() {
 			part = unrecordedFractionProvisioner
 		}
 	}
@@ -345,9 +347,9 @@
 func (c *Controller) terminateUnrecorded(names []wire.MachineID) {
 	for _, id := range names {
 		c.log.Info("machine returned without a record: it holds withdrawn work and does not answer", "machine", id,
-			"for", c.now.Sub(c.machinesWithCompletedTasks[id]))
+			"for", c.now.Sub(c.cancellations.machinesWithCompletedTasks[id]))
 	}
-	c.callTerminate(names, func(*machine) { c.count(countTerminatedUnrecorded, 1) })
+	c.callTerminate(names, func(*machine) { c.metrics.count(countTerminatedUnrecorded, 1) })
 }
 
 // stopCommands is the orders to stop what is known to be withdrawn or done on a machine,
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -21,19 +21,19 @@
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
-	c.loaded, c.revision = true, 100
+	c.membership.loaded, c.cache.revision = true, 100
 	for i := range 5 {
 		c.now = Time(10+i) * Time(time.Second)
 		c.newWatermark()
 	}
-	c.cacheCurrentAt, c.now = Time(10*time.Second), Time(20*time.Second)
+	c.cancellations.cacheCurrentAt, c.now = Time(10*time.Second), Time(20*time.Second)
 	return c
 }
 
 // word is a sibling's attestation that has heard the given one of ours.
 func word(c *Controller, from string, process, number, heard uint64, since wire.Revision, w ...wire.Cancellation) *wire.PeerMessage {
 	return &wire.PeerMessage{From: from, Watermark: &wire.CancellationWatermark{Process: process, Sequence: number, Revision: since, Since: since,
-		Acks: map[string]wire.WatermarkAck{c.settings.Label: {Process: c.process, Sequence: heard}}, Cancellations: w}}
+		Acks: map[string]wire.WatermarkAck{c.settings.Label: {Process: c.cancellations.process, Sequence: heard}}, Cancellations: w}}
 }
 
 func at(s float64) Time { return Time(s * float64(time.Second)) }
@@ -83,7 +83,7 @@
 	require.False(t, c.canRenewLeases())
 	// What an earlier process of ours was heard of means nothing.
 	c.handlePeerMessage(&wire.PeerMessage{From: "rig-1", Watermark: &wire.CancellationWatermark{Process: 7, Sequence: 9,
-		Acks: map[string]wire.WatermarkAck{"rig-0": {Process: c.process + 1, Sequence: 3}}}})
+		Acks: map[string]wire.WatermarkAck{"rig-0": {Process: c.cancellations.process + 1, Sequence: 3}}}})
 	require.Equal(t, at(20), c.cancellationsKnownAt())
 }
 
@@ -104,7 +104,7 @@
 				c.handlePeerMessage(word(c, p, 7, 1, 5, version))
 			}
 		}
-		c.revision = version
+		c.cache.revision = version
 		v := c.newWatermark()
 		listed := map[wire.Revision]wire.JobID{}
 		for _, w := range v.Cancellations {
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -14,13 +14,13 @@
 		return
 	}
 	c.archiveCompletedJobs()
-	if c.cleaning || !c.isDue(c.nextCleanup) || !c.canAffordWrite() {
+	if c.scheduler.cleaning || !c.isDue(c.scheduler.nextCleanup) || !c.canAffordWrite() {
 		return
 	}
-	c.nextCleanup = c.now.Add(2 * time.Second)
-	for _, name := range sortedKeys(c.teams) {
-		t := c.teams[name]
-		if t.inFlight != nil || !c.ownsTeam(name) {
+	c.scheduler.nextCleanup = c.now.Add(2 * time.Second)
+	for _, name := range sortedKeys(c.cache.teams) {
+		t := c.cache.teams[name]
+		if t.schedule.inFlight != nil || !c.ownsTeam(name) {
 			continue
 		}
 		for _, key := range sortedKeys(t.pages) {
@@ -29,11 +29,11 @@
 				continue
 			}
 			d := page{completed: c.uncompletedOnly(p.completed)}
-			c.cleaning = true
+			c.scheduler.cleaning = true
 			c.commit(PriorityBackground, wire.Transaction{
 				If:   []wire.Condition{{Key: key, Version: p.version}},
 				Then: []wire.Change{c.putChange(key, d.value())},
-			}, func(CommitResult) { c.cleaning = false })
+			}, func(CommitResult) { c.scheduler.cleaning = false })
 			return
 		}
 	}
@@ -43,7 +43,7 @@
 func (c *Controller) uncompletedOnly(done map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	out := map[wire.JobID]record.TaskSet{}
 	for id, set := range done {
-		if c.jobs[id] != nil {
+		if c.cache.jobs[id] != nil {
 			out[id] = set
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -10,20 +10,20 @@
 // admitCommands reports whether a machine may be told its orders now; if not, it is
 // once other calls are over.
 func (c *Controller) admitCommands(m *machine) bool {
-	most := c.maxWorkerCalls - c.maxWorkerCalls/probeCallDivisor
+	most := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
 	urgent := c.hasCriticalTasks(m)
 	if !urgent {
 		most -= most / urgentCallDivisor
 	}
-	if c.commandCallsInFlight < max(1, most) {
+	if c.fleet.commandCallsInFlight < max(1, most) {
 		return true
 	}
 	if !m.commandsQueued {
 		m.commandsQueued = true
 		if urgent {
-			c.queuedUrgentCommands = append(c.queuedUrgentCommands, m)
+			c.fleet.queuedUrgentCommands = append(c.fleet.queuedUrgentCommands, m)
 		} else {
-			c.queuedCommands = append(c.queuedCommands, m)
+			c.fleet.queuedCommands = append(c.fleet.queuedCommands, m)
 		}
 	}
 	return false
@@ -31,7 +31,7 @@
 
 // sendQueuedCommands sends the orders of machines that waited for other calls to end.
 func (c *Controller) sendQueuedCommands() {
-	for _, held := range []*[]*machine{&c.queuedUrgentCommands, &c.queuedCommands} {
+	for _, held := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
 		for len(*held) > 0 {
 			m := (*held)[0]
 			m.commandsQueued = false
@@ -59,7 +59,7 @@
 		if e.AgentEpoch != r.AgentEpoch {
 			continue
 		}
-		j := c.jobs[e.Job]
+		j := c.cache.jobs[e.Job]
 		for i := range e.Tasks.All {
 			if len(orders) >= maxCommands {
 				return orders
@@ -70,7 +70,7 @@
 			case t == nil:
 				// Only the recorded launcher launches, and after a take-over only
 				// when the worker has seen the token that fences off the one before.
-				if j == nil || e.Eviction != record.EvictionNone || e.Launcher != c.incarnation || r.Token < e.Fence {
+				if j == nil || e.Eviction != record.EvictionNone || e.Launcher != c.membership.incarnation || r.Token < e.Fence {
 					continue
 				}
 				// A launch while it may have been withdrawn unknown to us would start it
@@ -140,7 +140,7 @@
 			m.pendingCleanup[key] = without
 			fresh = append(fresh, key)
 		}
-		if c.tokenVersion > without && m.latestHeartbeat.Token >= c.token && len(orders) < maxCommands {
+		if c.cache.tokenVersion > without && m.latestHeartbeat.Token >= c.cache.token && len(orders) < maxCommands {
 			orders = append(orders, wire.Command{Verb: wire.VerbClear, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
@@ -177,7 +177,7 @@
 		if _, open := m.pendingCleanup[key]; !open {
 			continue
 		}
-		m.pendingCleanup[key] = max(c.revision, c.ownRevision)
+		m.pendingCleanup[key] = max(c.cache.revision, c.cache.ownRevision)
 		for _, e := range m.allocations {
 			if e.Job == key.task.Job && e.Attempt == key.attempt && e.Tasks.Has(key.task.Index) {
 				delete(m.pendingCleanup, key)
@@ -189,12 +189,12 @@
 // sendCommands sends a machine what it has to be told, directly, and reports whether
 // there was anything.
 func (c *Controller) sendCommands(m *machine) bool {
-	if m.sendingCommands || m.latestHeartbeat == nil || m.terminated || !c.isDue(m.nextCommandsAt) || !c.ready {
+	if m.sendingCommands || m.latestHeartbeat == nil || m.terminated || !c.isDue(m.nextCommandsAt) || !c.membership.ready {
 		return false
 	}
-	token := c.token
+	token := c.cache.token
 	var orders []wire.Command
-	if m.latestHeartbeat.Token > c.token {
+	if m.latestHeartbeat.Token > c.cache.token {
 		c.readBarrier(func(bool) {})
 		// While the state service is away we cannot learn of that token. To stop what
 		// is over is right whatever was written before it, so that much may be said
@@ -227,12 +227,12 @@
 		orders = []wire.Command{} // only to be shown the token
 	}
 	m.sendingCommands = true
-	c.commandCallsInFlight++
+	c.fleet.commandCallsInFlight++
 	m.nextCommandsAt = c.now.Add(commandRetryInterval)
 	asked := c.now
 	c.emit(SendCommands{call(c, func(a WorkerResponse) {
 		m.sendingCommands = false
-		c.commandCallsInFlight--
+		c.fleet.commandCallsInFlight--
 		c.notePingResult(m, asked, a)
 		c.applyWorkerResponse(m, a)
 		if m.resendCommands {
@@ -248,7 +248,7 @@
 // show it.
 func (c *Controller) awaitsFence(m *machine) bool {
 	for _, e := range m.allocations {
-		if e.AgentEpoch == m.latestHeartbeat.AgentEpoch && e.Fence > m.latestHeartbeat.Token && e.Fence <= c.token && (e.Launcher == c.incarnation || c.ownsTeam(e.page.team)) {
+		if e.AgentEpoch == m.latestHeartbeat.AgentEpoch && e.Fence > m.latestHeartbeat.Token && e.Fence <= c.cache.token && (e.Launcher == c.membership.incarnation || c.ownsTeam(e.page.team)) {
 			return true
 		}
 	}
@@ -267,8 +267,8 @@
 }
 
 func (c *Controller) sendCommandsForJob(id wire.JobID) {
-	for _, e := range c.allocationsByJob[id] {
-		if m := c.machines[e.Machine]; m != nil {
+	for _, e := range c.scheduler.allocationsByJob[id] {
+		if m := c.fleet.machines[e.Machine]; m != nil {
 			c.sendCommandsNow(m)
 		}
 	}
@@ -276,12 +276,12 @@
 
 // raiseToken makes a fence so that ended tasks can be cleared.
 func (c *Controller) raiseToken() {
-	if !c.isDue(c.lastTokenRaise.Add(10 * time.Second)) {
+	if !c.isDue(c.scheduler.lastTokenRaise.Add(10 * time.Second)) {
 		return
 	}
-	c.lastTokenRaise = c.now
+	c.scheduler.lastTokenRaise = c.now
 	c.commit(PriorityBackground, wire.Transaction{
-		If:   []wire.Condition{{Key: record.TokenKey, Version: c.keyVersions[record.TokenKey]}},
-		Then: []wire.Change{c.putChange(record.TokenKey, c.token+1)},
+		If:   []wire.Condition{{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]}},
+		Then: []wire.Change{c.putChange(record.TokenKey, c.cache.token+1)},
 	}, func(CommitResult) { c.readBarrier(func(bool) {}) })
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -20,16 +20,16 @@
 	sent := c.now
 	c.spendWrites(len(txn.Then))
 	c.emit(Commit{call(c, func(r CommitResult) {
-		c.count(countCommits, 1)
-		c.observe(latencyCommit, c.now.Sub(sent))
-		c.countFailure(r.Outcome, countStoreRefused, countStoreUnanswered)
+		c.metrics.count(countCommits, 1)
+		c.metrics.observe(latencyCommit, c.now.Sub(sent))
+		c.metrics.countFailure(r.Outcome, countStoreRefused, countStoreUnanswered)
 		switch r.Outcome {
 		case NotExecuted:
 			c.spendWrites(-len(txn.Then)) // no tokens were used
 		case Succeeded:
 			c.noteStoreResponse()
-			c.count(countWritten, len(txn.Then))
-			c.ownRevision = max(c.ownRevision, r.Revision)
+			c.metrics.count(countWritten, len(txn.Then))
+			c.cache.ownRevision = max(c.cache.ownRevision, r.Revision)
 			for _, ch := range txn.Then {
 				switch {
 				case ch.Put == record.TokenKey || known != "" && strings.HasPrefix(ch.Put, known):
@@ -41,7 +41,7 @@
 			}
 		case Conflict:
 			c.noteStoreResponse()
-			c.count(countConflicts, 1)
+			c.metrics.count(countConflicts, 1)
 		}
 		then(r)
 	}), class, txn})
@@ -49,7 +49,7 @@
 
 // putChange writes a record in the format in force.
 func (c *Controller) putChange(key string, v any) wire.Change {
-	return wire.Change{Put: key, Value: record.Encode(c.rollout.Format(), key, v)}
+	return wire.Change{Put: key, Value: record.Encode(c.rollout.tracker.Format(), key, v)}
 }
 
 // encodePlain writes a record in the first format.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,18 +27,18 @@
 	nextCall      CallID
 	callStartedAt Time // when the call was made whose result is being handled
 
-	stateCache
-	membership
-	fleet
-	provisioner
-	scheduler
-	operatorSettings
-	rolloutState
-	shardState
-	jobForwarding
-	metrics
-	cancellationWatermark
-	peers map[string]*peerState
+	cache         stateCache
+	membership    membership
+	fleet         fleet
+	provisioner   provisioner
+	scheduler     scheduler
+	operator      operatorSettings
+	rollout       rolloutState
+	shards        shardState
+	forwarding    jobForwarding
+	metrics       metrics
+	cancellations cancellationWatermark
+	peers         map[string]*peerState
 
 	lastStep       Time
 	resumedAt      Time // when this process last went on after standing still
@@ -59,16 +59,16 @@
 
 		gossipMachines: map[wire.MachineID]bool{},
 	}
-	c.stateCache.init()
+	c.cache.init()
 	c.fleet.init(sockets.Share(settings).Direct)
 	c.provisioner.init()
 	c.scheduler.init()
 	c.metrics.init()
-	c.cancellationWatermark.init(c.rand.Uint64())
-	c.values.Operator = config.DefaultOperator()
-	c.rolloutState.init(settings)
-	c.shardState.init(settings)
-	c.jobForwarding.init()
+	c.cancellations.init(c.rand.Uint64())
+	c.operator.values.Operator = config.DefaultOperator()
+	c.rollout.init(settings)
+	c.shards.init(settings)
+	c.forwarding.init()
 	return c
 }
 
@@ -86,7 +86,7 @@
 	c.lastStep = c.now
 	c.wall = wall
 	c.outputs = c.outputs[:0]
-	if c.shutdownCause != nil {
+	if c.rollout.shutdownCause != nil {
 		c.refuseWhileShuttingDown(in)
 		return c.outputs
 	}
@@ -118,7 +118,7 @@
 	case PeerMessageReceived:
 		c.handlePeerMessage(in.Message)
 	}
-	if c.shutdownCause != nil {
+	if c.rollout.shutdownCause != nil {
 		c.emitShutdown()
 		return c.outputs
 	}
@@ -130,7 +130,7 @@
 // starts, and not while only it is cut from the state service, as far as it can
 // tell: a sibling says that it has it, or none can be heard at all.
 func (c *Controller) Healthy() bool {
-	return c.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
+	return c.membership.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
 }
 
 // lostPeerQuorum reports whether this controller hears and is heard by less than half of
@@ -145,7 +145,7 @@
 			heard++
 		}
 	}
-	return 2*heard <= 1+len(c.settings.Siblings) && c.now.Sub(c.readyAt) > ackTimeout
+	return 2*heard <= 1+len(c.settings.Siblings) && c.now.Sub(c.membership.readyAt) > ackTimeout
 }
 
 func (c *Controller) emit(o Output) { c.outputs = append(c.outputs, o) }
@@ -171,8 +171,8 @@
 	if c.callStartedAt < c.resumedAt {
 		return
 	}
-	c.stale = c.stale || c.loaded && !c.storeReachable()
-	c.lastStoreResponse = c.now
+	c.membership.stale = c.membership.stale || c.membership.loaded && !c.storeReachable()
+	c.cache.lastStoreResponse = c.now
 }
 
 // isDue reports whether t has come.
@@ -181,7 +181,7 @@
 func (c *Controller) tick() {
 	c.measureLag()
 	c.tickMembership()
-	if !c.ready {
+	if !c.membership.ready {
 		return
 	}
 	c.sendGossip()
@@ -207,7 +207,9 @@
 	storeTimeout = 2 * time.Second
 )
 
-func (c *Controller) storeReachable() bool { return c.now.Sub(c.lastStoreResponse) < storeTimeout }
+func (c *Controller) storeReachable() bool {
+	return c.now.Sub(c.cache.lastStoreResponse) < storeTimeout
+}
 
 // peerWithStore names a sibling that has the state service while this one has
 // not; "" if there is none.
--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -48,29 +48,31 @@
 
 // inBackoff reports whether none of a job's tasks are to be placed for now. While it
 // pauses it takes part in nothing: it takes no room, no guarantee, no turn.
-func (c *Controller) inBackoff(j *job) bool { return j.unreadable || !c.isDue(j.retryAt) }
+func (c *Controller) inBackoff(j *job) bool {
+	return j.unreadable || !c.isDue(j.crashLoop.retryAt)
+}
 
 // noteTaskFailure remembers that a task of a job failed on a machine.
 func (c *Controller) noteTaskFailure(j *job, m *machine) {
-	for id, at := range j.failedMachines {
-		if c.now.Sub(at) > failureLifetime && j.consecutiveBackoffs == 0 {
-			delete(j.failedMachines, id)
+	for id, at := range j.crashLoop.failedMachines {
+		if c.now.Sub(at) > failureLifetime && j.crashLoop.consecutiveBackoffs == 0 {
+			delete(j.crashLoop.failedMachines, id)
 		}
 	}
-	j.avoidMachines[m.id] = c.now.Add(avoidFaultyMachineFor)
-	j.failedMachines[m.id] = c.now
-	j.runningSince = 0
+	j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFaultyMachineFor)
+	j.crashLoop.failedMachines[m.id] = c.now
+	j.crashLoop.runningSince = 0
 	m.failedJobs[j.id] = c.now
-	if len(j.failedMachines) >= minFailedMachines && !c.inBackoff(j) {
+	if len(j.crashLoop.failedMachines) >= minFailedMachines && !c.inBackoff(j) {
 		// It fails wherever it runs: the job is at fault, not the machines.
-		pause := min(minCrashLoopBackoff<<min(j.consecutiveBackoffs, 10), maxCrashLoopBackoff)
-		j.consecutiveBackoffs++
-		j.retryAt = c.now.Add(pause)
-		c.dirty = true
-		if j.consecutiveBackoffs == 1 {
-			c.count(countCrashLoops, 1)
+		pause := min(minCrashLoopBackoff<<min(j.crashLoop.consecutiveBackoffs, 10), maxCrashLoopBackoff)
+		j.crashLoop.consecutiveBackoffs++
+		j.crashLoop.retryAt = c.now.Add(pause)
+		c.scheduler.dirty = true
+		if j.crashLoop.consecutiveBackoffs == 1 {
+			c.metrics.count(countCrashLoops, 1)
 			c.log.Info("job fails wherever it runs; it is tried again with few tasks", "job", j.id, "class", j.spec.Class,
-				"team", j.spec.Team, "machines", len(j.failedMachines))
+				"team", j.spec.Team, "machines", len(j.crashLoop.failedMachines))
 		}
 	}
 	c.quarantineIfFaulty(m)
@@ -78,22 +80,22 @@
 
 // noteTaskSuccess remembers that a job runs well.
 func (c *Controller) noteTaskSuccess(j *job) {
-	j.hasSucceeded = true
-	if len(j.failedMachines) == 0 && j.consecutiveBackoffs == 0 {
+	j.crashLoop.hasSucceeded = true
+	if len(j.crashLoop.failedMachines) == 0 && j.crashLoop.consecutiveBackoffs == 0 {
 		return
 	}
-	if j.consecutiveBackoffs > 0 {
+	if j.crashLoop.consecutiveBackoffs > 0 {
 		c.log.Info("job runs after all", "job", j.id, "class", j.spec.Class)
-		c.dirty = true
+		c.scheduler.dirty = true
 	}
-	clear(j.failedMachines)
-	j.consecutiveBackoffs, j.retryAt, j.runningSince = 0, 0, 0
+	clear(j.crashLoop.failedMachines)
+	j.crashLoop.consecutiveBackoffs, j.crashLoop.retryAt, j.crashLoop.runningSince = 0, 0, 0
 }
 
 // limitToCanaries is how many more tasks of a job that failed everywhere may be tried now.
 // Once those that are tried have run for a while, it is not broken.
 func (c *Controller) limitToCanaries(j *job, count int) int {
-	if j.consecutiveBackoffs == 0 || j.spec.Shape == wire.ShapeGang {
+	if j.crashLoop.consecutiveBackoffs == 0 || j.spec.Shape == wire.ShapeGang {
 		return count
 	}
 	return min(count, max(0, canaryTasks-c.placedTasks(j.id)))
@@ -102,9 +104,9 @@
 // noteCanaryRunning is told that a task of a failing job was seen running. If it goes on
 // like that for a while, the job is not at fault.
 func (c *Controller) noteCanaryRunning(j *job) {
-	if j.runningSince == 0 {
-		j.runningSince = c.now
-	} else if c.now.Sub(j.runningSince) > canaryPeriod {
+	if j.crashLoop.runningSince == 0 {
+		j.crashLoop.runningSince = c.now
+	} else if c.now.Sub(j.crashLoop.runningSince) > canaryPeriod {
 		c.noteTaskSuccess(j)
 	}
 }
@@ -115,14 +117,14 @@
 func (c *Controller) quarantineIfFaulty(m *machine) {
 	n := 0.0
 	for id, at := range m.failedJobs {
-		j := c.jobs[id]
+		j := c.cache.jobs[id]
 		f, _ := c.completion(id)
 		switch {
 		case c.now.Sub(at) > faultyMachineLifetime:
 			delete(m.failedJobs, id)
-		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.failedMachines) < minFailedMachines && j.hasSucceeded:
+		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.crashLoop.failedMachines) < minFailedMachines && j.crashLoop.hasSucceeded:
 			n++
-		case j != nil && len(j.failedMachines) < minFailedMachines:
+		case j != nil && len(j.crashLoop.failedMachines) < minFailedMachines:
 			n += 0.5
 		}
 	}
@@ -136,15 +138,15 @@
 // only steers the choice of machines.
 func (c *Controller) noteTaskExit(m *machine, t *wire.TaskStatus) {
 	c.log.Debug("task ended", "task", t.Task, "attempt", t.Attempt, "machine", m.id, "cause", t.Cause, "stored", t.Checkpointed)
-	j := c.jobs[t.Task.Job]
+	j := c.cache.jobs[t.Task.Job]
 	if j == nil {
 		return
 	}
 	switch t.Cause {
 	case wire.CauseNoRoom, wire.CauseInUse:
-		j.avoidMachines[m.id] = c.now.Add(avoidFullMachineFor)
+		j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFullMachineFor)
 	case wire.CauseUnknown:
-		j.retryAt = max(j.retryAt, c.now.Add(unknownCauseBackoff))
+		j.crashLoop.retryAt = max(j.crashLoop.retryAt, c.now.Add(unknownCauseBackoff))
 	case wire.CauseError:
 		c.noteTaskFailure(j, m)
 	case wire.CauseDone:
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -11,7 +11,7 @@
 
 // stageEviction marks tasks of an entry to be stopped.
 func (c *Controller) stageEviction(r *placementTransaction, p *page, e *Allocation, tasks record.TaskSet, how record.Eviction) {
-	if c.unreadable[p.key] != nil {
+	if c.cache.unreadable[p.key] != nil {
 		return
 	}
 	d := c.stagePage(r, p)
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, e := range m.allocations {
-			j := c.jobs[e.Job]
+			j := c.cache.jobs[e.Job]
 			if j == nil || e.Eviction != record.EvictionNone || !c.ownsTeam(j.spec.Team) {
 				continue
 			}
@@ -130,7 +130,7 @@
 		for count > 0 && rd.Holds(rules, j.spec.Team, o.host) && c.makeRoom(p.transactions, o.host, w, promised) {
 			c.reserveFreeingCapacity(p, rd, j, o.host, 1)
 			count--
-			c.count(countPreempted, 1)
+			c.metrics.count(countPreempted, 1)
 			c.log.Debug("work stopped for a more urgent job", "job", j.id, "class", j.spec.Class, "machine", o.host.ID)
 		}
 	}
@@ -141,8 +141,8 @@
 // rank, or, to get its team's guarantee, one that another team runs beyond its
 // own. Urgent work is never stopped for a guarantee.
 func (c *Controller) preemptable(rounds map[string]*placementTransaction, e *Allocation, w *pendingJob, promised bool) bool {
-	j := c.jobs[e.Job]
-	if j == nil || e.Eviction != record.EvictionNone || c.guaranteedJobs[e.Job] && !promised {
+	j := c.cache.jobs[e.Job]
+	if j == nil || e.Eviction != record.EvictionNone || c.scheduler.guaranteedJobs[e.Job] && !promised {
 		return false
 	}
 	// Old work is not stopped for what is merely of higher rank: it would start
@@ -155,7 +155,7 @@
 		return false
 	}
 	lower := e.Priority > w.job.spec.Priority.Level()
-	beyond := w.guaranteed && !c.guaranteedJobs[e.Job] && j.spec.Team != w.job.spec.Team && e.Priority >= wire.PriorityNormal.Level()
+	beyond := w.guaranteed && !c.scheduler.guaranteedJobs[e.Job] && j.spec.Team != w.job.spec.Team && e.Priority >= wire.PriorityNormal.Level()
 	if !lower && !beyond {
 		return false
 	}
@@ -182,7 +182,7 @@
 		}
 	}
 	slices.SortFunc(victims, func(a, b *Allocation) int {
-		return cmp.Or(cmp.Compare(boolToInt(c.guaranteedJobs[a.Job]), boolToInt(c.guaranteedJobs[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
+		return cmp.Or(cmp.Compare(boolToInt(c.scheduler.guaranteedJobs[a.Job]), boolToInt(c.scheduler.guaranteedJobs[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
 	})
 	type stop struct {
 		e     *Allocation
@@ -207,7 +207,7 @@
 		return false
 	}
 	for _, s := range stops {
-		r := rounds[c.jobs[s.e.Job].spec.Team]
+		r := rounds[c.cache.jobs[s.e.Job].spec.Team]
 		if s.e.Shape == wire.ShapeGang {
 			c.stageJobEviction(r, s.e.Job, how)
 		} else {
@@ -226,7 +226,7 @@
 // notYetEvicted is what of an entry the rounds have not stopped yet.
 func (c *Controller) notYetEvicted(rounds map[string]*placementTransaction, e *Allocation) record.TaskSet {
 	var left record.TaskSet
-	r := rounds[c.jobs[e.Job].spec.Team]
+	r := rounds[c.cache.jobs[e.Job].spec.Team]
 	for _, l := range c.jobAllocations(r, e.Job) {
 		if l.allocation.Machine == e.Machine && l.allocation.Attempt == e.Attempt && l.allocation.Eviction == record.EvictionNone {
 			left = left.With(l.allocation.Tasks)
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -49,7 +49,7 @@
 
 // forwardedTo is the controller that a job was handed to, if that still holds.
 func (c *Controller) forwardedTo(id wire.JobID) (string, bool) {
-	h, ok := c.forwarded[id]
+	h, ok := c.forwarding.forwarded[id]
 	return h.to, ok && !c.isDue(h.until)
 }
 
@@ -58,11 +58,11 @@
 // whether it did.
 func (c *Controller) forwardJob(w *pendingJob, roomOnly bool) bool {
 	j := w.job
-	if !c.schedulesJob(j) || !c.isDue(j.nextForward) || len(c.outgoing) >= maxForwardsPerMessage {
+	if !c.schedulesJob(j) || !c.isDue(j.nextForward) || len(c.forwarding.outgoing) >= maxForwardsPerMessage {
 		return false
 	}
 	tried := []string{c.settings.Label}
-	if h, ok := c.forwarded[j.id]; ok && !c.isDue(h.until) {
+	if h, ok := c.forwarding.forwarded[j.id]; ok && !c.isDue(h.until) {
 		tried = append(slices.Clone(h.tried), c.settings.Label)
 	}
 	next := c.nextForwardTarget(w, tried, roomOnly)
@@ -79,9 +79,9 @@
 		tried = append(tried, owner) // it comes back
 	}
 	j.nextForward = c.now.Add(criticalForwardBackoff)
-	c.forwarded[j.id] = forwardedJob{next, c.now.Add(forwardLifetime), tried}
-	c.outgoing = append(c.outgoing, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
-	c.count(countJobsForwarded, 1)
+	c.forwarding.forwarded[j.id] = forwardedJob{next, c.now.Add(forwardLifetime), tried}
+	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
+	c.metrics.count(countJobsForwarded, 1)
 	return true
 }
 
@@ -92,9 +92,9 @@
 		pause = criticalForwardBackoff
 	}
 	j.nextForward = c.now.Add(pause)
-	delete(c.forwarded, j.id)
+	delete(c.forwarding.forwarded, j.id)
 	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone) {
-		c.acquireFor = j.id
+		c.shards.acquireFor = j.id
 	}
 }
 
@@ -103,9 +103,9 @@
 func (c *Controller) nextForwardTarget(w *pendingJob, tried []string, roomOnly bool) string {
 	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.guaranteed
 	other := ""
-	for _, label := range c.eligibleControllers {
+	for _, label := range c.membership.eligibleControllers {
 		p := c.peers[label]
-		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.lastHeardAt) > peerTimeout || c.table.Owned(label) == 0 {
+		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.lastHeardAt) > peerTimeout || c.shards.table.Owned(label) == 0 {
 			continue
 		}
 		if c.offersCapacity(label, w.job) {
@@ -120,8 +120,8 @@
 
 // offersCapacity reports whether a sibling says that it has room for a task of a job.
 func (c *Controller) offersCapacity(label string, j *job) bool {
-	for i := range c.siblingCapacity[label] {
-		o := &c.siblingCapacity[label][i]
+	for i := range c.forwarding.siblingCapacity[label] {
+		o := &c.forwarding.siblingCapacity[label][i]
 		free := placement.Amount{Cores: o.Cores, Accelerators: o.Accelerators, MemGB: o.MemGB}
 		if !free.Covers(j.request.Need) {
 			continue
@@ -137,22 +137,22 @@
 // sendForwardedJobs tells the siblings of jobs that are handed on. Those of a team of which a
 // write is under way wait: whoever gets them would lose its own write to it.
 func (c *Controller) sendForwardedJobs() {
-	if len(c.outgoing) == 0 {
+	if len(c.forwarding.outgoing) == 0 {
 		return
 	}
 	line := c.newPeerMessage()
-	kept := c.outgoing[:0]
-	for _, h := range c.outgoing {
-		j := c.jobs[h.Job]
+	kept := c.forwarding.outgoing[:0]
+	for _, h := range c.forwarding.outgoing {
+		j := c.cache.jobs[h.Job]
 		switch {
 		case j == nil:
-		case c.team(j.spec.Team).inFlight != nil:
+		case c.cache.team(j.spec.Team).schedule.inFlight != nil:
 			kept = append(kept, h)
 		default:
 			line.ForwardedJobs = append(line.ForwardedJobs, h)
 		}
 	}
-	c.outgoing = kept
+	c.forwarding.outgoing = kept
 	if len(line.ForwardedJobs) > 0 {
 		c.broadcast(line)
 	}
@@ -161,18 +161,18 @@
 // applyForwardedJobs takes a sibling's word on jobs that it hands on.
 func (c *Controller) applyForwardedJobs(handOffs []wire.ForwardedJob) {
 	for _, h := range handOffs {
-		j := c.jobs[h.Job]
+		j := c.cache.jobs[h.Job]
 		if slices.Contains(h.Tried, h.To) { // it comes back to its team's owner
-			delete(c.forwarded, h.Job)
+			delete(c.forwarding.forwarded, h.Job)
 			if j != nil && h.To == c.settings.Label {
 				c.jobReturned(j)
 			}
 			continue
 		}
-		c.forwarded[h.Job] = forwardedJob{h.To, c.now.Add(forwardLifetime), h.Tried}
+		c.forwarding.forwarded[h.Job] = forwardedJob{h.To, c.now.Add(forwardLifetime), h.Tried}
 		if h.To == c.settings.Label {
-			c.dirty = true
-			c.criticalDirty = c.criticalDirty || j != nil && j.spec.Priority == wire.PriorityCritical
+			c.scheduler.dirty = true
+			c.scheduler.criticalDirty = c.scheduler.criticalDirty || j != nil && j.spec.Priority == wire.PriorityCritical
 			if j != nil {
 				j.nextForward = 0
 			}
@@ -182,19 +182,19 @@
 
 // expireForwardedJobs drops what no longer holds.
 func (c *Controller) expireForwardedJobs() {
-	for id, h := range c.forwarded {
+	for id, h := range c.forwarding.forwarded {
 		if c.isDue(h.until) {
-			delete(c.forwarded, id)
+			delete(c.forwarding.forwarded, id)
 		}
 	}
 }
 
 // addCapacityOffer adds the room in this controller's shares to a line, from time to time.
 func (c *Controller) addCapacityOffer(line *wire.PeerMessage) {
-	if !c.sharded() || !c.isDue(c.nextCapacityOffer) {
+	if !c.sharded() || !c.isDue(c.forwarding.nextCapacityOffer) {
 		return
 	}
-	c.nextCapacityOffer = c.now.Add(capacityOfferInterval)
+	c.forwarding.nextCapacityOffer = c.now.Add(capacityOfferInterval)
 	c.expireForwardedJobs()
 	room := c.capacityOffers()
 	line.Capacity = &room
@@ -205,7 +205,7 @@
 	var kinds []machineKind
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
-		if t == nil || !c.table.Places(m.shard) || !c.acceptsTasks(m) {
+		if t == nil || !c.shards.table.Places(m.shard) || !c.acceptsTasks(m) {
 			continue
 		}
 		free := machineResources(t)
@@ -231,18 +231,18 @@
 // acquireShards asks for the shares whose machines, together with those of this controller, have
 // room for a job that needs it at once and that no controller alone can place.
 func (c *Controller) acquireShards() (shard.Action, bool) {
-	j := c.jobs[c.acquireFor]
-	c.acquireFor = ""
-	if j == nil || c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquireInterval || len(c.catalogue) == 0 {
+	j := c.cache.jobs[c.shards.acquireFor]
+	c.shards.acquireFor = ""
+	if j == nil || c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
 		return shard.Action{}, false
 	}
 	ids := c.shardsForJob(j)
 	if len(ids) == 0 {
 		return shard.Action{}, false
 	}
-	a, due := c.planner.Acquire(ids, c.wall)
+	a, due := c.shards.planner.Acquire(ids, c.wall)
 	if due {
-		c.acquiredAt = c.now
+		c.shards.acquiredAt = c.now
 		c.log.Debug("shares asked for", "job", j.id, "shares", a.Shards)
 	}
 	return a, due
@@ -262,7 +262,7 @@
 		if h.Closed || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
 			continue
 		}
-		m := c.machines[h.ID]
+		m := c.fleet.machines[h.ID]
 		free := h.Free.Plus(h.Freeing, 1)
 		cand := candidate{share: m.shard, now: free.Times(need, j.spec.Tasks)}
 		for _, e := range m.allocations {
@@ -289,7 +289,7 @@
 	slices.SortStableFunc(byZone[best], func(a, b candidate) int { return b.now - a.now })
 	have := 0
 	for _, cand := range byZone[best] {
-		if c.table.Places(cand.share) {
+		if c.shards.table.Places(cand.share) {
 			have += max(cand.now, cand.most)
 		}
 	}
@@ -298,7 +298,7 @@
 		if have >= j.spec.Tasks {
 			break
 		}
-		if cand.most > 0 && !c.table.Places(cand.share) && !slices.Contains(ids, cand.share) {
+		if cand.most > 0 && !c.shards.table.Places(cand.share) && !slices.Contains(ids, cand.share) {
 			ids = append(ids, cand.share)
 		}
 		if slices.Contains(ids, cand.share) {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -14,8 +14,8 @@
 // evictBrokenGangs stops what is left of a gang that lost a task, so that it can start
 // again as a whole.
 func (c *Controller) evictBrokenGangs(rounds map[string]*placementTransaction) {
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
 		r := rounds[j.spec.Team]
 		if j.spec.Shape != wire.ShapeGang || r == nil || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(r, 4) {
 			continue
@@ -122,8 +122,8 @@
 // the image.
 func (c *Controller) gangImagePullTime(j *job, attempt wire.Attempt) time.Duration {
 	most := time.Duration(0)
-	for _, e := range c.allocationsByJob[j.id] {
-		if m := c.machines[e.Machine]; m != nil && e.Attempt == attempt {
+	for _, e := range c.scheduler.allocationsByJob[j.id] {
+		if m := c.fleet.machines[e.Machine]; m != nil && e.Attempt == attempt {
 			most = max(most, c.imagePullTime(m, j))
 		}
 	}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -30,20 +30,20 @@
 	line := c.newPeerMessage()
 	if c.gossipAll {
 		c.gossipAll = false
-		for id, m := range c.machines {
+		for id, m := range c.fleet.machines {
 			if m.directHeartbeat != nil && c.now.Sub(m.lastDirectAt) < forgetMachineAfter && !m.terminated {
 				c.gossipMachines[id] = true
 			}
 			m.gossipedHeartbeat = nil
 		}
-		c.gossipedStatus = nil
+		c.provisioner.gossipedStatus = nil
 	}
-	if c.isDue(c.nextWatermark) {
+	if c.isDue(c.cancellations.nextWatermark) {
 		line.Watermark = c.newWatermark()
 	}
 	c.addCapacityOffer(line)
 	for _, id := range sortedKeys(c.gossipMachines) {
-		m := c.machines[id]
+		m := c.fleet.machines[id]
 		if m == nil || m.directHeartbeat == nil {
 			continue
 		}
@@ -68,7 +68,7 @@
 
 // broadcast sends a line to all siblings.
 func (c *Controller) broadcast(line *wire.PeerMessage) {
-	c.count(countPeerMessages, 1)
+	c.metrics.count(countPeerMessages, 1)
 	c.emit(Broadcast{line})
 }
 
@@ -76,7 +76,7 @@
 // name it: builds that know no other may read them.
 func (c *Controller) newPeerMessage() *wire.PeerMessage {
 	line := &wire.PeerMessage{From: c.settings.Label, StoreReachable: c.storeReachable()}
-	if f := c.rollout.Format(); f > record.FormatPlain {
+	if f := c.rollout.tracker.Format(); f > record.FormatPlain {
 		line.Format = f
 	}
 	return line
@@ -108,7 +108,7 @@
 		c.applyMachineList(l.CloudMachines)
 	}
 	if l.Capacity != nil {
-		c.siblingCapacity[l.From] = *l.Capacity
+		c.forwarding.siblingCapacity[l.From] = *l.Capacity
 	}
 	c.applyForwardedJobs(l.ForwardedJobs)
 	if c.now.Sub(p.lastHeardAt) > peerTimeout {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -25,19 +25,19 @@
 		}
 		return
 	}
-	for _, m := range c.machines {
+	for _, m := range c.fleet.machines {
 		m.holdsHeadroom = false
 	}
-	c.missingHeadroom = 0
+	c.provisioner.missingHeadroom = 0
 	for _, s := range c.headroomDemands() {
 		left := s.Count
 		for _, ch := range p.fleet.Choose(s.Request, s.Count, "", placement.Options{
 			Relax: true,
 		}) {
 			left -= ch.Count
-			c.machines[ch.Machine].holdsHeadroom = true
+			c.fleet.machines[ch.Machine].holdsHeadroom = true
 		}
-		c.missingHeadroom += left
+		c.provisioner.missingHeadroom += left
 	}
 }
 
@@ -47,7 +47,7 @@
 	n := 0
 	for unit := range s.Count {
 		name := wire.MachineID(s.Request.Image + "/" + strconv.Itoa(unit))
-		if c.table.Places(shard.ShardOf(name)) {
+		if c.shards.table.Places(shard.ShardOf(name)) {
 			n++
 		}
 	}
@@ -65,9 +65,9 @@
 	// would not do.
 	type key struct{ class, image string }
 	classes := map[key]*seen{}
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
-		if j.consecutiveBackoffs > 0 || j.unreadable {
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
+		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
 			continue
 		}
 		k := key{j.spec.Class, j.spec.Image}
@@ -98,7 +98,7 @@
 		spec := *s.spec
 		spec.ID, spec.Zone, spec.SpreadZones, spec.SingleZone, spec.Shape = "", "", false, false, wire.ShapeArray
 		out = append(out, capacity.Demand{Request: placement.NewRequest(&spec),
-			Count: c.values.SpareLeast + int(math.Ceil(c.values.SpareShare*float64(s.tasks)))})
+			Count: c.operator.values.SpareLeast + int(math.Ceil(c.operator.values.SpareShare*float64(s.tasks)))})
 	}
 	return out
 }
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -11,15 +11,15 @@
 // handleHeartbeat answers a worker's report.
 func (c *Controller) handleHeartbeat(in HeartbeatReceived) {
 	r := in.Heartbeat
-	if !c.ready {
+	if !c.membership.ready {
 		c.emit(Reply{Request: in.Request, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: "starting"}})
 		return
 	}
-	if r.Token > c.token {
+	if r.Token > c.cache.token {
 		// Somebody raised the token; until we know everything that was written
 		// before, we are not entitled to command this worker.
 		c.readBarrier(func(bool) {
-			if r.Token > c.token {
+			if r.Token > c.cache.token {
 				c.redirectToPeer(in.Request)
 				return
 			}
@@ -43,8 +43,8 @@
 		}
 		// Refused at once, it would try one controller after the other, a second
 		// each, and so would all others. A moment later it may be answered.
-		c.timers = append(c.timers, timer{c.now.Add(renewalWait), func() {
-			if r.Token <= c.token && c.canRenewLeases() && !c.mayStartCancelledTask(c.machine(r.Machine)) {
+		c.fleet.timers = append(c.fleet.timers, timer{c.now.Add(renewalWait), func() {
+			if r.Token <= c.cache.token && c.canRenewLeases() && !c.mayStartCancelledTask(c.machine(r.Machine)) {
 				c.respondToHeartbeat(in)
 				return
 			}
@@ -71,12 +71,12 @@
 func (c *Controller) shouldRedirectToPeer(m *machine) bool {
 	w := &c.settings.Cluster.Workers
 	tour := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
-	if !c.lostPeerQuorum() || c.now.Sub(c.lastStoreResponse) < peerQuorumLossDelay || m.redirectedToPeerAt > c.lastStoreResponse ||
+	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay || m.redirectedToPeerAt > c.cache.lastStoreResponse ||
 		tour+config.Seconds(1.25*w.ReportS)+workerTimeout > config.Seconds(w.LeaseS) {
 		return false
 	}
 	m.redirectedToPeerAt = c.now
-	c.count(countPeerRedirects, 1)
+	c.metrics.count(countPeerRedirects, 1)
 	return true
 }
 
@@ -114,5 +114,5 @@
 	} else {
 		orders = c.stopCommands(m) // the answer may renew the lease all the same
 	}
-	c.reply(in.Request, http.StatusOK, wire.HeartbeatResponse{Token: c.token, Commands: orders})
+	c.reply(in.Request, http.StatusOK, wire.HeartbeatResponse{Token: c.cache.token, Commands: orders})
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -15,7 +15,7 @@
 // known, or that we have had no chance to hear yet, as when this process stood
 // still itself, is not silent.
 func (c *Controller) lastSeen(m *machine) Time {
-	return max(m.lastHeartbeatAt, m.firstKnownAt, c.readyAt, c.resumedAt, c.reachableSince)
+	return max(m.lastHeartbeatAt, m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
 }
 
 // heartbeatTimeout is how long a worker may be silent before it is asked: its reports
@@ -30,7 +30,9 @@
 }
 
 // hasCriticalTasks reports whether critical tasks stand on a machine.
-func (c *Controller) hasCriticalTasks(m *machine) bool { return c.criticalAllocations[m.id] > 0 }
+func (c *Controller) hasCriticalTasks(m *machine) bool {
+	return c.scheduler.criticalAllocations[m.id] > 0
+}
 
 // shouldProbe reports whether it is up to this controller to ask a machine: one of the
 // living does, by the machine's name, and the buyer a little later, since it
@@ -41,10 +43,10 @@
 	if quiet > config.Seconds(1.3*c.settings.Cluster.Workers.ReportS) && !c.allPeersHeard() {
 		return true
 	}
-	if c.provisionerIncarnation == c.incarnation && quiet > c.heartbeatTimeout(m)+provisionerProbeDelay {
+	if c.cache.provisionerIncarnation == c.membership.incarnation && quiet > c.heartbeatTimeout(m)+provisionerProbeDelay {
 		return true
 	}
-	return len(c.eligibleControllers) == 0 || rendezvous.Highest(c.eligibleControllers, string(m.id)) == c.settings.Label
+	return len(c.membership.eligibleControllers) == 0 || rendezvous.Highest(c.membership.eligibleControllers, string(m.id)) == c.settings.Label
 }
 
 const (
@@ -71,15 +73,15 @@
 	m := c.machine(r.Machine)
 	if direct {
 		if c.isolationSuspected() {
-			c.reachableSince = c.now
+			c.fleet.reachableSince = c.now
 		}
-		c.lastDirectHeartbeat = c.now
+		c.fleet.lastDirectHeartbeat = c.now
 		c.gossipMachines[m.id] = true
 	}
 	if direct && (m.directHeartbeat == nil || r.Newer(m.directHeartbeat)) {
 		if m.directHeartbeat == nil || !sameStatus(m.directHeartbeat, r) {
 			m.markForReview()
-			c.dirty = true
+			c.scheduler.dirty = true
 		}
 		m.directHeartbeat, m.directTasks, m.lastDirectAt = r, tasksByAttempt(r), c.now
 		for key, since := range m.missingSince {
@@ -93,7 +95,7 @@
 	}
 	before, first := m.tasks, m.latestHeartbeat == nil
 	// A report that only says that the machine is still there changes no plan.
-	c.dirty = c.dirty || first || !sameStatus(m.latestHeartbeat, r) || !c.heartbeatsOnTime(m)
+	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(m.latestHeartbeat, r) || !c.heartbeatsOnTime(m)
 	c.resetUnansweredAfterSilence(m)
 	m.latestHeartbeat, m.tasks, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = r, tasksByAttempt(r), c.now, 0
 	m.addr, m.machineType, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
@@ -106,18 +108,18 @@
 	}
 	pulling := map[string]bool{}
 	for id, t := range m.tasks {
-		if j := c.jobs[id.task.Job]; j != nil && t.State == wire.TaskPulling {
+		if j := c.cache.jobs[id.task.Job]; j != nil && t.State == wire.TaskPulling {
 			pulling[j.spec.Image] = true
 		}
-		if j := c.jobs[id.task.Job]; j != nil && (t.State == wire.TaskRunning || t.State == wire.TaskWaiting) {
+		if j := c.cache.jobs[id.task.Job]; j != nil && (t.State == wire.TaskRunning || t.State == wire.TaskWaiting) {
 			c.noteImageUse(m, j.spec.Image)
 			if !j.started {
 				c.log.Debug("job started", "job", j.id, "class", j.spec.Class, "after_s", float64(c.wall-j.acceptedAt)/1000)
 				j.started = true
-				c.observe(latencyJobStart, time.Duration(max(0, c.wall-j.acceptedAt))*time.Millisecond)
+				c.metrics.observe(latencyJobStart, time.Duration(max(0, c.wall-j.acceptedAt))*time.Millisecond)
 			}
 		}
-		if j := c.jobs[id.task.Job]; j != nil && j.consecutiveBackoffs > 0 && t.State == wire.TaskRunning {
+		if j := c.cache.jobs[id.task.Job]; j != nil && j.crashLoop.consecutiveBackoffs > 0 && t.State == wire.TaskRunning {
 			c.noteCanaryRunning(j)
 		}
 		if old := before[id]; t.State == wire.TaskExited && (old == nil || old.State != wire.TaskExited) {
@@ -125,7 +127,7 @@
 		}
 	}
 	m.pulling = len(pulling)
-	if !direct && c.ready {
+	if !direct && c.membership.ready {
 		c.confirmDirectly(m)
 	}
 }
@@ -141,7 +143,7 @@
 // applyUnchangedHeartbeat takes a sibling's word that a machine reported what it had
 // reported before.
 func (c *Controller) applyUnchangedHeartbeat(h *wire.UnchangedHeartbeat) {
-	m := c.machines[h.Machine]
+	m := c.fleet.machines[h.Machine]
 	if m == nil || m.latestHeartbeat == nil || m.latestHeartbeat.AgentEpoch != h.AgentEpoch || m.latestHeartbeat.Sequence >= h.Sequence {
 		return
 	}
@@ -149,7 +151,7 @@
 	r := *m.latestHeartbeat
 	r.Sequence, r.Token = h.Sequence, h.Token
 	m.latestHeartbeat, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = &r, c.now, 0
-	if c.ready {
+	if c.membership.ready {
 		c.confirmDirectly(m)
 	}
 }
@@ -166,7 +168,7 @@
 		}
 		for i := range e.Tasks.All {
 			t := m.tasks[e.key(i)]
-			if t == nil && (e.Eviction != record.EvictionNone || c.jobs[e.Job] == nil || !c.isAlive(e.Launcher) || m.latestHeartbeat.AgentEpoch > e.AgentEpoch) ||
+			if t == nil && (e.Eviction != record.EvictionNone || c.cache.jobs[e.Job] == nil || !c.isAlive(e.Launcher) || m.latestHeartbeat.AgentEpoch > e.AgentEpoch) ||
 				t != nil && t.State == wire.TaskExited {
 				c.probeMachine(m)
 				return
@@ -178,7 +180,7 @@
 // canProbe reports whether another machine may be asked now. When hundreds hang,
 // calls to them would pile up otherwise, with a socket each.
 func (c *Controller) canProbe() bool {
-	return c.heartbeatRequestsInFlight < max(1, c.maxWorkerCalls/probeCallDivisor)
+	return c.fleet.heartbeatRequestsInFlight < max(1, c.fleet.maxWorkerCalls/probeCallDivisor)
 }
 
 // probeMachines asks machines for their reports, as many as may be asked at a time:
@@ -210,12 +212,12 @@
 func (c *Controller) probeMachine(m *machine) {
 	m.requestingHeartbeat = true
 	m.nextHeartbeatRequest = c.now.Add(heartbeatRequestInterval)
-	c.heartbeatRequestsInFlight++
-	c.count(countProbes, 1)
+	c.fleet.heartbeatRequestsInFlight++
+	c.metrics.count(countProbes, 1)
 	asked := c.now
 	c.emit(RequestHeartbeat{call(c, func(a WorkerResponse) {
 		m.requestingHeartbeat = false
-		c.heartbeatRequestsInFlight--
+		c.fleet.heartbeatRequestsInFlight--
 		if a.Heartbeat == nil {
 			m.unansweredHeartbeatRequests++
 		}
@@ -231,10 +233,10 @@
 		m.unansweredCalls = 0
 		return
 	}
-	if asked < c.reachableSince {
+	if asked < c.fleet.reachableSince {
 		return // it was us
 	}
-	if m.unansweredCalls == 0 || m.unreachableSince < c.reachableSince {
+	if m.unansweredCalls == 0 || m.unreachableSince < c.fleet.reachableSince {
 		m.unreachableSince, m.unansweredCalls = asked, 0
 	}
 	m.unansweredCalls++
@@ -254,7 +256,7 @@
 		return
 	}
 	c.applyHeartbeat(a.Heartbeat, true)
-	if a.Heartbeat.Token > c.token {
+	if a.Heartbeat.Token > c.cache.token {
 		c.readBarrier(func(bool) {})
 	}
 }
@@ -263,7 +265,7 @@
 // that are up: where machines were only just rented, or none comes up, nobody hears
 // any, and if all took that for their own fault nobody would rent others.
 func (c *Controller) isolated() bool {
-	return c.ready && c.machinesUp > 0 && c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt, c.resumedAt)) > isolatedAfter
+	return c.membership.ready && c.fleet.machinesUp > 0 && c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt, c.resumedAt)) > isolatedAfter
 }
 
 // isolationSuspected reports whether no worker has spoken to this controller for a moment,
@@ -271,7 +273,7 @@
 // meanwhile, it may be the one that is cut off. Once a buyer gave up hundreds of
 // machines in the time that it took to find that out.
 func (c *Controller) isolationSuspected() bool {
-	return c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt, c.resumedAt)) > isolationSuspectedAfter
+	return c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt, c.resumedAt)) > isolationSuspectedAfter
 }
 
 const (
@@ -285,10 +287,10 @@
 // probeOwnReachability asks some worker for its report when none has spoken to us for a while:
 // they may all report to others, or we may be cut off.
 func (c *Controller) probeOwnReachability() {
-	if c.now.Sub(max(c.lastDirectHeartbeat, c.readyAt)) < reachabilityProbeAfter || !c.isDue(c.nextReachabilityProbe) {
+	if c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
 		return
 	}
-	c.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
+	c.fleet.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
 	var known []*machine // the ones heard last, in order
 	for _, m := range c.orderedMachines() {
 		if m.addr == "" || m.terminated || m.requestingHeartbeat || c.now.Sub(m.lastHeartbeatAt) >= forgetMachineAfter || m.latestHeartbeat == nil {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -42,13 +42,13 @@
 			return err
 		}
 	}
-	for id := range c.imageBuckets[n] {
-		delete(c.recordedImages, id)
+	for id := range c.fleet.imageBuckets[n] {
+		delete(c.fleet.recordedImages, id)
 	}
-	c.imageBuckets[n] = noted
+	c.fleet.imageBuckets[n] = noted
 	for id, images := range noted {
-		c.recordedImages[id] = images
-		if m := c.machines[id]; m != nil {
+		c.fleet.recordedImages[id] = images
+		if m := c.fleet.machines[id]; m != nil {
 			c.restoreRecordedImages(m)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 func (c *Controller) restoreRecordedImages(m *machine) {
-	for _, image := range c.recordedImages[m.id] {
+	for _, image := range c.fleet.recordedImages[m.id] {
 		if _, ok := m.imagesLastUsed[image]; !ok && len(m.imagesLastUsed) < maxCachedImages {
 			m.imagesLastUsed[image], m.cachedImages[image] = 0, true
 		}
@@ -67,18 +67,18 @@
 // record and one record at a time. It is the buyer's task, since it knows all
 // machines.
 func (c *Controller) recordImages() {
-	if c.recordingImages || !c.isDue(c.nextImageRecord) || !c.canAffordWrite() {
+	if c.fleet.recordingImages || !c.isDue(c.fleet.nextImageRecord) || !c.canAffordWrite() {
 		return
 	}
-	c.nextImageRecord = c.now.Add(imageRecordInterval)
-	c.nextImageBucket = (c.nextImageBucket + 1) % imageBuckets
-	shard := c.nextImageBucket
+	c.fleet.nextImageRecord = c.now.Add(imageRecordInterval)
+	c.fleet.nextImageBucket = (c.fleet.nextImageBucket + 1) % imageBuckets
+	shard := c.fleet.nextImageBucket
 	noted := c.imagesInBucket(shard)
-	if maps.EqualFunc(noted, c.imageBuckets[shard], slices.Equal[[]string]) {
+	if maps.EqualFunc(noted, c.fleet.imageBuckets[shard], slices.Equal[[]string]) {
 		return
 	}
-	c.recordingImages = true
-	c.commit(PriorityBackground, wire.Transaction{Then: []wire.Change{c.putChange(record.ImageKey(shard), noted)}}, func(CommitResult) { c.recordingImages = false })
+	c.fleet.recordingImages = true
+	c.commit(PriorityBackground, wire.Transaction{Then: []wire.Change{c.putChange(record.ImageKey(shard), noted)}}, func(CommitResult) { c.fleet.recordingImages = false })
 }
 
 // imagesInBucket is what is to be noted of a shard's machines: of each the images seen in use
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -33,7 +33,7 @@
 }
 
 func (c *Controller) refuse(r RequestID, status int, why string, after time.Duration) {
-	c.count(countRefused, 1)
+	c.metrics.count(countRefused, 1)
 	c.emit(Reply{Request: r, Status: status, Body: wire.ErrorResponse{Error: why}, RetryAfter: after})
 }
 
@@ -45,7 +45,7 @@
 // request if not.
 func (c *Controller) ensureServing(r RequestID) bool {
 	switch {
-	case !c.ready || !c.cacheComplete():
+	case !c.membership.ready || !c.cacheComplete():
 		c.unavailable(r, "starting")
 	case !c.storeReachable():
 		c.refuse(r, http.StatusServiceUnavailable, "state service unavailable", longRetryDelay)
@@ -63,7 +63,7 @@
 	if !c.ensureServing(in.Request) {
 		return
 	}
-	if c.jobs[in.Spec.ID] != nil {
+	if c.cache.jobs[in.Spec.ID] != nil {
 		c.lookUpJob(in.Request, in.Spec.ID, func(s wire.JobStatus, found bool) {
 			if found {
 				c.reply(in.Request, http.StatusOK, s)
@@ -73,7 +73,7 @@
 		})
 		return
 	}
-	if len(c.catalogue) == 0 {
+	if len(c.provisioner.catalogue) == 0 {
 		c.unavailable(in.Request, "machine types not known yet")
 		return
 	}
@@ -96,14 +96,14 @@
 // state service be lost, the user's retry finds the job or writes it again.
 func (c *Controller) accept(in JobSubmitted) {
 	id := in.Spec.ID
-	if rate := c.writeRate(); float64(c.submissionsInFlight) >= max(minAdmissionQueue, rate*admissionQueueTime.Seconds()) {
+	if rate := c.writeRate(); float64(c.cache.submissionsInFlight) >= max(minAdmissionQueue, rate*admissionQueueTime.Seconds()) {
 		// More would only wait in line until their users ask again.
 		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
 		return
 	}
-	c.submissionsInFlight++
+	c.cache.submissionsInFlight++
 	open, asked := true, c.now
-	c.timers = append(c.timers, timer{c.now.Add(submitTimeout), func() {
+	c.fleet.timers = append(c.fleet.timers, timer{c.now.Add(submitTimeout), func() {
 		if open {
 			open = false
 			c.unavailable(in.Request, "state service slow")
@@ -111,12 +111,12 @@
 	}})
 	c.commit(PriorityAdmission, wire.Transaction{
 		If:   []wire.Condition{{Key: record.JobKey(id)}, {Key: record.CompletionKey(id)}},
-		Then: []wire.Change{c.putChange(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.incarnation})},
+		Then: []wire.Change{c.putChange(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.membership.incarnation})},
 	}, func(r CommitResult) {
-		c.submissionsInFlight--
+		c.cache.submissionsInFlight--
 		if r.Outcome == Succeeded {
-			c.count(countAccepted, 1)
-			c.observe(latencyAdmission, c.now.Sub(asked))
+			c.metrics.count(countAccepted, 1)
+			c.metrics.observe(latencyAdmission, c.now.Sub(asked))
 			c.log.Debug("job accepted", "job", id, "team", in.Spec.Team, "tasks", in.Spec.Tasks)
 		}
 		if !open {
@@ -144,8 +144,8 @@
 // each is given a time of its own, as far apart as submissions can be written.
 // Told the same, all would come back at once, and most of them in vain.
 func (c *Controller) nextRetryDelay() time.Duration {
-	c.nextRetryAt = max(c.nextRetryAt, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
-	wait := c.nextRetryAt.Sub(c.now)
+	c.cache.nextRetryAt = max(c.cache.nextRetryAt, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	wait := c.cache.nextRetryAt.Sub(c.now)
 	if wait > maxRetryDelay {
 		wait = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
 	}
@@ -173,8 +173,8 @@
 	}
 	req := placement.NewRequest(j)
 	fits := map[string]bool{} // the zones with machines that a task fits
-	for i := range c.catalogue {
-		m := &c.catalogue[i]
+	for i := range c.provisioner.catalogue {
+		m := &c.provisioner.catalogue[i]
 		if !machineResources(m).Covers(req.Need) {
 			continue
 		}
@@ -218,7 +218,7 @@
 			then(completionStatus(id, f), true)
 			return
 		}
-		if j := c.jobs[id]; j != nil && j.unreadable {
+		if j := c.cache.jobs[id]; j != nil && j.unreadable {
 			c.unavailable(r, "the job's record cannot be read")
 			return
 		} else if j != nil {
@@ -246,8 +246,8 @@
 
 func (c *Controller) status(j *job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.id, Status: wire.StatusPending, Done: j.completed.Len()}
-	for _, e := range c.allocationsByJob[j.id] {
-		if m := c.machines[e.Machine]; m != nil {
+	for _, e := range c.scheduler.allocationsByJob[j.id] {
+		if m := c.fleet.machines[e.Machine]; m != nil {
 			s.Running += m.running(e)
 		}
 	}
@@ -272,7 +272,7 @@
 // entries, now without a job, are stopped by whoever sees them.
 func (c *Controller) cancel(r RequestID, id wire.JobID) {
 	c.lookUpJob(r, id, func(s wire.JobStatus, found bool) {
-		j := c.jobs[id]
+		j := c.cache.jobs[id]
 		switch {
 		case !found:
 			c.refuse(r, http.StatusNotFound, "no such job", 0)
@@ -291,7 +291,7 @@
 		}, func(done CommitResult) {
 			switch done.Outcome {
 			case Succeeded:
-				c.count(countCancelled, 1)
+				c.metrics.count(countCancelled, 1)
 				c.log.Debug("job withdrawn", "job", id)
 				c.reply(r, http.StatusOK, completionStatus(id, end))
 				c.sendCommandsForJob(id)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -124,7 +124,7 @@
 }
 
 func (c *Controller) machine(id wire.MachineID) *machine {
-	m := c.machines[id]
+	m := c.fleet.machines[id]
 	if m == nil {
 		m = &machine{
 			id:             id,
@@ -137,8 +137,8 @@
 			orphanTasks:    map[attemptKey]Time{},
 			missingSince:   map[attemptKey]Time{},
 		}
-		c.machines[id] = m
-		c.machinesByID = nil
+		c.fleet.machines[id] = m
+		c.fleet.machinesByID = nil
 		c.restoreRecordedImages(m)
 	}
 	return m
@@ -146,15 +146,15 @@
 
 // orderedMachines is the machines by name. It must not be changed.
 func (c *Controller) orderedMachines() []*machine {
-	if c.machinesByID == nil {
-		c.machinesByID = slices.SortedFunc(maps.Values(c.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
+	if c.fleet.machinesByID == nil {
+		c.fleet.machinesByID = slices.SortedFunc(maps.Values(c.fleet.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
 	}
-	return c.machinesByID
+	return c.fleet.machinesByID
 }
 
 // allocationsOn is the records' entries on a machine.
 func (c *Controller) allocationsOn(id wire.MachineID) []*Allocation {
-	if m := c.machines[id]; m != nil {
+	if m := c.fleet.machines[id]; m != nil {
 		return m.allocations
 	}
 	return nil
@@ -192,35 +192,35 @@
 )
 
 func (c *Controller) tickFleet() {
-	kept := c.timers[:0]
-	for _, t := range c.timers {
+	kept := c.fleet.timers[:0]
+	for _, t := range c.fleet.timers {
 		if c.isDue(t.at) {
 			t.run()
 		} else {
 			kept = append(kept, t)
 		}
 	}
-	c.timers = kept
-	if !c.isDue(c.nextFleetReview) {
+	c.fleet.timers = kept
+	if !c.isDue(c.scheduler.nextFleetReview) {
 		return
 	}
-	c.nextFleetReview = c.now.Add(fleetReviewInterval)
+	c.scheduler.nextFleetReview = c.now.Add(fleetReviewInterval)
 	c.tickCompletedTasks()
 	c.probeOwnReachability()
 	uncleared, oldest := 0, false
 	unreachable, reporting := 0, 0
 	var due []*machine // to be asked for their reports
-	c.machinesUp = 0
+	c.fleet.machinesUp = 0
 	for _, m := range c.orderedMachines() {
 		if m.terminated || c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.lastListedAt) > forgetMachineAfter {
 			if len(m.allocations) == 0 && (!m.terminated || c.now.Sub(m.terminatedAt) > forgetMachineAfter) {
-				delete(c.machines, m.id)
-				c.machinesByID = nil
+				delete(c.fleet.machines, m.id)
+				c.fleet.machinesByID = nil
 			}
 			continue
 		}
 		if !m.isTerminated() && (m.latestHeartbeat != nil || m.status == wire.MachineRunning) {
-			c.machinesUp++
+			c.fleet.machinesUp++
 		}
 		uncleared = max(uncleared, len(m.pendingCleanup))
 		oldest = oldest || len(m.pendingCleanup) > 0
@@ -233,9 +233,9 @@
 		}
 		if m.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.nextCommandsAt) && quiet < c.heartbeatTimeout(m) {
 			for _, e := range m.allocations {
-				if e.Launcher == c.incarnation && e.Eviction == record.EvictionNone {
+				if e.Launcher == c.membership.incarnation && e.Eviction == record.EvictionNone {
 					if c.sendCommands(m) {
-						c.count(countLaunchRetries, 1)
+						c.metrics.count(countLaunchRetries, 1)
 					}
 					break
 				}
@@ -252,8 +252,8 @@
 		}
 	}
 	c.probeMachines(due)
-	c.outboundSuspect = unreachable > 2 && 3*unreachable > reporting
-	if uncleared > cleanupFenceThreshold || oldest && c.now.Sub(c.lastTokenRaise) > cleanupFenceInterval {
+	c.fleet.outboundSuspect = unreachable > 2 && 3*unreachable > reporting
+	if uncleared > cleanupFenceThreshold || oldest && c.now.Sub(c.scheduler.lastTokenRaise) > cleanupFenceInterval {
 		c.raiseToken()
 	}
 }
@@ -264,10 +264,10 @@
 }
 
 func (c *Controller) kindLabels(k machineKind) placement.Tags {
-	tags := c.labelSets[k]
+	tags := c.fleet.labelSets[k]
 	if tags == nil {
 		tags = machineLabels(k.kind, k.zone, k.spot)
-		c.labelSets[k] = tags
+		c.fleet.labelSets[k] = tags
 	}
 	return tags
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -39,68 +39,70 @@
 )
 
 // cacheComplete reports whether the cache is complete up to its feed.
-func (c *Controller) cacheComplete() bool { return c.loaded && c.revision >= c.catchUpRevision }
+func (c *Controller) cacheComplete() bool {
+	return c.membership.loaded && c.cache.revision >= c.membership.catchUpRevision
+}
 
 func (c *Controller) tickMembership() {
-	if !c.loaded {
-		if !c.loading && c.isDue(c.nextAttempt) {
-			c.loading = true
+	if !c.membership.loaded {
+		if !c.membership.loading && c.isDue(c.membership.nextAttempt) {
+			c.membership.loading = true
 			c.reloadCache()
 		}
-	} else if !c.watching && c.isDue(c.nextWatch) && c.now.Sub(c.cacheCurrentAt) > watchIdleDelay {
+	} else if !c.cache.watching && c.isDue(c.membership.nextWatch) && c.now.Sub(c.cancellations.cacheCurrentAt) > watchIdleDelay {
 		c.openWatch()
 	}
-	if !c.leaseCallInFlight && c.isDue(c.nextRenewal) {
+	if !c.membership.leaseCallInFlight && c.isDue(c.membership.nextRenewal) {
 		c.tickLease()
 	}
-	if c.stale && !c.catchingUp && c.storeReachable() {
-		c.catchingUp = true
+	if c.membership.stale && !c.membership.catchingUp && c.storeReachable() {
+		c.membership.catchingUp = true
 		c.readBarrier(func(ok bool) {
-			c.catchingUp = false
-			c.stale = !ok
+			c.membership.catchingUp = false
+			c.membership.stale = !ok
 		})
 	}
 	c.keepCacheCurrent()
 	c.startBarrier()
-	if c.enrolled && (c.liveControllers[c.settings.Label] != c.incarnation || c.isolatedControllers[c.settings.Label] != c.isolated()) {
+	if c.membership.enrolled && (c.cache.liveControllers[c.settings.Label] != c.membership.incarnation || c.cache.isolatedControllers[c.settings.Label] != c.isolated()) {
 		// A late copy of an earlier enrolment may hang the record on a lease that
 		// has since run out; or others should know that we no longer hear workers.
-		c.enrolled = false
+		c.membership.enrolled = false
 	}
-	if c.cacheComplete() && c.leaseID != 0 && !c.enrolled && !c.joining && c.isDue(c.nextAttempt) {
+	if c.cacheComplete() && c.membership.leaseID != 0 && !c.membership.enrolled && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
 		c.join()
 	}
-	if !c.ready && c.incarnation != 0 && c.token >= c.incarnation {
-		c.ready, c.readyAt = true, c.now
+	if !c.membership.ready && c.membership.incarnation != 0 && c.cache.token >= c.membership.incarnation {
+		c.membership.ready, c.membership.readyAt = true, c.now
 		c.rolloutEvent(RolloutReady)
-		c.log.Info("ready", "boot", c.incarnation, "ledger", c.revision, "jobs", len(c.jobs))
+		c.log.Info("ready", "boot", c.membership.incarnation, "ledger", c.cache.revision, "jobs", len(c.cache.jobs))
 	}
 }
 
 func (c *Controller) tickLease() {
-	c.leaseCallInFlight = true
-	c.nextRenewal = c.now.Add(leaseRenewalInterval)
+	c.membership.leaseCallInFlight = true
+	c.membership.nextRenewal = c.now.Add(leaseRenewalInterval)
 	then := func(g LeaseResult) {
-		c.leaseCallInFlight = false
+		c.membership.leaseCallInFlight = false
 		switch g.Outcome {
 		case Succeeded:
 			c.noteStoreResponse()
-			if g.LeaseID != 0 && g.LeaseID != c.leaseID {
-				c.leaseID, c.enrolled = g.LeaseID, false
+			if g.LeaseID != 0 && g.LeaseID != c.membership.leaseID {
+				c.membership.leaseID, c.membership.enrolled = g.LeaseID, false
 			}
 		case NotFound:
 			c.noteStoreResponse()
 			c.log.Warn("the lease ran out")
-			c.leaseID, c.enrolled = 0, false
-			c.nextRenewal = c.now
+			c.membership.leaseID, c.membership.enrolled = 0, false
+			c.membership.nextRenewal = c.now
 		default:
-			c.nextRenewal = c.now.Add(storeRetryDelay)
+			c.membership.nextRenewal = c.now.Add(storeRetryDelay)
 		}
 	}
-	if c.leaseID == 0 {
+	if c.membership.leaseID == 0 {
 		c.emit(GrantLease{call(c, then), membershipLeaseTTL})
 	} else {
-		c.emit(RenewLease{call(c, then), c.leaseID})
+		c.emit(RenewLease{call(c, then), c.membership.leaseID})
 	}
 }
 
@@ -112,38 +114,38 @@
 // It demands the format in force that this process knows: one that cannot read a newer
 // format is neither listed before it learns of that nor after.
 func (c *Controller) join() {
-	c.joining = true
-	boot := c.incarnation
-	txn := wire.Transaction{If: []wire.Condition{c.rollout.Demand()}}
+	c.membership.joining = true
+	boot := c.membership.incarnation
+	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Demand()}}
 	if boot == 0 {
-		boot = c.token + 1
-		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.keyVersions[record.TokenKey]})
+		boot = c.cache.token + 1
+		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]})
 		txn.Then = []wire.Change{c.putChange(record.TokenKey, boot),
 			c.putChange(record.RegistrationKey(c.settings.Label), c.registration(boot))}
 	}
 	node := c.putChange(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: boot, Isolated: c.isolated()})
-	node.LeaseID = c.leaseID
+	node.LeaseID = c.membership.leaseID
 	txn.Then = append(txn.Then, node)
-	leaseID := c.leaseID
+	leaseID := c.membership.leaseID
 	c.commit(PriorityLease, txn, func(r CommitResult) {
-		c.joining = false
+		c.membership.joining = false
 		switch r.Outcome {
 		case Succeeded:
-			if c.incarnation == 0 {
-				c.incarnation = boot
-				c.table.Joined(boot)
+			if c.membership.incarnation == 0 {
+				c.membership.incarnation = boot
+				c.shards.table.Joined(boot)
 				c.rolloutEvent(RolloutRegistered)
 			}
-			c.enrolled = c.leaseID == leaseID
+			c.membership.enrolled = c.membership.leaseID == leaseID
 		case Conflict:
 			c.readBarrier(func(bool) {})
-			c.nextAttempt = c.now.Add(50 * time.Millisecond)
+			c.membership.nextAttempt = c.now.Add(50 * time.Millisecond)
 			return
 		case NotFound:
-			c.leaseID, c.enrolled = 0, false
-			c.nextRenewal = c.now
+			c.membership.leaseID, c.membership.enrolled = 0, false
+			c.membership.nextRenewal = c.now
 		default:
-			c.nextAttempt = c.now.Add(storeRetryDelay)
+			c.membership.nextAttempt = c.now.Add(storeRetryDelay)
 		}
 		// The token is adopted from the feed.
 		c.readBarrier(func(bool) {})
@@ -152,17 +154,17 @@
 
 // registration is what this process registers.
 func (c *Controller) registration(boot wire.FencingToken) record.Registration {
-	m := c.rollout.Registration(boot)
+	m := c.rollout.tracker.Registration(boot)
 	m.Sharding = c.shardingEnabled()
 	return m
 }
 
 // isAlive reports whether the process with this boot is known to be alive.
 func (c *Controller) isAlive(boot wire.FencingToken) bool {
-	if boot == c.incarnation {
+	if boot == c.membership.incarnation {
 		return true
 	}
-	for _, b := range c.liveControllers {
+	for _, b := range c.cache.liveControllers {
 		if b == boot {
 			return true
 		}
@@ -173,9 +175,9 @@
 // isIsolatedIncarnation reports whether the process with this boot reaches no workers, by its
 // own word.
 func (c *Controller) isIsolatedIncarnation(boot wire.FencingToken) bool {
-	for label, b := range c.liveControllers {
+	for label, b := range c.cache.liveControllers {
 		if b == boot {
-			return c.isolatedControllers[label]
+			return c.cache.isolatedControllers[label]
 		}
 	}
 	return false
@@ -184,8 +186,8 @@
 // name makes a name or number that no other process ever makes: the boot, then
 // a counter.
 func (c *Controller) nextSerial() uint64 {
-	c.lastSerial++
-	return uint64(c.incarnation)<<serialBits | c.lastSerial
+	c.membership.lastSerial++
+	return uint64(c.membership.incarnation)<<serialBits | c.membership.lastSerial
 }
 
 // serialBits leaves room for 16 million names a process and for a boot number
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -8,11 +8,11 @@
 func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
 
 func (c *Controller) teamOwner(team string) string {
-	if s, ok := c.teamOwners[team]; ok {
+	if s, ok := c.scheduler.teamOwners[team]; ok {
 		return s
 	}
-	best := rendezvous.Highest(c.eligibleControllers, team)
-	c.teamOwners[team] = best
+	best := rendezvous.Highest(c.membership.eligibleControllers, team)
+	c.scheduler.teamOwners[team] = best
 	return best
 }
 
@@ -22,12 +22,12 @@
 func (c *Controller) assignOwnership() {
 	var labels []string
 	weight := map[string]float64{}
-	for _, label := range sortedKeys(c.liveControllers) {
+	for _, label := range sortedKeys(c.cache.liveControllers) {
 		weight[label] = 1
-		if c.liveControllers[label] == c.provisionerIncarnation {
+		if c.cache.liveControllers[label] == c.cache.provisionerIncarnation {
 			weight[label]++
 		}
-		if !c.isolatedControllers[label] {
+		if !c.cache.isolatedControllers[label] {
 			labels = append(labels, label)
 		}
 	}
@@ -40,8 +40,8 @@
 	}
 	// Each takes no more than its part: at many writes a second a controller with three
 	// teams holds two of them up.
-	c.teamOwners = rendezvous.Assign(labels, names)
-	for _, owner := range c.teamOwners {
+	c.scheduler.teamOwners = rendezvous.Assign(labels, names)
+	for _, owner := range c.scheduler.teamOwners {
 		weight[owner]++
 	}
 	sum := 0.0
@@ -52,9 +52,9 @@
 	if own == 0 {
 		own, sum = 1, sum+1 // not enrolled yet
 	}
-	c.eligibleControllers = labels
-	if part := own / sum; part != c.assignedRateFraction {
-		c.assignedRateFraction = part
+	c.membership.eligibleControllers = labels
+	if part := own / sum; part != c.membership.assignedRateFraction {
+		c.membership.assignedRateFraction = part
 		c.emit(SetRateShare{part})
 	}
 }
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -36,11 +36,11 @@
 // pendingJobs is all that waits, most urgent first.
 func (c *Controller) pendingJobs(rounds map[string]*placementTransaction, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []pendingJob {
 	if rest {
-		c.guaranteedJobs = c.findGuaranteedJobs()
+		c.scheduler.guaranteedJobs = c.findGuaranteedJobs()
 	}
 	var queue []pendingJob
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
 		if !rest && j.spec.Priority != wire.PriorityCritical {
 			continue
 		}
@@ -53,7 +53,7 @@
 			continue
 		}
 		missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(placed[id])
-		if r := c.team(j.spec.Team).inFlight; r != nil {
+		if r := c.cache.team(j.spec.Team).schedule.inFlight; r != nil {
 			missing = missing.Without(r.completed[id])
 		} else if r := rounds[j.spec.Team]; r != nil {
 			missing = missing.Without(r.completed[id])
@@ -61,10 +61,10 @@
 		if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
 			continue
 		}
-		w := pendingJob{job: j, missing: missing, guaranteed: c.guaranteedJobs[id]}
+		w := pendingJob{job: j, missing: missing, guaranteed: c.scheduler.guaranteedJobs[id]}
 		w.deadline, w.missesDeadline = c.deadlineOf(j)
 		// What fails everywhere has begun; it must not go ahead of others for ever.
-		w.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.consecutiveBackoffs == 0
+		w.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.crashLoop.consecutiveBackoffs == 0
 		if j.spec.SingleZone {
 			w.zone = zones[id]
 		}
@@ -107,13 +107,13 @@
 // leaves the most jobs in time. It reports whether it marked any.
 func (c *Controller) deferLargestLateJobs(queue []pendingJob) bool {
 	cores := 0.0
-	for _, m := range c.machines {
+	for _, m := range c.fleet.machines {
 		if t := c.machineTypeNamed(m.machineType); t != nil && c.acceptsTasks(m) {
 			cores += t.Cores
 		}
 	}
-	for _, j := range c.jobs {
-		if j.spec.Shape == wire.ShapeService && j.consecutiveBackoffs == 0 && !j.unreadable {
+	for _, j := range c.cache.jobs {
+		if j.spec.Shape == wire.ShapeService && j.crashLoop.consecutiveBackoffs == 0 && !j.unreadable {
 			cores -= j.spec.Cores * float64(j.spec.Tasks)
 		}
 	}
@@ -186,8 +186,8 @@
 // into it together with the team's earlier jobs.
 func (c *Controller) findGuaranteedJobs() map[wire.JobID]bool {
 	byTeam := map[string][]*job{}
-	for _, j := range c.jobs {
-		if j.consecutiveBackoffs > 0 || j.unreadable {
+	for _, j := range c.cache.jobs {
+		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
 			continue // it takes nothing, so it takes up no guarantee
 		}
 		byTeam[j.spec.Team] = append(byTeam[j.spec.Team], j)
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -27,8 +27,8 @@
 		j := &job{id: id, acceptedAt: at, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
 			Priority: wire.PriorityNormal, Tasks: tasks, Cores: 1, RuntimeS: 5}}
 		j.request = placement.NewRequest(&j.spec)
-		j.failedMachines, j.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
-		c.jobs[id] = j
+		j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+		c.cache.jobs[id] = j
 		return j
 	}
 	broken := add("wk-000001", "desk", "parcel", 20, 20_000)
@@ -54,8 +54,8 @@
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	j := &job{id: "wk-000001", spec: wire.JobSpec{Shape: wire.ShapeArray, Tasks: 200}}
-	j.failedMachines, j.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
-	c.jobs[j.id] = j
+	j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+	c.cache.jobs[j.id] = j
 	require.Equal(t, 200, c.limitToCanaries(j, 200))
 	for i, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
 		c.noteTaskFailure(j, c.machine(id))
@@ -66,10 +66,10 @@
 		allocations: []Allocation{{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: 1}, Machine: "m-000004", Tasks: record.Span(0, 2)}}}
 	c.replacePage(p)
 	require.Zero(t, c.limitToCanaries(j, 198))
-	before := j.retryAt
+	before := j.crashLoop.retryAt
 	c.now = before
 	c.noteTaskFailure(j, c.machine("m-000004"))
-	require.Greater(t, j.retryAt.Sub(before), minCrashLoopBackoff, "pauses grow")
+	require.Greater(t, j.crashLoop.retryAt.Sub(before), minCrashLoopBackoff, "pauses grow")
 	c.noteTaskSuccess(j)
 	require.Equal(t, 198, c.limitToCanaries(j, 198))
 	require.False(t, c.inBackoff(j))
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -97,10 +97,10 @@
 		txn.Then = append(txn.Then, c.putChange(key, d.value()))
 	}
 	for _, id := range sortedKeys(r.completedJobs) {
-		txn.Then = append(txn.Then, c.putChange(record.JobKey(id), record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: c.jobs[id].spec.Tasks}}))
+		txn.Then = append(txn.Then, c.putChange(record.JobKey(id), record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: c.cache.jobs[id].spec.Tasks}}))
 	}
 	if r.raisesToken {
-		txn.Then = append(txn.Then, c.putChange(record.TokenKey, c.token+1))
+		txn.Then = append(txn.Then, c.putChange(record.TokenKey, c.cache.token+1))
 	}
 	if len(txn.Then) == 0 {
 		return
@@ -120,35 +120,35 @@
 				r.conditions[key] = 0
 			}
 		}
-		r.conditions[record.TerminationsKey] = c.keyVersions[record.TerminationsKey]
+		r.conditions[record.TerminationsKey] = c.cache.keyVersions[record.TerminationsKey]
 		// Whoever was replaced as the owner of a share loses the write, however late it
 		// is carried out.
 		for id := range r.shards {
-			demand := c.table.Demand(id)
+			demand := c.shards.table.Demand(id)
 			r.conditions[demand.Key] = demand.Version
 		}
 	}
 	for _, key := range sortedKeys(r.conditions) {
 		txn.If = append(txn.If, wire.Condition{Key: key, Version: r.conditions[key]})
 	}
-	t.inFlight = r
+	t.schedule.inFlight = r
 	sent := c.now
 	c.commitExceptPrefix(class, txn, record.PlacementPrefix, func(res CommitResult) {
-		c.dirty = true
-		c.criticalDirty = c.criticalDirty || c.criticalPending
+		c.scheduler.dirty = true
+		c.scheduler.criticalDirty = c.scheduler.criticalDirty || c.scheduler.criticalPending
 		if res.Outcome == Succeeded {
-			t.inFlight = nil
+			t.schedule.inFlight = nil
 			c.applyCommittedPages(r, res.Revision)
 			for id := range r.completedJobs {
-				if c.jobs[id] == nil {
-					c.count(countDone, 1)
+				if c.cache.jobs[id] == nil {
+					c.metrics.count(countDone, 1)
 				}
 			}
 			if r.placesTasks {
-				t.lostPlacements, t.contendedMachines = 0, nil
+				t.schedule.lostPlacements, t.schedule.contendedMachines = 0, nil
 			}
 			for _, id := range sortedKeys(r.notifyMachines) {
-				if m := c.machines[id]; m != nil {
+				if m := c.fleet.machines[id]; m != nil {
 					c.sendCommandsNow(m)
 				}
 			}
@@ -161,17 +161,17 @@
 			c.noteLostPlacement(t, r, sent)
 		}
 		if res.Outcome == NotExecuted {
-			t.inFlight = nil
-			t.nextTransaction = c.now.Add(commitRetryDelay)
+			t.schedule.inFlight = nil
+			t.schedule.nextTransaction = c.now.Add(commitRetryDelay)
 			return
 		}
 		// Reread before the next round: a lost write means that others know more,
 		// and an unanswered one may have gone through.
 		c.readBarrier(func(ok bool) {
-			t.inFlight = nil
-			c.dirty = true
+			t.schedule.inFlight = nil
+			c.scheduler.dirty = true
 			if !ok {
-				t.nextTransaction = c.now.Add(commitRetryDelay)
+				t.schedule.nextTransaction = c.now.Add(commitRetryDelay)
 			}
 		})
 	})
@@ -231,10 +231,10 @@
 		d := r.pages[key]
 		// A draft that came out as it was is not written, though its version may
 		// be demanded: taking it for written would demand a version that never was.
-		if !r.writtenPages[key] || version <= c.keyVersions[key] {
+		if !r.writtenPages[key] || version <= c.cache.keyVersions[key] {
 			continue
 		}
-		c.keyVersions[key] = version
+		c.cache.keyVersions[key] = version
 		d.version = version
 		d.updateSize()
 		c.replacePage(d)
@@ -244,15 +244,15 @@
 // noteLostPlacement notes a lost placement write: its machines count as locked, and the
 // next tries probe others at random, within bounds.
 func (c *Controller) noteLostPlacement(t *team, r *placementTransaction, sent Time) {
-	if t.lostPlacements == 0 {
-		t.firstLostAt = sent
-		t.contendedMachines = map[wire.MachineID]bool{}
+	if t.schedule.lostPlacements == 0 {
+		t.schedule.firstLostAt = sent
+		t.schedule.contendedMachines = map[wire.MachineID]bool{}
 	}
-	t.lostPlacements++
+	t.schedule.lostPlacements++
 	for m := range r.usedMachines {
-		t.contendedMachines[m] = true
+		t.schedule.contendedMachines[m] = true
 	}
-	if t.lostPlacements >= c.values.ProbeTries {
+	if t.schedule.lostPlacements >= c.operator.values.ProbeTries {
 		c.backOffPlacement(t)
 	} else {
 		c.expirePlacementRetries(t)
@@ -263,16 +263,16 @@
 // was locked there is no further write to lose or win, and without this bound the
 // machines would stay locked, and the tasks wait, for ever.
 func (c *Controller) expirePlacementRetries(t *team) {
-	if t.lostPlacements > 0 && c.now.Sub(t.firstLostAt) > c.values.Probe() {
+	if t.schedule.lostPlacements > 0 && c.now.Sub(t.schedule.firstLostAt) > c.operator.values.Probe() {
 		c.backOffPlacement(t)
 	}
 }
 
 // backOffPlacement has a team's placements pause after lost writes.
 func (c *Controller) backOffPlacement(t *team) {
-	t.lostPlacements, t.contendedMachines = 0, nil
-	t.nextPlacement = c.now.Add(config.Seconds(c.values.BusyS))
-	c.count(countPlacementBackoffs, 1)
+	t.schedule.lostPlacements, t.schedule.contendedMachines = 0, nil
+	t.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.BusyS))
+	c.metrics.count(countPlacementBackoffs, 1)
 	c.log.Debug("placement busy", "team", t.name)
 }
 
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -20,14 +20,14 @@
 	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
 	c.replacePage(p)
-	c.keyVersions[p.key] = p.version
-	r := c.newPlacementTransaction(c.team("blue"))
+	c.cache.keyVersions[p.key] = p.version
+	r := c.newPlacementTransaction(c.cache.team("blue"))
 	c.stagePage(r, p)
 	r.placesTasks = true
 	c.commitPlacements(r)
 	require.Empty(t, c.outputs, "nothing changed, so nothing is written")
 	r.conditions[p.key] = p.version
 	c.applyCommittedPages(r, 9)
-	require.Equal(t, wire.Revision(5), c.keyVersions[p.key])
-	require.Equal(t, wire.Revision(5), c.team("blue").pages[p.key].version)
+	require.Equal(t, wire.Revision(5), c.cache.keyVersions[p.key])
+	require.Equal(t, wire.Revision(5), c.cache.team("blue").pages[p.key].version)
 }
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -73,23 +73,23 @@
 )
 
 func (c *Controller) machineTypeNamed(name string) *wire.MachineType {
-	for i := range c.catalogue {
-		if c.catalogue[i].Name == name {
-			return &c.catalogue[i]
+	for i := range c.provisioner.catalogue {
+		if c.provisioner.catalogue[i].Name == name {
+			return &c.provisioner.catalogue[i]
 		}
 	}
 	return nil
 }
 
 func (c *Controller) tickCloud() {
-	if !c.readingCatalogue && (len(c.catalogue) == 0 || c.now.Sub(c.catalogueReadAt) > catalogueInterval) && c.isDue(c.catalogueReadAt) {
+	if !c.provisioner.readingCatalogue && (len(c.provisioner.catalogue) == 0 || c.now.Sub(c.provisioner.catalogueReadAt) > catalogueInterval) && c.isDue(c.provisioner.catalogueReadAt) {
 		c.readCatalogue()
 	}
 	if !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	if c.provisionerIncarnation != c.incarnation {
-		c.listsSinceElected = 0
+	if c.cache.provisionerIncarnation != c.membership.incarnation {
+		c.provisioner.listsSinceElected = 0
 		c.claimProvisionerLeadership()
 		return
 	}
@@ -97,61 +97,61 @@
 		c.resignProvisionerLeadership()
 		return
 	}
-	if c.stale {
+	if c.membership.stale {
 		return // another may have bought in our place meanwhile
 	}
-	if !c.listingMachines && c.isDue(c.nextList) {
+	if !c.provisioner.listingMachines && c.isDue(c.provisioner.nextList) {
 		c.listMachines()
 	}
-	if c.isDue(c.nextMachineReview) {
-		c.nextMachineReview = c.now.Add(c.stretchPause(machineReviewInterval, maxMachineReviewInterval))
+	if c.isDue(c.provisioner.nextMachineReview) {
+		c.provisioner.nextMachineReview = c.now.Add(c.stretchPause(machineReviewInterval, maxMachineReviewInterval))
 		c.reviewMachines()
 	}
 	c.recordTerminations()
 	c.terminateRecorded()
 	c.recordImages()
-	if c.isDue(c.nextScaleOut) {
-		c.nextScaleOut = c.now.Add(max(scaleOutInterval, 3*c.passPause()))
+	if c.isDue(c.provisioner.nextScaleOut) {
+		c.provisioner.nextScaleOut = c.now.Add(max(scaleOutInterval, 3*c.passPause()))
 		c.scaleOut()
 	}
 }
 
 func (c *Controller) readCatalogue() {
-	c.readingCatalogue = true
+	c.provisioner.readingCatalogue = true
 	c.emit(ReadCatalogue{call(c, func(r CatalogueResult) {
-		c.readingCatalogue = false
-		c.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
+		c.provisioner.readingCatalogue = false
+		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
 		if r.Outcome != Succeeded {
 			// An old catalogue still serves; without any, ask again soon.
-			c.catalogueReadAt = c.now.Add(time.Second)
+			c.provisioner.catalogueReadAt = c.now.Add(time.Second)
 			return
 		}
-		c.catalogue, c.catalogueReadAt, c.dirty = r.Catalogue.Types, c.now, true
+		c.provisioner.catalogue, c.provisioner.catalogueReadAt, c.scheduler.dirty = r.Catalogue.Types, c.now, true
 	})})
 }
 
 // claimProvisionerLeadership tries to become the buyer when there is none: one buyer at a time keeps
 // controllers from renting twice for the same need.
 func (c *Controller) claimProvisionerLeadership() {
-	if c.provisionerIncarnation != 0 {
-		c.vacantSince = 0
+	if c.cache.provisionerIncarnation != 0 {
+		c.provisioner.vacantSince = 0
 		return
 	}
-	if c.vacantSince == 0 {
-		c.vacantSince = c.now
+	if c.provisioner.vacantSince == 0 {
+		c.provisioner.vacantSince = c.now
 	}
-	if c.claiming || c.leaseID == 0 || !c.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.vacantSince) < leadershipClaimDelay {
+	if c.provisioner.claiming || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.provisioner.vacantSince) < leadershipClaimDelay {
 		return
 	}
-	c.claiming = true
-	claim := c.putChange(record.ProvisionerKey, c.incarnation)
-	claim.LeaseID = c.leaseID
+	c.provisioner.claiming = true
+	claim := c.putChange(record.ProvisionerKey, c.membership.incarnation)
+	claim.LeaseID = c.membership.leaseID
 	c.commit(PriorityBackground, wire.Transaction{
-		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
+		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{claim},
 	}, func(r CommitResult) {
-		c.claiming = false
-		c.vacantSince = 0
+		c.provisioner.claiming = false
+		c.provisioner.vacantSince = 0
 		if r.Outcome == Succeeded {
 			c.log.Info("this controller now buys and returns machines")
 		} else {
@@ -164,33 +164,33 @@
 // cannot tell which machines are to be returned. If all are like this, nobody
 // can.
 func (c *Controller) resignProvisionerLeadership() {
-	if c.claiming || len(c.eligibleControllers) == 0 || slices.Contains(c.eligibleControllers, c.settings.Label) {
+	if c.provisioner.claiming || len(c.membership.eligibleControllers) == 0 || slices.Contains(c.membership.eligibleControllers, c.settings.Label) {
 		return
 	}
-	c.claiming = true
+	c.provisioner.claiming = true
 	c.log.Info("this controller reaches no workers and leaves buying to another")
 	c.commit(PriorityBackground, wire.Transaction{
-		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.keyVersions[record.ProvisionerKey]}},
+		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{{Delete: record.ProvisionerKey}},
 	}, func(CommitResult) {
-		c.claiming = false
+		c.provisioner.claiming = false
 		c.readBarrier(func(bool) {})
 	})
 }
 
 func (c *Controller) listMachines() {
-	c.listingMachines = true
-	c.nextList = c.now.Add(listInterval)
+	c.provisioner.listingMachines = true
+	c.provisioner.nextList = c.now.Add(listInterval)
 	c.emit(ListMachines{call(c, func(r MachinesResult) {
-		c.listingMachines = false
-		c.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
+		c.provisioner.listingMachines = false
+		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
 		if r.Outcome != Succeeded {
 			return
 		}
-		c.listsSinceElected++
+		c.provisioner.listsSinceElected++
 		c.applyMachineList(r.Machines)
 		// A list of several pages takes as many calls, which hires need as well.
-		c.nextList = max(c.nextList, c.now.Add(listInterval*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
+		c.provisioner.nextList = max(c.provisioner.nextList, c.now.Add(listInterval*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
 		c.gossipMachineList(r.Machines)
 	})})
 }
@@ -202,11 +202,11 @@
 	for i := range list {
 		l := &list[i]
 		told[l.ID] = l.Status
-		if c.gossipedStatus[l.ID] != l.Status {
+		if c.provisioner.gossipedStatus[l.ID] != l.Status {
 			news = append(news, *l)
 		}
 	}
-	c.gossipedStatus = told
+	c.provisioner.gossipedStatus = told
 	if len(news) > 0 {
 		line := c.newPeerMessage()
 		line.CloudMachines = news
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -35,7 +35,7 @@
 	if t == nil || !m.isProvisioning() {
 		return false
 	}
-	if _, going := c.terminating[m.id]; going {
+	if _, going := c.cache.terminating[m.id]; going {
 		return false
 	}
 	return c.now.Sub(m.launchedAt) < config.Seconds(expectedDelayFactor*t.StartupS)+expectedDelaySlack
@@ -49,7 +49,7 @@
 	}
 	// As long as none of its type that was rented later is up, all of them may be
 	// late: returned too soon, none would ever come up.
-	boots := c.provisioningDelays[m.machineType]
+	boots := c.provisioner.provisioningDelays[m.machineType]
 	most := abandonFactorWhenLate
 	if boots.lastJoinedLaunch > m.launchedAt && (boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime) {
 		most = abandonFactor
@@ -60,10 +60,10 @@
 // noteJoined notes how long a machine took to come up.
 func (c *Controller) noteJoined(m *machine) {
 	t := c.machineTypeNamed(m.machineType)
-	if t == nil || m.launchedAt == 0 || m.launchedAt < c.readyAt {
+	if t == nil || m.launchedAt == 0 || m.launchedAt < c.membership.readyAt {
 		return
 	}
-	boots := c.provisioningDelays[m.machineType]
+	boots := c.provisioner.provisioningDelays[m.machineType]
 	boots.lastJoinedLaunch = max(boots.lastJoinedLaunch, m.launchedAt)
 	if took := c.now.Sub(m.launchedAt); took > config.Seconds(lateFactor*t.StartupS) {
 		if boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime {
@@ -71,7 +71,7 @@
 		}
 		boots.lastLateAt = c.now
 	}
-	c.provisioningDelays[m.machineType] = boots
+	c.provisioner.provisioningDelays[m.machineType] = boots
 }
 
 // provisioningDelay is how machines of a type came up.
@@ -84,8 +84,8 @@
 // and are not up yet are overdue: others are rented first.
 func (c *Controller) overdueFractions() map[capacity.Key]float64 {
 	waiting, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
-	for _, m := range c.machines {
-		if _, going := c.terminating[m.id]; going || !m.isProvisioning() || m.status != wire.MachineBooting {
+	for _, m := range c.fleet.machines {
+		if _, going := c.cache.terminating[m.id]; going || !m.isProvisioning() || m.status != wire.MachineBooting {
 			continue
 		}
 		key := capacity.Key{Type: m.machineType, Zone: m.zone, Spot: m.spot}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -13,7 +13,7 @@
 
 // rolloutState is this process's part in the rollout of formats.
 type rolloutState struct {
-	rollout *rollout.Tracker
+	tracker *rollout.Tracker
 	// shutdownCause is why this process must not serve; nil while it may.
 	shutdownCause  error
 	activating     bool
@@ -28,21 +28,21 @@
 	for _, sibling := range settings.Siblings {
 		siblings = append(siblings, sibling.Label)
 	}
-	s.rollout = rollout.New(settings.Label, siblings, settings.Features.Rollout.Formats(), release.Version)
+	s.tracker = rollout.New(settings.Label, siblings, settings.Features.Rollout.Formats(), release.Version)
 }
 
 // applyRollout takes the format in force. It comes before any record of that format:
 // the feed is in order, and a controller that reads everything anew reads it first and
 // acts on nothing before it has caught up.
 func (c *Controller) applyRollout(value []byte, version wire.Revision) {
-	before := c.rollout.Format()
-	c.rollout.ApplyState(value, version)
-	c.table.ApplyFormat(c.rollout.Format())
-	if c.shutdownCause = c.rollout.Readable(); c.shutdownCause != nil {
-		c.log.Error("this process must not serve", "err", c.shutdownCause)
+	before := c.rollout.tracker.Format()
+	c.rollout.tracker.ApplyState(value, version)
+	c.shards.table.ApplyFormat(c.rollout.tracker.Format())
+	if c.rollout.shutdownCause = c.rollout.tracker.Readable(); c.rollout.shutdownCause != nil {
+		c.log.Error("this process must not serve", "err", c.rollout.shutdownCause)
 		return
 	}
-	if f := c.rollout.Format(); f != before {
+	if f := c.rollout.tracker.Format(); f != before {
 		c.log.Info("format in force", "format", f, "before", before, "revision", version)
 		c.rolloutEvent(RolloutInForce)
 	}
@@ -50,7 +50,7 @@
 
 // rolloutEvent tells whoever traces the rollout what happened to this process in it.
 func (c *Controller) rolloutEvent(kind RolloutEventKind) {
-	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.Format(), Incarnation: c.incarnation, Revision: c.revision})
+	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
 
 // emitShutdown takes back what this step wanted to do, since it may rest on records that
@@ -62,7 +62,7 @@
 			refused = append(refused, c.shutdownReply(r.Request))
 		}
 	}
-	c.outputs = append(refused, Shutdown{c.shutdownCause})
+	c.outputs = append(refused, Shutdown{c.rollout.shutdownCause})
 	c.rolloutEvent(RolloutRetired)
 }
 
@@ -74,7 +74,7 @@
 }
 
 func (c *Controller) shutdownReply(r RequestID) Reply {
-	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.shutdownCause.Error()}, RetryAfter: longRetryDelay}
+	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.rollout.shutdownCause.Error()}, RetryAfter: longRetryDelay}
 }
 
 // tickRollout activates a format that all controllers are ready for, where the
@@ -82,22 +82,22 @@
 // may is up to the transaction.
 func (c *Controller) tickRollout() {
 	set := &c.settings.Features.Rollout
-	if set.Activation != config.ActivationAutomatic || c.activating || c.provisionerIncarnation != c.incarnation || !c.isDue(c.nextActivation) ||
+	if set.Activation != config.ActivationAutomatic || c.rollout.activating || c.cache.provisionerIncarnation != c.membership.incarnation || !c.isDue(c.rollout.nextActivation) ||
 		!c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	c.nextActivation = c.now.Add(activationInterval)
-	next, due := c.rollout.Automatic(rollout.Time(c.now), set.Settle())
+	c.rollout.nextActivation = c.now.Add(activationInterval)
+	next, due := c.rollout.tracker.Automatic(rollout.Time(c.now), set.Settle())
 	if !due {
 		return
 	}
-	txn, err := c.rollout.Activate(next, c.rollout.Demand().Version)
+	txn, err := c.rollout.tracker.Activate(next, c.rollout.tracker.Demand().Version)
 	if err != nil {
 		return
 	}
-	c.activating = true
+	c.rollout.activating = true
 	c.commit(PriorityBackground, txn, func(r CommitResult) {
-		c.readBarrier(func(bool) { c.activating = false })
+		c.readBarrier(func(bool) { c.rollout.activating = false })
 		if r.Outcome == Succeeded {
 			c.rolloutEvent(RolloutActivated)
 			c.log.Info("format activated: all controllers have been ready for it", "format", next)
@@ -107,7 +107,7 @@
 
 // viewRollout answers with the rollout as of now or later.
 func (c *Controller) viewRollout(r RequestID) {
-	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.rollout.View()) })
+	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.rollout.tracker.View()) })
 }
 
 // afterBarrier goes on once the cache holds all that was written before now; if that
@@ -133,20 +133,20 @@
 	}
 	c.operatorChange(in.Request, "rollout", func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) }, rolloutErrorStatus, func() {
 		c.rolloutEvent(RolloutChanged)
-		c.log.Info("rollout changed by an operator", "format", c.rollout.Format(), "activate", in.Change.Activate != nil,
+		c.log.Info("rollout changed by an operator", "format", c.rollout.tracker.Format(), "activate", in.Change.Activate != nil,
 			"exclude", in.Change.Exclude, "reason", in.Change.Reason, "include", in.Change.Include)
-		c.reply(in.Request, http.StatusOK, c.rollout.View())
+		c.reply(in.Request, http.StatusOK, c.rollout.tracker.View())
 	})
 }
 
 func (c *Controller) rolloutTransaction(change wire.AdminRolloutChange) (wire.Transaction, error) {
 	switch {
 	case change.Activate != nil:
-		return c.rollout.Activate(*change.Activate, change.Version)
+		return c.rollout.tracker.Activate(*change.Activate, change.Version)
 	case change.Exclude != "":
-		return c.rollout.Exclude(change.Exclude, change.Reason, change.Version)
+		return c.rollout.tracker.Exclude(change.Exclude, change.Reason, change.Version)
 	default:
-		return c.rollout.Include(change.Include, change.Version)
+		return c.rollout.tracker.Include(change.Include, change.Version)
 	}
 }
 
@@ -168,9 +168,9 @@
 // job or the team from before stands, and nothing new is done on that ground.
 func (c *Controller) noteReadable(key string, err error) {
 	if err == nil {
-		delete(c.unreadable, key)
+		delete(c.cache.unreadable, key)
 		return
 	}
 	c.log.Error("record in the state service not understood", "key", key, "err", err)
-	c.unreadable[key] = err
+	c.cache.unreadable[key] = err
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -27,17 +27,17 @@
 // mayBeBusy reports whether a machine without entries reports tasks of which the
 // records cannot be read.
 func (c *Controller) mayBeBusy(m *machine) bool {
-	return len(c.unreadable) > 0 && slices.ContainsFunc(m.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
+	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(m.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
 }
 
 // reviewMachines finds machines that should go: dead, silent, never up, or idle.
 func (c *Controller) reviewMachines() {
-	silence, idle := config.Seconds(c.values.SilenceS), config.Seconds(c.values.IdleS)
+	silence, idle := config.Seconds(c.operator.values.SilenceS), config.Seconds(c.operator.values.IdleS)
 	silent, reporting := 0, 0
 	bySilent, byHeard, lastHeard := map[string]int{}, map[string]int{}, map[string]Time{}
-	for id, m := range c.machines {
+	for id, m := range c.fleet.machines {
 		// What we return ourselves falls silent, which says nothing about us.
-		if _, going := c.terminating[id]; m.latestHeartbeat != nil && !m.isTerminated() && !going {
+		if _, going := c.cache.terminating[id]; m.latestHeartbeat != nil && !m.isTerminated() && !going {
 			reporting++
 			lastHeard[m.zone] = max(lastHeard[m.zone], m.lastHeartbeatAt)
 			// Reports may be further apart than that: only what was asked and did
@@ -57,12 +57,12 @@
 		// Nearly all of a zone at once, while others are heard: it is cut off. Seen
 		// before the first of them would be given up.
 		if n > 2 && n > 3*byHeard[zone] && 2*silent < reporting {
-			c.partitionedZones[zone] = partition{c.now, n}
+			c.provisioner.partitionedZones[zone] = partition{c.now, n}
 		}
 	}
-	for zone, seen := range c.partitionedZones {
+	for zone, seen := range c.provisioner.partitionedZones {
 		if c.now.Sub(seen.lastSeenAt) > partitionLifetime || lastHeard[zone] > seen.lastSeenAt.Add(silence) {
-			delete(c.partitionedZones, zone)
+			delete(c.provisioner.partitionedZones, zone)
 		}
 	}
 	// Many silent at once, and no sibling that hears them: it may be us who is
@@ -71,12 +71,12 @@
 		c.isolationSuspected() && (silent < reporting || !c.allPeersHeard())
 	for _, m := range c.orderedMachines() {
 		id := m.id
-		if _, going := c.terminating[id]; m.terminated && len(m.allocations) > 0 && !going && c.toTerminate[id] == "" && !slices.Contains(c.terminations.Confirmed, id) {
+		if _, going := c.cache.terminating[id]; m.terminated && len(m.allocations) > 0 && !going && c.provisioner.toTerminate[id] == "" && !slices.Contains(c.cache.terminations.Confirmed, id) {
 			// It was returned while that could not be written down, or got work from one
 			// that did not know. All have to learn that what stood on it is gone.
 			c.markForTermination(m, reasonAlreadyTerminated)
 			continue
-		} else if m.terminated || m.isTerminated() && len(m.allocations) == 0 || c.toTerminate[id] != "" || going {
+		} else if m.terminated || m.isTerminated() && len(m.allocations) == 0 || c.provisioner.toTerminate[id] != "" || going {
 			continue
 		}
 		quiet := c.now.Sub(c.lastSeen(m))
@@ -102,7 +102,7 @@
 			if c.admitSilentTermination(m, reporting) {
 				c.markForTermination(m, "silent")
 			}
-		case m.unreachable() && m.lastHeartbeatAt > m.unreachableSince && c.heartbeatsOnTime(m) && !c.outboundSuspect && !cutOff &&
+		case m.unreachable() && m.lastHeartbeatAt > m.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect && !cutOff &&
 			c.now.Sub(m.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2):
 			// Its reports come, but it hears nothing: its lease runs out unseen. One
 			// whose reports do not come either is silent, and may be in a zone that is
@@ -111,8 +111,8 @@
 			if c.admitSilentTermination(m, reporting) {
 				c.markForTermination(m, "unreachable")
 			}
-		case m.idleSince != 0 && c.now.Sub(m.idleSince) > idle && c.missingHeadroom == 0 &&
-			(len(c.backlog) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.idleSince) > 2*idle): // what waits cannot use it
+		case m.idleSince != 0 && c.now.Sub(m.idleSince) > idle && c.provisioner.missingHeadroom == 0 &&
+			(len(c.provisioner.backlog) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.idleSince) > 2*idle): // what waits cannot use it
 			c.markForTermination(m, reasonIdle)
 		}
 	}
@@ -122,12 +122,12 @@
 // to be listed, or to be heard by somebody. A buyer that had just started once gave up
 // dozens before it had read the list, which their workers were on their way to.
 func (c *Controller) hadTimeToReport(m *machine, quiet time.Duration) bool {
-	return m.addr == "" && c.listsSinceElected > 0 && quiet > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+	return m.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
 
 // holdsCompletedTasks reports whether a machine has held ended work for longer than that.
 func (c *Controller) holdsCompletedTasks(id wire.MachineID, patience time.Duration) bool {
-	since, ok := c.machinesWithCompletedTasks[id]
+	since, ok := c.cancellations.machinesWithCompletedTasks[id]
 	if !ok || c.now.Sub(since) <= patience {
 		return false
 	}
@@ -148,7 +148,7 @@
 // isPartitioned reports whether a zone seems to be cut off. Nothing is rented there
 // meanwhile: what came up would be silent, be returned, and be rented again.
 func (c *Controller) isPartitioned(zone string) bool {
-	_, cut := c.partitionedZones[zone]
+	_, cut := c.provisioner.partitionedZones[zone]
 	return cut
 }
 
@@ -158,7 +158,7 @@
 func (c *Controller) silenceTolerance(m *machine, silence time.Duration) time.Duration {
 	for _, e := range m.allocations {
 		if e.Priority == wire.PriorityCritical.Level() {
-			if c.partitionedZones[m.zone].silent >= minPartitionedMachines {
+			if c.provisioner.partitionedZones[m.zone].silent >= minPartitionedMachines {
 				// A zone that is cut off works on, and its workers' leases last for a
 				// while: so long nothing on it is lost, unless we return it.
 				w := &c.settings.Cluster.Workers
@@ -195,7 +195,7 @@
 
 // allPeersHeard reports whether all other living controllers talk to us.
 func (c *Controller) allPeersHeard() bool {
-	for label := range c.liveControllers {
+	for label := range c.cache.liveControllers {
 		if label == c.settings.Label {
 			continue
 		}
@@ -203,60 +203,60 @@
 			return false
 		}
 	}
-	return len(c.liveControllers) > 1
+	return len(c.cache.liveControllers) > 1
 }
 
 // admitSilentTermination bounds how many silent machines go at once. A part of the bound is kept
 // for machines that somebody waits for at every moment: when a hundred hang, those
 // without a replica, which were silent first, would use it up for seconds.
 func (c *Controller) admitSilentTermination(m *machine, reporting int) bool {
-	c.silentTerminations = slices.DeleteFunc(c.silentTerminations, func(t Time) bool { return c.now.Sub(t) > silentTerminationWindow })
+	c.provisioner.silentTerminations = slices.DeleteFunc(c.provisioner.silentTerminations, func(t Time) bool { return c.now.Sub(t) > silentTerminationWindow })
 	most := max(minSilentTerminations, reporting/silentTerminationDivisor)
 	if !c.hasCriticalTasks(m) {
 		most -= most / criticalTerminationDivisor
 	}
-	if len(c.silentTerminations) >= most {
+	if len(c.provisioner.silentTerminations) >= most {
 		return false
 	}
-	c.silentTerminations = append(c.silentTerminations, c.now)
+	c.provisioner.silentTerminations = append(c.provisioner.silentTerminations, c.now)
 	return true
 }
 
 // markForTermination notes that a machine is to be returned; it is written down with the
 // others of the moment.
 func (c *Controller) markForTermination(m *machine, why string) {
-	c.toTerminate[m.id] = why
+	c.provisioner.toTerminate[m.id] = why
 	c.log.Info("machine to be returned", "machine", m.id, "why", why, "quiet", c.now.Sub(c.lastSeen(m)), "unanswered", m.unansweredCalls)
 }
 
 // recordTerminations writes down which machines are going and which are gone. Placements
 // demand that this record is as they saw it, so none can slip in unseen.
 func (c *Controller) recordTerminations() {
-	if c.recordingTerminations || !c.isDue(c.nextTerminationRecord) {
+	if c.provisioner.recordingTerminations || !c.isDue(c.provisioner.nextTerminationRecord) {
 		return
 	}
 	next := record.Terminations{Pending: map[string][]wire.MachineID{}}
-	changed := len(c.toTerminate) > 0
+	changed := len(c.provisioner.toTerminate) > 0
 	room := c.pageLimit() - len(`{"going":{},"gone":[]}`)
 	keep := func(list []wire.MachineID, id wire.MachineID) []wire.MachineID {
 		room -= len(id) + len(`"",`)
 		return append(list, id)
 	}
-	for _, id := range sortedKeys(c.terminating) {
-		d := c.terminating[id]
+	for _, id := range sortedKeys(c.cache.terminating) {
+		d := c.cache.terminating[id]
 		switch m := c.machine(id); {
 		case m.terminated:
 			changed = true
 			if len(c.machine(id).allocations) > 0 {
 				next.Confirmed = keep(next.Confirmed, id)
 			}
-		case d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.terminateRequested[id]:
+		case d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.provisioner.terminateRequested[id]:
 			changed = true // it got work before its end was written down: keep it
 		default:
 			next.Pending[d.reason] = keep(next.Pending[d.reason], id)
 		}
 	}
-	for _, id := range c.terminations.Confirmed {
+	for _, id := range c.cache.terminations.Confirmed {
 		if len(c.machine(id).allocations) == 0 {
 			changed = true
 		} else {
@@ -266,9 +266,9 @@
 	if !changed {
 		return
 	}
-	taken := make([]wire.MachineID, 0, len(c.toTerminate))
-	for _, id := range sortedKeys(c.toTerminate) {
-		why := c.toTerminate[id]
+	taken := make([]wire.MachineID, 0, len(c.provisioner.toTerminate))
+	for _, id := range sortedKeys(c.provisioner.toTerminate) {
+		why := c.provisioner.toTerminate[id]
 		if next.Pending[why] == nil {
 			room -= len(why) + len(`"":[],`)
 		}
@@ -277,17 +277,17 @@
 			taken = append(taken, id)
 		}
 	}
-	c.recordingTerminations = true
-	c.nextTerminationRecord = c.now.Add(terminationRecordInterval)
+	c.provisioner.recordingTerminations = true
+	c.provisioner.nextTerminationRecord = c.now.Add(terminationRecordInterval)
 	// One write for all that goes, which replicas wait for: ahead of submissions.
 	c.commit(PriorityUrgent, wire.Transaction{
-		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]}},
+		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]}},
 		Then: []wire.Change{c.putChange(record.TerminationsKey, next)},
 	}, func(r CommitResult) {
-		c.recordingTerminations = false
+		c.provisioner.recordingTerminations = false
 		if r.Outcome != NotExecuted {
 			for _, id := range taken {
-				delete(c.toTerminate, id)
+				delete(c.provisioner.toTerminate, id)
 			}
 		}
 		if r.Outcome != Succeeded {
@@ -299,41 +299,41 @@
 // terminateRecorded returns pendingTermination machines. The cloud's 200 means that they and all on
 // them are gone; only then do their tasks leave the records.
 func (c *Controller) terminateRecorded() {
-	if c.terminateCallInFlight {
+	if c.provisioner.terminateCallInFlight {
 		return
 	}
 	var names []wire.MachineID
-	for _, id := range sortedKeys(c.terminating) {
-		d := c.terminating[id]
-		if m := c.machine(id); m.terminated || d.since > c.revision || len(names) == wire.MaxTerminate ||
-			d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.terminateRequested[id] {
+	for _, id := range sortedKeys(c.cache.terminating) {
+		d := c.cache.terminating[id]
+		if m := c.machine(id); m.terminated || d.since > c.cache.revision || len(names) == wire.MaxTerminate ||
+			d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.provisioner.terminateRequested[id] {
 			continue
 		}
 		names = append(names, id)
-		c.terminateRequested[id] = true
+		c.provisioner.terminateRequested[id] = true
 	}
 	if len(names) == 0 {
 		return
 	}
 	c.callTerminate(names, func(m *machine) {
-		c.count(countTerminated+c.terminating[m.id].reason, 1)
-		delete(c.terminateRequested, m.id)
+		c.metrics.count(countTerminated+c.cache.terminating[m.id].reason, 1)
+		delete(c.provisioner.terminateRequested, m.id)
 	})
 }
 
 // callTerminate has the cloud take machines back; gone is called for each once it
 // confirms that they are gone.
 func (c *Controller) callTerminate(names []wire.MachineID, gone func(*machine)) {
-	c.terminateCallInFlight = true
+	c.provisioner.terminateCallInFlight = true
 	c.emit(TerminateMachines{call(c, func(r TerminateResult) {
-		c.terminateCallInFlight = false
-		c.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
+		c.provisioner.terminateCallInFlight = false
+		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
 		if r.Outcome != Succeeded {
 			return
 		}
 		for _, id := range names {
 			m := c.machine(id)
-			m.terminated, m.terminatedAt, c.dirty = true, c.now, true
+			m.terminated, m.terminatedAt, c.scheduler.dirty = true, c.now, true
 			m.markForReview()
 			gone(m)
 		}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -21,10 +21,10 @@
 // noteCapacityShortage keeps an offer from being asked for over and over: cheap offers that
 // are sold out must not hide dear ones that are not.
 func (c *Controller) noteCapacityShortage(key capacity.Key) {
-	r := c.capacityShortages[key]
+	r := c.provisioner.capacityShortages[key]
 	r.backoff = min(max(2*r.backoff, capacityBackoff), maxCapacityBackoff)
 	r.until = c.now.Add(r.backoff)
-	c.capacityShortages[key] = r
+	c.provisioner.capacityShortages[key] = r
 }
 
 // unmetDemand is a number of a job's tasks without room.
@@ -37,7 +37,7 @@
 
 // scaleOut rents for what waits and for the spare room.
 func (c *Controller) scaleOut() {
-	if c.listsSinceElected == 0 || len(c.catalogue) == 0 || c.provisionCallsInFlight > 0 {
+	if c.provisioner.listsSinceElected == 0 || len(c.provisioner.catalogue) == 0 || c.provisioner.provisionCallsInFlight > 0 {
 		return
 	}
 	var bootExpected placement.Fleet
@@ -48,9 +48,9 @@
 		}
 	}
 	demands := c.scaleOutDemands()
-	if c.missingHeadroom > 0 {
+	if c.provisioner.missingHeadroom > 0 {
 		for _, s := range c.headroomDemands() {
-			s.Count = min(s.Count, c.missingHeadroom)
+			s.Count = min(s.Count, c.provisioner.missingHeadroom)
 			demands = append(demands, s)
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	var patient []unmetDemand
 	cores, work, lacking := 0.0, 0.0, 0.0
-	for _, d := range c.backlog {
+	for _, d := range c.provisioner.backlog {
 		patience := c.waitTolerance(d.job)
 		if d.guaranteed || patience == 0 || c.pendingFor(d.job) > overdueToleranceFactor*patience || !hasPlainConstraints(d.job) && c.pendingFor(d.job) > patience {
 			// What has waited for too long may be unable to use the machines that
@@ -137,7 +137,7 @@
 		}
 		need = max(need, capacityMargin*work/max(patience-c.pendingFor(w.job), minWaitTolerance).Seconds())
 	}
-	c.priceLimit = math.Inf(1)
+	c.provisioner.priceLimit = math.Inf(1)
 	if !any {
 		return
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, price := range sortedKeys(byPrice) {
 		if need -= byPrice[price]; need <= 0 {
-			c.priceLimit = price
+			c.provisioner.priceLimit = price
 			return
 		}
 	}
@@ -173,7 +173,7 @@
 // abovePriceLimit reports whether a machine is one that work in no hurry leaves alone.
 func (c *Controller) abovePriceLimit(m *machine) bool {
 	t := c.machineTypeNamed(m.machineType)
-	return t != nil && c.priceLimit > 0 && pricePerCore(t, m.spot) > c.priceLimit*(1+1e-9) && !c.hasCriticalTasks(m)
+	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+1e-9) && !c.hasCriticalTasks(m)
 }
 
 // capacityMargin is how much more than the work that is known of the machines that
@@ -193,7 +193,7 @@
 			n := e.Cores * float64(e.Tasks.Len())
 			if e.Shape == wire.ShapeService {
 				cores -= n
-			} else if j := c.jobs[e.Job]; j != nil {
+			} else if j := c.cache.jobs[e.Job]; j != nil {
 				work += n * j.spec.RuntimeS / 2
 			}
 		}
@@ -255,7 +255,7 @@
 func (c *Controller) offers() []capacity.Offer {
 	var out []capacity.Offer
 	doubts := c.overdueFractions()
-	for _, t := range c.catalogue {
+	for _, t := range c.provisioner.catalogue {
 		for _, zone := range t.Zones {
 			if !slices.Contains(c.settings.Cluster.Zones, zone) || c.isPartitioned(zone) {
 				continue
@@ -263,7 +263,7 @@
 			for _, spot := range []bool{false, true} {
 				o := capacity.Offer{Type: t, Zone: zone, Spot: spot}
 				o.Doubt = doubts[o.Key()]
-				if c.isDue(c.capacityShortages[o.Key()].until) {
+				if c.isDue(c.provisioner.capacityShortages[o.Key()].until) {
 					out = append(out, o)
 				}
 			}
@@ -273,13 +273,13 @@
 }
 
 func (c *Controller) requestMachines(h wire.ProvisionRequest, tries int) {
-	c.provisionCallsInFlight++
+	c.provisioner.provisionCallsInFlight++
 	c.emit(ProvisionMachines{call(c, func(r ProvisionResult) {
-		c.provisionCallsInFlight--
+		c.provisioner.provisionCallsInFlight--
 		key := capacity.Key{Type: h.Type, Zone: h.Zone, Spot: h.Spot}
 		switch {
 		case r.Outcome == Succeeded:
-			c.count(countProvisioned, len(r.Machines))
+			c.metrics.count(countProvisioned, len(r.Machines))
 			c.log.Info("machines rented", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(r.Machines))
 			for _, id := range r.Machines {
 				m := c.machine(id)
@@ -288,7 +288,7 @@
 				}
 				m.launchedAt, m.lastListedAt = c.now, c.now
 			}
-			delete(c.capacityShortages, key)
+			delete(c.provisioner.capacityShortages, key)
 			if len(r.Machines) < h.Count {
 				c.noteCapacityShortage(key)
 			}
@@ -296,10 +296,10 @@
 			// The name makes the repeat safe: it rents nothing twice.
 			c.requestMachines(h, tries-1)
 		case r.NoCapacity:
-			c.count(countNoCapacity, 1)
+			c.metrics.count(countNoCapacity, 1)
 			c.noteCapacityShortage(key)
 		default:
-			c.nextScaleOut = c.now.Add(time.Second)
+			c.provisioner.nextScaleOut = c.now.Add(time.Second)
 		}
 	}), h})
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -89,15 +89,15 @@
 // runScheduler runs one pass over all that waits, if there is reason to. What can wait
 // gathers until this controller's share of the writes allows another round.
 func (c *Controller) runScheduler() {
-	if !c.ready || !c.cacheComplete() || !c.storeReachable() || !c.isDue(c.nextPass) {
+	if !c.membership.ready || !c.cacheComplete() || !c.storeReachable() || !c.isDue(c.scheduler.nextPass) {
 		return
 	}
 	// What stood on machines that are gone is not made to wait.
-	rest := c.machinesLost || c.isDue(c.nextNonCritical) && c.canAffordWrite()
-	if !rest && c.provisionerIncarnation == c.incarnation && c.isDue(c.nextDemandEstimate) {
+	rest := c.scheduler.machinesLost || c.isDue(c.scheduler.nextNonCritical) && c.canAffordWrite()
+	if !rest && c.cache.provisionerIncarnation == c.membership.incarnation && c.isDue(c.scheduler.nextDemandEstimate) {
 		// What waits must be bought for even while nothing can be written.
-		c.nextDemandEstimate = c.now.Add(demandEstimateInterval)
-		c.nextPass = c.now.Add(c.passPause())
+		c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
+		c.scheduler.nextPass = c.now.Add(c.passPause())
 		if c.sharded() {
 			c.estimateFleetDemand()
 		} else {
@@ -105,25 +105,25 @@
 		}
 		return
 	}
-	if !rest && !c.criticalDirty || !c.dirty && !c.isDue(c.nextPass.Add(c.stretchPause(idlePassInterval, maxIdlePassInterval))) {
+	if !rest && !c.scheduler.criticalDirty || !c.scheduler.dirty && !c.isDue(c.scheduler.nextPass.Add(c.stretchPause(idlePassInterval, maxIdlePassInterval))) {
 		return
 	}
-	c.dirty = !rest // what could not be looked at now is looked at later
-	c.criticalDirty = false
-	c.nextPass = c.now.Add(c.passPause())
+	c.scheduler.dirty = !rest // what could not be looked at now is looked at later
+	c.scheduler.criticalDirty = false
+	c.scheduler.nextPass = c.now.Add(c.passPause())
 	if rest {
-		c.nextNonCritical = c.now.Add(max(c.stretchPause(nonCriticalInterval, maxPassPause), 2*c.passPause()))
-		c.nextDemandEstimate = c.now.Add(demandEstimateInterval)
+		c.scheduler.nextNonCritical = c.now.Add(max(c.stretchPause(nonCriticalInterval, maxPassPause), 2*c.passPause()))
+		c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
 	}
-	paced := c.submissionsCrowded() && !c.isDue(c.nextCriticalOnly)
+	paced := c.submissionsCrowded() && !c.isDue(c.scheduler.nextCriticalOnly)
 	if paced {
-		c.criticalDirty = true
+		c.scheduler.criticalDirty = true
 		if !rest {
 			return
 		}
 	}
-	for _, name := range sortedKeys(c.teams) {
-		c.expirePlacementRetries(c.teams[name])
+	for _, name := range sortedKeys(c.cache.teams) {
+		c.expirePlacementRetries(c.cache.teams[name])
 	}
 	rounds := c.startTransactions(rest)
 	if rest {
@@ -132,8 +132,8 @@
 		c.evictFromPreemptedMachines(rounds)
 	}
 	// Critical work waits for no turn.
-	for _, name := range sortedKeys(c.teams) {
-		if t := c.teams[name]; !paced && rounds[name] == nil && t.inFlight == nil && c.isDue(t.nextTransaction) {
+	for _, name := range sortedKeys(c.cache.teams) {
+		if t := c.cache.teams[name]; !paced && rounds[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
 			rounds[name] = c.newPlacementTransaction(t)
 			rounds[name].criticalOnly = true
 		}
@@ -147,9 +147,9 @@
 			ops += r.operations
 		}
 	}
-	c.nextCriticalOnly = c.now.Add(config.Seconds(float64(ops) / (c.writeRate() * crowdedWriteFraction)))
+	c.scheduler.nextCriticalOnly = c.now.Add(config.Seconds(float64(ops) / (c.writeRate() * crowdedWriteFraction)))
 	if !wrote {
-		c.nextNonCritical = c.nextPass
+		c.scheduler.nextNonCritical = c.scheduler.nextPass
 	}
 }
 
@@ -158,7 +158,9 @@
 // could write one after the other, with a job or two in each: hundreds of jobs
 // that came at once were then accepted at a few a second, and what they need was
 // rented as late. The more jobs there are in a round, the fewer writes each takes.
-func (c *Controller) submissionsCrowded() bool { return c.submissionsInFlight >= minAdmissionQueue }
+func (c *Controller) submissionsCrowded() bool {
+	return c.cache.submissionsInFlight >= minAdmissionQueue
+}
 
 // startTransactions starts rounds for the teams whose turn it is. A round is made when it
 // can be written at once: one that waits in line for its tokens is based on
@@ -169,35 +171,37 @@
 	if !rest {
 		return rounds
 	}
-	names := sortedKeys(c.teams)
-	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(c.teams[a].lastTurn, c.teams[b].lastTurn) })
+	names := sortedKeys(c.cache.teams)
+	slices.SortStableFunc(names, func(a, b string) int {
+		return cmp.Compare(c.cache.teams[a].schedule.lastTurn, c.cache.teams[b].schedule.lastTurn)
+	})
 	for _, name := range names {
-		t := c.teams[name]
-		if t.inFlight != nil || !c.isDue(t.nextTransaction) {
+		t := c.cache.teams[name]
+		if t.schedule.inFlight != nil || !c.isDue(t.schedule.nextTransaction) {
 			continue
 		}
 		r := c.newPlacementTransaction(t)
 		c.collectTaskExits(r)
 		switch {
 		case r.empty() || c.ownsTeam(name):
-			t.nextExitCollection = 0
-		case t.nextExitCollection == 0:
-			t.nextExitCollection = c.now.Add(exitCollectionDelay)
+			t.schedule.nextExitCollection = 0
+		case t.schedule.nextExitCollection == 0:
+			t.schedule.nextExitCollection = c.now.Add(exitCollectionDelay)
 			continue
-		case !c.isDue(t.nextExitCollection):
+		case !c.isDue(t.schedule.nextExitCollection):
 			continue
 		}
 		if r.empty() && !c.teamNeedsWork(name) {
 			continue
 		}
 		rounds[name] = r
-		t.lastTurn = c.now
-		if !c.machinesLost {
-			c.dirty = true // others may wait for their turn
+		t.schedule.lastTurn = c.now
+		if !c.scheduler.machinesLost {
+			c.scheduler.dirty = true // others may wait for their turn
 			break
 		}
 	}
-	c.machinesLost = false
+	c.scheduler.machinesLost = false
 	return rounds
 }
 
@@ -208,7 +212,7 @@
 	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.preemptionAt != 0 }) {
 		return true
 	}
-	for id, j := range c.jobs {
+	for id, j := range c.cache.jobs {
 		if j.spec.Team != team {
 			continue
 		}
@@ -222,29 +226,29 @@
 // passPause is the least time between passes, which cost in proportion to the
 // fleet.
 func (c *Controller) passPause() time.Duration {
-	return c.stretchPause(passInterval+time.Duration(len(c.machines))*passIntervalPerMachine, maxPassPause)
+	return c.stretchPause(passInterval+time.Duration(len(c.fleet.machines))*passIntervalPerMachine, maxPassPause)
 }
 
 // stretchPause is a pause of what can be put off, stretched where this process has a small
 // share of a processor, and further while it falls behind: leases, answers and what
 // waits for them come first. It is not stretched beyond most.
 func (c *Controller) stretchPause(pause, most time.Duration) time.Duration {
-	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.lag)
+	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag)
 	return max(pause, min(most, time.Duration(float64(pause)*stretch)))
 }
 
 // measureLag is called at every tick: how late ticks come shows whether this process
 // keeps up.
 func (c *Controller) measureLag() {
-	late := min(c.now.Sub(c.lastTick)-TickEvery, stallThreshold)
-	c.lag += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - c.lag)
-	c.lastTick = c.now
-	if late := c.lag > lagThreshold; late != c.lagging && (late || c.lag < lagRecovered) {
-		c.lagging = late
+	late := min(c.now.Sub(c.scheduler.lastTick)-TickEvery, stallThreshold)
+	c.scheduler.lag += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - c.scheduler.lag)
+	c.scheduler.lastTick = c.now
+	if late := c.scheduler.lag > lagThreshold; late != c.scheduler.lagging && (late || c.scheduler.lag < lagRecovered) {
+		c.scheduler.lagging = late
 		if late {
-			c.count(countLagging, 1)
+			c.metrics.count(countLagging, 1)
 			c.log.Info("this process falls behind: what can wait is put off; cluster.quota.core_share may be too small",
-				"late", time.Duration(c.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
+				"late", time.Duration(c.scheduler.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
 		} else {
 			c.log.Info("this process keeps up again")
 		}
@@ -275,12 +279,12 @@
 // needsSchedulingPass reports whether anything waits that this controller answers for. The
 // buyer also has to know what else does, and whether enough room is kept free.
 func (c *Controller) needsSchedulingPass(rest bool) bool {
-	return rest && c.provisionerIncarnation == c.incarnation || c.hasPendingJobs(rest)
+	return rest && c.cache.provisionerIncarnation == c.membership.incarnation || c.hasPendingJobs(rest)
 }
 
 // hasPendingJobs reports whether anything waits that this controller answers for.
 func (c *Controller) hasPendingJobs(rest bool) bool {
-	for id, j := range c.jobs {
+	for id, j := range c.cache.jobs {
 		if (rest || j.spec.Priority == wire.PriorityCritical) && !c.inBackoff(j) && j.completed.Len()+c.placedTasks(id) < j.spec.Tasks && c.schedulesJob(j) {
 			return true
 		}
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -71,7 +71,7 @@
 // schedule gives waiting tasks machines, in this controller's shares while they are in use.
 // Without rest it looks at critical work alone.
 func (c *Controller) schedule(rounds map[string]*placementTransaction, rest bool) {
-	if len(c.catalogue) == 0 {
+	if len(c.provisioner.catalogue) == 0 {
 		return
 	}
 	if !c.sharded() {
@@ -80,7 +80,7 @@
 		}
 		return
 	}
-	if rest && c.provisionerIncarnation == c.incarnation && c.isDue(c.nextFleetEstimate) {
+	if rest && c.cache.provisionerIncarnation == c.membership.incarnation && c.isDue(c.shards.nextFleetEstimate) {
 		c.estimateFleetDemand()
 	}
 	if c.hasPendingJobs(rest) {
@@ -91,7 +91,7 @@
 // estimateFleetDemand plans over the whole fleet without writing anything, so that the buyer knows
 // what lacks room anywhere.
 func (c *Controller) estimateFleetDemand() {
-	c.nextFleetEstimate = c.now.Add(max(demandEstimateInterval, 3*c.passPause()))
+	c.shards.nextFleetEstimate = c.now.Add(max(demandEstimateInterval, 3*c.passPause()))
 	c.runSchedulingPass(map[string]*placementTransaction{}, true, false)
 }
 
@@ -99,7 +99,7 @@
 // controller places leaves room for more urgent work that others will place, and writes
 // only for those that it answers for. In its own shares it plans for those alone.
 func (c *Controller) runSchedulingPass(rounds map[string]*placementTransaction, rest, ownShares bool) {
-	c.count(countPasses, 1)
+	c.metrics.count(countPasses, 1)
 	p := &schedulingPass{transactions: rounds, ownShards: ownShares, teamUsage: map[string]placement.Amount{}, hostsOfJob: map[wire.JobID][]*placement.Host{},
 		unsatisfiable: map[searchKey][]placement.Amount{}, gatheringZones: map[string]bool{},
 		rankings: map[rankingKey]*placement.Ranking{}}
@@ -120,9 +120,9 @@
 	if ownShares {
 		queue = slices.DeleteFunc(queue, func(w pendingJob) bool { return !c.schedulesJob(w.job) })
 	}
-	c.criticalPending = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
-	backlog := c.backlog
-	c.backlog = nil
+	c.scheduler.criticalPending = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
+	backlog := c.provisioner.backlog
+	c.provisioner.backlog = nil
 	for i := range queue {
 		p.reserveAcceleratorsFor(&queue[i], c)
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	if !rest || ownShares {
-		c.backlog = backlog
+		c.provisioner.backlog = backlog
 	}
 }
 
@@ -160,7 +160,7 @@
 	team := j.spec.Team
 	count := c.limitToCanaries(j, p.tasksWithinLimit(c, w))
 	whole := j.spec.Shape == wire.ShapeGang
-	if count == 0 && j.consecutiveBackoffs > 0 {
+	if count == 0 && j.crashLoop.consecutiveBackoffs > 0 {
 		j.pendingReason = "its tasks fail on every machine; some are tried now"
 		return
 	}
@@ -169,23 +169,23 @@
 		return
 	}
 	r := p.transactions[team]
-	t := c.team(team)
+	t := c.cache.team(team)
 	act := r != nil && (!r.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
-		t.inFlight == nil && c.isDue(t.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(r, 0)
+		t.schedule.inFlight == nil && c.isDue(t.schedule.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(r, 0)
 	if p.hostsOfJob[j.id] == nil {
 		p.hostsOfJob[j.id] = []*placement.Host{} // none is known, rather than nothing
 	}
-	o := placement.Options{Relax: c.values.Affinity == config.AffinityPreferred, Whole: whole, Rand: c.rand, Own: p.hostsOfJob[j.id]}
+	o := placement.Options{Relax: c.operator.values.Affinity == config.AffinityPreferred, Whole: whole, Rand: c.rand, Own: p.hostsOfJob[j.id]}
 	hold := p.avoidsAccelerators(j)
 	spare := c.avoidsExpensive(w)
-	if len(j.avoidMachines) > 0 || hold || spare {
+	if len(j.crashLoop.avoidMachines) > 0 || hold || spare {
 		o.Usable = func(h *placement.Host) bool {
-			until, avoid := j.avoidMachines[h.ID]
-			return (!avoid || c.isDue(until)) && !(hold && p.isReserved(h)) && !(spare && c.abovePriceLimit(c.machines[h.ID]))
+			until, avoid := j.crashLoop.avoidMachines[h.ID]
+			return (!avoid || c.isDue(until)) && !(hold && p.isReserved(h)) && !(spare && c.abovePriceLimit(c.fleet.machines[h.ID]))
 		}
 	}
-	if act && t.lostPlacements > 0 {
-		o.Probes, o.Skip, o.Relax = c.values.ProbeHosts, t.contendedMachines, false
+	if act && t.schedule.lostPlacements > 0 {
+		o.Probes, o.Skip, o.Relax = c.operator.values.ProbeHosts, t.schedule.contendedMachines, false
 	}
 	j.pendingReason = "being placed"
 	choices := c.chooseMachines(p, w, &count, o)
@@ -193,7 +193,7 @@
 	attempt := wire.Attempt(0)
 	for _, ch := range choices {
 		p.teamUsage[team] = p.teamUsage[team].Plus(j.request.Need, float64(ch.Count))
-		m := c.machines[ch.Machine]
+		m := c.fleet.machines[ch.Machine]
 		for left := ch.Count; left > 0; {
 			var tasks record.TaskSet
 			tasks, missing = missing.Take(min(left, c.maxTasksPerAllocation()))
@@ -204,7 +204,7 @@
 			if attempt == 0 {
 				attempt = wire.Attempt(c.nextSerial())
 			}
-			e := Allocation{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: attempt, Launcher: c.incarnation,
+			e := Allocation{AllocationHeader: record.AllocationHeader{Job: j.id, Attempt: attempt, Launcher: c.membership.incarnation,
 				Cores: j.spec.Cores, Accelerators: j.spec.Accelerators, MemGB: j.spec.MemGB,
 				Priority: j.spec.Priority.Level(), Shape: j.spec.Shape}, Machine: m.id, AgentEpoch: m.latestHeartbeat.AgentEpoch, Tasks: tasks}
 			if !c.hasCapacityFor(r, 0) || !c.stageAllocation(r, m.zone, e) {
@@ -223,12 +223,12 @@
 			r.conditions[record.JobKey(j.id)] = j.version
 			r.usedMachines[m.id] = true
 			r.notifyMachines[m.id] = true
-			c.count(countPlaced, tasks.Len())
+			c.metrics.count(countPlaced, tasks.Len())
 			c.log.Debug("tasks placed", "job", j.id, "class", j.spec.Class, "machine", m.id, "attempt", attempt, "tasks", tasks.Len(),
 				"image", m.cachedImages[j.spec.Image], "promised", w.guaranteed)
 		}
 		if ch.Relaxed && act {
-			c.count(countRelaxed, ch.Count)
+			c.metrics.count(countRelaxed, ch.Count)
 			c.log.Debug("preferred rule relaxed", "job", j.id, "machine", m.id)
 		}
 	}
@@ -258,7 +258,7 @@
 // before anything is placed: less urgent work within a guarantee comes before
 // urgent work beyond one, and would take them although it needs none.
 func (p *schedulingPass) reserveAcceleratorsFor(w *pendingJob, c *Controller) {
-	if w.job.request.Need.Accelerators > 0 && w.job.consecutiveBackoffs <= maxBackoffsWithPreemption && p.tasksWithinLimit(c, w) > 0 {
+	if w.job.request.Need.Accelerators > 0 && w.job.crashLoop.consecutiveBackoffs <= maxBackoffsWithPreemption && p.tasksWithinLimit(c, w) > 0 {
 		p.reserveAccelerators, p.reserveSpotAccelerators = true, p.reserveSpotAccelerators || w.job.spec.Spot
 	}
 }
@@ -271,7 +271,7 @@
 // avoidsExpensive reports whether a job leaves machines alone that are too dear for
 // work in no hurry.
 func (c *Controller) avoidsExpensive(w *pendingJob) bool {
-	return !w.guaranteed && !math.IsInf(c.priceLimit, 1) && c.waitTolerance(w.job) > 0
+	return !w.guaranteed && !math.IsInf(c.provisioner.priceLimit, 1) && c.waitTolerance(w.job) > 0
 }
 
 // isReserved reports whether a machine is kept for work that waits for accelerators.
@@ -289,7 +289,7 @@
 // what search says.
 func hasPlainConstraints(j *job) bool {
 	s := &j.spec
-	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.avoidMachines) == 0
+	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.crashLoop.avoidMachines) == 0
 }
 
 // knownUnsatisfiable reports whether something that needs no more found no room in this
@@ -324,7 +324,7 @@
 	take := func() {
 		for _, ch := range choices {
 			*count -= ch.Count
-			p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], c.machines[ch.Machine].host)
+			p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], c.fleet.machines[ch.Machine].host)
 			if j.spec.SingleZone {
 				w.zone = ch.Zone
 			}
@@ -334,7 +334,7 @@
 	if *count == 0 || p.cachedImageOnly {
 		return choices
 	}
-	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.consecutiveBackoffs <= maxBackoffsWithPreemption && c.imagePullIsSlow(j) {
+	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.crashLoop.consecutiveBackoffs <= maxBackoffsWithPreemption && c.imagePullIsSlow(j) {
 		*count = c.awaitFreeingCapacity(p, w, slices.Concat(j.request.Enforced, j.request.Preferred), *count, hasImage)
 	}
 	first := choices
@@ -355,8 +355,8 @@
 // imagePullIsSlow reports whether a start without the image would be noticed.
 func (c *Controller) imagePullIsSlow(j *job) bool {
 	best := 0.0
-	for i := range c.catalogue {
-		if t := &c.catalogue[i]; machineResources(t).Covers(j.request.Need) {
+	for i := range c.provisioner.catalogue {
+		if t := &c.provisioner.catalogue[i]; machineResources(t).Covers(j.request.Need) {
 			best = max(best, t.PullGBPerS)
 		}
 	}
@@ -418,7 +418,7 @@
 		return to == c.settings.Label
 	}
 	if c.now.Sub(j.firstSeen) < acceptorPriorityPeriod && c.isAlive(j.acceptedBy) {
-		return j.acceptedBy == c.incarnation && !c.isolated()
+		return j.acceptedBy == c.membership.incarnation && !c.isolated()
 	}
 	return c.ownsTeam(j.spec.Team)
 }
@@ -427,7 +427,7 @@
 // freed, or have less urgent work stopped, or else stand in the backlog that
 // the buyer sees.
 func (c *Controller) handleUnmetDemand(p *schedulingPass, w *pendingJob, count int) {
-	if w.job.consecutiveBackoffs > maxBackoffsWithPreemption {
+	if w.job.crashLoop.consecutiveBackoffs > maxBackoffsWithPreemption {
 		w.job.pendingReason = "its tasks fail on every machine; tried again when something is free"
 		return
 	}
@@ -442,7 +442,7 @@
 			c.forwardJob(w, false)
 		}
 		if lacking > 0 {
-			c.backlog = append(c.backlog, unmetDemand{job: j, count: lacking, guaranteed: w.guaranteed, zone: zone})
+			c.provisioner.backlog = append(c.provisioner.backlog, unmetDemand{job: j, count: lacking, guaranteed: w.guaranteed, zone: zone})
 		}
 		return
 	}
@@ -453,7 +453,7 @@
 	stop := searchKey{w.job.spec.Team, w.job.spec.Priority.Level(), w.job.spec.Spot, w.guaranteed, true, false, false}
 	if !p.knownUnsatisfiable(stop, w.job) {
 		rules := w.job.request.Enforced
-		if c.values.Affinity == config.AffinityEnforced {
+		if c.operator.values.Affinity == config.AffinityEnforced {
 			rules = slices.Concat(rules, w.job.request.Preferred)
 		}
 		count = c.awaitFreeingCapacity(p, w, rules, count, usable)
@@ -466,6 +466,6 @@
 		if p.ownShards {
 			c.forwardJob(w, false)
 		}
-		c.backlog = append(c.backlog, unmetDemand{job: w.job, count: count, guaranteed: w.guaranteed})
+		c.provisioner.backlog = append(c.provisioner.backlog, unmetDemand{job: w.job, count: count, guaranteed: w.guaranteed})
 	}
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -66,12 +66,12 @@
 }
 
 // sharded reports whether each controller places in its own shares only.
-func (c *Controller) sharded() bool { return c.table.Enabled() }
+func (c *Controller) sharded() bool { return c.shards.table.Enabled() }
 
 // hasPlacementIn reports whether a placement in a share is being written, or may yet be.
 func (c *Controller) hasPlacementIn(id wire.ShardID) bool {
-	for _, t := range c.teams {
-		if t.inFlight != nil && t.inFlight.shards[id] {
+	for _, t := range c.cache.teams {
+		if t.schedule.inFlight != nil && t.schedule.inFlight.shards[id] {
 			return true
 		}
 	}
@@ -80,11 +80,11 @@
 
 // tickShards does what this controller has to do about the shares, one change at a time.
 func (c *Controller) tickShards() {
-	if c.writing || !c.isDue(c.nextReview) || !c.cacheComplete() || !c.storeReachable() || c.stale {
+	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cacheComplete() || !c.storeReachable() || c.membership.stale {
 		return
 	}
-	c.nextReview = c.now.Add(shardReviewInterval)
-	if c.provisionerIncarnation == c.incarnation {
+	c.shards.nextReview = c.now.Add(shardReviewInterval)
+	if c.cache.provisionerIncarnation == c.membership.incarnation {
 		if a, due := c.shardingSwitch(); due {
 			c.commitShardAction(a)
 			return
@@ -97,11 +97,11 @@
 		c.commitShardAction(a)
 		return
 	}
-	hold := c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquiredHoldPeriod
-	a, due := c.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
+	hold := c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquiredHoldPeriod
+	a, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// Moves wait for their part of the writes: when operators moved all shares at once,
 	// what that took was paid back for a minute without a placement (TestShuffle).
-	if c.spendWrites(0); due && (a.Kind == shard.TakeOver || c.writeBudget >= 0) {
+	if c.spendWrites(0); due && (a.Kind == shard.TakeOver || c.membership.writeBudget >= 0) {
 		c.commitShardAction(a)
 	}
 }
@@ -110,43 +110,43 @@
 // the list of machines to be returned as it is: all placements demand that list, so none
 // that was under way before comes after it, whoever made it (TestRulesHoldWithShares).
 func (c *Controller) shardingSwitch() (shard.Action, bool) {
-	a, due := c.table.SwitchPolicy()
-	if !due || c.recordingTerminations {
+	a, due := c.shards.table.SwitchPolicy()
+	if !due || c.provisioner.recordingTerminations {
 		return shard.Action{}, false
 	}
-	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]})
-	a.Txn.Then = append(a.Txn.Then, c.putChange(record.TerminationsKey, c.terminations))
+	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]})
+	a.Txn.Then = append(a.Txn.Then, c.putChange(record.TerminationsKey, c.cache.terminations))
 	return a, len(a.Txn.If) <= 4*c.settings.Cluster.State.TxnOps
 }
 
 // commitShardAction runs a change of the shares. After one that was lost or not answered the
 // records are read before the next.
 func (c *Controller) commitShardAction(a shard.Action) {
-	c.writing = true
+	c.shards.writing = true
 	class := PriorityBackground
 	if a.Kind == shard.TakeOver || a.Kind == shard.Adopt {
 		class = PriorityUrgent // nobody places there meanwhile
 	}
 	c.commit(class, a.Txn, func(r CommitResult) {
 		if r.Outcome != Succeeded {
-			c.count(countShardConflicts, 1)
-			c.readBarrier(func(bool) { c.writing = false })
+			c.metrics.count(countShardConflicts, 1)
+			c.readBarrier(func(bool) { c.shards.writing = false })
 			return
 		}
-		c.writing = false
-		c.count(countShardActions+string(a.Kind), max(1, len(a.Shards)))
+		c.shards.writing = false
+		c.metrics.count(countShardActions+string(a.Kind), max(1, len(a.Shards)))
 		c.log.Info("shares: "+string(a.Kind), "shares", a.Shards, "why", a.Reason)
 	})
 }
 
 // applyShardRecord takes a record of the shares.
 func (c *Controller) applyShardRecord(key string, value []byte, version wire.Revision) error {
-	c.dirty, c.criticalDirty = true, c.criticalDirty || c.criticalPending
+	c.scheduler.dirty, c.scheduler.criticalDirty = true, c.scheduler.criticalDirty || c.scheduler.criticalPending
 	if key != record.ShardPolicyKey {
-		return c.table.ApplyShare(key, value, version)
+		return c.shards.table.ApplyShare(key, value, version)
 	}
 	before := c.sharded()
-	err := c.table.ApplyPolicy(value, version)
+	err := c.shards.table.ApplyPolicy(value, version)
 	if now := c.sharded(); now != before {
 		c.log.Info("shares in use", "now", now, "revision", version)
 	}
@@ -161,10 +161,10 @@
 	if !c.sharded() || m.directHeartbeat == nil || !in.Heartbeat.Newer(m.directHeartbeat) || len(c.stopCommands(m)) > 0 {
 		return false
 	}
-	owner := c.table.Owner(m.shard)
+	owner := c.shards.table.Owner(m.shard)
 	p := c.peers[owner.Label]
 	switch {
-	case owner.Label == c.settings.Label || !c.table.Live(owner) || c.isolatedControllers[owner.Label]:
+	case owner.Label == c.settings.Label || !c.shards.table.Live(owner) || c.cache.isolatedControllers[owner.Label]:
 		return false
 	case p == nil || !p.storeReachable || c.now.Sub(p.lastHeardAt) > 2*peerHeartbeatInterval:
 		return false
@@ -172,11 +172,11 @@
 		return false
 	case m.redirectedToOwnerAt != 0 && c.now.Sub(m.redirectedToOwnerAt) < redirectCooldown:
 		return false
-	case !c.redirects.AllowN(time.Unix(0, int64(c.now)), 1):
+	case !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1):
 		return false
 	}
 	m.redirectedToOwnerAt = c.now
-	c.count(countOwnerRedirects, 1)
+	c.metrics.count(countOwnerRedirects, 1)
 	c.applyHeartbeat(in.Heartbeat, true)
 	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Controller: owner.Label})
 	return true
@@ -188,8 +188,8 @@
 }
 
 func (c *Controller) shardsView() wire.AdminShards {
-	v := c.table.View(c.wall)
-	for _, m := range c.machines {
+	v := c.shards.table.View(c.wall)
+	for _, m := range c.fleet.machines {
 		if m.isTerminated() || int(m.shard) >= len(v.Shards) {
 			continue
 		}
@@ -217,11 +217,11 @@
 func (c *Controller) shardTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
 	switch {
 	case change.Move != nil:
-		return c.table.Move(*change.Move, change.To, change.Epoch, c.wall)
+		return c.shards.table.Move(*change.Move, change.To, change.Epoch, c.wall)
 	case change.Drain != "":
-		return c.table.Drain(change.Drain, change.Reason)
+		return c.shards.table.Drain(change.Drain, change.Reason)
 	default:
-		return c.table.EndDrain(change.EndDrain)
+		return c.shards.table.EndDrain(change.EndDrain)
 	}
 }
 
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -11,11 +11,11 @@
 // alone proves nothing.
 func (c *Controller) collectTaskExits(r *placementTransaction) {
 	for _, p := range r.team.orderedPages() {
-		if !p.needsReview || c.unreadable[p.key] != nil {
+		if !p.needsReview || c.cache.unreadable[p.key] != nil {
 			continue // a write of a page that cannot be read would be lost
 		}
 		p.needsReview = false
-		c.count(countPagesReviewed, 1)
+		c.metrics.count(countPagesReviewed, 1)
 		for i := range p.allocations {
 			// Room is left for the pages of the zones that it may place in. On a page
 			// that is written anyway, more proofs cost no further write.
@@ -57,7 +57,7 @@
 		c.removeTasks(r, p, e, e.Tasks, record.TaskSet{})
 		return true
 	}
-	j := c.jobs[e.Job]
+	j := c.cache.jobs[e.Job]
 	var gone, done, lacking record.TaskSet
 	for i := range e.Tasks.All {
 		t := m.directTasks[e.key(i)]
@@ -86,13 +86,13 @@
 					d.Eviction = record.EvictionImmediate
 				}
 			})
-		case !c.isAlive(e.Launcher) || e.Launcher != c.incarnation && (c.isIsolatedIncarnation(e.Launcher) || c.launchTimedOut(m, e)):
+		case !c.isAlive(e.Launcher) || e.Launcher != c.membership.incarnation && (c.isIsolatedIncarnation(e.Launcher) || c.launchTimedOut(m, e)):
 			// Its launcher is gone, or lives but does not reach this worker: take
 			// over, with a fence so that a launch it sent is dead or in the next
 			// report.
 			c.raiseFence(r, p, e, func(d *Allocation) {
-				d.Launcher = c.incarnation
-				c.count(countTakeOvers, 1)
+				d.Launcher = c.membership.incarnation
+				c.metrics.count(countTakeOvers, 1)
 			})
 		}
 	}
@@ -130,7 +130,7 @@
 		return false
 	}
 	patience := launchTimeout
-	if j := c.jobs[e.Job]; j != nil && e.Shape == wire.ShapeGang {
+	if j := c.cache.jobs[e.Job]; j != nil && e.Shape == wire.ShapeGang {
 		patience += c.gangImagePullTime(j, e.Attempt) // its launcher may hold it back
 	}
 	return c.now.Sub(max(since, c.resumedAt)) > patience && c.now.Sub(m.lastDirectAt) < launchTimeout
@@ -146,12 +146,12 @@
 	for i := range d.allocations {
 		if x := &d.allocations[i]; sameAllocation(x, e) {
 			change(x)
-			x.Fence = c.token + 1
-			c.count(countFences, 1)
+			x.Fence = c.cache.token + 1
+			c.metrics.count(countFences, 1)
 			if !r.raisesToken {
 				r.raisesToken = true
 				r.operations++
-				r.conditions[record.TokenKey] = c.keyVersions[record.TokenKey]
+				r.conditions[record.TokenKey] = c.cache.keyVersions[record.TokenKey]
 			}
 			r.notifyMachines[e.Machine] = true
 		}
@@ -185,8 +185,8 @@
 // none of which saw them all, or by a round that had no room left for their ends:
 // when hundreds of small jobs end together, their ends come after their tasks'.
 func (c *Controller) completeJobs(rounds map[string]*placementTransaction) {
-	for _, id := range sortedKeys(c.jobs) {
-		j := c.jobs[id]
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
 		r := rounds[j.spec.Team]
 		if r == nil || j.completed.Len() < j.spec.Tasks || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(r, 3) {
 			continue
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,57 +12,57 @@
 func (c *Controller) reloadCache() {
 	c.emit(LoadKeys{call(c, func(l LoadResult) {
 		if l.Outcome != Succeeded {
-			c.loading = false
-			c.nextAttempt = c.now.Add(storeRetryDelay)
+			c.membership.loading = false
+			c.membership.nextAttempt = c.now.Add(storeRetryDelay)
 			return
 		}
 		c.noteStoreResponse()
-		finals := c.archivedJobs
-		c.stateCache.init()
-		c.rollout.Reset()
-		c.table.Reset()
-		c.archivedJobs = finals
-		c.recentCancellations, c.cancellationsSince = nil, 0
-		clear(c.machinesWithCompletedTasks)
-		for _, m := range c.machines {
+		finals := c.cache.archivedJobs
+		c.cache.init()
+		c.rollout.tracker.Reset()
+		c.shards.table.Reset()
+		c.cache.archivedJobs = finals
+		c.cancellations.recentCancellations, c.cancellations.cancellationsSince = nil, 0
+		clear(c.cancellations.machinesWithCompletedTasks)
+		for _, m := range c.fleet.machines {
 			m.allocations = nil
 		}
-		clear(c.allocationsByJob)
-		clear(c.criticalAllocations)
+		clear(c.scheduler.allocationsByJob)
+		clear(c.scheduler.criticalAllocations)
 		for _, e := range l.Entries {
 			c.apply(e.Key, e.Value, e.Version)
 		}
-		c.revision = l.First
+		c.cache.revision = l.First
 		c.forgetCancellations(l.First)
-		c.catchUpRevision = l.Last
-		c.loading, c.loaded = false, true
+		c.membership.catchUpRevision = l.Last
+		c.membership.loading, c.membership.loaded = false, true
 		c.openWatch()
 	}), record.LoadPrefixes})
 }
 
 // openWatch keeps one open request on the feed.
 func (c *Controller) openWatch() {
-	if c.watching || !c.loaded {
+	if c.cache.watching || !c.membership.loaded {
 		return
 	}
-	c.watching = true
+	c.cache.watching = true
 	block := watchTimeout
-	if c.revision < c.catchUpRevision {
+	if c.cache.revision < c.membership.catchUpRevision {
 		block = 0
 	}
 	c.emit(Watch{Call: call(c, func(f WatchResult) {
-		c.watching = false
+		c.cache.watching = false
 		if !c.applyWatchResult(f) {
-			c.nextWatch = c.now.Add(storeRetryDelay)
+			c.membership.nextWatch = c.now.Add(storeRetryDelay)
 			return
 		}
 		// A short pause lets changes gather: what a busy feed brings is wanted
 		// within a second, not at once.
-		c.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
-		if c.revision < c.catchUpRevision {
+		c.membership.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
+		if c.cache.revision < c.membership.catchUpRevision {
 			c.openWatch()
 		}
-	}), Priority: PriorityUrgent, Prefix: record.RootKey, After: c.revision, Block: block})
+	}), Priority: PriorityUrgent, Prefix: record.RootKey, After: c.cache.revision, Block: block})
 }
 
 const (
@@ -87,13 +87,13 @@
 
 // applyWatchResult takes an answer of the feed and reports whether it was one.
 func (c *Controller) applyWatchResult(f WatchResult) bool {
-	c.countFailure(f.Outcome, countStoreRefused, countStoreUnanswered)
+	c.metrics.countFailure(f.Outcome, countStoreRefused, countStoreUnanswered)
 	switch f.Outcome {
 	case Succeeded:
 	case Compacted:
-		if c.loaded {
+		if c.membership.loaded {
 			c.log.Info("the feed no longer goes back far enough; reading everything again")
-			c.loaded, c.loading = false, false
+			c.membership.loaded, c.membership.loading = false, false
 		}
 		return false
 	default:
@@ -107,14 +107,14 @@
 			c.apply(l.Delete, nil, l.Version)
 		}
 	}
-	c.revision = max(c.revision, f.Response.Revision)
-	if c.loaded {
+	c.cache.revision = max(c.cache.revision, f.Response.Revision)
+	if c.membership.loaded {
 		c.noteCacheCurrent(c.callStartedAt)
 	}
-	for key, version := range c.deletedKeys {
-		if version <= c.revision {
-			delete(c.deletedKeys, key)
-			delete(c.keyVersions, key)
+	for key, version := range c.cache.deletedKeys {
+		if version <= c.cache.revision {
+			delete(c.cache.deletedKeys, key)
+			delete(c.cache.keyVersions, key)
 		}
 	}
 	return true
@@ -123,27 +123,27 @@
 // readBarrier calls then once the cache holds everything that was written before
 // now. All who wait share one request.
 func (c *Controller) readBarrier(then func(ok bool)) {
-	if !c.loaded {
+	if !c.membership.loaded {
 		then(false)
 		return
 	}
-	c.barrierQueue = append(c.barrierQueue, then)
+	c.cache.barrierQueue = append(c.cache.barrierQueue, then)
 	c.startBarrier()
 }
 
 func (c *Controller) startBarrier() {
-	if c.barrierInFlight || len(c.barrierQueue) == 0 || !c.isDue(c.nextBarrier) {
+	if c.cache.barrierInFlight || len(c.cache.barrierQueue) == 0 || !c.isDue(c.cache.nextBarrier) {
 		return
 	}
-	c.barrierInFlight = true
-	c.nextBarrier = c.now.Add(c.callInterval(0, barrierRateFraction))
-	c.barrierWaiters, c.barrierQueue = c.barrierQueue, nil
-	after := c.revision
+	c.cache.barrierInFlight = true
+	c.cache.nextBarrier = c.now.Add(c.callInterval(0, barrierRateFraction))
+	c.cache.barrierWaiters, c.cache.barrierQueue = c.cache.barrierQueue, nil
+	after := c.cache.revision
 	c.emit(Watch{Call: call(c, func(f WatchResult) {
-		ok := after <= c.revision && c.applyWatchResult(f)
-		c.barrierInFlight = false
-		served := c.barrierWaiters
-		c.barrierWaiters = nil
+		ok := after <= c.cache.revision && c.applyWatchResult(f)
+		c.cache.barrierInFlight = false
+		served := c.cache.barrierWaiters
+		c.cache.barrierWaiters = nil
 		for _, then := range served {
 			then(ok)
 		}
--- a/internal/controller/write_budget.go
+++ b/internal/controller/write_budget.go
@@ -2,10 +2,10 @@
 
 // rateFraction is this controller's part of the state service's limits.
 func (c *Controller) rateFraction() float64 {
-	if c.assignedRateFraction == 0 {
+	if c.membership.assignedRateFraction == 0 {
 		return 1
 	}
-	return c.assignedRateFraction
+	return c.membership.assignedRateFraction
 }
 
 // backgroundWriteFraction leaves a little of the writes, for leases and acceptance.
@@ -14,8 +14,8 @@
 // spendWrites takes writes off what this controller may write by now.
 func (c *Controller) spendWrites(writes int) {
 	rate := c.writeRate()
-	c.writeBudget = min(max(rate, 1), c.writeBudget+rate*c.now.Sub(c.writeBudgetAt).Seconds()) - float64(writes)
-	c.writeBudgetAt = c.now
+	c.membership.writeBudget = min(max(rate, 1), c.membership.writeBudget+rate*c.now.Sub(c.membership.writeBudgetAt).Seconds()) - float64(writes)
+	c.membership.writeBudgetAt = c.now
 }
 
 // writeRate is how many writes a second this controller may make.
@@ -27,7 +27,7 @@
 // while there is nothing left, and go in fewer and larger rounds.
 func (c *Controller) canAffordWrite() bool {
 	c.spendWrites(0)
-	return c.writeBudget >= min(c.writeRate()*0.6, typicalTransactionWrites)
+	return c.membership.writeBudget >= min(c.writeRate()*0.6, typicalTransactionWrites)
 }
 
 // typicalTransactionWrites is about what a round writes.
