--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -150,7 +150,7 @@
 		TimerLagS: c.scheduler.lag * TickEvery.Seconds()}}
 	for _, s := range c.settings.Siblings {
 		boot, alive := c.cache.liveControllers[s.Label]
-		p := c.peers[s.Label]
+		p := c.gossip.peers[s.Label]
 		out = append(out, wire.AdminController{Label: s.Label, Incarnation: boot, Alive: alive, Provisioner: alive && c.cache.provisionerIncarnation == boot,
 			StoreReachable: p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 3*peerHeartbeatInterval,
 			HeardFrom:      p != nil && c.now.Sub(p.lastHeardAt) <= peerTimeout, HearsUs: p != nil && c.now.Sub(p.ackedAt) <= ackTimeout,
@@ -195,12 +195,12 @@
 func (c *Controller) viewMachines() []wire.AdminMachine {
 	out := []wire.AdminMachine{}
 	for _, m := range c.orderedMachines() {
-		if m.terminated {
+		if m.scaling.terminated {
 			continue
 		}
-		v := wire.AdminMachine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Status: m.status,
-			SilentS: c.now.Sub(c.lastSeen(m)).Seconds(), Faulty: !c.isDue(m.faultyUntil), Reserved: m.holdsHeadroom,
-			ProvisioningLate: m.isProvisioning() && m.status == wire.MachineBooting && !c.expectedToJoin(m), PreemptionNotice: m.preemptionAt != 0}
+		v := wire.AdminMachine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Status: m.scaling.status,
+			SilentS: c.now.Sub(c.lastSeen(m)).Seconds(), Faulty: !c.isDue(m.quarantine.faultyUntil), Reserved: m.scaling.holdsHeadroom,
+			ProvisioningLate: m.isProvisioning() && m.scaling.status == wire.MachineBooting && !c.expectedToJoin(m), PreemptionNotice: m.scaling.preemptionAt != 0}
 		v.TerminationReason = c.cache.terminating[m.id].reason
 		for _, e := range m.allocations {
 			v.Tasks += e.Tasks.Len()
--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -16,7 +16,7 @@
 	for i := range p.allocations {
 		e := &p.allocations[i]
 		e.page, e.host = p, c.machine(e.Machine)
-		e.host.reconciledHeartbeat = nil
+		e.host.reconciliation.reconciledHeartbeat = nil
 		e.host.allocations = append(e.host.allocations, e)
 		c.scheduler.allocationsByJob[e.Job] = append(c.scheduler.allocationsByJob[e.Job], e)
 		if c.cache.jobs[e.Job] == nil {
@@ -32,7 +32,7 @@
 	here := func(e *Allocation) bool { return e.page == p }
 	for i := range p.allocations {
 		e := &p.allocations[i]
-		e.host.reconciledHeartbeat = nil
+		e.host.reconciliation.reconciledHeartbeat = nil
 		e.host.allocations = slices.DeleteFunc(e.host.allocations, here)
 		deleteWhere(c.scheduler.allocationsByJob, e.Job, here)
 		if e.Priority == wire.PriorityCritical.Level() {
@@ -92,16 +92,16 @@
 	for i, m := range c.orderedMachines() {
 		m.host = nil
 		t := c.machineTypeNamed(m.machineType)
-		if t == nil || m.latestHeartbeat == nil || m.terminated || ownShares && !c.shards.table.Places(m.shard) {
+		if t == nil || m.latestHeartbeat == nil || m.scaling.terminated || ownShares && !c.shards.table.Places(m.shard) {
 			continue
 		}
 		h := &room[i]
 		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: machineResources(t), Closed: !c.acceptsTasks(m),
-			Free: machineResources(t), Slots: maxTasksPerMachine, Images: m.cachedImages, Price: t.OnDemandPrice, Pulling: m.pulling}
+			Free: machineResources(t), Slots: maxTasksPerMachine, Images: m.images.cached, Price: t.OnDemandPrice, Pulling: m.images.pulling}
 		if m.spot {
 			h.Price = t.SpotPrice
 		}
-		if !c.isDue(m.faultyUntil) {
+		if !c.isDue(m.quarantine.faultyUntil) {
 			h.Penalty = 1
 		}
 		fleet = append(fleet, h)
@@ -191,7 +191,7 @@
 
 // acceptsTasks reports whether a machine may take new tasks now.
 func (c *Controller) acceptsTasks(m *machine) bool {
-	if m == nil || m.latestHeartbeat == nil || m.isTerminated() || m.preemptionAt != 0 || m.status == wire.MachineFailed {
+	if m == nil || m.latestHeartbeat == nil || m.isTerminated() || m.scaling.preemptionAt != 0 || m.scaling.status == wire.MachineFailed {
 		return false
 	}
 	if _, going := c.cache.terminating[m.id]; going {
@@ -205,5 +205,5 @@
 
 // heartbeatsOnTime reports whether a machine was heard within its reporting interval.
 func (c *Controller) heartbeatsOnTime(m *machine) bool {
-	return c.now.Sub(m.lastHeartbeatAt) < config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+	return c.now.Sub(m.liveness.lastHeartbeatAt) < config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -195,7 +195,7 @@
 func (c *Controller) applyJob(id wire.JobID, value json.RawMessage, version wire.Revision) error {
 	c.scheduler.dirty = true
 	for _, e := range c.scheduler.allocationsByJob[id] {
-		e.host.reconciledHeartbeat, e.page.needsReview = nil, true
+		e.host.reconciliation.reconciledHeartbeat, e.page.needsReview = nil, true
 	}
 	if value == nil {
 		// It was moved, in the same change, to a key of its own.
@@ -345,13 +345,13 @@
 	}
 	for id := range c.cache.terminating {
 		if m := c.fleet.machines[id]; m != nil && leaving[id].reason == "" {
-			m.terminationLiftedAt = c.now
+			m.scaling.terminationLiftedAt = c.now
 		}
 	}
 	for _, id := range d.Confirmed {
 		// What stood on it may be placed again at once.
-		if m := c.machine(id); !m.terminated {
-			m.terminated, m.terminatedAt = true, c.now
+		if m := c.machine(id); !m.scaling.terminated {
+			m.scaling.terminated, m.scaling.terminatedAt = true, c.now
 			m.markForReview()
 			c.scheduler.machinesLost, c.scheduler.criticalDirty = true, true
 		}
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -85,7 +85,7 @@
 func (c *Controller) cancellationsKnownAt() Time {
 	least := c.now
 	for _, s := range c.settings.Siblings {
-		p := c.peers[s.Label]
+		p := c.gossip.peers[s.Label]
 		// What an earlier process of a sibling told users is known only if the feed
 		// was read since a line of the present one came.
 		if p == nil || c.cancellations.cacheCurrentAt < p.firstHeardAt {
@@ -140,7 +140,7 @@
 	if more := len(c.cancellations.recentCancellations) - maxRecentCancellations; more > 0 {
 		c.forgetCancellations(c.cancellations.recentCancellations[more-1].Version)
 	}
-	for _, p := range c.peers {
+	for _, p := range c.gossip.peers {
 		if !p.storeReachable {
 			c.cancellations.nextWatermark = min(c.cancellations.nextWatermark, c.now.Add(minWatermarkInterval)) // it cannot read of it
 		}
@@ -168,7 +168,7 @@
 	v := &wire.CancellationWatermark{Process: c.cancellations.process, Sequence: c.cancellations.watermarkSequence, Revision: c.cache.revision}
 	lowest, listening := wire.Revision(math.MaxUint64), wire.Revision(math.MaxUint64)
 	for _, s := range c.settings.Siblings {
-		p := c.peers[s.Label]
+		p := c.gossip.peers[s.Label]
 		if p == nil || p.process == 0 {
 			lowest = 0
 			continue
@@ -245,7 +245,7 @@
 		if m == nil || m.latestHeartbeat == nil {
 			return true, true, true
 		}
-		if m.latestHeartbeat.AgentEpoch > e.AgentEpoch || m.terminated {
+		if m.latestHeartbeat.AgentEpoch > e.AgentEpoch || m.scaling.terminated {
 			continue // its session is over, and what is under way is for that
 		}
 		for i := range e.Tasks.All {
@@ -283,13 +283,13 @@
 			continue
 		}
 		m := c.machine(id)
-		if m.terminated || !open {
+		if m.scaling.terminated || !open {
 			continue
 		}
-		if c.isDue(m.nextCommandsAt) && !m.sendingCommands && (!c.storeReachable() || c.isResponsibleFor(m)) {
+		if c.isDue(m.reconciliation.nextSend) && !m.reconciliation.sending && (!c.storeReachable() || c.isResponsibleFor(m)) {
 			c.sendCommands(m)
 		}
-		if m.latestHeartbeat == nil && m.addr != "" && !m.requestingHeartbeat && c.isDue(m.nextHeartbeatRequest) && c.canProbe() {
+		if m.latestHeartbeat == nil && m.addr != "" && !m.liveness.requesting && c.isDue(m.liveness.nextRequest) && c.canProbe() {
 			c.probeMachine(m) // it cannot be told before it was heard
 		}
 		if c.cannotCommand(m) && c.now.Sub(c.cancellations.machinesWithCompletedTasks[id]) > c.unrecordedTerminationDelay(m) && len(names) < wire.MaxTerminate {
@@ -307,7 +307,7 @@
 	if m.addr == "" {
 		return c.now.Sub(max(m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+time.Second && !c.isolationSuspected()
 	}
-	return m.unansweredCalls >= unreachableThreshold
+	return m.liveness.unansweredCalls >= unreachableThreshold
 }
 
 // isResponsibleFor reports whether it is up to this controller to tell a machine again: it
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -18,8 +18,8 @@
 	if c.fleet.commandCallsInFlight < max(1, most) {
 		return true
 	}
-	if !m.commandsQueued {
-		m.commandsQueued = true
+	if !m.reconciliation.queued {
+		m.reconciliation.queued = true
 		if urgent {
 			c.fleet.queuedUrgentCommands = append(c.fleet.queuedUrgentCommands, m)
 		} else {
@@ -34,10 +34,10 @@
 	for _, held := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
 		for len(*held) > 0 {
 			m := (*held)[0]
-			m.commandsQueued = false
+			m.reconciliation.queued = false
 			*held = (*held)[1:]
 			c.sendCommandsNow(m)
-			if m.commandsQueued {
+			if m.reconciliation.queued {
 				return // it is in line again: too many are still under way
 			}
 		}
@@ -54,7 +54,7 @@
 func (c *Controller) commandsFor(m *machine) []wire.Command {
 	var orders []wire.Command
 	r := m.latestHeartbeat
-	m.launchDeferred = false
+	m.reconciliation.launchDeferred = false
 	for _, e := range m.allocations {
 		if e.AgentEpoch != r.AgentEpoch {
 			continue
@@ -76,7 +76,7 @@
 				// A launch while it may have been withdrawn unknown to us would start it
 				// after its user was told.
 				if !c.canLaunch() || c.defersGangLaunch(m, e, j) {
-					m.launchDeferred = true
+					m.reconciliation.launchDeferred = true
 					continue
 				}
 				orders = append(orders, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: e.Attempt})
@@ -126,18 +126,18 @@
 				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: gracePeriod(0)})
 				continue
 			}
-			since, ok := m.orphanTasks[key]
+			since, ok := m.reconciliation.orphanTasks[key]
 			if !ok {
-				m.orphanTasks[key] = c.now
+				m.reconciliation.orphanTasks[key] = c.now
 			} else if c.cacheComplete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod && len(orders) < maxCommands {
 				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: gracePeriod(0)})
 			}
 			continue
 		}
-		without, ok := m.pendingCleanup[key]
+		without, ok := m.reconciliation.pendingCleanup[key]
 		if !ok {
 			without = neverRevision
-			m.pendingCleanup[key] = without
+			m.reconciliation.pendingCleanup[key] = without
 			fresh = append(fresh, key)
 		}
 		if c.cache.tokenVersion > without && m.latestHeartbeat.Token >= c.cache.token && len(orders) < maxCommands {
@@ -147,14 +147,14 @@
 	if len(fresh) > 0 {
 		c.readBarrier(func(ok bool) { c.confirmUnrecorded(m, fresh, ok) })
 	}
-	for key := range m.pendingCleanup {
+	for key := range m.reconciliation.pendingCleanup {
 		if !seen[key] {
-			delete(m.pendingCleanup, key)
+			delete(m.reconciliation.pendingCleanup, key)
 		}
 	}
-	for key := range m.orphanTasks {
+	for key := range m.reconciliation.orphanTasks {
 		if !seen[key] {
-			delete(m.orphanTasks, key)
+			delete(m.reconciliation.orphanTasks, key)
 		}
 	}
 	return orders
@@ -169,18 +169,18 @@
 func (c *Controller) confirmUnrecorded(m *machine, keys []attemptKey, ok bool) {
 	if !ok {
 		for _, key := range keys {
-			delete(m.pendingCleanup, key)
+			delete(m.reconciliation.pendingCleanup, key)
 		}
 		return
 	}
 	for _, key := range keys {
-		if _, open := m.pendingCleanup[key]; !open {
+		if _, open := m.reconciliation.pendingCleanup[key]; !open {
 			continue
 		}
-		m.pendingCleanup[key] = max(c.cache.revision, c.cache.ownRevision)
+		m.reconciliation.pendingCleanup[key] = max(c.cache.revision, c.cache.ownRevision)
 		for _, e := range m.allocations {
 			if e.Job == key.task.Job && e.Attempt == key.attempt && e.Tasks.Has(key.task.Index) {
-				delete(m.pendingCleanup, key)
+				delete(m.reconciliation.pendingCleanup, key)
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 // sendCommands sends a machine what it has to be told, directly, and reports whether
 // there was anything.
 func (c *Controller) sendCommands(m *machine) bool {
-	if m.sendingCommands || m.latestHeartbeat == nil || m.terminated || !c.isDue(m.nextCommandsAt) || !c.membership.ready {
+	if m.reconciliation.sending || m.latestHeartbeat == nil || m.scaling.terminated || !c.isDue(m.reconciliation.nextSend) || !c.membership.ready {
 		return false
 	}
 	token := c.cache.token
@@ -207,7 +207,7 @@
 		}
 		token = m.latestHeartbeat.Token
 	}
-	if m.reconciledHeartbeat == m.latestHeartbeat {
+	if m.reconciliation.reconciledHeartbeat == m.latestHeartbeat {
 		return false
 	}
 	if orders == nil {
@@ -215,8 +215,8 @@
 	}
 	fenced := len(orders) == 0 && c.awaitsFence(m)
 	if len(orders) == 0 && !fenced {
-		if !m.launchDeferred {
-			m.reconciledHeartbeat = m.latestHeartbeat
+		if !m.reconciliation.launchDeferred {
+			m.reconciliation.reconciledHeartbeat = m.latestHeartbeat
 		}
 		return false
 	}
@@ -226,16 +226,16 @@
 	if fenced {
 		orders = []wire.Command{} // only to be shown the token
 	}
-	m.sendingCommands = true
+	m.reconciliation.sending = true
 	c.fleet.commandCallsInFlight++
-	m.nextCommandsAt = c.now.Add(commandRetryInterval)
+	m.reconciliation.nextSend = c.now.Add(commandRetryInterval)
 	asked := c.now
 	c.emit(SendCommands{call(c, func(a WorkerResponse) {
-		m.sendingCommands = false
+		m.reconciliation.sending = false
 		c.fleet.commandCallsInFlight--
 		c.notePingResult(m, asked, a)
 		c.applyWorkerResponse(m, a)
-		if m.resendCommands {
+		if m.reconciliation.resend {
 			c.sendCommandsNow(m)
 		}
 		c.sendQueuedCommands()
@@ -257,12 +257,12 @@
 
 // sendCommandsNow sends what has just been decided.
 func (c *Controller) sendCommandsNow(m *machine) {
-	if m.sendingCommands {
-		m.resendCommands = true
+	if m.reconciliation.sending {
+		m.reconciliation.resend = true
 		return
 	}
-	m.resendCommands = false
-	m.nextCommandsAt = c.now
+	m.reconciliation.resend = false
+	m.reconciliation.nextSend = c.now
 	c.sendCommands(m)
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -38,14 +38,10 @@
 	forwarding    jobForwarding
 	metrics       metrics
 	cancellations cancellationWatermark
-	peers         map[string]*peerState
-
-	lastStep       Time
-	resumedAt      Time // when this process last went on after standing still
-	nextHeartbeat  Time
-	nextGossip     Time
-	gossipAll      bool // a sibling is new: tell it all that was heard
-	gossipMachines map[wire.MachineID]bool
+	gossip        gossip
+
+	lastStep  Time
+	resumedAt Time // when this process last went on after standing still
 }
 
 // New makes a controller that has just started.
@@ -55,9 +51,10 @@
 		log:          log,
 		rand:         rand.New(rand.NewPCG(seed, 0x6c696c61)),
 		pendingCalls: map[CallID]pendingCall{},
-		peers:        map[string]*peerState{},
-
-		gossipMachines: map[wire.MachineID]bool{},
+		gossip: gossip{
+			peers:           map[string]*peerState{},
+			pendingMachines: map[wire.MachineID]bool{},
+		},
 	}
 	c.cache.init()
 	c.fleet.init(sockets.Share(settings).Direct)
@@ -140,7 +137,7 @@
 // sibling is not enough.
 func (c *Controller) lostPeerQuorum() bool {
 	heard := 1
-	for _, p := range c.peers {
+	for _, p := range c.gossip.peers {
 		if c.now.Sub(p.ackedAt) <= ackTimeout {
 			heard++
 		}
@@ -215,7 +212,7 @@
 // not; "" if there is none.
 func (c *Controller) peerWithStore() string {
 	for _, s := range c.settings.Siblings {
-		if p := c.peers[s.Label]; p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 2*peerHeartbeatInterval+peerHeartbeatInterval/2 {
+		if p := c.gossip.peers[s.Label]; p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 2*peerHeartbeatInterval+peerHeartbeatInterval/2 {
 			return s.Label
 		}
 	}
--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -62,7 +62,7 @@
 	j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFaultyMachineFor)
 	j.crashLoop.failedMachines[m.id] = c.now
 	j.crashLoop.runningSince = 0
-	m.failedJobs[j.id] = c.now
+	m.quarantine.failedJobs[j.id] = c.now
 	if len(j.crashLoop.failedMachines) >= minFailedMachines && !c.inBackoff(j) {
 		// It fails wherever it runs: the job is at fault, not the machines.
 		pause := min(minCrashLoopBackoff<<min(j.crashLoop.consecutiveBackoffs, 10), maxCrashLoopBackoff)
@@ -116,20 +116,20 @@
 // tells half as much; one that was withdrawn tells nothing.
 func (c *Controller) quarantineIfFaulty(m *machine) {
 	n := 0.0
-	for id, at := range m.failedJobs {
+	for id, at := range m.quarantine.failedJobs {
 		j := c.cache.jobs[id]
 		f, _ := c.completion(id)
 		switch {
 		case c.now.Sub(at) > faultyMachineLifetime:
-			delete(m.failedJobs, id)
+			delete(m.quarantine.failedJobs, id)
 		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.crashLoop.failedMachines) < minFailedMachines && j.crashLoop.hasSucceeded:
 			n++
 		case j != nil && len(j.crashLoop.failedMachines) < minFailedMachines:
 			n += 0.5
 		}
 	}
-	if n >= faultyMachineThreshold && c.isDue(m.faultyUntil) {
-		m.faultyUntil = c.now.Add(faultyMachineLifetime)
+	if n >= faultyMachineThreshold && c.isDue(m.quarantine.faultyUntil) {
+		m.quarantine.faultyUntil = c.now.Add(faultyMachineLifetime)
 		c.log.Info("machine looks faulty", "machine", m.id, "jobs", n)
 	}
 }
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -58,7 +58,7 @@
 // they can still save.
 func (c *Controller) evictFromPreemptedMachines(rounds map[string]*placementTransaction) {
 	for _, m := range c.orderedMachines() {
-		if m.preemptionAt == 0 {
+		if m.scaling.preemptionAt == 0 {
 			continue
 		}
 		for _, e := range m.allocations {
@@ -71,7 +71,7 @@
 				continue
 			}
 			saves := j.spec.CheckpointIntervalS > 0
-			left := m.preemptionAt.Sub(c.now).Seconds()
+			left := m.scaling.preemptionAt.Sub(c.now).Seconds()
 			if saves && left < j.spec.CheckpointSaveS+2*checkpointMarginS || j.spec.Shape == wire.ShapeService {
 				if j.spec.Shape == wire.ShapeGang {
 					c.stageJobEviction(r, j.id, record.EvictionGraceful)
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -104,7 +104,7 @@
 	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.guaranteed
 	other := ""
 	for _, label := range c.membership.eligibleControllers {
-		p := c.peers[label]
+		p := c.gossip.peers[label]
 		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.lastHeardAt) > peerTimeout || c.shards.table.Owned(label) == 0 {
 			continue
 		}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -112,7 +112,7 @@
 // imagePullTime is how long a machine may take to fetch a job's image; 0 if it has it.
 func (c *Controller) imagePullTime(m *machine, j *job) time.Duration {
 	t := c.machineTypeNamed(m.machineType)
-	if t == nil || t.PullGBPerS <= 0 || m.cachedImages[j.spec.Image] {
+	if t == nil || t.PullGBPerS <= 0 || m.images.cached[j.spec.Image] {
 		return 0
 	}
 	return config.Seconds(imagePullMargin * j.spec.ImageGB / t.PullGBPerS)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -7,6 +7,16 @@
 	"lilacrill/wire"
 )
 
+// gossip is what controllers tell one another: hints only, which never prove anything.
+type gossip struct {
+	peers         map[string]*peerState
+	nextHeartbeat Time
+	nextMessage   Time
+	// sendAll says that a sibling is new and is to be told all that was heard.
+	sendAll         bool
+	pendingMachines map[wire.MachineID]bool // machines heard since the last message
+}
+
 // peerState is what a sibling last said of itself. It is a hint only.
 type peerState struct {
 	lastHeardAt    Time
@@ -23,18 +33,18 @@
 // sendGossip tells the siblings what was heard since the last time; if nothing was,
 // from time to time only that this controller lives.
 func (c *Controller) sendGossip() {
-	if !c.isDue(c.nextGossip) {
+	if !c.isDue(c.gossip.nextMessage) {
 		return
 	}
-	c.nextGossip = c.now.Add(gossipInterval)
+	c.gossip.nextMessage = c.now.Add(gossipInterval)
 	line := c.newPeerMessage()
-	if c.gossipAll {
-		c.gossipAll = false
+	if c.gossip.sendAll {
+		c.gossip.sendAll = false
 		for id, m := range c.fleet.machines {
-			if m.directHeartbeat != nil && c.now.Sub(m.lastDirectAt) < forgetMachineAfter && !m.terminated {
-				c.gossipMachines[id] = true
+			if m.directHeartbeat != nil && c.now.Sub(m.liveness.lastDirectAt) < forgetMachineAfter && !m.scaling.terminated {
+				c.gossip.pendingMachines[id] = true
 			}
-			m.gossipedHeartbeat = nil
+			m.liveness.gossipedHeartbeat = nil
 		}
 		c.provisioner.gossipedStatus = nil
 	}
@@ -42,26 +52,26 @@
 		line.Watermark = c.newWatermark()
 	}
 	c.addCapacityOffer(line)
-	for _, id := range sortedKeys(c.gossipMachines) {
+	for _, id := range sortedKeys(c.gossip.pendingMachines) {
 		m := c.fleet.machines[id]
 		if m == nil || m.directHeartbeat == nil {
 			continue
 		}
 		r := m.directHeartbeat
-		if m.gossipedHeartbeat != nil && sameStatus(m.gossipedHeartbeat, r) {
+		if m.liveness.gossipedHeartbeat != nil && sameStatus(m.liveness.gossipedHeartbeat, r) {
 			line.UnchangedHeartbeats = append(line.UnchangedHeartbeats, wire.UnchangedHeartbeat{Machine: id, AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, Token: r.Token})
 		} else {
 			line.Heartbeats = append(line.Heartbeats, r)
 		}
-		m.gossipedHeartbeat = r
+		m.liveness.gossipedHeartbeat = r
 		if len(line.Heartbeats) == heartbeatsPerMessage {
 			c.broadcast(line)
 			line = c.newPeerMessage()
 		}
 	}
-	clear(c.gossipMachines)
-	if len(line.Heartbeats) > 0 || len(line.UnchangedHeartbeats) > 0 || line.Watermark != nil || line.Capacity != nil || c.isDue(c.nextHeartbeat) {
-		c.nextHeartbeat = c.now.Add(peerHeartbeatInterval)
+	clear(c.gossip.pendingMachines)
+	if len(line.Heartbeats) > 0 || len(line.UnchangedHeartbeats) > 0 || line.Watermark != nil || line.Capacity != nil || c.isDue(c.gossip.nextHeartbeat) {
+		c.gossip.nextHeartbeat = c.now.Add(peerHeartbeatInterval)
 		c.broadcast(line)
 	}
 }
@@ -93,10 +103,10 @@
 		c.log.Warn("line from an unknown peer dropped", "peer", l.From)
 		return
 	}
-	p := c.peers[l.From]
+	p := c.gossip.peers[l.From]
 	if p == nil {
 		p = &peerState{lastHeardAt: -Time(peerTimeout) - 1, ackedAt: -Time(ackTimeout) - 1}
-		c.peers[l.From] = p
+		c.gossip.peers[l.From] = p
 	}
 	for _, r := range l.Heartbeats {
 		c.applyHeartbeat(r, false)
@@ -112,7 +122,7 @@
 	}
 	c.applyForwardedJobs(l.ForwardedJobs)
 	if c.now.Sub(p.lastHeardAt) > peerTimeout {
-		c.gossipAll = true // it may be new, or have missed much
+		c.gossip.sendAll = true // it may be new, or have missed much
 	}
 	p.lastHeardAt, p.storeReachable = c.now, l.StoreReachable
 	if l.Watermark != nil {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -26,7 +26,7 @@
 		return
 	}
 	for _, m := range c.fleet.machines {
-		m.holdsHeadroom = false
+		m.scaling.holdsHeadroom = false
 	}
 	c.provisioner.missingHeadroom = 0
 	for _, s := range c.headroomDemands() {
@@ -35,7 +35,7 @@
 			Relax: true,
 		}) {
 			left -= ch.Count
-			c.fleet.machines[ch.Machine].holdsHeadroom = true
+			c.fleet.machines[ch.Machine].scaling.holdsHeadroom = true
 		}
 		c.provisioner.missingHeadroom += left
 	}
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -71,11 +71,11 @@
 func (c *Controller) shouldRedirectToPeer(m *machine) bool {
 	w := &c.settings.Cluster.Workers
 	tour := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
-	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay || m.redirectedToPeerAt > c.cache.lastStoreResponse ||
+	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay || m.liveness.redirectedToPeerAt > c.cache.lastStoreResponse ||
 		tour+config.Seconds(1.25*w.ReportS)+workerTimeout > config.Seconds(w.LeaseS) {
 		return false
 	}
-	m.redirectedToPeerAt = c.now
+	m.liveness.redirectedToPeerAt = c.now
 	c.metrics.count(countPeerRedirects, 1)
 	return true
 }
@@ -99,9 +99,9 @@
 
 func (c *Controller) respondToHeartbeat(in HeartbeatReceived) {
 	m := c.machine(in.Heartbeat.Machine)
-	came := m.directHeartbeat == nil || c.now.Sub(m.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS)
+	came := m.directHeartbeat == nil || c.now.Sub(m.liveness.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
-	if came && !m.requestingHeartbeat && !m.terminated && c.canProbe() {
+	if came && !m.liveness.requesting && !m.scaling.terminated && c.canProbe() {
 		// It may have come because nothing reaches it, or this may be a late copy
 		// of a report that it sent long ago.
 		c.probeMachine(m)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -15,7 +15,7 @@
 // known, or that we have had no chance to hear yet, as when this process stood
 // still itself, is not silent.
 func (c *Controller) lastSeen(m *machine) Time {
-	return max(m.lastHeartbeatAt, m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
+	return max(m.liveness.lastHeartbeatAt, m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
 }
 
 // heartbeatTimeout is how long a worker may be silent before it is asked: its reports
@@ -76,17 +76,17 @@
 			c.fleet.reachableSince = c.now
 		}
 		c.fleet.lastDirectHeartbeat = c.now
-		c.gossipMachines[m.id] = true
+		c.gossip.pendingMachines[m.id] = true
 	}
 	if direct && (m.directHeartbeat == nil || r.Newer(m.directHeartbeat)) {
 		if m.directHeartbeat == nil || !sameStatus(m.directHeartbeat, r) {
 			m.markForReview()
 			c.scheduler.dirty = true
 		}
-		m.directHeartbeat, m.directTasks, m.lastDirectAt = r, tasksByAttempt(r), c.now
-		for key, since := range m.missingSince {
+		m.directHeartbeat, m.directTasks, m.liveness.lastDirectAt = r, tasksByAttempt(r), c.now
+		for key, since := range m.reconciliation.missingSince {
 			if m.directTasks[key] != nil || c.now.Sub(since) > forgetMachineAfter {
-				delete(m.missingSince, key)
+				delete(m.reconciliation.missingSince, key)
 			}
 		}
 	}
@@ -97,14 +97,14 @@
 	// A report that only says that the machine is still there changes no plan.
 	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(m.latestHeartbeat, r) || !c.heartbeatsOnTime(m)
 	c.resetUnansweredAfterSilence(m)
-	m.latestHeartbeat, m.tasks, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = r, tasksByAttempt(r), c.now, 0
+	m.latestHeartbeat, m.tasks, m.liveness.lastHeartbeatAt, m.liveness.unansweredRequests = r, tasksByAttempt(r), c.now, 0
 	m.addr, m.machineType, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
 	if first {
 		c.noteJoined(m)
 	}
-	m.preemptionAt = 0
+	m.scaling.preemptionAt = 0
 	if r.PreemptionNoticeS != nil {
-		m.preemptionAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+		m.scaling.preemptionAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 	pulling := map[string]bool{}
 	for id, t := range m.tasks {
@@ -126,7 +126,7 @@
 			c.noteTaskExit(m, t)
 		}
 	}
-	m.pulling = len(pulling)
+	m.images.pulling = len(pulling)
 	if !direct && c.membership.ready {
 		c.confirmDirectly(m)
 	}
@@ -135,8 +135,8 @@
 // resetUnansweredAfterSilence is called when a machine is heard. What it left unanswered while
 // nothing came from it either does not show that it hears nothing.
 func (c *Controller) resetUnansweredAfterSilence(m *machine) {
-	if c.now.Sub(m.lastHeartbeatAt) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack {
-		m.unansweredCalls = 0
+	if c.now.Sub(m.liveness.lastHeartbeatAt) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack {
+		m.liveness.unansweredCalls = 0
 	}
 }
 
@@ -150,7 +150,7 @@
 	c.resetUnansweredAfterSilence(m)
 	r := *m.latestHeartbeat
 	r.Sequence, r.Token = h.Sequence, h.Token
-	m.latestHeartbeat, m.lastHeartbeatAt, m.unansweredHeartbeatRequests = &r, c.now, 0
+	m.latestHeartbeat, m.liveness.lastHeartbeatAt, m.liveness.unansweredRequests = &r, c.now, 0
 	if c.membership.ready {
 		c.confirmDirectly(m)
 	}
@@ -159,7 +159,7 @@
 // confirmDirectly asks a machine itself when a passed-on report hints at something that
 // this controller, as its owner, should write down: hints prove nothing.
 func (c *Controller) confirmDirectly(m *machine) {
-	if m.requestingHeartbeat || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.nextHeartbeatRequest) || !c.canProbe() {
+	if m.liveness.requesting || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.liveness.nextRequest) || !c.canProbe() {
 		return
 	}
 	for _, e := range m.allocations {
@@ -198,7 +198,7 @@
 			}
 			return 1
 		}
-		return cmp.Compare(a.nextHeartbeatRequest, b.nextHeartbeatRequest)
+		return cmp.Compare(a.liveness.nextRequest, b.liveness.nextRequest)
 	})
 	for _, m := range due {
 		if !c.canProbe() {
@@ -210,16 +210,16 @@
 
 // probeMachine asks a worker for its report.
 func (c *Controller) probeMachine(m *machine) {
-	m.requestingHeartbeat = true
-	m.nextHeartbeatRequest = c.now.Add(heartbeatRequestInterval)
+	m.liveness.requesting = true
+	m.liveness.nextRequest = c.now.Add(heartbeatRequestInterval)
 	c.fleet.heartbeatRequestsInFlight++
 	c.metrics.count(countProbes, 1)
 	asked := c.now
 	c.emit(RequestHeartbeat{call(c, func(a WorkerResponse) {
-		m.requestingHeartbeat = false
+		m.liveness.requesting = false
 		c.fleet.heartbeatRequestsInFlight--
 		if a.Heartbeat == nil {
-			m.unansweredHeartbeatRequests++
+			m.liveness.unansweredRequests++
 		}
 		c.notePingResult(m, asked, a)
 		c.applyWorkerResponse(m, a)
@@ -230,21 +230,21 @@
 // arrive, but which nothing reaches, looks well while its lease runs out.
 func (c *Controller) notePingResult(m *machine, asked Time, a WorkerResponse) {
 	if a.Heartbeat != nil {
-		m.unansweredCalls = 0
+		m.liveness.unansweredCalls = 0
 		return
 	}
 	if asked < c.fleet.reachableSince {
 		return // it was us
 	}
-	if m.unansweredCalls == 0 || m.unreachableSince < c.fleet.reachableSince {
-		m.unreachableSince, m.unansweredCalls = asked, 0
+	if m.liveness.unansweredCalls == 0 || m.liveness.unreachableSince < c.fleet.reachableSince {
+		m.liveness.unreachableSince, m.liveness.unansweredCalls = asked, 0
 	}
-	m.unansweredCalls++
+	m.liveness.unansweredCalls++
 }
 
 // unreachable reports whether a machine seems not to hear what it is told: it gets
 // no new work.
-func (m *machine) unreachable() bool { return m.unansweredCalls >= unreachableThreshold }
+func (m *machine) unreachable() bool { return m.liveness.unansweredCalls >= unreachableThreshold }
 
 // unreachableThreshold is how many direct calls in a row a machine may leave unanswered
 // before it counts as one that does not hear.
@@ -293,12 +293,12 @@
 	c.fleet.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
 	var known []*machine // the ones heard last, in order
 	for _, m := range c.orderedMachines() {
-		if m.addr == "" || m.terminated || m.requestingHeartbeat || c.now.Sub(m.lastHeartbeatAt) >= forgetMachineAfter || m.latestHeartbeat == nil {
+		if m.addr == "" || m.scaling.terminated || m.liveness.requesting || c.now.Sub(m.liveness.lastHeartbeatAt) >= forgetMachineAfter || m.latestHeartbeat == nil {
 			continue
 		}
 		// One that answers is as good as any other; one that did not may be dead.
 		i, _ := slices.BinarySearchFunc(known, m, func(a, b *machine) int {
-			return cmp.Or(cmp.Compare(a.unansweredCalls, b.unansweredCalls), -cmp.Compare(a.lastHeartbeatAt, b.lastHeartbeatAt))
+			return cmp.Or(cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls), -cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
 		})
 		if i < reachabilityProbeCandidates {
 			known = slices.Insert(known, i, m)
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -16,17 +16,17 @@
 // noteImageUse notes that a machine has an image; of very many the one that was
 // seen longest ago is forgotten.
 func (c *Controller) noteImageUse(m *machine, image string) {
-	if _, known := m.imagesLastUsed[image]; !known && len(m.imagesLastUsed) >= maxCachedImages {
+	if _, known := m.images.lastUsed[image]; !known && len(m.images.lastUsed) >= maxCachedImages {
 		oldest := image
-		for _, name := range sortedKeys(m.imagesLastUsed) {
-			if oldest == image || m.imagesLastUsed[name] < m.imagesLastUsed[oldest] {
+		for _, name := range sortedKeys(m.images.lastUsed) {
+			if oldest == image || m.images.lastUsed[name] < m.images.lastUsed[oldest] {
 				oldest = name
 			}
 		}
-		delete(m.imagesLastUsed, oldest)
-		delete(m.cachedImages, oldest)
+		delete(m.images.lastUsed, oldest)
+		delete(m.images.cached, oldest)
 	}
-	m.imagesLastUsed[image], m.cachedImages[image] = c.now, true
+	m.images.lastUsed[image], m.images.cached[image] = c.now, true
 }
 
 // applyImageBucket takes over what was noted of machines' images, so that a
@@ -57,8 +57,8 @@
 
 func (c *Controller) restoreRecordedImages(m *machine) {
 	for _, image := range c.fleet.recordedImages[m.id] {
-		if _, ok := m.imagesLastUsed[image]; !ok && len(m.imagesLastUsed) < maxCachedImages {
-			m.imagesLastUsed[image], m.cachedImages[image] = 0, true
+		if _, ok := m.images.lastUsed[image]; !ok && len(m.images.lastUsed) < maxCachedImages {
+			m.images.lastUsed[image], m.images.cached[image] = 0, true
 		}
 	}
 }
@@ -87,11 +87,11 @@
 func (c *Controller) imagesInBucket(shard int) map[wire.MachineID][]string {
 	latest := map[wire.MachineID][]string{}
 	for _, m := range c.orderedMachines() {
-		if m.latestHeartbeat == nil || m.terminated || imageBucketOf(m.id) != shard || len(m.imagesLastUsed) == 0 {
+		if m.latestHeartbeat == nil || m.scaling.terminated || imageBucketOf(m.id) != shard || len(m.images.lastUsed) == 0 {
 			continue
 		}
-		images := sortedKeys(m.imagesLastUsed)
-		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.imagesLastUsed[a], m.imagesLastUsed[b]) })
+		images := sortedKeys(m.images.lastUsed)
+		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.images.lastUsed[a], m.images.lastUsed[b]) })
 		latest[m.id] = images
 	}
 	for most := maxRecordedImages; most > 1; most-- {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -62,55 +62,83 @@
 	zone         string
 	spot         bool
 	shard        wire.ShardID
-	firstKnownAt Time // when it was first known here
-	// allocations is what stands on it by the records, host what the planning pass under
+	firstKnownAt Time
+
+	// allocations is what the records place on it, host what the scheduling pass under
 	// way makes of it.
-	allocations  []*Allocation
-	host         *placement.Host
-	status       wire.MachineStatus
-	lastListedAt Time // when the list last had it
+	allocations []*Allocation
+	host        *placement.Host
 
-	// latestHeartbeat is the newest report, whoever got it; direct is the newest that
-	// this controller got itself. Only direct ones prove anything.
+	// latestHeartbeat is the newest heartbeat, whichever controller received it;
+	// directHeartbeat is the newest that this controller received itself. Only direct
+	// heartbeats prove anything. tasks and directTasks index their tasks.
 	latestHeartbeat, directHeartbeat *wire.Heartbeat
-	tasks                            map[attemptKey]*wire.TaskStatus // of newest
-	directTasks                      map[attemptKey]*wire.TaskStatus // of direct
-	lastHeartbeatAt                  Time                            // when something new last came
-	lastDirectAt                     Time
-	preemptionAt                     Time // when the cloud takes it, if newest has a notice
+	tasks, directTasks               map[attemptKey]*wire.TaskStatus
+
+	liveness       liveness
+	reconciliation reconciliation
+	scaling        scaling
+	images         imageCache
+	quarantine     quarantine
+}
+
+// liveness is what the failure detector knows of a machine.
+type liveness struct {
+	lastHeartbeatAt Time // when something new last came
+	lastDirectAt    Time
 
-	imagesLastUsed map[string]Time // images it has, and when they were last seen in use
-	cachedImages   map[string]bool // the same, as placement reads it
+	unansweredCalls  int  // direct calls without a response since the last that had one, whatever it reports
+	unreachableSince Time // when the first of them was made
 
-	pulling int // images that it is fetching
+	requesting         bool
+	nextRequest        Time
+	unansweredRequests int // unanswered in a row
 
+	gossipedHeartbeat   *wire.Heartbeat // what the siblings were last told
 	redirectedToPeerAt  Time            // when it was told to try another controller
-	redirectedToOwnerAt Time            // when it was led to the owner of its share
-	gossipedHeartbeat   *wire.Heartbeat // what the siblings were last told of it
-	unansweredCalls     int             // direct calls without an answer since the last that had one, whatever it reports
-	unreachableSince    Time            // when the first of them was made
-
-	sendingCommands             bool
-	commandsQueued              bool            // waits for its orders to be sent
-	launchDeferred              bool            // a launch is held back until the rest of its gang is nearer
-	reconciledHeartbeat         *wire.Heartbeat // the newest report if nothing has to be told that follows from it
-	resendCommands              bool            // something new came up while pushing
-	nextCommandsAt              Time            // not before
-	requestingHeartbeat         bool
-	nextHeartbeatRequest        Time
-	unansweredHeartbeatRequests int // unanswered in a row
-	faultyUntil                 Time
-	failedJobs                  map[wire.JobID]Time
-
-	pendingCleanup      map[attemptKey]wire.Revision // exited tasks without an entry, and the revision that is known to lack it
-	missingSince        map[attemptKey]Time          // tasks of entries that its reports lack, and since when
-	orphanTasks         map[attemptKey]Time          // running tasks without an entry, and since when
-	terminated          bool                         // the cloud confirmed that it was returned
-	terminatedAt        Time
-	terminationLiftedAt Time // when it left the list of those to be returned: it is gone unless heard since
-	launchedAt          Time // when it was rented, as far as known
+	redirectedToOwnerAt Time            // when it was redirected to the owner of its shard
+}
+
+// reconciliation compares what a machine runs with what the records say, and tracks
+// the commands that follow from it.
+type reconciliation struct {
+	sending        bool
+	queued         bool // waits for other calls to end
+	launchDeferred bool // a launch is deferred until the rest of its gang is nearer
+	resend         bool // something new came up while sending
+	nextSend       Time // not before
+
+	reconciledHeartbeat *wire.Heartbeat // the latest heartbeat if no command follows from it
+
+	pendingCleanup map[attemptKey]wire.Revision // exited tasks without an allocation, and the revision that is known to lack it
+	missingSince   map[attemptKey]Time          // tasks of allocations that its heartbeats lack, and since when
+	orphanTasks    map[attemptKey]Time          // running tasks without an allocation, and since when
+}
+
+// scaling is a machine's life in the cloud, from its launch to its termination.
+type scaling struct {
+	status              wire.MachineStatus
+	lastListedAt        Time // when the cloud's list last had it
+	launchedAt          Time // when it was requested, as far as known
+	preemptionAt        Time // when the cloud takes it, if the latest heartbeat has a notice
 	idleSince           Time
-	holdsHeadroom       bool // holds room that is kept free
+	holdsHeadroom       bool
+	terminated          bool // the cloud confirmed its termination
+	terminatedAt        Time
+	terminationLiftedAt Time // when it left the list of machines to terminate: it is terminated unless heard since
+}
+
+// imageCache is which images a machine has.
+type imageCache struct {
+	lastUsed map[string]Time // images it has, and when they were last seen in use
+	cached   map[string]bool // the same, as placement reads it
+	pulling  int             // images that it is pulling
+}
+
+// quarantine keeps tasks away from a machine on which several jobs failed.
+type quarantine struct {
+	faultyUntil Time
+	failedJobs  map[wire.JobID]Time
 }
 
 type attemptKey struct {
@@ -123,20 +151,28 @@
 	return attemptKey{wire.TaskID{Job: e.Job, Index: i}, e.Attempt}
 }
 
+func newMachine(id wire.MachineID, now Time) *machine {
+	return &machine{
+		id:           id,
+		shard:        shard.ShardOf(id),
+		firstKnownAt: now,
+		reconciliation: reconciliation{
+			pendingCleanup: map[attemptKey]wire.Revision{},
+			missingSince:   map[attemptKey]Time{},
+			orphanTasks:    map[attemptKey]Time{},
+		},
+		images: imageCache{
+			lastUsed: map[string]Time{},
+			cached:   map[string]bool{},
+		},
+		quarantine: quarantine{failedJobs: map[wire.JobID]Time{}},
+	}
+}
+
 func (c *Controller) machine(id wire.MachineID) *machine {
 	m := c.fleet.machines[id]
 	if m == nil {
-		m = &machine{
-			id:             id,
-			shard:          shard.ShardOf(id),
-			firstKnownAt:   c.now,
-			imagesLastUsed: map[string]Time{},
-			cachedImages:   map[string]bool{},
-			failedJobs:     map[wire.JobID]Time{},
-			pendingCleanup: map[attemptKey]wire.Revision{},
-			orphanTasks:    map[attemptKey]Time{},
-			missingSince:   map[attemptKey]Time{},
-		}
+		m = newMachine(id, c.now)
 		c.fleet.machines[id] = m
 		c.fleet.machinesByID = nil
 		c.restoreRecordedImages(m)
@@ -174,7 +210,7 @@
 // isTerminated reports whether a machine was returned, as far as can be told: asking it
 // would only cost calls.
 func (m *machine) isTerminated() bool {
-	return m.terminated || m.terminationLiftedAt > m.lastHeartbeatAt
+	return m.scaling.terminated || m.scaling.terminationLiftedAt > m.liveness.lastHeartbeatAt
 }
 
 const (
@@ -212,18 +248,18 @@
 	var due []*machine // to be asked for their reports
 	c.fleet.machinesUp = 0
 	for _, m := range c.orderedMachines() {
-		if m.terminated || c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.lastListedAt) > forgetMachineAfter {
-			if len(m.allocations) == 0 && (!m.terminated || c.now.Sub(m.terminatedAt) > forgetMachineAfter) {
+		if m.scaling.terminated || c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.scaling.lastListedAt) > forgetMachineAfter {
+			if len(m.allocations) == 0 && (!m.scaling.terminated || c.now.Sub(m.scaling.terminatedAt) > forgetMachineAfter) {
 				delete(c.fleet.machines, m.id)
 				c.fleet.machinesByID = nil
 			}
 			continue
 		}
-		if !m.isTerminated() && (m.latestHeartbeat != nil || m.status == wire.MachineRunning) {
+		if !m.isTerminated() && (m.latestHeartbeat != nil || m.scaling.status == wire.MachineRunning) {
 			c.fleet.machinesUp++
 		}
-		uncleared = max(uncleared, len(m.pendingCleanup))
-		oldest = oldest || len(m.pendingCleanup) > 0
+		uncleared = max(uncleared, len(m.reconciliation.pendingCleanup))
+		oldest = oldest || len(m.reconciliation.pendingCleanup) > 0
 		quiet := c.now.Sub(c.lastSeen(m))
 		if m.latestHeartbeat != nil && quiet < forgetMachineAfter {
 			reporting++
@@ -231,7 +267,7 @@
 				unreachable++
 			}
 		}
-		if m.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.nextCommandsAt) && quiet < c.heartbeatTimeout(m) {
+		if m.reconciliation.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.reconciliation.nextSend) && quiet < c.heartbeatTimeout(m) {
 			for _, e := range m.allocations {
 				if e.Launcher == c.membership.incarnation && e.Eviction == record.EvictionNone {
 					if c.sendCommands(m) {
@@ -246,8 +282,8 @@
 		}
 		// Ask a silent worker itself: it may have lost its way to us. So is one
 		// that left a call unanswered, though its reports go on.
-		if m.addr != "" && m.status != wire.MachineBooting && !m.requestingHeartbeat && c.isDue(m.nextHeartbeatRequest) &&
-			(m.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)) {
+		if m.addr != "" && m.scaling.status != wire.MachineBooting && !m.liveness.requesting && c.isDue(m.liveness.nextRequest) &&
+			(m.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)) {
 			due = append(due, m)
 		}
 	}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -221,10 +221,10 @@
 		if m.latestHeartbeat == nil {
 			m.addr, m.machineType, m.zone, m.spot = l.Addr, l.Type, l.Zone, l.Spot
 		}
-		m.lastListedAt = c.now
-		m.status = l.Status
-		if born := c.now.Add(-config.Seconds(l.AgeS)); m.launchedAt == 0 || born < m.launchedAt {
-			m.launchedAt = born
+		m.scaling.lastListedAt = c.now
+		m.scaling.status = l.Status
+		if born := c.now.Add(-config.Seconds(l.AgeS)); m.scaling.launchedAt == 0 || born < m.scaling.launchedAt {
+			m.scaling.launchedAt = born
 		}
 	}
 }
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -26,7 +26,7 @@
 
 // isProvisioning reports whether a rented machine has not come up yet.
 func (m *machine) isProvisioning() bool {
-	return m.latestHeartbeat == nil && !m.terminated && m.status != wire.MachineFailed
+	return m.latestHeartbeat == nil && !m.scaling.terminated && m.scaling.status != wire.MachineFailed
 }
 
 // expectedToJoin reports whether a rented machine may still be expected to come up soon.
@@ -38,7 +38,7 @@
 	if _, going := c.cache.terminating[m.id]; going {
 		return false
 	}
-	return c.now.Sub(m.launchedAt) < config.Seconds(expectedDelayFactor*t.StartupS)+expectedDelaySlack
+	return c.now.Sub(m.scaling.launchedAt) < config.Seconds(expectedDelayFactor*t.StartupS)+expectedDelaySlack
 }
 
 // neverJoined reports whether a machine is to be given up that did not come up.
@@ -51,21 +51,21 @@
 	// late: returned too soon, none would ever come up.
 	boots := c.provisioner.provisioningDelays[m.machineType]
 	most := abandonFactorWhenLate
-	if boots.lastJoinedLaunch > m.launchedAt && (boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime) {
+	if boots.lastJoinedLaunch > m.scaling.launchedAt && (boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime) {
 		most = abandonFactor
 	}
-	return c.now.Sub(m.launchedAt) > config.Seconds(most*t.StartupS)+abandonSlack
+	return c.now.Sub(m.scaling.launchedAt) > config.Seconds(most*t.StartupS)+abandonSlack
 }
 
 // noteJoined notes how long a machine took to come up.
 func (c *Controller) noteJoined(m *machine) {
 	t := c.machineTypeNamed(m.machineType)
-	if t == nil || m.launchedAt == 0 || m.launchedAt < c.membership.readyAt {
+	if t == nil || m.scaling.launchedAt == 0 || m.scaling.launchedAt < c.membership.readyAt {
 		return
 	}
 	boots := c.provisioner.provisioningDelays[m.machineType]
-	boots.lastJoinedLaunch = max(boots.lastJoinedLaunch, m.launchedAt)
-	if took := c.now.Sub(m.launchedAt); took > config.Seconds(lateFactor*t.StartupS) {
+	boots.lastJoinedLaunch = max(boots.lastJoinedLaunch, m.scaling.launchedAt)
+	if took := c.now.Sub(m.scaling.launchedAt); took > config.Seconds(lateFactor*t.StartupS) {
 		if boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime {
 			c.log.Info("machines come up late", "type", m.machineType, "zone", m.zone, "took", took)
 		}
@@ -85,7 +85,7 @@
 func (c *Controller) overdueFractions() map[capacity.Key]float64 {
 	waiting, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
 	for _, m := range c.fleet.machines {
-		if _, going := c.cache.terminating[m.id]; going || !m.isProvisioning() || m.status != wire.MachineBooting {
+		if _, going := c.cache.terminating[m.id]; going || !m.isProvisioning() || m.scaling.status != wire.MachineBooting {
 			continue
 		}
 		key := capacity.Key{Type: m.machineType, Zone: m.zone, Spot: m.spot}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -39,7 +39,7 @@
 		// What we return ourselves falls silent, which says nothing about us.
 		if _, going := c.cache.terminating[id]; m.latestHeartbeat != nil && !m.isTerminated() && !going {
 			reporting++
-			lastHeard[m.zone] = max(lastHeard[m.zone], m.lastHeartbeatAt)
+			lastHeard[m.zone] = max(lastHeard[m.zone], m.liveness.lastHeartbeatAt)
 			// Reports may be further apart than that: only what was asked and did
 			// not answer is silent, or should have been asked by somebody long ago. Where all that had no reason to report counted, a
 			// zone that was cut off was never seen to be, and with one sibling out of
@@ -47,7 +47,7 @@
 			switch quiet := c.now.Sub(c.lastSeen(m)); {
 			case quiet <= silence/2:
 				byHeard[m.zone]++
-			case m.unansweredHeartbeatRequests > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
+			case m.liveness.unansweredRequests > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
 				bySilent[m.zone]++
 				silent++
 			}
@@ -71,39 +71,39 @@
 		c.isolationSuspected() && (silent < reporting || !c.allPeersHeard())
 	for _, m := range c.orderedMachines() {
 		id := m.id
-		if _, going := c.cache.terminating[id]; m.terminated && len(m.allocations) > 0 && !going && c.provisioner.toTerminate[id] == "" && !slices.Contains(c.cache.terminations.Confirmed, id) {
+		if _, going := c.cache.terminating[id]; m.scaling.terminated && len(m.allocations) > 0 && !going && c.provisioner.toTerminate[id] == "" && !slices.Contains(c.cache.terminations.Confirmed, id) {
 			// It was returned while that could not be written down, or got work from one
 			// that did not know. All have to learn that what stood on it is gone.
 			c.markForTermination(m, reasonAlreadyTerminated)
 			continue
-		} else if m.terminated || m.isTerminated() && len(m.allocations) == 0 || c.provisioner.toTerminate[id] != "" || going {
+		} else if m.scaling.terminated || m.isTerminated() && len(m.allocations) == 0 || c.provisioner.toTerminate[id] != "" || going {
 			continue
 		}
 		quiet := c.now.Sub(c.lastSeen(m))
 		busy := len(m.allocations) > 0
-		if busy || m.holdsHeadroom || m.latestHeartbeat == nil || c.mayBeBusy(m) {
-			m.idleSince = 0
-		} else if m.idleSince == 0 {
-			m.idleSince = c.now
+		if busy || m.scaling.holdsHeadroom || m.latestHeartbeat == nil || c.mayBeBusy(m) {
+			m.scaling.idleSince = 0
+		} else if m.scaling.idleSince == 0 {
+			m.scaling.idleSince = c.now
 		}
 		switch {
-		case m.status == wire.MachineFailed:
+		case m.scaling.status == wire.MachineFailed:
 			c.markForTermination(m, "failed")
-		case m.latestHeartbeat == nil && m.status != wire.MachineRunning && !busy:
+		case m.latestHeartbeat == nil && m.scaling.status != wire.MachineRunning && !busy:
 			if c.neverJoined(m) {
 				c.markForTermination(m, "never came up")
 			}
-		case c.holdsCompletedTasks(id, c.completedTaskTolerance(cutOff)) && m.unansweredCalls >= unreachableThreshold:
+		case c.holdsCompletedTasks(id, c.completedTaskTolerance(cutOff)) && m.liveness.unansweredCalls >= unreachableThreshold:
 			// Tasks of jobs that are over must be gone in time, and it cannot be
 			// told: whatever the bounds, it goes.
 			c.markForTermination(m, reasonHoldsCompletedWork)
-		case quiet > c.silenceTolerance(m, silence) && (m.unansweredHeartbeatRequests >= 2 || c.hadTimeToReport(m, quiet)) && !cutOff &&
-			!c.maybePartitioned(m, lastHeard[m.zone], quiet-c.silenceTolerance(m, silence)) && (busy || c.now.Sub(m.lastListedAt) < forgetMachineAfter):
+		case quiet > c.silenceTolerance(m, silence) && (m.liveness.unansweredRequests >= 2 || c.hadTimeToReport(m, quiet)) && !cutOff &&
+			!c.maybePartitioned(m, lastHeard[m.zone], quiet-c.silenceTolerance(m, silence)) && (busy || c.now.Sub(m.scaling.lastListedAt) < forgetMachineAfter):
 			if c.admitSilentTermination(m, reporting) {
 				c.markForTermination(m, "silent")
 			}
-		case m.unreachable() && m.lastHeartbeatAt > m.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect && !cutOff &&
-			c.now.Sub(m.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2):
+		case m.unreachable() && m.liveness.lastHeartbeatAt > m.liveness.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect && !cutOff &&
+			c.now.Sub(m.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2):
 			// Its reports come, but it hears nothing: its lease runs out unseen. One
 			// whose reports do not come either is silent, and may be in a zone that is
 			// cut off: once all machines of such a zone went this way, and later one of
@@ -111,8 +111,8 @@
 			if c.admitSilentTermination(m, reporting) {
 				c.markForTermination(m, "unreachable")
 			}
-		case m.idleSince != 0 && c.now.Sub(m.idleSince) > idle && c.provisioner.missingHeadroom == 0 &&
-			(len(c.provisioner.backlog) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.idleSince) > 2*idle): // what waits cannot use it
+		case m.scaling.idleSince != 0 && c.now.Sub(m.scaling.idleSince) > idle && c.provisioner.missingHeadroom == 0 &&
+			(len(c.provisioner.backlog) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.scaling.idleSince) > 2*idle): // what waits cannot use it
 			c.markForTermination(m, reasonIdle)
 		}
 	}
@@ -190,7 +190,7 @@
 // others should have reported; the first of them was returned meanwhile.
 func (c *Controller) maybePartitioned(m *machine, zoneHeard Time, overdue time.Duration) bool {
 	others := config.Seconds(1.3*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
-	return m.unansweredCalls > 0 && zoneHeard <= m.unreachableSince && overdue < others
+	return m.liveness.unansweredCalls > 0 && zoneHeard <= m.liveness.unreachableSince && overdue < others
 }
 
 // allPeersHeard reports whether all other living controllers talk to us.
@@ -199,7 +199,7 @@
 		if label == c.settings.Label {
 			continue
 		}
-		if p := c.peers[label]; p == nil || c.now.Sub(p.lastHeardAt) > 3*peerHeartbeatInterval {
+		if p := c.gossip.peers[label]; p == nil || c.now.Sub(p.lastHeardAt) > 3*peerHeartbeatInterval {
 			return false
 		}
 	}
@@ -226,7 +226,7 @@
 // others of the moment.
 func (c *Controller) markForTermination(m *machine, why string) {
 	c.provisioner.toTerminate[m.id] = why
-	c.log.Info("machine to be returned", "machine", m.id, "why", why, "quiet", c.now.Sub(c.lastSeen(m)), "unanswered", m.unansweredCalls)
+	c.log.Info("machine to be returned", "machine", m.id, "why", why, "quiet", c.now.Sub(c.lastSeen(m)), "unanswered", m.liveness.unansweredCalls)
 }
 
 // recordTerminations writes down which machines are going and which are gone. Placements
@@ -245,7 +245,7 @@
 	for _, id := range sortedKeys(c.cache.terminating) {
 		d := c.cache.terminating[id]
 		switch m := c.machine(id); {
-		case m.terminated:
+		case m.scaling.terminated:
 			changed = true
 			if len(c.machine(id).allocations) > 0 {
 				next.Confirmed = keep(next.Confirmed, id)
@@ -305,7 +305,7 @@
 	var names []wire.MachineID
 	for _, id := range sortedKeys(c.cache.terminating) {
 		d := c.cache.terminating[id]
-		if m := c.machine(id); m.terminated || d.since > c.cache.revision || len(names) == wire.MaxTerminate ||
+		if m := c.machine(id); m.scaling.terminated || d.since > c.cache.revision || len(names) == wire.MaxTerminate ||
 			d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.provisioner.terminateRequested[id] {
 			continue
 		}
@@ -333,7 +333,7 @@
 		}
 		for _, id := range names {
 			m := c.machine(id)
-			m.terminated, m.terminatedAt, c.scheduler.dirty = true, c.now, true
+			m.scaling.terminated, m.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
 			m.markForReview()
 			gone(m)
 		}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -284,9 +284,9 @@
 			for _, id := range r.Machines {
 				m := c.machine(id)
 				if m.latestHeartbeat == nil {
-					m.machineType, m.zone, m.spot, m.status = h.Type, h.Zone, h.Spot, wire.MachineBooting
+					m.machineType, m.zone, m.spot, m.scaling.status = h.Type, h.Zone, h.Spot, wire.MachineBooting
 				}
-				m.launchedAt, m.lastListedAt = c.now, c.now
+				m.scaling.launchedAt, m.scaling.lastListedAt = c.now, c.now
 			}
 			delete(c.provisioner.capacityShortages, key)
 			if len(r.Machines) < h.Count {
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -209,7 +209,7 @@
 // tasks without a machine, or whatever else its owner looks after.
 func (c *Controller) teamNeedsWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
-	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.preemptionAt != 0 }) {
+	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.scaling.preemptionAt != 0 }) {
 		return true
 	}
 	for id, j := range c.cache.jobs {
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -225,7 +225,7 @@
 			r.notifyMachines[m.id] = true
 			c.metrics.count(countPlaced, tasks.Len())
 			c.log.Debug("tasks placed", "job", j.id, "class", j.spec.Class, "machine", m.id, "attempt", attempt, "tasks", tasks.Len(),
-				"image", m.cachedImages[j.spec.Image], "promised", w.guaranteed)
+				"image", m.images.cached[j.spec.Image], "promised", w.guaranteed)
 		}
 		if ch.Relaxed && act {
 			c.metrics.count(countRelaxed, ch.Count)
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -162,20 +162,20 @@
 		return false
 	}
 	owner := c.shards.table.Owner(m.shard)
-	p := c.peers[owner.Label]
+	p := c.gossip.peers[owner.Label]
 	switch {
 	case owner.Label == c.settings.Label || !c.shards.table.Live(owner) || c.cache.isolatedControllers[owner.Label]:
 		return false
 	case p == nil || !p.storeReachable || c.now.Sub(p.lastHeardAt) > 2*peerHeartbeatInterval:
 		return false
-	case c.now.Sub(m.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS):
+	case c.now.Sub(m.liveness.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS):
 		return false
-	case m.redirectedToOwnerAt != 0 && c.now.Sub(m.redirectedToOwnerAt) < redirectCooldown:
+	case m.liveness.redirectedToOwnerAt != 0 && c.now.Sub(m.liveness.redirectedToOwnerAt) < redirectCooldown:
 		return false
 	case !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1):
 		return false
 	}
-	m.redirectedToOwnerAt = c.now
+	m.liveness.redirectedToOwnerAt = c.now
 	c.metrics.count(countOwnerRedirects, 1)
 	c.applyHeartbeat(in.Heartbeat, true)
 	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Controller: owner.Label})
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -43,7 +43,7 @@
 // is yet to be written. Most entries run for long and cost nothing meanwhile.
 func (c *Controller) collectTaskExit(r *placementTransaction, p *page, e *Allocation) bool {
 	m := e.host
-	if m.terminated {
+	if m.scaling.terminated {
 		c.removeTasks(r, p, e, e.Tasks, record.TaskSet{})
 		return true
 	}
@@ -124,16 +124,16 @@
 // for so long that its launcher does not seem to reach it.
 func (c *Controller) launchTimedOut(m *machine, e *Allocation) bool {
 	first := e.Tasks.First()
-	since, ok := m.missingSince[e.key(first)]
+	since, ok := m.reconciliation.missingSince[e.key(first)]
 	if !ok {
-		m.missingSince[e.key(first)] = c.now
+		m.reconciliation.missingSince[e.key(first)] = c.now
 		return false
 	}
 	patience := launchTimeout
 	if j := c.cache.jobs[e.Job]; j != nil && e.Shape == wire.ShapeGang {
 		patience += c.gangImagePullTime(j, e.Attempt) // its launcher may hold it back
 	}
-	return c.now.Sub(max(since, c.resumedAt)) > patience && c.now.Sub(m.lastDirectAt) < launchTimeout
+	return c.now.Sub(max(since, c.resumedAt)) > patience && c.now.Sub(m.liveness.lastDirectAt) < launchTimeout
 }
 
 // launchTimeout is how long a launcher has to get a launch to a worker before
