--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -68,6 +68,18 @@
 	return tasks
 }
 
+// sortedTasks is a heartbeat's tasks in an order that depends on their names alone.
+func sortedTasks(heartbeat *wire.Heartbeat) []*wire.TaskStatus {
+	tasks := make([]*wire.TaskStatus, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		tasks[i] = &heartbeat.Tasks[i]
+	}
+	slices.SortFunc(tasks, func(a, b *wire.TaskStatus) int {
+		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
+	})
+	return tasks
+}
+
 // applyHeartbeat takes a report, got from the worker itself or passed on by a sibling.
 func (c *Controller) applyHeartbeat(r *wire.Heartbeat, direct bool) {
 	m := c.machine(r.Machine)
@@ -107,7 +119,13 @@
 		m.scaling.preemptionAt = c.now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 	pulling := map[string]bool{}
-	for id, t := range m.tasks {
+	// In a fixed order: what one exit says of a job decides what the next says of the
+	// machine, so in the order of the map the same heartbeat quarantined it or not.
+	for _, t := range sortedTasks(r) {
+		id := attemptKey{t.Task, t.Attempt}
+		if m.tasks[id] != t {
+			continue // listed twice: the last counts
+		}
 		if j := c.cache.jobs[id.task.Job]; j != nil && t.State == wire.TaskPulling {
 			pulling[j.spec.Image] = true
 		}
