--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -107,16 +107,23 @@
 // leaves the most jobs in time. It reports whether it marked any.
 func (c *Controller) deferLargestLateJobs(queue []pendingJob) bool {
 	cores := 0.0
-	for _, m := range c.fleet.machines {
+	for _, m := range c.orderedMachines() {
 		if t := c.machineTypeNamed(m.machineType); t != nil && c.acceptsTasks(m) {
 			cores += t.Cores
 		}
 	}
+	// Summed up in a fixed order: by as little as the sum of fractions depends on it, it
+	// may decide whether a job is put off.
+	var replicas []float64
 	for _, j := range c.cache.jobs {
 		if j.spec.Shape == wire.ShapeService && j.crashLoop.consecutiveBackoffs == 0 && !j.unreadable {
-			cores -= j.spec.Cores * float64(j.spec.Tasks)
+			replicas = append(replicas, j.spec.Cores*float64(j.spec.Tasks))
 		}
 	}
+	slices.Sort(replicas)
+	for _, taken := range replicas {
+		cores -= taken
+	}
 	if cores <= 0 {
 		return false
 	}
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -189,7 +189,7 @@
 
 func (c *Controller) shardsView() wire.AdminShards {
 	v := c.shards.table.View(c.wall)
-	for _, m := range c.fleet.machines {
+	for _, m := range c.orderedMachines() { // a sum of fractions depends on the order
 		if m.isTerminated() || int(m.shard) >= len(v.Shards) {
 			continue
 		}
--- /dev/null
+++ b/internal/controller/sums_test.go
@@ -0,0 +1,61 @@
+package controller
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/placement"
+	"lilacrill/internal/record"
+	"lilacrill/wire"
+)
+
+// TestSumsDoNotDependOnMaps guards the replay of a controller's inputs: sums of fractions
+// of cores come out alike every time, where operators see them and where they decide
+// whether a job is put off.
+func TestSumsDoNotDependOnMaps(t *testing.T) {
+	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "north", "west"},
+		Teams: []config.Team{{Name: "desk"}}, Workers: config.Workers{ReportS: 2, LeaseS: 15},
+		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
+	sums := func(work float64) (used float64, late bool) {
+		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+		for i, zone := range set.Cluster.Zones {
+			c.replacePage(&page{key: record.PlacementKey("desk", zone, 0), team: "desk", zone: zone, allocations: []Allocation{{
+				AllocationHeader: record.AllocationHeader{Job: "wk-000001", Attempt: 1, Cores: float64(i+1) / 10}, Machine: "m-000001", Tasks: record.Span(0, 1)}}})
+		}
+		c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: set.Cluster.Zones}}
+		m := c.machine("m-000001")
+		m.machineType, m.zone, m.latestHeartbeat = "c4", "east", &wire.Heartbeat{}
+		require.True(t, c.acceptsTasks(m))
+		for i := range 8 {
+			j := c.newJob(wire.JobID(fmt.Sprintf("wk-%06d", 100+i)))
+			j.spec = wire.JobSpec{Shape: wire.ShapeService, Tasks: 1, Cores: float64(i+1) / 10}
+			j.request = placement.NewRequest(&j.spec)
+		}
+		w := []pendingJob{{job: &job{spec: wire.JobSpec{Tasks: 1, Cores: 1, RuntimeS: work}}, missing: record.Span(0, 1), deadline: 1000}}
+		late = c.deferLargestLateJobs(w)
+		return c.viewTeams()[0].CPUsUsed, late
+	}
+	// The most work for which a job is not put off, found by halving.
+	low, high := 0.0, 4.0
+	for range 60 {
+		if _, late := sums((low + high) / 2); late {
+			high = (low + high) / 2
+		} else {
+			low = (low + high) / 2
+		}
+	}
+	require.InDelta(t, 4-3.6, low, 1e-9)
+	used, _ := sums(low)
+	for range 100 {
+		again, late := sums(low)
+		require.Equal(t, used, again)
+		require.False(t, late)
+		_, late = sums(high)
+		require.True(t, late)
+	}
+}
