--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -207,17 +207,17 @@
 	case controller.LoadKeys:
 		e.state.Load(o, back[controller.LoadResult](e, o.Call))
 	case controller.Watch:
-		e.state.Follow(o, back[controller.WatchResult](e, o.Call))
+		e.state.Watch(o, back[controller.WatchResult](e, o.Call))
 	case controller.GetKey:
-		e.state.Fetch(o, back[controller.GetResult](e, o.Call))
+		e.state.Get(o, back[controller.GetResult](e, o.Call))
 	case controller.Commit:
 		e.state.Commit(o, back[controller.CommitResult](e, o.Call))
 	case controller.GrantLease:
-		e.state.Grant(o, back[controller.LeaseResult](e, o.Call))
+		e.state.GrantLease(o, back[controller.LeaseResult](e, o.Call))
 	case controller.RenewLease:
-		e.state.Extend(o, back[controller.LeaseResult](e, o.Call))
+		e.state.RenewLease(o, back[controller.LeaseResult](e, o.Call))
 	case controller.SetRateShare:
-		e.state.Share(o.Fraction)
+		e.state.SetRateFraction(o.Fraction)
 	case controller.ReadCatalogue:
 		e.cloud.Catalogue(back[controller.CatalogueResult](e, o.Call))
 	case controller.ListMachines:
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -47,7 +47,7 @@
 	barrierInFlight     bool
 	nextBarrier         Time            // not before, so that users who ask do not use up the tokens
 	submissionsInFlight int             // submissions being written
-	nextRetryAt         Time            // when the last user who was refused was told to come back
+	lastAdvisedRetry    Time            // when the last user who was refused was told to come back
 	barrierWaiters      []func(ok bool) // served by the barrier in flight
 	barrierQueue        []func(ok bool) // served by the one after it
 }
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -144,8 +144,8 @@
 // each is given a time of its own, as far apart as submissions can be written.
 // Told the same, all would come back at once, and most of them in vain.
 func (c *Controller) nextRetryDelay() time.Duration {
-	c.cache.nextRetryAt = max(c.cache.nextRetryAt, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
-	wait := c.cache.nextRetryAt.Sub(c.now)
+	c.cache.lastAdvisedRetry = max(c.cache.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	wait := c.cache.lastAdvisedRetry.Sub(c.now)
 	if wait > maxRetryDelay {
 		wait = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
 	}
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -52,10 +52,10 @@
 		{"page", PlacementKey("vision", "east", 1), &page, func() any { return new(PlacementPage) }, 0},
 		{"rollout", RolloutKey, &Rollout{Format: 2, Excluded: map[string]Exclusion{"rig-2": {Incarnation: 7, Reason: "its host burnt"}}}, func() any { return new(Rollout) }, 0},
 		{"member", RegistrationKey("rig-0"), &Registration{Incarnation: 41, Formats: FormatRange{Oldest: 1, Newest: 2}, Release: "0.2.0"}, func() any { return new(Registration) }, 0},
-		{"member-shares", RegistrationKey("rig-0"), &Registration{Incarnation: 41, Formats: FormatRange{Oldest: 1, Newest: 3}, Release: "0.3.0", Sharding: true}, func() any { return new(Registration) }, FormatShares},
-		{"shares", ShardPolicyKey, &ShardPolicy{Enabled: true, Drained: map[string]string{"rig-2": "new disks"}}, func() any { return new(ShardPolicy) }, FormatShares},
+		{"member-shares", RegistrationKey("rig-0"), &Registration{Incarnation: 41, Formats: FormatRange{Oldest: 1, Newest: 3}, Release: "0.3.0", Sharding: true}, func() any { return new(Registration) }, FormatSharding},
+		{"shares", ShardPolicyKey, &ShardPolicy{Enabled: true, Drained: map[string]string{"rig-2": "new disks"}}, func() any { return new(ShardPolicy) }, FormatSharding},
 		{"share", ShardKey(7), &Shard{Owner: ShardOwner{"rig-0", 41}, Epoch: 3, Move: &ShardMove{To: ShardOwner{"rig-1", 42}, Phase: MoveReleased,
-			Since: 1_700_000_000_123, Reason: "to even out the shares"}}, func() any { return new(Shard) }, FormatShares},
+			Since: 1_700_000_000_123, Reason: "to even out the shares"}}, func() any { return new(Shard) }, FormatSharding},
 	}
 }
 
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -23,13 +23,13 @@
 	// know it finds a string where it wants an object and refuses the record: it
 	// never takes it for an empty one.
 	FormatCompressed wire.Format = 2
-	// FormatShares adds the records of shares, which placements demand, and what lines
+	// FormatSharding adds the records of shares, which placements demand, and what lines
 	// between controllers say of room and of jobs handed on.
-	FormatShares wire.Format = 3
+	FormatSharding wire.Format = 3
 
 	// Oldest and Newest bound what this build reads and writes.
 	Oldest = FormatPlain
-	Newest = FormatShares
+	Newest = FormatSharding
 )
 
 // compressFrom is the size of a plain value from which on compressing pays.
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -130,7 +130,7 @@
 		"made": []string{JobKey("wk-000412"), CompletionKey("wk-000412"), LivenessKey("rig-0"), RegistrationKey("rig-0"), ImageKey(3), ShardKey(7),
 			PlacementKey("vision", "east", 1)},
 		"load":       LoadPrefixes,
-		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatShares, Oldest, Newest},
+		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatSharding, Oldest, Newest},
 		"halt":       []Eviction{EvictionNone, EvictionGraceful, EvictionImmediate},
 		"share-step": []MovePhase{MoveProposed, MoveReleased},
 	}, "", "  ")
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -14,7 +14,7 @@
 // change writes a share's record on the condition that it is as it is known here.
 func (t *Table) change(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
 	txn.If = append(txn.If, t.Demand(id))
-	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatShares, record.ShardKey(id), next)})
+	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatSharding, record.ShardKey(id), next)})
 }
 
 // demandOnce adds a condition unless it is there.
@@ -98,6 +98,6 @@
 func (t *Table) changePolicy(next record.ShardPolicy) wire.Transaction {
 	return wire.Transaction{
 		If:   []wire.Condition{t.policyDemand()},
-		Then: []wire.Change{{Put: record.ShardPolicyKey, Value: record.Encode(record.FormatShares, record.ShardPolicyKey, next)}},
+		Then: []wire.Change{{Put: record.ShardPolicyKey, Value: record.Encode(record.FormatSharding, record.ShardPolicyKey, next)}},
 	}
 }
--- a/internal/shard/operate.go
+++ b/internal/shard/operate.go
@@ -16,8 +16,8 @@
 // InUse reports why nothing can be changed, or nil.
 func (t *Table) InUse() error {
 	switch {
-	case t.format < record.FormatShares:
-		return conflict("shares are dormant: format %d is in force, and they need format %d", t.format, record.FormatShares)
+	case t.format < record.FormatSharding:
+		return conflict("shares are dormant: format %d is in force, and they need format %d", t.format, record.FormatSharding)
 	case !t.policy.Enabled:
 		return conflict("shares are off: not all living controllers were started with them enabled")
 	}
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -262,7 +262,7 @@
 // demands: else a placement on any machine that was under way, from a process of any build,
 // could come after it.
 func (t *Table) SwitchPolicy() (Action, bool) {
-	if t.format < record.FormatShares || len(t.controllers) == 0 {
+	if t.format < record.FormatSharding || len(t.controllers) == 0 {
 		return Action{}, false
 	}
 	want := true
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -67,7 +67,7 @@
 }
 
 func (c *cluster) put(key string, v any) {
-	c.store.Multi(wire.Transaction{Then: []wire.Change{{Put: key, Value: record.Encode(record.FormatShares, key, v)}}})
+	c.store.Multi(wire.Transaction{Then: []wire.Change{{Put: key, Value: record.Encode(record.FormatSharding, key, v)}}})
 }
 
 // start starts a process of a controller in the place of the one before.
@@ -76,7 +76,7 @@
 	c.boot++
 	n.table, n.read, n.running, n.placing = shard.New(n.label), 0, true, map[wire.ShardID]bool{}
 	n.planner = shard.NewPlanner(n.table, 6)
-	n.table.ApplyFormat(record.FormatShares)
+	n.table.ApplyFormat(record.FormatSharding)
 	n.table.Joined(c.boot)
 	c.put(record.RegistrationKey(n.label), record.Registration{Incarnation: c.boot, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Sharding: true})
 	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.boot})
--- a/internal/simulation/shares_cases_test.go
+++ b/internal/simulation/shares_cases_test.go
@@ -297,7 +297,7 @@
 
 	w.startNewer(2) // reads all formats, and does not enable shares
 	w.Run(15 * second)
-	require.Equal(t, record.FormatShares, w.FormatInForce())
+	require.Equal(t, record.FormatSharding, w.FormatInForce())
 	require.False(t, w.sharePolicy().Enabled)
 	require.Zero(t, w.Seen["placed in a share"])
 	w.startSharing(2)
--- a/internal/simulation/world_shares.go
+++ b/internal/simulation/world_shares.go
@@ -103,7 +103,7 @@
 // what must hold of it: their format is in force; a share goes to another owner in a later
 // epoch, and either was released or its owner has ended.
 func (w *World) checkShares(t wire.Transaction, before map[string]record.Shard) {
-	if w.FormatInForce() < record.FormatShares && slices.ContainsFunc(t.Then, func(c wire.Change) bool {
+	if w.FormatInForce() < record.FormatSharding && slices.ContainsFunc(t.Then, func(c wire.Change) bool {
 		return c.Put == record.ShardPolicyKey || strings.HasPrefix(c.Put, record.ShardPrefix)
 	}) {
 		w.breaks("record of shares written in format %d", w.FormatInForce())
--- a/internal/simulation/world_state.go
+++ b/internal/simulation/world_state.go
@@ -74,7 +74,7 @@
 	if format := w.FormatInForce(); line.Format > format {
 		w.breaks("line from %s in format %d while %d is in force", line.From, line.Format, format)
 	}
-	if (line.Capacity != nil || line.ForwardedJobs != nil) && line.Format < record.FormatShares {
+	if (line.Capacity != nil || line.ForwardedJobs != nil) && line.Format < record.FormatSharding {
 		w.breaks("line from %s with room or jobs handed on in format %d", line.From, line.Format)
 	}
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -49,8 +49,8 @@
 // Serve hands out tokens until done is closed.
 func (c *Client) Serve(done <-chan struct{}) { c.queue.serve(done) }
 
-// Share sets the part of the limits that this controller may use.
-func (c *Client) Share(part float64) {
+// SetRateFraction sets the part of the limits that this controller may use.
+func (c *Client) SetRateFraction(part float64) {
 	c.queue.share(c.set.Cluster.State.RPS, c.set.Cluster.State.WriteRPS, part)
 }
 
@@ -85,8 +85,8 @@
 	return controller.Unknown
 }
 
-// Follow reads the feed.
-func (c *Client) Follow(f controller.Watch, then func(controller.WatchResult)) {
+// Watch reads the feed.
+func (c *Client) Watch(f controller.Watch, then func(controller.WatchResult)) {
 	q := url.Values{"under": {f.Prefix}, "after": {strconv.FormatUint(uint64(f.After), 10)}}
 	timeout := callTimeout
 	calls := c.calls
@@ -124,8 +124,8 @@
 	}, expire: func() { then(controller.CommitResult{Outcome: controller.NotExecuted}) }})
 }
 
-// Fetch reads one key.
-func (c *Client) Fetch(f controller.GetKey, then func(controller.GetResult)) {
+// Get reads one key.
+func (c *Client) Get(f controller.GetKey, then func(controller.GetResult)) {
 	c.queue.add(controller.PriorityAdmission, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var e wire.Entry
 		status, err := c.calls.Call(http.MethodGet, "/kv/"+f.Key, nil, callTimeout, map[int]any{200: &e})
@@ -133,16 +133,16 @@
 	}, expire: func() { then(controller.GetResult{Outcome: controller.NotExecuted}) }})
 }
 
-// Grant asks for a lease.
-func (c *Client) Grant(g controller.GrantLease, then func(controller.LeaseResult)) {
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(g controller.GrantLease, then func(controller.LeaseResult)) {
 	body := struct {
 		TTL int64 `json:"ttl_ms"`
 	}{g.TTL.Milliseconds()}
 	c.lease("/leases", body, 0, then)
 }
 
-// Extend renews a lease.
-func (c *Client) Extend(e controller.RenewLease, then func(controller.LeaseResult)) {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(e controller.RenewLease, then func(controller.LeaseResult)) {
 	c.lease("/leases/"+strconv.FormatUint(uint64(e.LeaseID), 10)+"/extend", struct{}{}, e.LeaseID, then)
 }
 
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -56,7 +56,7 @@
 	client := startClient(t, recorder)
 
 	fetched := make(chan controller.GetResult, 1)
-	client.Fetch(controller.GetKey{Key: "a/b"}, func(r controller.GetResult) { fetched <- r })
+	client.Get(controller.GetKey{Key: "a/b"}, func(r controller.GetResult) { fetched <- r })
 	require.Equal(t, controller.GetResult{Outcome: controller.Succeeded, Value: entry.Value, Version: entry.Version}, <-fetched)
 
 	loaded := make(chan controller.LoadResult, 1)
@@ -72,14 +72,14 @@
 
 	fed := make(chan controller.WatchResult, 1)
 	for _, block := range []time.Duration{0, time.Second} {
-		client.Follow(controller.Watch{Prefix: "l/", After: 431, Block: block}, func(r controller.WatchResult) { fed <- r })
+		client.Watch(controller.Watch{Prefix: "l/", After: 431, Block: block}, func(r controller.WatchResult) { fed <- r })
 		require.Equal(t, controller.WatchResult{Outcome: controller.Succeeded, Response: feed}, <-fed)
 	}
 
 	granted := make(chan controller.LeaseResult, 1)
-	client.Grant(controller.GrantLease{TTL: 5 * time.Second}, func(r controller.LeaseResult) { granted <- r })
+	client.GrantLease(controller.GrantLease{TTL: 5 * time.Second}, func(r controller.LeaseResult) { granted <- r })
 	require.Equal(t, controller.LeaseResult{Outcome: controller.Succeeded, LeaseID: 7}, <-granted)
-	client.Extend(controller.RenewLease{LeaseID: 7}, func(r controller.LeaseResult) { granted <- r })
+	client.RenewLease(controller.RenewLease{LeaseID: 7}, func(r controller.LeaseResult) { granted <- r })
 	require.Equal(t, controller.LeaseResult{Outcome: controller.Succeeded, LeaseID: 7}, <-granted)
 
 	golden.Compare(t, "requests.txt", recorder.Requests())
