--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package core is the scheduler as a state machine: inputs in; what to send,
+// Package controller is the scheduler as a state machine: inputs in; what to send,
 // write and answer out. It has no clock, no socket and no goroutine. One
 // goroutine owns a Core.
 package controller
--- a/internal/rollout/errors.go
+++ b/internal/rollout/errors.go
@@ -9,7 +9,7 @@
 // from.
 var ErrStale = errors.New("stale version: read the rollout again")
 
-// InvalidFieldError says which field of a request is wrong, and why.
+// FieldError says which field of a request is wrong, and why.
 type FieldError struct {
 	Field string
 	Why   string
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,4 +1,4 @@
-// Package share divides the machines among the controllers. A machine belongs to a share
+// Package shard divides the machines among the controllers. A machine belongs to a share
 // by its name, and a share to one process of a controller, which alone may place new
 // tasks on its machines. The package knows the records of the shares, decides what this
 // controller should do about them (take over, hand over, adopt, move), and returns the
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -1,4 +1,4 @@
-// Package standin holds stand-ins for everything outside lilacrill, written
+// Package simulation holds stand-ins for everything outside lilacrill, written
 // from its protocol: a state service, a cloud, workers and users, and a world
 // in which they and several cores live on one virtual clock. The world checks
 // the protocol's rules itself. It serves tests only.
@@ -83,7 +83,7 @@
 // the keys again.
 func (s *Store) Forget() { s.log, s.forgotten = nil, s.revision }
 
-// Compacted reports whether the feed no longer goes back to a revision.
+// TooOld reports whether the feed no longer goes back to a revision.
 func (s *Store) TooOld(after wire.Revision) bool { return after < s.forgotten }
 
 // Multi runs a transaction.
