--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -193,7 +193,7 @@
 }
 
 // back returns a call's result to the core.
-func back[R any](e *engine, id controller.CallID) func(R) {
+func back[R controller.Result](e *engine, id controller.CallID) func(R) {
 	return func(r R) { e.results <- controller.CallCompleted{Call: id, Result: r} }
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -99,11 +99,7 @@
 	case HeartbeatReceived:
 		c.handleHeartbeat(in)
 	case CallCompleted:
-		if p, ok := c.pendingCalls[in.Call]; ok {
-			delete(c.pendingCalls, in.Call)
-			c.callStartedAt = p.startedAt
-			p.complete(in.Result)
-		}
+		c.completeCall(in)
 	case ViewRequested:
 		c.handleView(in)
 	case SettingsChangeRequested:
@@ -147,19 +143,6 @@
 
 func (c *Controller) emit(o Output) { c.outputs = append(c.outputs, o) }
 
-// pendingCall is a call without a result yet.
-type pendingCall struct {
-	startedAt Time
-	complete  func(any)
-}
-
-// call registers what to do with a call's result.
-func call[R any](c *Controller, then func(R)) CallID {
-	c.nextCall++
-	c.pendingCalls[c.nextCall] = pendingCall{c.now, func(result any) { then(result.(R)) }}
-	return c.nextCall
-}
-
 // noteStoreResponse notes that the state service has answered the call whose result
 // is being handled. An answer to a call from before this process stood still may
 // have waited all the while: it does not show that the service can be reached,
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -18,7 +18,7 @@
 
 // remote carries a call out somewhere else, with all that may go wrong:
 // exec runs there; lost is the result if no answer comes.
-func (w *World) remote(n *node, gen int, id controller.CallID, lost any, exec func() any) {
+func (w *World) remote(n *node, gen int, id controller.CallID, lost controller.Result, exec func() controller.Result) {
 	if w.rng.Float64() < w.Loss {
 		w.returned(n, gen, giveUp, id, lost)
 		switch w.rng.IntN(3) {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -322,7 +322,7 @@
 }
 
 // returned hands a call's result back, if the caller still lives.
-func (w *World) returned(n *node, gen int, d time.Duration, id controller.CallID, result any) {
+func (w *World) returned(n *node, gen int, d time.Duration, id controller.CallID, result controller.Result) {
 	w.after(d, func() {
 		if n.gen == gen {
 			w.step(n, controller.CallCompleted{Call: id, Result: result})
@@ -343,7 +343,7 @@
 		w.load(n, o)
 	case controller.Watch:
 		if o.Block == 0 {
-			w.state(n, o.Call, controller.WatchResult{Outcome: controller.NotExecuted}, controller.WatchResult{Outcome: controller.Unknown}, func() any { return w.fed(o) })
+			w.state(n, o.Call, controller.WatchResult{Outcome: controller.NotExecuted}, controller.WatchResult{Outcome: controller.Unknown}, func() controller.Result { return w.fed(o) })
 			return
 		}
 		wt := &watcher{f: o, n: n, gen: gen}
@@ -351,7 +351,7 @@
 		w.after(w.latency(), func() { w.serveWatcher(wt, false) })
 		w.after(o.Block, func() { w.serveWatcher(wt, true) })
 	case controller.GetKey:
-		w.state(n, o.Call, controller.GetResult{Outcome: controller.NotExecuted}, controller.GetResult{Outcome: controller.Unknown}, func() any {
+		w.state(n, o.Call, controller.GetResult{Outcome: controller.NotExecuted}, controller.GetResult{Outcome: controller.Unknown}, func() controller.Result {
 			v, version, ok := w.store.Get(o.Key)
 			if !ok {
 				return controller.GetResult{Outcome: controller.NotFound}
@@ -388,13 +388,13 @@
 			})
 			return
 		}
-		w.state(n, o.Call, controller.CommitResult{Outcome: controller.NotExecuted}, controller.CommitResult{Outcome: controller.Unknown}, func() any { return exec() })
+		w.state(n, o.Call, controller.CommitResult{Outcome: controller.NotExecuted}, controller.CommitResult{Outcome: controller.Unknown}, func() controller.Result { return exec() })
 	case controller.GrantLease:
-		w.state(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() any {
+		w.state(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
 			return controller.LeaseResult{LeaseID: w.store.Grant(w.now, controller.Time(o.TTL))}
 		})
 	case controller.RenewLease:
-		w.state(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() any {
+		w.state(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
 			if !w.store.Extend(w.now, o.LeaseID) {
 				return controller.LeaseResult{Outcome: controller.NotFound}
 			}
@@ -411,17 +411,17 @@
 		})
 	case controller.SetRateShare:
 	case controller.ReadCatalogue:
-		w.cloud(n, o.Call, controller.CatalogueResult{Outcome: controller.NotExecuted}, func() any {
+		w.cloud(n, o.Call, controller.CatalogueResult{Outcome: controller.NotExecuted}, func() controller.Result {
 			return controller.CatalogueResult{Catalogue: wire.Catalogue{Types: w.types}}
 		})
 	case controller.ListMachines:
-		w.cloud(n, o.Call, controller.MachinesResult{Outcome: controller.NotExecuted}, func() any {
+		w.cloud(n, o.Call, controller.MachinesResult{Outcome: controller.NotExecuted}, func() controller.Result {
 			return controller.MachinesResult{Machines: w.lists[w.rng.IntN(min(len(w.lists), 5))+max(0, len(w.lists)-5)].list}
 		})
 	case controller.ProvisionMachines:
-		w.cloud(n, o.Call, controller.ProvisionResult{Outcome: controller.Unknown}, func() any { return w.hire(o.Request) })
+		w.cloud(n, o.Call, controller.ProvisionResult{Outcome: controller.Unknown}, func() controller.Result { return w.hire(o.Request) })
 	case controller.TerminateMachines:
-		w.cloud(n, o.Call, controller.TerminateResult{Outcome: controller.Unknown}, func() any {
+		w.cloud(n, o.Call, controller.TerminateResult{Outcome: controller.Unknown}, func() controller.Result {
 			for _, id := range o.Machines {
 				if m := w.byID[id]; m != nil {
 					w.noteMoving("machine returned out of a share that moves", id)
--- a/internal/simulation/world_cloud.go
+++ b/internal/simulation/world_cloud.go
@@ -14,10 +14,10 @@
 	list []wire.CloudMachine
 }
 
-func (w *World) cloud(n *node, id controller.CallID, refused any, exec func() any) {
+func (w *World) cloud(n *node, id controller.CallID, refused controller.Result, exec func() controller.Result) {
 	gen := n.gen
 	w.after(100*time.Millisecond, func() {
-		w.remote(n, gen, id, refused, func() any {
+		w.remote(n, gen, id, refused, func() controller.Result {
 			if w.CloudDown {
 				return refused
 			}
--- a/internal/simulation/world_state.go
+++ b/internal/simulation/world_state.go
@@ -13,10 +13,10 @@
 
 // state carries a call to the state service out; refused is the result while
 // it refuses.
-func (w *World) state(n *node, id controller.CallID, refused, lost any, exec func() any) {
+func (w *World) state(n *node, id controller.CallID, refused, lost controller.Result, exec func() controller.Result) {
 	gen := n.gen
 	w.after(w.SlowState, func() {
-		w.remote(n, gen, id, lost, func() any {
+		w.remote(n, gen, id, lost, func() controller.Result {
 			if w.StateDown || w.CutState[n.index] {
 				return refused
 			}
