--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -13,7 +13,7 @@
 	"lilacrill/wire"
 )
 
-// shardState is this process's part in the shares of the machines (docs/shares.md).
+// shardState is this process's part in the shares of the machines (docs/shards.md).
 type shardState struct {
 	table      *shard.Table
 	planner    *shard.Planner
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -15,7 +15,7 @@
 
 // Count is the number of shares. A placement demands the record of each share that it
 // places in; with so many, one that reaches into all of them stays within the conditions
-// of a transaction (docs/shares.md). It must never change: it decides which share a
+// of a transaction (docs/shards.md). It must never change: it decides which share a
 // machine belongs to.
 const Count = 32
 
