--- /dev/null
+++ b/cmd/lilacrill/upgrade_mixed_bench_test.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/simulation"
+)
+
+// BenchmarkMixedWithPrevious runs this build beside an earlier release that reads the
+// same formats: controllers are upgraded, rolled back, killed and frozen at random and
+// under load, before and after the compressed format comes into force; then all are
+// upgraded, and at last all are rolled back, so that the earlier release has to read
+// everything that this build stored. Run it with -benchtime=1x and the earlier program's
+// path in LILACRILL_PREVIOUS.
+func BenchmarkMixedWithPrevious(b *testing.B) {
+	previous := os.Getenv(previousVariable)
+	require.NotEmpty(b, previous, previousVariable)
+	for b.Loop() {
+		for seed := range uint64(3) {
+			u := startUpgrade(b, upgradeLoad, build{program: previous}, seed)
+			stop := make(chan struct{})
+			go u.keepBusy(stop, 8*time.Second)
+			for range 4 {
+				b.Log(u.step())
+			}
+			require.Zero(b, u.compressed(), "the later format is dormant")
+			u.mustActivate()
+			for range 6 {
+				b.Log(u.step())
+			}
+			u.upgradeRest()
+			require.Eventually(b, func() bool { return u.compressed() > 0 }, patient, 100*time.Millisecond)
+			for i := range u.size.controllers {
+				u.replace(i, u.older)
+			}
+			time.Sleep(5 * time.Second)
+			close(stop)
+			u.finish(b)
+			fmt.Printf("seed %d: %d starts, %d tasks done, no rule broken\n", seed,
+				u.history.Count(simulation.TaskStarted), u.history.Count(simulation.TaskCompleted))
+		}
+	}
+}
