--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -261,7 +261,7 @@
 	return txn, nil
 }
 
-// maxReasonLength bounds what an operator may say, so that the record stays small.
+// mostReason bounds what an operator may say, so that the record stays small.
 const mostReason = 200
 
 // Include is the transaction that takes an exclusion back.
