--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -25,7 +25,7 @@
 	for i := range maxCompletedInPlace + 2 {
 		c.apply(record.JobKey(name(i)), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
 	}
-	c.now, c.membership.writeBudgetAt, c.membership.writeBudget = Time(time.Hour), Time(time.Hour), 20
+	c.now, c.writeBudget = Time(time.Hour), writeBudget{available: 20, refilledAt: Time(time.Hour)}
 	c.archiveCompletedJobs()
 	require.Len(t, c.outputs, 1)
 	txn := c.outputs[0].(Commit).Txn
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -44,12 +44,10 @@
 	lastStoreResponse Time
 	watching          bool
 
-	barrierInFlight     bool
-	nextBarrier         Time            // not before, so that users who ask do not use up the tokens
-	submissionsInFlight int             // submissions being written
-	lastAdvisedRetry    Time            // when the last user who was refused was told to come back
-	barrierWaiters      []func(ok bool) // served by the barrier in flight
-	barrierQueue        []func(ok bool) // served by the one after it
+	barrier readBarrier
+
+	submissionsInFlight int  // submissions being written
+	lastAdvisedRetry    Time // when the last user who was refused was told to come back
 }
 
 // job is a job that is not over.
@@ -106,6 +104,17 @@
 	s.terminations, s.terminating = record.Terminations{}, map[wire.MachineID]pendingTermination{}
 }
 
+// forgetDeletedKeys drops the versions of deleted keys that the watch has passed: no older change
+// of them can come any more.
+func (s *stateCache) forgetDeletedKeys() {
+	for key, version := range s.deletedKeys {
+		if version <= s.revision {
+			delete(s.deletedKeys, key)
+			delete(s.keyVersions, key)
+		}
+	}
+}
+
 func (s *stateCache) team(name string) *team {
 	t := s.teams[name]
 	if t == nil {
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -11,359 +11,256 @@
 	"lilacrill/wire"
 )
 
-// A user who was told that a job is withdrawn must be able to rely on all of its
-// tasks being gone in time (cancel_s), though the controller that a worker reports
-// to may not have heard of it: the state service may refuse just this one, and then
-// be away for all. An answer to a report keeps what stands on the worker alive for a
-// lease. Hence one invariant, which every answer to a worker is held to:
+// A user who was told that a job is cancelled must be able to rely on all of its tasks being
+// gone in time (setting cancel_s), though the controller that a worker sends its heartbeats to
+// may not know of the cancellation: the state store may refuse this one controller, and then be
+// unavailable to all. The response to a heartbeat keeps the worker's tasks alive for one more
+// lease. Hence one invariant, which every response to a worker is held to:
 //
-//	a report is answered only by a controller that knows of every withdrawal that
-//	anybody may have told a user of up to cancelSlack ago, and only while no task
-//	whose job is known to have been withdrawn longer ago than that may yet start on
+//	A heartbeat is answered only by a controller that knows of every cancellation that any
+//	controller may have reported to a user up to maxRenewalStaleness ago, and only while no
+//	task whose job is known to have been cancelled longer ago than that may still start on
 //	the worker.
 //
-// A controller knows of withdrawals by the feed (cacheCurrentAt), or by the word of all its
-// siblings: an attestation lists what the sender knows to be withdrawn, and what of ours it
-// has heard, which bounds its age by our own clock however long a line was held up.
-// Who cannot attest, because it ended, is cut off or has only just started, bounds
-// the time: the lines may be lost at the cost of leases, never of the rule.
+// A controller knows of cancellations in one of two ways: from its cache, as of the moment up to
+// which that is known to be complete (cacheCurrentAt), or from the watermarks of all its
+// siblings. A watermark lists the cancellations that its sender knows of, and acknowledges the
+// newest watermark of ours that the sender has received. The acknowledgement bounds the age of
+// the list by our own clock, however long the message was delayed: the list is at least as
+// recent as our watermark was when we sent it. A sibling that cannot send watermarks, because it
+// ended, is partitioned or has only just started, holds back the time up to which cancellations
+// are known: losing messages may cost leases, never the invariant.
 
-// cancellationWatermark is what this controller can say of withdrawals, and knows by its
-// siblings' word.
+// cancellationWatermark is this controller's side of the protocol by which controllers tell one
+// another of cancellations without the state store. What siblings sent is in peerState.
 type cancellationWatermark struct {
-	process           uint64 // tells this process from earlier ones of its label
-	cacheCurrentAt    Time   // the cache holds all that was written before
-	watermarksSent    []Time // when the last attestations of ours were sent
-	watermarkSequence uint64 // how many were
-	nextWatermark     Time
+	process        uint64 // distinguishes this process from earlier ones with its label
+	cacheCurrentAt Time   // the cache holds everything that was written before
+	sentAt         []Time // when the latest watermarks of ours were sent, in order
+	sequence       uint64 // of the last one
+	next           Time   // when the next one is due
 
-	// recentCancellations is the withdrawals that this cache has seen after the revision
-	// cancellationsSince, by revision.
-	recentCancellations []wire.Cancellation
-	cancellationsSince  wire.Revision
+	// recent holds the cancellations that this cache has seen after the revision since, in the
+	// order of their revisions.
+	recent []wire.Cancellation
+	since  wire.Revision
 
-	// machinesWithCompletedTasks is the machines on which tasks of jobs that are over may stand, by the
-	// records, and the latest moment before which no user can have been told of it.
-	machinesWithCompletedTasks map[wire.MachineID]Time
-
-	renewsLeases bool // whether workers are answered, as last seen
+	renewsLeases bool // whether heartbeats were answered when that was last decided
 }
 
 const (
 	watermarkInterval = time.Second
-	// minWatermarkInterval is the least time between attestations when there is news that a
-	// sibling cannot have.
+	// minWatermarkInterval is the least time between watermarks when there is a cancellation
+	// that a sibling cannot read from the state store.
 	minWatermarkInterval = 200 * time.Millisecond
 	maxWatermarksKept    = 128
-	// maxRecentCancellations bounds the withdrawals that are kept, and so a line.
+	// maxRecentCancellations bounds the cancellations that are kept, and so a watermark's size.
 	maxRecentCancellations = 600
-	// barrierInterval is how often the feed is read at least, so that cacheCurrentAt is recent.
+	// barrierInterval is the longest time between read barriers, so that cacheCurrentAt is
+	// recent.
 	barrierInterval = time.Second
-	// maxLaunchStaleness is how old the knowledge of withdrawals may be for a launch.
+	// maxLaunchStaleness is how old the knowledge of cancellations may be for a launch.
 	maxLaunchStaleness = 3 * time.Second
-	// cancelMargin is what is left of cancel_s - lease_s for drifting clocks, for a
-	// worker that notices late that its lease is over, and for delays.
+	// cancelMargin is what is left of cancel_s - lease_s for clocks that drift, for a worker
+	// that notices late that its lease has expired, and for delays.
 	cancelMargin = 4 * time.Second
 )
 
-func (v *cancellationWatermark) init(process uint64) {
-	v.process = process
-	v.renewsLeases = true
-	v.machinesWithCompletedTasks = map[wire.MachineID]Time{}
+func (w *cancellationWatermark) init(process uint64) {
+	w.process = process
+	w.renewsLeases = true
 }
 
-// maxRenewalStaleness is how old the knowledge of withdrawals may be for an answer that
-// keeps tasks alive for another lease. Where the settings leave no time, what was
-// known a moment ago must do.
-func (c *Controller) maxRenewalStaleness() time.Duration {
-	w := &c.settings.Cluster.Workers
-	return max(config.Seconds(w.CancelS-w.LeaseS)-cancelMargin, maxLaunchStaleness)
+// reset forgets the cancellations that were seen: the cache is loaded anew.
+func (w *cancellationWatermark) reset() { w.recent, w.since = nil, 0 }
+
+// noteCacheCurrent notes that the cache holds everything that was written before a moment.
+func (w *cancellationWatermark) noteCacheCurrent(at Time) {
+	w.cacheCurrentAt = max(w.cacheCurrentAt, at)
 }
 
-// cancellationsKnownAt is the moment up to which this controller knows of every withdrawal that
-// any controller may have told a user of.
-func (c *Controller) cancellationsKnownAt() Time {
-	least := c.now
-	for _, s := range c.settings.Siblings {
-		p := c.gossip.peers[s.Label]
-		// What an earlier process of a sibling told users is known only if the feed
-		// was read since a line of the present one came.
-		if p == nil || c.cancellations.cacheCurrentAt < p.firstHeardAt {
-			return c.cancellations.cacheCurrentAt
+// knownAt is the moment up to which this controller knows of every cancellation that any
+// controller may have reported to a user.
+func (w *cancellationWatermark) knownAt(now Time, siblings []config.Sibling, peers map[string]*peerState) Time {
+	earliest := now
+	for _, sibling := range siblings {
+		peer := peers[sibling.Label]
+		// What an earlier process of a sibling told users is known only if the cache was current
+		// at some time after the first message of the present process came.
+		if peer == nil || w.cacheCurrentAt < peer.firstHeardAt {
+			return w.cacheCurrentAt
 		}
-		least = min(least, p.cancellationsKnownAt)
+		earliest = min(earliest, peer.cancellationsKnownAt)
 	}
-	return max(c.cancellations.cacheCurrentAt, least)
+	return max(w.cacheCurrentAt, earliest)
 }
 
-// canRenewLeases reports whether workers may be answered, and logs when that changes.
-func (c *Controller) canRenewLeases() bool {
-	ok := c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness()
-	if ok != c.cancellations.renewsLeases {
-		c.cancellations.renewsLeases = ok
-		if ok {
-			c.log.Info("workers are answered again")
-		} else {
-			c.metrics.count(countRenewalsSuspended, 1)
-			c.log.Info("workers are not answered: jobs may have been withdrawn that this controller does not know of",
-				"known_for", c.now.Sub(c.cancellationsKnownAt()), "in_step_for", c.now.Sub(c.cancellations.cacheCurrentAt))
-		}
+// insert adds a cancellation and, if there are too many, forgets the earliest.
+func (w *cancellationWatermark) insert(cancellation wire.Cancellation) {
+	i, _ := slices.BinarySearchFunc(w.recent, cancellation, func(a, b wire.Cancellation) int {
+		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Job, b.Job))
+	})
+	w.recent = slices.Insert(w.recent, i, cancellation)
+	if excess := len(w.recent) - maxRecentCancellations; excess > 0 {
+		w.forget(w.recent[excess-1].Version)
 	}
-	return ok
 }
 
-// canLaunch reports whether the knowledge of withdrawals is recent enough to
-// start anything.
-func (c *Controller) canLaunch() bool {
-	return c.now.Sub(c.cancellationsKnownAt()) <= maxLaunchStaleness
+// forget drops the cancellations up to a revision.
+func (w *cancellationWatermark) forget(upTo wire.Revision) {
+	w.since = max(w.since, upTo)
+	i, _ := slices.BinarySearchFunc(w.recent, upTo+1, func(c wire.Cancellation, revision wire.Revision) int {
+		return cmp.Compare(c.Version, revision)
+	})
+	w.recent = slices.Delete(w.recent, 0, i)
 }
 
-// noteCacheCurrent notes that the cache holds all that was written before a moment.
-func (c *Controller) noteCacheCurrent(at Time) {
-	c.cancellations.cacheCurrentAt = max(c.cancellations.cacheCurrentAt, at)
+// after lists the cancellations after a revision.
+func (w *cancellationWatermark) after(revision wire.Revision) []wire.Cancellation {
+	var listed []wire.Cancellation
+	for _, cancellation := range w.recent {
+		if cancellation.Version > revision {
+			listed = append(listed, cancellation)
+		}
+	}
+	return listed
 }
 
-// keepCacheCurrent reads the feed if nobody has for a while: an open watch only tells that
-// something changed, not that nothing did.
-func (c *Controller) keepCacheCurrent() {
-	if c.cacheComplete() && c.storeReachable() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval && !c.cache.barrierInFlight && len(c.cache.barrierQueue) == 0 {
-		c.readBarrier(func(bool) {})
+// noteSent numbers a watermark that is sent now and remembers when that was.
+func (w *cancellationWatermark) noteSent(now Time) {
+	w.next = now.Add(watermarkInterval)
+	w.sequence++
+	w.sentAt = append(w.sentAt, now)
+	if len(w.sentAt) > maxWatermarksKept {
+		w.sentAt = w.sentAt[1:]
 	}
 }
 
-// noteCancellation remembers a withdrawal for the siblings.
-func (c *Controller) noteCancellation(w wire.Cancellation) {
-	i, _ := slices.BinarySearchFunc(c.cancellations.recentCancellations, w, func(a, b wire.Cancellation) int {
-		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Job, b.Job))
-	})
-	c.cancellations.recentCancellations = slices.Insert(c.cancellations.recentCancellations, i, w)
-	if more := len(c.cancellations.recentCancellations) - maxRecentCancellations; more > 0 {
-		c.forgetCancellations(c.cancellations.recentCancellations[more-1].Version)
+// sentTime is when the watermark with a sequence number was sent; false if this process sent no
+// such one, or sent it too long ago to remember.
+func (w *cancellationWatermark) sentTime(ack wire.WatermarkAck) (Time, bool) {
+	if ack.Process != w.process || ack.Sequence > w.sequence {
+		return 0, false
 	}
-	for _, p := range c.gossip.peers {
-		if !p.storeReachable {
-			c.cancellations.nextWatermark = min(c.cancellations.nextWatermark, c.now.Add(minWatermarkInterval)) // it cannot read of it
-		}
+	i := len(w.sentAt) - 1 - int(w.sequence-ack.Sequence)
+	if i < 0 {
+		return 0, false
 	}
+	return w.sentAt[i], true
 }
 
-// forgetCancellations drops the withdrawals up to a revision.
-func (c *Controller) forgetCancellations(upTo wire.Revision) {
-	c.cancellations.cancellationsSince = max(c.cancellations.cancellationsSince, upTo)
-	i, _ := slices.BinarySearchFunc(c.cancellations.recentCancellations, upTo+1, func(w wire.Cancellation, l wire.Revision) int {
-		return cmp.Compare(w.Version, l)
-	})
-	c.cancellations.recentCancellations = slices.Delete(c.cancellations.recentCancellations, 0, i)
+// maxRenewalStaleness is how old the knowledge of cancellations may be for a response that
+// renews a worker's lease. Where the settings leave no time for that, what suffices for a launch
+// has to do.
+func (c *Controller) maxRenewalStaleness() time.Duration {
+	workers := &c.settings.Cluster.Workers
+	return max(config.Seconds(workers.CancelS-workers.LeaseS)-cancelMargin, maxLaunchStaleness)
 }
 
-// newWatermark is this controller's word as of now. Only a process that has read nothing
-// yet, and so told nobody anything, and one that holds everything can give it.
-func (c *Controller) newWatermark() *wire.CancellationWatermark {
-	c.cancellations.nextWatermark = c.now.Add(watermarkInterval)
-	c.cancellations.watermarkSequence++
-	c.cancellations.watermarksSent = append(c.cancellations.watermarksSent, c.now)
-	if len(c.cancellations.watermarksSent) > maxWatermarksKept {
-		c.cancellations.watermarksSent = c.cancellations.watermarksSent[1:]
-	}
-	v := &wire.CancellationWatermark{Process: c.cancellations.process, Sequence: c.cancellations.watermarkSequence, Revision: c.cache.revision}
-	lowest, listening := wire.Revision(math.MaxUint64), wire.Revision(math.MaxUint64)
-	for _, s := range c.settings.Siblings {
-		p := c.gossip.peers[s.Label]
-		if p == nil || p.process == 0 {
-			lowest = 0
-			continue
-		}
-		if v.Acks == nil {
-			v.Acks = map[string]wire.WatermarkAck{}
-		}
-		v.Acks[s.Label] = wire.WatermarkAck{Process: p.process, Sequence: p.sequence}
-		lowest = min(lowest, p.revision)
-		if c.now.Sub(p.lastHeardAt) <= peerTimeout {
-			listening = min(listening, p.revision)
-		}
-	}
-	c.forgetCancellations(min(lowest, c.cache.revision))
-	v.Since = max(c.cancellations.cancellationsSince, min(listening, c.cache.revision))
-	for _, w := range c.cancellations.recentCancellations {
-		if w.Version > v.Since {
-			v.Cancellations = append(v.Cancellations, w)
-		}
-	}
-	return v
+// cancellationsKnownAt is the moment up to which this controller knows of every cancellation
+// that any controller may have reported to a user.
+func (c *Controller) cancellationsKnownAt() Time {
+	return c.cancellations.knownAt(c.now, c.settings.Siblings, c.gossip.peers)
 }
 
-// applyWatermark takes a sibling's word.
-func (c *Controller) applyWatermark(p *peerState, v *wire.CancellationWatermark) {
-	if p.process != v.Process {
-		p.process, p.sequence, p.firstHeardAt, p.cancellationsKnownAt = v.Process, 0, c.now, 0
-	}
-	p.sequence = max(p.sequence, v.Sequence)
-	p.revision = max(p.revision, v.Revision)
-	for _, w := range v.Cancellations {
-		// What is not newer than the feed is known, or was moved since to a key of
-		// its own.
-		if w.Version > c.cache.revision && c.membership.loaded {
-			c.apply(record.JobKey(w.Job), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled, Done: w.Done}}), w.Version)
-		}
-	}
-	echo, ok := v.Acks[c.settings.Label]
-	if !ok || echo.Process != c.cancellations.process || echo.Sequence > c.cancellations.watermarkSequence {
-		return
+// canRenewLeases reports whether heartbeats may be answered, and logs when that changes.
+func (c *Controller) canRenewLeases() bool {
+	staleness := c.now.Sub(c.cancellationsKnownAt())
+	ok := staleness <= c.maxRenewalStaleness()
+	if ok == c.cancellations.renewsLeases {
+		return ok
 	}
-	if i := len(c.cancellations.watermarksSent) - 1 - int(c.cancellations.watermarkSequence-echo.Sequence); i >= 0 {
-		p.ackedAt = max(p.ackedAt, c.cancellations.watermarksSent[i])
-		if c.cacheComplete() && c.cache.revision >= v.Since {
-			p.cancellationsKnownAt = max(p.cancellationsKnownAt, c.cancellations.watermarksSent[i])
-		}
+	c.cancellations.renewsLeases = ok
+	if ok {
+		c.log.Info("lease renewals resumed")
+	} else {
+		c.metrics.count(countRenewalsSuspended, 1)
+		c.log.Info("lease renewals suspended: cancellations may be unknown here",
+			"cancellations_age", staleness, "cache_age", c.now.Sub(c.cancellations.cacheCurrentAt))
 	}
+	return ok
 }
 
-// noteCompletedTasksOn notes that a machine may hold tasks of a job that is over. What a process
-// reads at its start may have been withdrawn any time ago: once a machine hung with
-// it from before all controllers ended until after its time was up, as the one that
-// came back gave it all of the time again.
-func (c *Controller) noteCompletedTasksOn(id wire.MachineID) {
-	if _, ok := c.cancellations.machinesWithCompletedTasks[id]; ok {
-		return
-	}
-	c.cancellations.machinesWithCompletedTasks[id] = c.cancellationsKnownAt()
-	if c.membership.loading {
-		c.cancellations.machinesWithCompletedTasks[id] = c.now.Add(-config.Seconds(c.settings.Cluster.Workers.CancelS))
-	}
+// canLaunch reports whether the knowledge of cancellations is recent enough to launch anything.
+func (c *Controller) canLaunch() bool {
+	return c.now.Sub(c.cancellationsKnownAt()) <= maxLaunchStaleness
 }
 
-// completedTasksOn is what of the jobs that are over stands on a machine by the records:
-// whether there is anything, whether some of it may still run or start, and whether
-// it may still start, since its worker has not shown that no launch can come.
-func (c *Controller) completedTasksOn(id wire.MachineID) (held, open, lacking bool) {
-	m := c.fleet.machines[id]
-	for _, e := range c.allocationsOn(id) {
-		if c.cache.jobs[e.Job] != nil {
-			continue
-		}
-		held = true
-		if m == nil || m.latestHeartbeat == nil {
-			return true, true, true
-		}
-		if m.latestHeartbeat.AgentEpoch > e.AgentEpoch || m.scaling.terminated {
-			continue // its session is over, and what is under way is for that
-		}
-		for i := range e.Tasks.All {
-			switch t := m.tasks[e.key(i)]; {
-			case t == nil && (e.Eviction == record.EvictionNone || e.Fence == 0 || m.latestHeartbeat.Token < e.Fence):
-				open, lacking = true, true
-			case t != nil && t.State != wire.TaskExited:
-				open = true
-			}
+// noteCancellation remembers a cancellation for the siblings. One that does not reach the state
+// store is sent it soon, since it cannot read it there.
+func (c *Controller) noteCancellation(cancellation wire.Cancellation) {
+	c.cancellations.insert(cancellation)
+	for _, peer := range c.gossip.peers {
+		if !peer.storeReachable {
+			c.cancellations.next = min(c.cancellations.next, c.now.Add(minWatermarkInterval))
 		}
 	}
-	return held, open, lacking
 }
 
-// mayStartCancelledTask reports whether something may yet start on a machine that was
-// withdrawn so long ago that the machine's lease is not to be renewed: a launch
-// that was sent in time may be held up for as long as its session lasts.
-func (c *Controller) mayStartCancelledTask(m *machine) bool {
-	since, ok := c.cancellations.machinesWithCompletedTasks[m.id]
-	if !ok || c.now.Sub(since) <= c.maxRenewalStaleness() {
-		return false
-	}
-	_, _, lacking := c.completedTasksOn(m.id)
-	return lacking
-}
-
-// tickCompletedTasks looks after machines with tasks of jobs that are over: tells them until
-// they have stopped them, and returns what cannot be told.
-func (c *Controller) tickCompletedTasks() {
-	var names []wire.MachineID
-	for _, id := range sortedKeys(c.cancellations.machinesWithCompletedTasks) {
-		held, open, _ := c.completedTasksOn(id)
-		if !held {
-			delete(c.cancellations.machinesWithCompletedTasks, id)
-			continue
-		}
-		m := c.machine(id)
-		if m.scaling.terminated || !open {
+// newWatermark is this controller's watermark as of now. Only a process that has loaded nothing
+// yet, and so has reported nothing to any user, and one whose cache is complete may send one.
+func (c *Controller) newWatermark() *wire.CancellationWatermark {
+	c.cancellations.noteSent(c.now)
+	watermark := &wire.CancellationWatermark{Process: c.cancellations.process, Sequence: c.cancellations.sequence, Revision: c.cache.revision}
+	lowest, lowestHeard := wire.Revision(math.MaxUint64), wire.Revision(math.MaxUint64)
+	for _, sibling := range c.settings.Siblings {
+		peer := c.gossip.peers[sibling.Label]
+		if peer == nil || peer.process == 0 {
+			lowest = 0
 			continue
 		}
-		if c.isDue(m.reconciliation.nextSend) && !m.reconciliation.sending && (!c.storeReachable() || c.isResponsibleFor(m)) {
-			c.sendCommands(m)
-		}
-		if m.latestHeartbeat == nil && m.addr != "" && !m.liveness.requesting && c.isDue(m.liveness.nextRequest) && c.canProbe() {
-			c.probeMachine(m) // it cannot be told before it was heard
+		if watermark.Acks == nil {
+			watermark.Acks = map[string]wire.WatermarkAck{}
 		}
-		if c.cannotCommand(m) && c.now.Sub(c.cancellations.machinesWithCompletedTasks[id]) > c.unrecordedTerminationDelay(m) && len(names) < wire.MaxTerminate {
-			names = append(names, id)
+		watermark.Acks[sibling.Label] = wire.WatermarkAck{Process: peer.process, Sequence: peer.sequence}
+		lowest = min(lowest, peer.revision)
+		if c.now.Sub(peer.lastHeardAt) <= peerTimeout {
+			lowestHeard = min(lowestHeard, peer.revision)
 		}
 	}
-	if len(names) > 0 && !c.provisioner.terminateCallInFlight {
-		c.terminateUnrecorded(names)
-	}
+	// What every sibling has read need not be kept. What those that are heard now have read need
+	// not be listed, while one that is not heard may come back and need it.
+	c.cancellations.forget(min(lowest, c.cache.revision))
+	watermark.Since = max(c.cancellations.since, min(lowestHeard, c.cache.revision))
+	watermark.Cancellations = c.cancellations.after(watermark.Since)
+	return watermark
 }
 
-// cannotCommand reports whether a machine leaves calls unanswered or, where its address
-// is not known here, had time to report and did not.
-func (c *Controller) cannotCommand(m *machine) bool {
-	if m.addr == "" {
-		return c.now.Sub(max(m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+time.Second && !c.isolationSuspected()
+// applyWatermark takes the cancellations of a sibling's watermark into the cache, and notes up to
+// when this proves that all are known which the sibling may have reported.
+func (c *Controller) applyWatermark(peer *peerState, watermark *wire.CancellationWatermark) {
+	if peer.process != watermark.Process {
+		peer.process, peer.sequence, peer.firstHeardAt, peer.cancellationsKnownAt = watermark.Process, 0, c.now, 0
 	}
-	return m.liveness.unansweredCalls >= unreachableThreshold
-}
-
-// isResponsibleFor reports whether it is up to this controller to tell a machine again: it
-// looks after a team of the ended work there, or the machine reports here.
-func (c *Controller) isResponsibleFor(m *machine) bool {
-	return m.directHeartbeat != nil && m.directHeartbeat == m.latestHeartbeat ||
-		slices.ContainsFunc(m.allocations, func(e *Allocation) bool { return c.cache.jobs[e.Job] == nil && c.ownsTeam(e.page.team) })
-}
-
-// unrecordedTerminationDelay is how long a machine that cannot be told may hold ended work before
-// it is returned without that being written down first. While the state service can
-// be had the buyer returns it in good order well before.
-func (c *Controller) unrecordedTerminationDelay(m *machine) time.Duration {
-	part := unrecordedFraction
-	if !c.storeReachable() {
-		part = unrecordedFractionIsolated
-		if c.cache.provisionerIncarnation == c.membership.incarnation && !c.isolationSuspected() {
-			part = unrecordedFractionProvisioner
-		}
+	peer.sequence = max(peer.sequence, watermark.Sequence)
+	peer.revision = max(peer.revision, watermark.Revision)
+	c.applySiblingCancellations(watermark.Cancellations)
+	ack, ok := watermark.Acks[c.settings.Label]
+	if !ok {
+		return
 	}
-	return config.Seconds(part * c.settings.Cluster.Workers.CancelS)
-}
-
-// Of the time for a cancellation, how much may pass before a machine is returned
-// without a record of it: by any controller, by any that has not the state service,
-// and by the buyer then.
-const (
-	unrecordedFraction            = 0.7
-	unrecordedFractionIsolated    = 0.55
-	unrecordedFractionProvisioner = 0.3
-)
-
-// terminateUnrecorded returns machines though it cannot be written down that they go.
-// What is returned is gone, so that nothing can run twice by it: what else stands
-// there is lost, and is found to be so once the state service is back, when the
-// machine, silent and holding ended work, is returned once more in good order.
-func (c *Controller) terminateUnrecorded(names []wire.MachineID) {
-	for _, id := range names {
-		c.log.Info("machine returned without a record: it holds withdrawn work and does not answer", "machine", id,
-			"for", c.now.Sub(c.cancellations.machinesWithCompletedTasks[id]))
+	sentAt, ok := c.cancellations.sentTime(ack)
+	if !ok {
+		return
+	}
+	peer.ackedAt = max(peer.ackedAt, sentAt)
+	// A list that begins after what was read here leaves a gap: it proves nothing.
+	if c.cacheComplete() && c.cache.revision >= watermark.Since {
+		peer.cancellationsKnownAt = max(peer.cancellationsKnownAt, sentAt)
 	}
-	c.callTerminate(names, func(*machine) { c.metrics.count(countTerminatedUnrecorded, 1) })
 }
 
-// stopCommands is the orders to stop what is known to be withdrawn or done on a machine,
-// recorded or not. They hold whatever else was written meanwhile.
-func (c *Controller) stopCommands(m *machine) []wire.Command {
-	var orders []wire.Command
-	for i := range m.latestHeartbeat.Tasks {
-		t := &m.latestHeartbeat.Tasks[i]
-		if t.State == wire.TaskExited || len(orders) >= maxCommands {
+// applySiblingCancellations applies the cancellations that are newer than the cache. The others
+// are known here already, or their records were archived since.
+func (c *Controller) applySiblingCancellations(cancellations []wire.Cancellation) {
+	if !c.membership.loaded {
+		return
+	}
+	for _, cancellation := range cancellations {
+		if cancellation.Version <= c.cache.revision {
 			continue
 		}
-		if _, over := c.completion(t.Task.Job); over {
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: gracePeriod(0)})
-		}
+		completion := record.Completion{Status: wire.StatusCancelled, Done: cancellation.Done}
+		c.apply(record.JobKey(cancellation.Job), encodePlain(record.CompletedJob{Completion: completion}), cancellation.Version)
 	}
-	return orders
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -49,7 +49,7 @@
 	c.handlePeerMessage(word(c, "rig-1", 7, 1, 5, 100))
 	c.handlePeerMessage(word(c, "rig-2", 8, 1, 5, 100))
 	require.Equal(t, at(10), c.cancellationsKnownAt(), "the feed was not read since they were first heard")
-	c.noteCacheCurrent(at(20))
+	c.cancellations.noteCacheCurrent(at(20))
 	c.now = at(40)
 	for range 3 {
 		c.newWatermark() // 6 to 8, at second 40
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -8,49 +8,55 @@
 	"lilacrill/wire"
 )
 
-// commit runs a transaction and takes its changes into the cache when it went
-// through. The token comes by the feed alone (see store.token).
-func (c *Controller) commit(class CallPriority, txn wire.Transaction, then func(CommitResult)) {
-	c.commitExceptPrefix(class, txn, "", then)
+// commit runs a transaction and, if it succeeds, applies its changes to the cache. The fencing
+// token is the exception: the cache takes it from the watch alone (see stateCache.token).
+func (c *Controller) commit(priority CallPriority, txn wire.Transaction, then func(CommitResult)) {
+	c.commitExceptPrefix(priority, txn, "", then)
 }
 
-// commitExceptPrefix is commit for a caller that takes the keys under known (if not
-// empty) into the cache itself.
-func (c *Controller) commitExceptPrefix(class CallPriority, txn wire.Transaction, known string, then func(CommitResult)) {
+// commitExceptPrefix is commit for a caller that applies the keys under a prefix itself; with
+// an empty prefix there are none.
+func (c *Controller) commitExceptPrefix(priority CallPriority, txn wire.Transaction, prefix string, then func(CommitResult)) {
 	sent := c.now
 	c.spendWrites(len(txn.Then))
-	c.emit(Commit{call(c, func(r CommitResult) {
+	c.emit(Commit{call(c, func(result CommitResult) {
 		c.metrics.count(countCommits, 1)
 		c.metrics.observe(latencyCommit, c.now.Sub(sent))
-		c.metrics.countFailure(r.Outcome, countStoreRefused, countStoreUnanswered)
-		switch r.Outcome {
+		c.metrics.countFailure(result.Outcome, countStoreRefused, countStoreUnanswered)
+		switch result.Outcome {
 		case NotExecuted:
-			c.spendWrites(-len(txn.Then)) // no tokens were used
+			c.spendWrites(-len(txn.Then))
 		case Succeeded:
 			c.noteStoreResponse()
-			c.metrics.count(countWritten, len(txn.Then))
-			c.cache.ownRevision = max(c.cache.ownRevision, r.Revision)
-			for _, ch := range txn.Then {
-				switch {
-				case ch.Put == record.TokenKey || known != "" && strings.HasPrefix(ch.Put, known):
-				case ch.Put != "":
-					c.apply(ch.Put, ch.Value, r.Revision)
-				default:
-					c.apply(ch.Delete, nil, r.Revision)
-				}
-			}
+			c.applyCommitted(txn, prefix, result.Revision)
 		case Conflict:
 			c.noteStoreResponse()
 			c.metrics.count(countConflicts, 1)
 		}
-		then(r)
-	}), class, txn})
+		then(result)
+	}), priority, txn})
 }
 
-// putChange writes a record in the format in force.
-func (c *Controller) putChange(key string, v any) wire.Change {
-	return wire.Change{Put: key, Value: record.Encode(c.rollout.tracker.Format(), key, v)}
+// applyCommitted applies the changes of a transaction that succeeded, except those of the
+// fencing token and, unless the prefix is empty, of the keys under it.
+func (c *Controller) applyCommitted(txn wire.Transaction, exceptPrefix string, revision wire.Revision) {
+	c.metrics.count(countWritten, len(txn.Then))
+	c.cache.ownRevision = max(c.cache.ownRevision, revision)
+	for _, change := range txn.Then {
+		switch {
+		case change.Put == record.TokenKey || exceptPrefix != "" && strings.HasPrefix(change.Put, exceptPrefix):
+		case change.Put != "":
+			c.apply(change.Put, change.Value, revision)
+		default:
+			c.apply(change.Delete, nil, revision)
+		}
+	}
+}
+
+// putChange is a change that stores a record in the format in force.
+func (c *Controller) putChange(key string, value any) wire.Change {
+	return wire.Change{Put: key, Value: record.Encode(c.rollout.tracker.Format(), key, value)}
 }
 
-// encodePlain writes a record in the first format.
-func encodePlain(v any) json.RawMessage { return record.Encode(record.FormatPlain, "", v) }
+// encodePlain encodes a record in the first format.
+func encodePlain(value any) json.RawMessage { return record.Encode(record.FormatPlain, "", value) }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,18 +27,20 @@
 	nextCall      CallID
 	callStartedAt Time // when the call was made whose result is being handled
 
-	cache         stateCache
-	membership    membership
-	fleet         fleet
-	provisioner   provisioner
-	scheduler     scheduler
-	operator      operatorSettings
-	rollout       rolloutState
-	shards        shardState
-	forwarding    jobForwarding
-	metrics       metrics
-	cancellations cancellationWatermark
-	gossip        gossip
+	cache          stateCache
+	membership     membership
+	fleet          fleet
+	provisioner    provisioner
+	scheduler      scheduler
+	operator       operatorSettings
+	rollout        rolloutState
+	shards         shardState
+	forwarding     jobForwarding
+	metrics        metrics
+	cancellations  cancellationWatermark
+	completedTasks completedTasks
+	writeBudget    writeBudget
+	gossip         gossip
 
 	lastStep  Time
 	resumedAt Time // when this process last went on after standing still
@@ -62,6 +64,7 @@
 	c.scheduler.init()
 	c.metrics.init()
 	c.cancellations.init(c.rand.Uint64())
+	c.completedTasks.init()
 	c.operator.values.Operator = config.DefaultOperator()
 	c.rollout.init(settings)
 	c.shards.init(settings)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -48,7 +48,7 @@
 		}
 		c.provisioner.gossipedStatus = nil
 	}
-	if c.isDue(c.cancellations.nextWatermark) {
+	if c.isDue(c.cancellations.next) {
 		line.Watermark = c.newWatermark()
 	}
 	c.addCapacityOffer(line)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -24,8 +24,6 @@
 
 	assignedRateFraction float64  // of the state service's limits
 	eligibleControllers  []string // the living controllers that reach workers
-	writeBudget          float64  // writes that may be made now; below 0 after a large round
-	writeBudgetAt        Time
 
 	leaseID           wire.LeaseID
 	leaseCallInFlight bool
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -127,12 +127,7 @@
 
 // holdsCompletedTasks reports whether a machine has held ended work for longer than that.
 func (c *Controller) holdsCompletedTasks(id wire.MachineID, patience time.Duration) bool {
-	since, ok := c.cancellations.machinesWithCompletedTasks[id]
-	if !ok || c.now.Sub(since) <= patience {
-		return false
-	}
-	held, _, _ := c.completedTasksOn(id)
-	return held
+	return c.completedTasks.heldLongerThan(id, c.now, patience) && c.completedTasksOn(id).recorded
 }
 
 // completedTaskTolerance is how long a machine may hold ended work that it cannot be told
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -101,7 +101,7 @@
 	a, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// Moves wait for their part of the writes: when operators moved all shares at once,
 	// what that took was paid back for a minute without a placement (TestShuffle).
-	if c.spendWrites(0); due && (a.Kind == shard.TakeOver || c.membership.writeBudget >= 0) {
+	if overdrawn := c.writesOverdrawn(); due && (a.Kind == shard.TakeOver || !overdrawn) {
 		c.commitShardAction(a)
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -7,40 +7,68 @@
 	"lilacrill/internal/record"
 )
 
-// reloadCache reads everything anew: at the start, and when the feed no longer goes
-// back far enough.
+const (
+	// watchTimeout is how long the state store holds a watch request open for want of changes.
+	watchTimeout  = 10 * time.Second
+	watchInterval = 40 * time.Millisecond
+	// watchIdleDelay is how long no change must have been read before a watch is opened: while
+	// users ask, read barriers bring every change, and a watch would only have them decoded
+	// twice.
+	watchIdleDelay  = 100 * time.Millisecond
+	storeRetryDelay = 250 * time.Millisecond
+	// watchRateFraction and barrierRateFraction are the parts of this controller's requests that
+	// watches and read barriers may take.
+	watchRateFraction   = 0.25
+	barrierRateFraction = 0.3
+)
+
+// reloadCache reads all keys: at the start, and when the state store has compacted the changes
+// that the cache is missing.
 func (c *Controller) reloadCache() {
-	c.emit(LoadKeys{call(c, func(l LoadResult) {
-		if l.Outcome != Succeeded {
-			c.membership.loading = false
-			c.membership.nextAttempt = c.now.Add(storeRetryDelay)
-			return
-		}
-		c.noteStoreResponse()
-		finals := c.cache.archivedJobs
-		c.cache.init()
-		c.rollout.tracker.Reset()
-		c.shards.table.Reset()
-		c.cache.archivedJobs = finals
-		c.cancellations.recentCancellations, c.cancellations.cancellationsSince = nil, 0
-		clear(c.cancellations.machinesWithCompletedTasks)
-		for _, m := range c.fleet.machines {
-			m.allocations = nil
-		}
-		clear(c.scheduler.allocationsByJob)
-		clear(c.scheduler.criticalAllocations)
-		for _, e := range l.Entries {
-			c.apply(e.Key, e.Value, e.Version)
-		}
-		c.cache.revision = l.First
-		c.forgetCancellations(l.First)
-		c.membership.catchUpRevision = l.Last
-		c.membership.loading, c.membership.loaded = false, true
-		c.openWatch()
-	}), record.LoadPrefixes})
+	c.emit(LoadKeys{call(c, c.applyLoadResult), record.LoadPrefixes})
+}
+
+// applyLoadResult replaces the cache by the keys that were read. They were read page by page
+// while others wrote: what was read last may be newer than the first page's revision. So the
+// watch starts at the first page's revision, and the cache is complete once it has reached the
+// last one's.
+func (c *Controller) applyLoadResult(result LoadResult) {
+	if result.Outcome != Succeeded {
+		c.membership.loading = false
+		c.membership.nextAttempt = c.now.Add(storeRetryDelay)
+		return
+	}
+	c.noteStoreResponse()
+	c.resetCache()
+	for _, entry := range result.Entries {
+		c.apply(entry.Key, entry.Value, entry.Version)
+	}
+	c.cache.revision = result.First
+	c.cancellations.forget(result.First)
+	c.membership.catchUpRevision = result.Last
+	c.membership.loading, c.membership.loaded = false, true
+	c.openWatch()
+}
+
+// resetCache drops everything that was read from the state store, and the indexes of it. Only
+// archived completions stay: they never change, and a load does not read them.
+func (c *Controller) resetCache() {
+	archived := c.cache.archivedJobs
+	c.cache.init()
+	c.cache.archivedJobs = archived
+	c.rollout.tracker.Reset()
+	c.shards.table.Reset()
+	c.cancellations.reset()
+	c.completedTasks.reset()
+	for _, machine := range c.fleet.machines {
+		machine.allocations = nil
+	}
+	clear(c.scheduler.allocationsByJob)
+	clear(c.scheduler.criticalAllocations)
 }
 
-// openWatch keeps one open request on the feed.
+// openWatch keeps one watch request open. It does not block while the cache is known to be
+// behind.
 func (c *Controller) openWatch() {
 	if c.cache.watching || !c.membership.loaded {
 		return
@@ -50,49 +78,40 @@
 	if c.cache.revision < c.membership.catchUpRevision {
 		block = 0
 	}
-	c.emit(Watch{Call: call(c, func(f WatchResult) {
-		c.cache.watching = false
-		if !c.applyWatchResult(f) {
-			c.membership.nextWatch = c.now.Add(storeRetryDelay)
-			return
-		}
-		// A short pause lets changes gather: what a busy feed brings is wanted
-		// within a second, not at once.
-		c.membership.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
-		if c.cache.revision < c.membership.catchUpRevision {
-			c.openWatch()
-		}
-	}), Priority: PriorityUrgent, Prefix: record.RootKey, After: c.cache.revision, Block: block})
+	c.emit(Watch{Call: call(c, c.handleWatchResult), Priority: PriorityUrgent,
+		Prefix: record.RootKey, After: c.cache.revision, Block: block})
 }
 
-const (
-	watchTimeout  = 10 * time.Second
-	watchInterval = 40 * time.Millisecond
-	// watchIdleDelay is how long the feed must not have been read for a watch to be
-	// opened: while users ask, barriers bring all of it, and a watch would only have
-	// it decoded twice.
-	watchIdleDelay  = 100 * time.Millisecond
-	storeRetryDelay = 250 * time.Millisecond
-	// watchRateFraction and barrierRateFraction are the parts of this controller's requests that
-	// reading the feed may take.
-	watchRateFraction   = 0.25
-	barrierRateFraction = 0.3
-)
+// handleWatchResult applies the result of the open watch and decides when the next one opens.
+func (c *Controller) handleWatchResult(result WatchResult) {
+	c.cache.watching = false
+	if !c.applyWatchResult(result) {
+		c.membership.nextWatch = c.now.Add(storeRetryDelay)
+		return
+	}
+	// A short pause lets changes gather: those of a busy store are needed within a second, not
+	// at once.
+	c.membership.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
+	if c.cache.revision < c.membership.catchUpRevision {
+		c.openWatch()
+	}
+}
 
-// callInterval is the time between calls that may take a part of this controller's
-// share of the state service's requests.
+// callInterval is the time between calls that may take a part of this controller's requests to
+// the state store.
 func (c *Controller) callInterval(least time.Duration, part float64) time.Duration {
 	return max(least, config.Seconds(1/(part*c.rateFraction()*c.settings.Cluster.State.RPS)))
 }
 
-// applyWatchResult takes an answer of the feed and reports whether it was one.
-func (c *Controller) applyWatchResult(f WatchResult) bool {
-	c.metrics.countFailure(f.Outcome, countStoreRefused, countStoreUnanswered)
-	switch f.Outcome {
+// applyWatchResult applies the changes of a watch to the cache and reports whether the state
+// store gave any answer.
+func (c *Controller) applyWatchResult(result WatchResult) bool {
+	c.metrics.countFailure(result.Outcome, countStoreRefused, countStoreUnanswered)
+	switch result.Outcome {
 	case Succeeded:
 	case Compacted:
 		if c.membership.loaded {
-			c.log.Info("the feed no longer goes back far enough; reading everything again")
+			c.log.Info("watch compacted, reloading all keys", "revision", c.cache.revision)
 			c.membership.loaded, c.membership.loading = false, false
 		}
 		return false
@@ -100,53 +119,26 @@
 		return false
 	}
 	c.noteStoreResponse()
-	for _, l := range f.Response.Events {
-		if l.Put != "" {
-			c.apply(l.Put, l.Value, l.Version)
+	for _, event := range result.Response.Events {
+		if event.Put != "" {
+			c.apply(event.Put, event.Value, event.Version)
 		} else {
-			c.apply(l.Delete, nil, l.Version)
+			c.apply(event.Delete, nil, event.Version)
 		}
 	}
-	c.cache.revision = max(c.cache.revision, f.Response.Revision)
+	c.cache.revision = max(c.cache.revision, result.Response.Revision)
 	if c.membership.loaded {
-		c.noteCacheCurrent(c.callStartedAt)
-	}
-	for key, version := range c.cache.deletedKeys {
-		if version <= c.cache.revision {
-			delete(c.cache.deletedKeys, key)
-			delete(c.cache.keyVersions, key)
-		}
+		// The answer holds every change from before the call, however late it came.
+		c.cancellations.noteCacheCurrent(c.callStartedAt)
 	}
+	c.cache.forgetDeletedKeys()
 	return true
 }
 
-// readBarrier calls then once the cache holds everything that was written before
-// now. All who wait share one request.
-func (c *Controller) readBarrier(then func(ok bool)) {
-	if !c.membership.loaded {
-		then(false)
-		return
-	}
-	c.cache.barrierQueue = append(c.cache.barrierQueue, then)
-	c.startBarrier()
-}
-
-func (c *Controller) startBarrier() {
-	if c.cache.barrierInFlight || len(c.cache.barrierQueue) == 0 || !c.isDue(c.cache.nextBarrier) {
-		return
+// keepCacheCurrent issues a read barrier if there was none for a while: an open watch shows
+// that something changed, never that nothing did.
+func (c *Controller) keepCacheCurrent() {
+	if c.cacheComplete() && c.storeReachable() && c.cache.barrier.idle() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval {
+		c.readBarrier(func(bool) {})
 	}
-	c.cache.barrierInFlight = true
-	c.cache.nextBarrier = c.now.Add(c.callInterval(0, barrierRateFraction))
-	c.cache.barrierWaiters, c.cache.barrierQueue = c.cache.barrierQueue, nil
-	after := c.cache.revision
-	c.emit(Watch{Call: call(c, func(f WatchResult) {
-		ok := after <= c.cache.revision && c.applyWatchResult(f)
-		c.cache.barrierInFlight = false
-		served := c.cache.barrierWaiters
-		c.cache.barrierWaiters = nil
-		for _, then := range served {
-			then(ok)
-		}
-		c.startBarrier()
-	}), Priority: PriorityAdmission, Prefix: record.RootKey, After: after})
 }
