--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -219,13 +219,13 @@
 	case controller.SetRateShare:
 		e.state.SetRateFraction(o.Fraction)
 	case controller.ReadCatalogue:
-		e.cloud.Catalogue(back[controller.CatalogueResult](e, o.Call))
+		e.cloud.ReadCatalogue(back[controller.CatalogueResult](e, o.Call))
 	case controller.ListMachines:
-		e.cloud.List(back[controller.MachinesResult](e, o.Call))
+		e.cloud.ListMachines(back[controller.MachinesResult](e, o.Call))
 	case controller.ProvisionMachines:
-		e.cloud.Hire(o.Request, back[controller.ProvisionResult](e, o.Call))
+		e.cloud.Provision(o.Request, back[controller.ProvisionResult](e, o.Call))
 	case controller.TerminateMachines:
-		e.cloud.Return(o.Machines, back[controller.TerminateResult](e, o.Call))
+		e.cloud.Terminate(o.Machines, back[controller.TerminateResult](e, o.Call))
 	case controller.SendCommands:
 		e.workers.Do(o.Addr, o.Body, back[controller.WorkerResponse](e, o.Call))
 	case controller.RequestHeartbeat:
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -23,9 +23,9 @@
 	Type wire.MachineType
 	Zone string
 	Spot bool
-	// Doubt is which part of what was rented of it and is not up yet is overdue,
+	// OverdueFraction is which part of what was rented of it and is not up yet is overdue,
 	// from 0 to 1.
-	Doubt float64
+	OverdueFraction float64
 }
 
 // Price is what the offer costs an hour.
@@ -51,26 +51,26 @@
 	if o.Spot {
 		spot = "true"
 	}
-	total := placement.Amount{Cores: o.Type.Cores, Accelerators: o.Type.Accelerators, MemGB: o.Type.MemGB}
+	total := placement.Resources{Cores: o.Type.Cores, Accelerators: o.Type.Accelerators, MemGB: o.Type.MemGB}
 	return &placement.Host{
 		ID:     id,
 		Labels: placement.Tags{placement.LabelType: o.Type.Name, placement.LabelZone: o.Zone, placement.LabelSpot: spot},
-		Total:  total, Free: total, Slots: slots, Price: o.Price(),
+		Total:  total, Free: total, TaskSlots: slots, Price: o.Price(),
 	}
 }
 
-// Purchase is a number of machines to rent.
-type Purchase struct {
-	Offer  Offer
-	Number int
+// Launch is a number of machines to rent.
+type Launch struct {
+	Offer Offer
+	Count int
 }
 
 // Plan says what to rent for the demands, most urgent first, that the coming
 // machines (rented, but not up yet) will not satisfy. The coming machines are
 // filled in passing. Offers that were refused lately are left out by the
 // caller.
-func Plan(demands []Demand, coming placement.Fleet, offers []Offer, slots int) []Purchase {
-	var out []Purchase
+func Plan(demands []Demand, coming placement.Fleet, offers []Offer, slots int) []Launch {
+	var out []Launch
 	for _, d := range demands {
 		left := d.Count
 		for _, ch := range coming.Choose(d.Request, left, d.Zone, placement.Options{Relax: true}) {
@@ -79,16 +79,16 @@
 		if left <= 0 {
 			continue
 		}
-		best, number := pick(d, left, offers, slots)
+		best, number := cheapestOffer(d, left, offers, slots)
 		if number == 0 {
 			continue
 		}
-		if k := slices.IndexFunc(out, func(p Purchase) bool { return p.Offer.Key() == best.Key() }); k >= 0 {
-			number = min(number, wire.MaxProvision-out[k].Number)
-			out[k].Number += number
+		if k := slices.IndexFunc(out, func(p Launch) bool { return p.Offer.Key() == best.Key() }); k >= 0 {
+			number = min(number, wire.MaxProvision-out[k].Count)
+			out[k].Count += number
 		} else {
 			number = min(number, wire.MaxProvision)
-			out = append(out, Purchase{best, number})
+			out = append(out, Launch{best, number})
 		}
 		for range number {
 			coming = append(coming, best.Host("", slots))
@@ -98,9 +98,9 @@
 	return out
 }
 
-// pick finds the offer that serves the tasks at the lowest price, counting only
+// cheapestOffer finds the offer that serves the tasks at the lowest price, counting only
 // the machines' part that they will use where they use less than all of it.
-func pick(d Demand, count int, offers []Offer, slots int) (Offer, int) {
+func cheapestOffer(d Demand, count int, offers []Offer, slots int) (Offer, int) {
 	type option struct {
 		offer  Offer
 		number int
@@ -115,7 +115,7 @@
 		if d.Zone != "" && o.Zone != d.Zone {
 			continue
 		}
-		per := h.Free.Times(d.Request.Need, slots)
+		per := h.Free.Fits(d.Request.Need, slots)
 		if per == 0 {
 			continue
 		}
@@ -124,17 +124,17 @@
 		filled := float64(count) / float64(per)
 		paid := (filled + float64(number)) / 2
 		// What may come late, or never, is worth less.
-		options = append(options, option{o, number, o.Price() * paid / float64(count) * (1 + o.Doubt)})
+		options = append(options, option{o, number, o.Price() * paid / float64(count) * (1 + o.OverdueFraction)})
 	}
 	if len(options) == 0 {
 		return Offer{}, 0
 	}
 	best := slices.MinFunc(options, func(a, b option) int {
-		return cmp.Or(cmp.Compare(round(a.cost), round(b.cost)), cmp.Compare(a.offer.Type.StartupS, b.offer.Type.StartupS),
+		return cmp.Or(cmp.Compare(roundCost(a.cost), roundCost(b.cost)), cmp.Compare(a.offer.Type.StartupS, b.offer.Type.StartupS),
 			cmp.Compare(a.offer.Zone, b.offer.Zone))
 	})
 	return best.offer, best.number
 }
 
-// round makes costs that differ by rounding equal.
-func round(f float64) float64 { return math.Round(f*1e9) / 1e9 }
+// roundCost makes costs that differ by rounding equal.
+func roundCost(f float64) float64 { return math.Round(f*1e9) / 1e9 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -32,7 +32,7 @@
 func TestPlanServesAllAndAsksOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
-		var need placement.Amount
+		var need placement.Resources
 		anySpot := false
 		for range rapid.IntRange(1, 6).Draw(t, "demands") {
 			d := demand(float64(rapid.IntRange(1, 4).Draw(t, "cores")), float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
@@ -41,15 +41,15 @@
 			need = need.Plus(d.Request.Need, float64(d.Count))
 			demands = append(demands, d)
 		}
-		var room placement.Amount
+		var room placement.Resources
 		seen := map[Key]bool{}
 		for _, p := range Plan(demands, nil, offers(), 300) {
 			require.False(t, seen[p.Offer.Key()], "asked twice")
 			seen[p.Offer.Key()] = true
 			require.True(t, anySpot || !p.Offer.Spot)
-			require.LessOrEqual(t, p.Number, wire.MaxProvision)
+			require.LessOrEqual(t, p.Count, wire.MaxProvision)
 			h := p.Offer.Host("", 300)
-			room = room.Plus(h.Total, float64(p.Number))
+			room = room.Plus(h.Total, float64(p.Count))
 		}
 		require.True(t, room.Covers(need), "need %v, rented %v", need, room)
 	})
@@ -72,7 +72,7 @@
 	all := offers()
 	for i := range all {
 		if all[i].Zone == "a" {
-			all[i].Doubt = 0.5
+			all[i].OverdueFraction = 0.5
 		}
 	}
 	for _, p := range Plan([]Demand{demand(1, 0, true, 3)}, nil, all, 300) {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -30,14 +30,14 @@
 	callTimeout = 4 * time.Second
 	tokenWait   = 2 * time.Second
 	idleTime    = 30 * time.Second
-	// share is the part of the cloud's limit that one controller uses: only one
+	// rateLimitFraction is the part of the cloud's limit that one controller uses: only one
 	// buys at a time, the others rarely ask for anything.
-	share = 0.7
+	rateLimitFraction = 0.7
 )
 
 // New makes a client.
 func New(set *config.Settings, log *slog.Logger) *Client {
-	limit := set.Cluster.Cloud.RPS * share
+	limit := set.Cluster.Cloud.RPS * rateLimitFraction
 	return &Client{
 		log:    log,
 		calls:  httpcall.New(set.Services.Cloud, sockets.Share(set).Cloud, idleTime),
@@ -69,8 +69,8 @@
 	return status, controller.Unknown
 }
 
-// Catalogue reads the machine types.
-func (c *Client) Catalogue(then func(controller.CatalogueResult)) {
+// ReadCatalogue reads the machine types.
+func (c *Client) ReadCatalogue(then func(controller.CatalogueResult)) {
 	go func() {
 		var r controller.CatalogueResult
 		_, r.Outcome = c.call(http.MethodGet, "/catalog", nil, map[int]any{200: &r.Catalogue})
@@ -78,8 +78,8 @@
 	}()
 }
 
-// List reads the whole machine list.
-func (c *Client) List(then func(controller.MachinesResult)) {
+// ListMachines reads the whole machine list.
+func (c *Client) ListMachines(then func(controller.MachinesResult)) {
 	go func() {
 		var r controller.MachinesResult
 		after := ""
@@ -105,8 +105,8 @@
 // noCapacity is the cloud's word for having no such machine left.
 const noCapacity = "no capacity"
 
-// Hire rents machines.
-func (c *Client) Hire(h wire.ProvisionRequest, then func(controller.ProvisionResult)) {
+// Provision rents machines.
+func (c *Client) Provision(h wire.ProvisionRequest, then func(controller.ProvisionResult)) {
 	go func() {
 		var names wire.MachineNames
 		var problem wire.ErrorResponse
@@ -116,8 +116,8 @@
 	}()
 }
 
-// Return gives machines back.
-func (c *Client) Return(names []wire.MachineID, then func(controller.TerminateResult)) {
+// Terminate gives machines back.
+func (c *Client) Terminate(names []wire.MachineID, then func(controller.TerminateResult)) {
 	go func() {
 		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: names}, nil)
 		then(controller.TerminateResult{Outcome: outcome})
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -39,21 +39,21 @@
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 
 	read := make(chan controller.CatalogueResult, 1)
-	client.Catalogue(func(r controller.CatalogueResult) { read <- r })
+	client.ReadCatalogue(func(r controller.CatalogueResult) { read <- r })
 	require.Equal(t, controller.CatalogueResult{Outcome: controller.Succeeded, Catalogue: catalogue}, <-read)
 
 	listed := make(chan controller.MachinesResult, 1)
-	client.List(func(r controller.MachinesResult) { listed <- r })
+	client.ListMachines(func(r controller.MachinesResult) { listed <- r })
 	require.Equal(t, controller.MachinesResult{Outcome: controller.Succeeded, Machines: machines.Machines}, <-listed)
 
 	var hire wire.ProvisionRequest
 	golden.NewFiller(2).Fill(&hire)
 	hired := make(chan controller.ProvisionResult, 1)
-	client.Hire(hire, func(r controller.ProvisionResult) { hired <- r })
+	client.Provision(hire, func(r controller.ProvisionResult) { hired <- r })
 	require.Equal(t, controller.ProvisionResult{Outcome: controller.Succeeded, Machines: names.Names}, <-hired)
 
 	returned := make(chan controller.TerminateResult, 1)
-	client.Return(names.Names, func(r controller.TerminateResult) { returned <- r })
+	client.Terminate(names.Names, func(r controller.TerminateResult) { returned <- r })
 	require.Equal(t, controller.TerminateResult{Outcome: controller.Succeeded}, <-returned)
 
 	golden.Compare(t, "requests.txt", recorder.Requests())
--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -166,7 +166,7 @@
 		t := c.cache.team(s.Name)
 		v := wire.AdminTeam{Name: s.Name, Owner: c.teamOwner(s.Name), CPUsGuaranteed: s.CPUs, CPUsMax: s.CPUsMax,
 			GPUsGuaranteed: s.GPUs, GPUsMax: s.GPUsMax, PlacementPages: len(t.pages), PlacementBackoff: !c.isDue(t.schedule.nextPlacement)}
-		var used placement.Amount
+		var used placement.Resources
 		for _, p := range t.orderedPages() { // a sum of fractions depends on the order
 			for k := range p.allocations {
 				used = used.Plus(p.allocations[k].taskResources(), float64(p.allocations[k].Tasks.Len()))
--- a/internal/controller/allocation.go
+++ b/internal/controller/allocation.go
@@ -25,8 +25,8 @@
 	host *machine // the same
 }
 
-func (e *Allocation) taskResources() placement.Amount {
-	return placement.Amount{Cores: e.Cores, Accelerators: e.Accelerators, MemGB: e.MemGB}
+func (e *Allocation) taskResources() placement.Resources {
+	return placement.Resources{Cores: e.Cores, Accelerators: e.Accelerators, MemGB: e.MemGB}
 }
 
 func (e *Allocation) tags() placement.Tags {
--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -96,8 +96,8 @@
 			continue
 		}
 		h := &room[i]
-		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: machineResources(t), Closed: !c.acceptsTasks(m),
-			Free: machineResources(t), Slots: maxTasksPerMachine, Images: m.images.cached, Price: t.OnDemandPrice, Pulling: m.images.pulling}
+		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: machineResources(t), Unschedulable: !c.acceptsTasks(m),
+			Free: machineResources(t), TaskSlots: maxTasksPerMachine, Images: m.images.cached, Price: t.OnDemandPrice, PullingImages: m.images.pulling}
 		if m.spot {
 			h.Price = t.SpotPrice
 		}
@@ -126,7 +126,7 @@
 		}
 		if h == nil {
 			// Rules with within read the zone of an unknown machine too.
-			h = &placement.Host{ID: e.Machine, Labels: placement.Tags{placement.LabelZone: p.zone}, Closed: true}
+			h = &placement.Host{ID: e.Machine, Labels: placement.Tags{placement.LabelZone: p.zone}, Unschedulable: true}
 			m.host = h
 			fleet = append(fleet, h)
 		}
@@ -140,14 +140,14 @@
 		}
 		n := e.Tasks.Len()
 		h.Free = h.Free.Plus(e.taskResources(), -float64(n))
-		h.Slots -= n
+		h.TaskSlots -= n
 		g := placement.Group{Team: p.team, Tags: tags, Count: n}
 		if e.Eviction != record.EvictionNone || j == nil {
 			h.Freeing = h.Freeing.Plus(e.taskResources(), float64(n))
 			g.Stopping = true
 		} else {
-			h.Ranks |= 1 << e.Priority
-			h.Beyond = h.Beyond || e.Priority >= wire.PriorityNormal.Level() && !within
+			h.PreemptablePriorities |= 1 << e.Priority
+			h.HasUnguaranteedTasks = h.HasUnguaranteedTasks || e.Priority >= wire.PriorityNormal.Level() && !within
 		}
 		h.Groups = append(h.Groups, g)
 		visit(p, e, h)
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -91,7 +91,7 @@
 // preempt stops tasks to make room and returns how many tasks still have none.
 // Work within its team's guarantee is stopped only where nothing else will do,
 // and only for urgent work.
-func (c *Controller) preempt(p *schedulingPass, rd *placement.Reading, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool) int {
+func (c *Controller) preempt(p *schedulingPass, rd *placement.Evaluator, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool) int {
 	count = c.preemptCandidates(p, rd, rules, w, count, usable, false)
 	if count > 0 && w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		count = c.preemptCandidates(p, rd, rules, w, count, usable, true)
@@ -99,7 +99,7 @@
 	return count
 }
 
-func (c *Controller) preemptCandidates(p *schedulingPass, rd *placement.Reading, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool, promised bool) int {
+func (c *Controller) preemptCandidates(p *schedulingPass, rd *placement.Evaluator, rules []placement.Node, w *pendingJob, count int, usable func(*placement.Host) bool, promised bool) int {
 	j := w.job
 	need := j.request.Need
 	type option struct {
@@ -110,7 +110,7 @@
 	var options []option
 	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
 	for _, h := range p.fleet {
-		if h.Closed || h.Ranks&lower == 0 && !(w.guaranteed && h.Beyond) || !h.Total.Covers(need) {
+		if h.Unschedulable || h.PreemptablePriorities&lower == 0 && !(w.guaranteed && h.HasUnguaranteedTasks) || !h.Total.Covers(need) {
 			continue
 		}
 		room := h.Free.Plus(h.Freeing, 1)
@@ -120,7 +120,7 @@
 			}
 		}
 		if room.Covers(need) && usable(h) && rd.Holds(rules, j.spec.Team, h) {
-			options = append(options, option{h, h.Pulling, h.Free.Cores})
+			options = append(options, option{h, h.PullingImages, h.Free.Cores})
 		}
 	}
 	slices.SortFunc(options, func(a, b option) int {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -122,7 +122,7 @@
 func (c *Controller) offersCapacity(label string, j *job) bool {
 	for i := range c.forwarding.siblingCapacity[label] {
 		o := &c.forwarding.siblingCapacity[label][i]
-		free := placement.Amount{Cores: o.Cores, Accelerators: o.Accelerators, MemGB: o.MemGB}
+		free := placement.Resources{Cores: o.Cores, Accelerators: o.Accelerators, MemGB: o.MemGB}
 		if !free.Covers(j.request.Need) {
 			continue
 		}
@@ -201,7 +201,7 @@
 }
 
 func (c *Controller) capacityOffers() []wire.CapacityOffer {
-	best := map[machineKind]placement.Amount{}
+	best := map[machineKind]placement.Resources{}
 	var kinds []machineKind
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
@@ -217,7 +217,7 @@
 		if !known {
 			kinds = append(kinds, key)
 		}
-		best[key] = placement.Amount{Cores: max(most.Cores, free.Cores), Accelerators: max(most.Accelerators, free.Accelerators),
+		best[key] = placement.Resources{Cores: max(most.Cores, free.Cores), Accelerators: max(most.Accelerators, free.Accelerators),
 			MemGB: max(most.MemGB, free.MemGB)}
 	}
 	offers := make([]wire.CapacityOffer, 0, len(kinds))
@@ -259,18 +259,18 @@
 	byZone, now, most := map[string][]candidate{}, map[string]int{}, map[string]int{}
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
 	for _, h := range fleet {
-		if h.Closed || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
+		if h.Unschedulable || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
 			continue
 		}
 		m := c.fleet.machines[h.ID]
 		free := h.Free.Plus(h.Freeing, 1)
-		cand := candidate{share: m.shard, now: free.Times(need, j.spec.Tasks)}
+		cand := candidate{share: m.shard, now: free.Fits(need, j.spec.Tasks)}
 		for _, e := range m.allocations {
 			if e.Priority > j.spec.Priority.Level() {
 				free = free.Plus(e.taskResources(), float64(e.Tasks.Len()))
 			}
 		}
-		cand.most = free.Times(need, j.spec.Tasks)
+		cand.most = free.Fits(need, j.spec.Tasks)
 		zone := ""
 		if j.spec.SingleZone {
 			zone = m.zone
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -13,10 +13,10 @@
 
 // evictBrokenGangs stops what is left of a gang that lost a task, so that it can start
 // again as a whole.
-func (c *Controller) evictBrokenGangs(rounds map[string]*placementTransaction) {
+func (c *Controller) evictBrokenGangs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
 		j := c.cache.jobs[id]
-		r := rounds[j.spec.Team]
+		r := transactions[j.spec.Team]
 		if j.spec.Shape != wire.ShapeGang || r == nil || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(r, 4) {
 			continue
 		}
@@ -44,7 +44,7 @@
 func (c *Controller) gatherCapacity(p *schedulingPass, w *pendingJob, count int) (string, int) {
 	j := w.job
 	need := j.request.Need
-	rd := p.fleet.Reading(p.hostsOfJob[j.id])
+	rd := p.fleet.NewEvaluator(p.jobHosts[j.id])
 	type room struct {
 		host      *placement.Host
 		now, most int // tasks that there will be room for, and if others are stopped
@@ -52,19 +52,19 @@
 	rooms, now, most := map[string][]room{}, map[string]int{}, map[string]int{}
 	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
 	for _, h := range p.fleet {
-		if h.Closed || !h.Total.Covers(need) || !rd.Holds(j.request.Enforced, j.spec.Team, h) {
+		if h.Unschedulable || !h.Total.Covers(need) || !rd.Holds(j.request.Enforced, j.spec.Team, h) {
 			continue
 		}
 		free := h.Free.Plus(h.Freeing, 1)
-		r := room{host: h, now: free.Times(need, count)}
-		if h.Ranks&lower != 0 || w.guaranteed && h.Beyond {
+		r := room{host: h, now: free.Fits(need, count)}
+		if h.PreemptablePriorities&lower != 0 || w.guaranteed && h.HasUnguaranteedTasks {
 			for _, e := range c.allocationsOn(h.ID) {
 				if c.preemptable(p.transactions, e, w, false) {
 					free = free.Plus(e.taskResources(), float64(e.Tasks.Len()))
 				}
 			}
 		}
-		if r.most = free.Times(need, count); r.most > 0 {
+		if r.most = free.Fits(need, count); r.most > 0 {
 			z := ""
 			if j.spec.SingleZone {
 				z = h.Labels[placement.LabelZone]
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -316,6 +316,6 @@
 	return placement.Tags{placement.LabelType: kind, placement.LabelZone: zone, placement.LabelSpot: s}
 }
 
-func machineResources(t *wire.MachineType) placement.Amount {
-	return placement.Amount{Cores: t.Cores, Accelerators: t.Accelerators, MemGB: t.MemGB}
+func machineResources(t *wire.MachineType) placement.Resources {
+	return placement.Resources{Cores: t.Cores, Accelerators: t.Accelerators, MemGB: t.MemGB}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -18,7 +18,7 @@
 const (
 	countAccepted             = "jobs_accepted"
 	countRefused              = "requests_refused"
-	countDone                 = "jobs_done"
+	countCompleted            = "jobs_done"
 	countCancelled            = "jobs_withdrawn"
 	countCommits              = "commits"
 	countWritten              = "values_written"
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -34,7 +34,7 @@
 }
 
 // pendingJobs is all that waits, most urgent first.
-func (c *Controller) pendingJobs(rounds map[string]*placementTransaction, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []pendingJob {
+func (c *Controller) pendingJobs(transactions map[string]*placementTransaction, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []pendingJob {
 	if rest {
 		c.scheduler.guaranteedJobs = c.findGuaranteedJobs()
 	}
@@ -55,7 +55,7 @@
 		missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(placed[id])
 		if r := c.cache.team(j.spec.Team).schedule.inFlight; r != nil {
 			missing = missing.Without(r.completed[id])
-		} else if r := rounds[j.spec.Team]; r != nil {
+		} else if r := transactions[j.spec.Team]; r != nil {
 			missing = missing.Without(r.completed[id])
 		}
 		if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
@@ -206,7 +206,7 @@
 			continue
 		}
 		slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(a.acceptedAt, b.acceptedAt), cmp.Compare(a.id, b.id)) })
-		var sum placement.Amount
+		var sum placement.Resources
 		for _, j := range jobs {
 			sum = sum.Plus(j.request.Need, float64(j.spec.Tasks))
 			if sum.Cores <= set.CPUs+1e-6 && sum.Accelerators <= set.GPUs+1e-6 {
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -141,7 +141,7 @@
 			c.applyCommittedPages(r, res.Revision)
 			for id := range r.completedJobs {
 				if c.cache.jobs[id] == nil {
-					c.metrics.count(countDone, 1)
+					c.metrics.count(countCompleted, 1)
 				}
 			}
 			if r.placesTasks {
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -13,16 +13,16 @@
 // provisioner is what this controller knows of the cloud, and what it is doing
 // there if it is the buyer.
 type provisioner struct {
-	catalogue        []wire.MachineType
-	catalogueReadAt  Time
-	readingCatalogue bool
+	catalogue             []wire.MachineType
+	catalogueReadAt       Time
+	catalogueReadInFlight bool
 
-	backlog         []unmetDemand // tasks without room, as the last plan left them
+	unmetDemands    []unmetDemand // tasks without room, as the last plan left them
 	missingHeadroom int           // tasks that the spare room falls short of
 
-	claiming               bool
-	vacantSince            Time // since when nobody is known to buy
-	listingMachines        bool
+	writingLeadership      bool
+	leaderlessSince        Time // since when nobody is known to buy
+	listInFlight           bool
 	nextList               Time
 	listsSinceElected      int // good lists since this controller became the buyer
 	provisionCallsInFlight int
@@ -82,7 +82,7 @@
 }
 
 func (c *Controller) tickCloud() {
-	if !c.provisioner.readingCatalogue && (len(c.provisioner.catalogue) == 0 || c.now.Sub(c.provisioner.catalogueReadAt) > catalogueInterval) && c.isDue(c.provisioner.catalogueReadAt) {
+	if !c.provisioner.catalogueReadInFlight && (len(c.provisioner.catalogue) == 0 || c.now.Sub(c.provisioner.catalogueReadAt) > catalogueInterval) && c.isDue(c.provisioner.catalogueReadAt) {
 		c.readCatalogue()
 	}
 	if !c.cacheComplete() || !c.storeReachable() {
@@ -100,7 +100,7 @@
 	if c.membership.stale {
 		return // another may have bought in our place meanwhile
 	}
-	if !c.provisioner.listingMachines && c.isDue(c.provisioner.nextList) {
+	if !c.provisioner.listInFlight && c.isDue(c.provisioner.nextList) {
 		c.listMachines()
 	}
 	if c.isDue(c.provisioner.nextMachineReview) {
@@ -117,9 +117,9 @@
 }
 
 func (c *Controller) readCatalogue() {
-	c.provisioner.readingCatalogue = true
+	c.provisioner.catalogueReadInFlight = true
 	c.emit(ReadCatalogue{call(c, func(r CatalogueResult) {
-		c.provisioner.readingCatalogue = false
+		c.provisioner.catalogueReadInFlight = false
 		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
 		if r.Outcome != Succeeded {
 			// An old catalogue still serves; without any, ask again soon.
@@ -134,24 +134,24 @@
 // controllers from renting twice for the same need.
 func (c *Controller) claimProvisionerLeadership() {
 	if c.cache.provisionerIncarnation != 0 {
-		c.provisioner.vacantSince = 0
+		c.provisioner.leaderlessSince = 0
 		return
 	}
-	if c.provisioner.vacantSince == 0 {
-		c.provisioner.vacantSince = c.now
+	if c.provisioner.leaderlessSince == 0 {
+		c.provisioner.leaderlessSince = c.now
 	}
-	if c.provisioner.claiming || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.provisioner.vacantSince) < leadershipClaimDelay {
+	if c.provisioner.writingLeadership || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.provisioner.leaderlessSince) < leadershipClaimDelay {
 		return
 	}
-	c.provisioner.claiming = true
+	c.provisioner.writingLeadership = true
 	claim := c.putChange(record.ProvisionerKey, c.membership.incarnation)
 	claim.LeaseID = c.membership.leaseID
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{claim},
 	}, func(r CommitResult) {
-		c.provisioner.claiming = false
-		c.provisioner.vacantSince = 0
+		c.provisioner.writingLeadership = false
+		c.provisioner.leaderlessSince = 0
 		if r.Outcome == Succeeded {
 			c.log.Info("this controller now buys and returns machines")
 		} else {
@@ -164,25 +164,25 @@
 // cannot tell which machines are to be returned. If all are like this, nobody
 // can.
 func (c *Controller) resignProvisionerLeadership() {
-	if c.provisioner.claiming || len(c.membership.eligibleControllers) == 0 || slices.Contains(c.membership.eligibleControllers, c.settings.Label) {
+	if c.provisioner.writingLeadership || len(c.membership.eligibleControllers) == 0 || slices.Contains(c.membership.eligibleControllers, c.settings.Label) {
 		return
 	}
-	c.provisioner.claiming = true
+	c.provisioner.writingLeadership = true
 	c.log.Info("this controller reaches no workers and leaves buying to another")
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
 		Then: []wire.Change{{Delete: record.ProvisionerKey}},
 	}, func(CommitResult) {
-		c.provisioner.claiming = false
+		c.provisioner.writingLeadership = false
 		c.readBarrier(func(bool) {})
 	})
 }
 
 func (c *Controller) listMachines() {
-	c.provisioner.listingMachines = true
+	c.provisioner.listInFlight = true
 	c.provisioner.nextList = c.now.Add(listInterval)
 	c.emit(ListMachines{call(c, func(r MachinesResult) {
-		c.provisioner.listingMachines = false
+		c.provisioner.listInFlight = false
 		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
 		if r.Outcome != Succeeded {
 			return
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -112,7 +112,7 @@
 				c.markForTermination(m, "unreachable")
 			}
 		case m.scaling.idleSince != 0 && c.now.Sub(m.scaling.idleSince) > idle && c.provisioner.missingHeadroom == 0 &&
-			(len(c.provisioner.backlog) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.scaling.idleSince) > 2*idle): // what waits cannot use it
+			(len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.scaling.idleSince) > 2*idle): // what waits cannot use it
 			c.markForTermination(m, reasonIdle)
 		}
 	}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -60,7 +60,7 @@
 		}
 		c.requestMachines(wire.ProvisionRequest{
 			Name: fmt.Sprintf("%s-%d", c.settings.Label, c.nextSerial()),
-			Type: p.Offer.Type.Name, Zone: p.Offer.Zone, Spot: p.Offer.Spot, Count: p.Number,
+			Type: p.Offer.Type.Name, Zone: p.Offer.Zone, Spot: p.Offer.Spot, Count: p.Count,
 		}, 3)
 	}
 }
@@ -75,7 +75,7 @@
 	// Demands for the same go together: each is set against all that is coming.
 	alike := map[rankingKey]int{}
 	add := func(d unmetDemand, count int) {
-		key := rankingKey{searchKey: searchKey{spot: d.job.spec.Spot}, need: d.job.request.Need, single: d.job.request.Single}
+		key := rankingKey{searchKey: searchKey{spot: d.job.spec.Spot}, need: d.job.request.Need, single: d.job.request.OneAtATime}
 		if k, known := alike[key]; known && hasPlainConstraints(d.job) && d.zone == "" {
 			out[k].Count += count
 			return
@@ -87,7 +87,7 @@
 	}
 	var patient []unmetDemand
 	cores, work, lacking := 0.0, 0.0, 0.0
-	for _, d := range c.provisioner.backlog {
+	for _, d := range c.provisioner.unmetDemands {
 		patience := c.waitTolerance(d.job)
 		if d.guaranteed || patience == 0 || c.pendingFor(d.job) > overdueToleranceFactor*patience || !hasPlainConstraints(d.job) && c.pendingFor(d.job) > patience {
 			// What has waited for too long may be unable to use the machines that
@@ -262,7 +262,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				o := capacity.Offer{Type: t, Zone: zone, Spot: spot}
-				o.Doubt = doubts[o.Key()]
+				o.OverdueFraction = doubts[o.Key()]
 				if c.isDue(c.provisioner.capacityShortages[o.Key()].until) {
 					out = append(out, o)
 				}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -125,23 +125,23 @@
 	for _, name := range sortedKeys(c.cache.teams) {
 		c.expirePlacementRetries(c.cache.teams[name])
 	}
-	rounds := c.startTransactions(rest)
+	transactions := c.startTransactions(rest)
 	if rest {
-		c.completeJobs(rounds)
-		c.evictBrokenGangs(rounds)
-		c.evictFromPreemptedMachines(rounds)
+		c.completeJobs(transactions)
+		c.evictBrokenGangs(transactions)
+		c.evictFromPreemptedMachines(transactions)
 	}
 	// Critical work waits for no turn.
 	for _, name := range sortedKeys(c.cache.teams) {
-		if t := c.cache.teams[name]; !paced && rounds[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
-			rounds[name] = c.newPlacementTransaction(t)
-			rounds[name].criticalOnly = true
+		if t := c.cache.teams[name]; !paced && transactions[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
+			transactions[name] = c.newPlacementTransaction(t)
+			transactions[name].criticalOnly = true
 		}
 	}
-	c.schedule(rounds, rest)
+	c.schedule(transactions, rest)
 	wrote, ops := false, 0
-	for _, name := range sortedKeys(rounds) {
-		if r := rounds[name]; !r.empty() {
+	for _, name := range sortedKeys(transactions) {
+		if r := transactions[name]; !r.empty() {
 			c.commitPlacements(r)
 			wrote = true
 			ops += r.operations
@@ -167,9 +167,9 @@
 // what is no longer so, and is lost. So teams take turns, unless machines are
 // gone with what stood on them.
 func (c *Controller) startTransactions(rest bool) map[string]*placementTransaction {
-	rounds := map[string]*placementTransaction{}
+	transactions := map[string]*placementTransaction{}
 	if !rest {
-		return rounds
+		return transactions
 	}
 	names := sortedKeys(c.cache.teams)
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -194,7 +194,7 @@
 		if r.empty() && !c.teamNeedsWork(name) {
 			continue
 		}
-		rounds[name] = r
+		transactions[name] = r
 		t.schedule.lastTurn = c.now
 		if !c.scheduler.machinesLost {
 			c.scheduler.dirty = true // others may wait for their turn
@@ -202,7 +202,7 @@
 		}
 	}
 	c.scheduler.machinesLost = false
-	return rounds
+	return transactions
 }
 
 // teamNeedsWork reports whether a team has something that is this controller's to do:
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -14,11 +14,11 @@
 type schedulingPass struct {
 	transactions map[string]*placementTransaction
 	fleet        placement.Fleet
-	teamUsage    map[string]placement.Amount // of the teams' limits
-	hostsOfJob   map[wire.JobID][]*placement.Host
+	teamUsage    map[string]placement.Resources // of the teams' limits
+	jobHosts     map[wire.JobID][]*placement.Host
 	// unsatisfiable holds what found no room, by all that a search depends on: what needs
 	// as much need not look again in this pass.
-	unsatisfiable map[searchKey][]placement.Amount
+	unsatisfiable map[searchKey][]placement.Resources
 	// rankings holds the machines in order for what many jobs need alike.
 	rankings map[rankingKey]*placement.Ranking
 	// reserveAccelerators says that work waits for accelerators, on ordinary or on any machines:
@@ -48,7 +48,7 @@
 // rankingKey is what a search for room depends on that others can share the ranking of.
 type rankingKey struct {
 	searchKey
-	need            placement.Amount
+	need            placement.Resources
 	image           string
 	single          bool
 	cachedImageOnly bool // machines that have the image only
@@ -56,10 +56,10 @@
 
 // reuseRanking readies the machines for a search, or takes what an earlier one readied.
 func (c *Controller) reuseRanking(p *schedulingPass, k searchKey, j *job, warm bool, o *placement.Options) {
-	if !hasPlainConstraints(j) || o.Probes > 0 || o.Whole {
+	if !hasPlainConstraints(j) || o.Probes > 0 || o.AllOrNothing {
 		return
 	}
-	key := rankingKey{k, j.request.Need, j.spec.Image, j.request.Single, warm}
+	key := rankingKey{k, j.request.Need, j.spec.Image, j.request.OneAtATime, warm}
 	r := p.rankings[key]
 	if r == nil {
 		r = p.fleet.Rank(j.request, *o)
@@ -70,13 +70,13 @@
 
 // schedule gives waiting tasks machines, in this controller's shares while they are in use.
 // Without rest it looks at critical work alone.
-func (c *Controller) schedule(rounds map[string]*placementTransaction, rest bool) {
+func (c *Controller) schedule(transactions map[string]*placementTransaction, rest bool) {
 	if len(c.provisioner.catalogue) == 0 {
 		return
 	}
 	if !c.sharded() {
 		if c.needsSchedulingPass(rest) {
-			c.runSchedulingPass(rounds, rest, false)
+			c.runSchedulingPass(transactions, rest, false)
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 		c.estimateFleetDemand()
 	}
 	if c.hasPendingJobs(rest) {
-		c.runSchedulingPass(rounds, rest, true)
+		c.runSchedulingPass(transactions, rest, true)
 	}
 }
 
@@ -98,22 +98,22 @@
 // runSchedulingPass is one pass. On the whole fleet it plans for all teams, so that what this
 // controller places leaves room for more urgent work that others will place, and writes
 // only for those that it answers for. In its own shares it plans for those alone.
-func (c *Controller) runSchedulingPass(rounds map[string]*placementTransaction, rest, ownShares bool) {
+func (c *Controller) runSchedulingPass(transactions map[string]*placementTransaction, rest, ownShares bool) {
 	c.metrics.count(countPasses, 1)
-	p := &schedulingPass{transactions: rounds, ownShards: ownShares, teamUsage: map[string]placement.Amount{}, hostsOfJob: map[wire.JobID][]*placement.Host{},
-		unsatisfiable: map[searchKey][]placement.Amount{}, gatheringZones: map[string]bool{},
+	p := &schedulingPass{transactions: transactions, ownShards: ownShares, teamUsage: map[string]placement.Resources{}, jobHosts: map[wire.JobID][]*placement.Host{},
+		unsatisfiable: map[searchKey][]placement.Resources{}, gatheringZones: map[string]bool{},
 		rankings: map[rankingKey]*placement.Ranking{}}
 	placed := map[wire.JobID]record.TaskSet{}
 	zones := map[wire.JobID]string{}
-	p.fleet = c.buildHosts(rounds, ownShares, func(pg *page, e *Allocation, h *placement.Host) {
+	p.fleet = c.buildHosts(transactions, ownShares, func(pg *page, e *Allocation, h *placement.Host) {
 		p.teamUsage[pg.team] = p.teamUsage[pg.team].Plus(e.taskResources(), float64(e.Tasks.Len()))
 		placed[e.Job] = placed[e.Job].With(e.Tasks)
 		if h != nil {
-			p.hostsOfJob[e.Job] = append(p.hostsOfJob[e.Job], h)
+			p.jobHosts[e.Job] = append(p.jobHosts[e.Job], h)
 		}
 		zones[e.Job] = pg.zone
 	})
-	queue := c.pendingJobs(rounds, placed, zones, rest)
+	queue := c.pendingJobs(transactions, placed, zones, rest)
 	if rest {
 		c.updatePriceLimit(queue)
 	}
@@ -121,8 +121,8 @@
 		queue = slices.DeleteFunc(queue, func(w pendingJob) bool { return !c.schedulesJob(w.job) })
 	}
 	c.scheduler.criticalPending = len(queue) > 0 && queue[0].job.spec.Priority == wire.PriorityCritical
-	backlog := c.provisioner.backlog
-	c.provisioner.backlog = nil
+	backlog := c.provisioner.unmetDemands
+	c.provisioner.unmetDemands = nil
 	for i := range queue {
 		p.reserveAcceleratorsFor(&queue[i], c)
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	if !rest || ownShares {
-		c.provisioner.backlog = backlog
+		c.provisioner.unmetDemands = backlog
 	}
 }
 
@@ -172,10 +172,10 @@
 	t := c.cache.team(team)
 	act := r != nil && (!r.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
 		t.schedule.inFlight == nil && c.isDue(t.schedule.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(r, 0)
-	if p.hostsOfJob[j.id] == nil {
-		p.hostsOfJob[j.id] = []*placement.Host{} // none is known, rather than nothing
+	if p.jobHosts[j.id] == nil {
+		p.jobHosts[j.id] = []*placement.Host{} // none is known, rather than nothing
 	}
-	o := placement.Options{Relax: c.operator.values.Affinity == config.AffinityPreferred, Whole: whole, Rand: c.rand, Own: p.hostsOfJob[j.id]}
+	o := placement.Options{Relax: c.operator.values.Affinity == config.AffinityPreferred, AllOrNothing: whole, Rand: c.rand, JobHosts: p.jobHosts[j.id]}
 	hold := p.avoidsAccelerators(j)
 	spare := c.avoidsExpensive(w)
 	if len(j.crashLoop.avoidMachines) > 0 || hold || spare {
@@ -185,7 +185,7 @@
 		}
 	}
 	if act && t.schedule.lostPlacements > 0 {
-		o.Probes, o.Skip, o.Relax = c.operator.values.ProbeHosts, t.schedule.contendedMachines, false
+		o.Probes, o.Excluded, o.Relax = c.operator.values.ProbeHosts, t.schedule.contendedMachines, false
 	}
 	j.pendingReason = "being placed"
 	choices := c.chooseMachines(p, w, &count, o)
@@ -246,8 +246,8 @@
 		return 0
 	}
 	cpus, gpus := set.Limits()
-	count := placement.Amount{Cores: cpus, Accelerators: gpus, MemGB: config.Unlimited}.
-		Plus(p.teamUsage[w.job.spec.Team], -1).Times(w.job.request.Need, w.missing.Len())
+	count := placement.Resources{Cores: cpus, Accelerators: gpus, MemGB: config.Unlimited}.
+		Plus(p.teamUsage[w.job.spec.Team], -1).Fits(w.job.request.Need, w.missing.Len())
 	if w.job.spec.Shape == wire.ShapeGang && count < w.job.spec.Tasks {
 		return 0
 	}
@@ -295,7 +295,7 @@
 // knownUnsatisfiable reports whether something that needs no more found no room in this
 // pass.
 func (p *schedulingPass) knownUnsatisfiable(k searchKey, j *job) bool {
-	return hasPlainConstraints(j) && slices.ContainsFunc(p.unsatisfiable[k], func(a placement.Amount) bool { return j.request.Need.Covers(a) })
+	return hasPlainConstraints(j) && slices.ContainsFunc(p.unsatisfiable[k], func(a placement.Resources) bool { return j.request.Need.Covers(a) })
 }
 
 // noteUnsatisfiable notes that a job found none.
@@ -308,7 +308,7 @@
 // chooseMachines finds machines for a job's tasks and takes what it dealt with off
 // count. Urgent work goes where its image is already, since fetching one takes
 // longer than stopping something less urgent that stands in the way.
-func (c *Controller) chooseMachines(p *schedulingPass, w *pendingJob, count *int, o placement.Options) []placement.Choice {
+func (c *Controller) chooseMachines(p *schedulingPass, w *pendingJob, count *int, o placement.Options) []placement.Assignment {
 	j := w.job
 	free := searchKey{spot: j.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(j), avoidsExpensive: c.avoidsExpensive(w)}
 	if p.knownUnsatisfiable(free, j) {
@@ -324,7 +324,7 @@
 	take := func() {
 		for _, ch := range choices {
 			*count -= ch.Count
-			p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], c.fleet.machines[ch.Machine].host)
+			p.jobHosts[j.id] = append(p.jobHosts[j.id], c.fleet.machines[ch.Machine].host)
 			if j.spec.SingleZone {
 				w.zone = ch.Zone
 			}
@@ -338,7 +338,7 @@
 		*count = c.awaitFreeingCapacity(p, w, slices.Concat(j.request.Enforced, j.request.Preferred), *count, hasImage)
 	}
 	first := choices
-	o.Own = p.hostsOfJob[j.id]
+	o.JobHosts = p.jobHosts[j.id]
 	c.reuseRanking(p, free, j, false, &o)
 	choices = p.fleet.Choose(j.request, *count, w.zone, o)
 	take()
@@ -377,20 +377,20 @@
 	if (j.spec.SingleZone && w.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
 		return count
 	}
-	rd := p.fleet.Reading(p.hostsOfJob[j.id])
+	rd := p.fleet.NewEvaluator(p.jobHosts[j.id])
 	for _, h := range p.fleet {
 		if count == 0 {
 			return 0
 		}
-		if h.Closed || h.Freeing.Cores <= 0 {
+		if h.Unschedulable || h.Freeing.Cores <= 0 {
 			continue
 		}
 		room := h.Free.Plus(h.Freeing, 1)
 		if !room.Covers(j.request.Need) || !usable(h) || !rd.Holds(rules, j.spec.Team, h) {
 			continue
 		}
-		n := room.Times(j.request.Need, count)
-		if j.request.Single {
+		n := room.Fits(j.request.Need, count)
+		if j.request.OneAtATime {
 			n = 1
 		}
 		c.reserveFreeingCapacity(p, rd, j, h, n)
@@ -403,9 +403,9 @@
 }
 
 // reserveFreeingCapacity keeps room that is being freed for tasks of a job.
-func (c *Controller) reserveFreeingCapacity(p *schedulingPass, rd *placement.Reading, j *job, h *placement.Host, n int) {
-	rd.Book(j.request, h, n)
-	p.hostsOfJob[j.id] = append(p.hostsOfJob[j.id], h)
+func (c *Controller) reserveFreeingCapacity(p *schedulingPass, rd *placement.Evaluator, j *job, h *placement.Host, n int) {
+	rd.Reserve(j.request, h, n)
+	p.jobHosts[j.id] = append(p.jobHosts[j.id], h)
 }
 
 // schedulesJob reports whether this controller answers for a job's placement: a new
@@ -442,7 +442,7 @@
 			c.forwardJob(w, false)
 		}
 		if lacking > 0 {
-			c.provisioner.backlog = append(c.provisioner.backlog, unmetDemand{job: j, count: lacking, guaranteed: w.guaranteed, zone: zone})
+			c.provisioner.unmetDemands = append(c.provisioner.unmetDemands, unmetDemand{job: j, count: lacking, guaranteed: w.guaranteed, zone: zone})
 		}
 		return
 	}
@@ -466,6 +466,6 @@
 		if p.ownShards {
 			c.forwardJob(w, false)
 		}
-		c.provisioner.backlog = append(c.provisioner.backlog, unmetDemand{job: w.job, count: count, guaranteed: w.guaranteed})
+		c.provisioner.unmetDemands = append(c.provisioner.unmetDemands, unmetDemand{job: w.job, count: count, guaranteed: w.guaranteed})
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -33,13 +33,13 @@
 		}
 		return Node{AllOf: kids}
 	}
-	r := &Rule{Resource: Resource(rapid.IntRange(0, 1).Draw(t, "resource")),
+	r := &Rule{Subject: Subject(rapid.IntRange(0, 1).Draw(t, "resource")),
 		Operator: Operator(rapid.IntRange(0, 1).Draw(t, "operator")), Tags: genTags(t, "tags", 1)}
-	if r.Resource == TaskTags {
-		r.Within = rapid.SampledFrom([]string{"", "zone", "rack"}).Draw(t, "within")
-		r.Stopping = rapid.Bool().Draw(t, "stopping")
-		if r.Operator == HasNot {
-			r.Allow = rapid.IntRange(0, 2).Draw(t, "allow")
+	if r.Subject == TaskTags {
+		r.GroupedBy = rapid.SampledFrom([]string{"", "zone", "rack"}).Draw(t, "within")
+		r.CountsStopping = rapid.Bool().Draw(t, "stopping")
+		if r.Operator == Forbids {
+			r.Limit = rapid.IntRange(0, 2).Draw(t, "allow")
 		}
 	}
 	return Node{Rule: r}
@@ -86,29 +86,29 @@
 		}
 		return true
 	}
-	if r.Resource == MachineLabels {
-		return matches(h.Labels) == (r.Operator == Has)
+	if r.Subject == MachineLabels {
+		return matches(h.Labels) == (r.Operator == Requires)
 	}
 	count := 0
 	for _, o := range f {
 		inGroup := o == h
-		if r.Within != "" {
-			mine, labelled := h.Labels[r.Within]
+		if r.GroupedBy != "" {
+			mine, labelled := h.Labels[r.GroupedBy]
 			if !labelled {
 				return false
 			}
-			its, ok := o.Labels[r.Within]
+			its, ok := o.Labels[r.GroupedBy]
 			inGroup = ok && its == mine
 		}
 		for _, g := range o.Groups {
 			for range g.Count {
-				if inGroup && g.Team == team && matches(g.Tags) && (r.Stopping || !g.Stopping) {
+				if inGroup && g.Team == team && matches(g.Tags) && (r.CountsStopping || !g.Stopping) {
 					count++
 				}
 			}
 		}
 	}
-	return (r.Operator == Has && count > 0) || (r.Operator == HasNot && count <= r.Allow)
+	return (r.Operator == Requires && count > 0) || (r.Operator == Forbids && count <= r.Limit)
 }
 
 // TestRulesAgainstPlainReading compares the evaluation with a plain reading of
@@ -129,9 +129,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var f Fleet
 		for i := range rapid.IntRange(1, 8).Draw(t, "hosts") {
-			total := Amount{float64(rapid.IntRange(1, 8).Draw(t, "cores")), float64(rapid.IntRange(0, 2).Draw(t, "gpus")), 32}
+			total := Resources{float64(rapid.IntRange(1, 8).Draw(t, "cores")), float64(rapid.IntRange(0, 2).Draw(t, "gpus")), 32}
 			spot := rapid.Bool().Draw(t, "spot")
-			f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Total: total, Free: total, Slots: 50,
+			f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Total: total, Free: total, TaskSlots: 50,
 				Labels: Tags{LabelZone: rapid.SampledFrom(zoneNames).Draw(t, "zone"), LabelSpot: fmt.Sprint(spot),
 					LabelType: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "type")}})
 		}
@@ -144,11 +144,11 @@
 		if rapid.Bool().Draw(t, "zoned") {
 			j.Zone = "a"
 		}
-		o := Options{Relax: rapid.Bool().Draw(t, "relax"), Whole: j.Shape == wire.ShapeGang}
+		o := Options{Relax: rapid.Bool().Draw(t, "relax"), AllOrNothing: j.Shape == wire.ShapeGang}
 		if rapid.Bool().Draw(t, "probing") {
 			o.Probes, o.Rand = 3, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
 		}
-		before := map[wire.MachineID]Amount{}
+		before := map[wire.MachineID]Resources{}
 		byID := map[wire.MachineID]*Host{}
 		for _, h := range f {
 			before[h.ID], byID[h.ID] = h.Free, h
@@ -168,7 +168,7 @@
 			}
 		}
 		require.LessOrEqual(t, sum, j.Tasks)
-		if o.Whole {
+		if o.AllOrNothing {
 			require.True(t, sum == 0 || sum == j.Tasks, "part of a gang placed")
 		}
 		for _, n := range inZone {
@@ -188,7 +188,7 @@
 	fleet := func() Fleet {
 		var f Fleet
 		for _, id := range []wire.MachineID{"m1", "m2"} {
-			f = append(f, &Host{ID: id, Labels: labels("a"), Total: Amount{4, 0, 8}, Free: Amount{4, 0, 8}, Slots: 9})
+			f = append(f, &Host{ID: id, Labels: labels("a"), Total: Resources{4, 0, 8}, Free: Resources{4, 0, 8}, TaskSlots: 9})
 		}
 		return f
 	}
@@ -196,9 +196,9 @@
 	choices := fleet().Choose(NewRequest(j), 3, "", Options{Relax: true})
 	require.Len(t, choices, 3)
 	require.True(t, choices[2].Relaxed)
-	require.Equal(t, 2, total(fleet().Choose(NewRequest(j), 3, "", Options{})))
-	locked := fleet().Choose(NewRequest(j), 3, "", Options{Skip: map[wire.MachineID]bool{"m2": true}})
-	require.Equal(t, 1, total(locked), "a locked machine made replicas share")
+	require.Equal(t, 2, totalCount(fleet().Choose(NewRequest(j), 3, "", Options{})))
+	locked := fleet().Choose(NewRequest(j), 3, "", Options{Excluded: map[wire.MachineID]bool{"m2": true}})
+	require.Equal(t, 1, totalCount(locked), "a locked machine made replicas share")
 }
 
 func labels(zone string) Tags { return Tags{LabelZone: zone, LabelSpot: "false", LabelType: "x"} }
@@ -210,8 +210,8 @@
 		fleet := func() Fleet {
 			var f Fleet
 			for i, cores := range []float64{1, 4, 2, 8, 3} {
-				a := Amount{Cores: cores, MemGB: 10}
-				f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{LabelSpot: "false"}, Total: a, Free: a, Slots: 4})
+				a := Resources{Cores: cores, MemGB: 10}
+				f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{LabelSpot: "false"}, Total: a, Free: a, TaskSlots: 4})
 			}
 			return f
 		}
@@ -220,10 +220,10 @@
 		ranking := shared.Rank(r, Options{})
 		for range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			n := rapid.IntRange(1, 4).Draw(t, "tasks")
-			require.Equal(t, total(anew.Choose(r, n, "", Options{})), total(shared.Choose(r, n, "", Options{Ranking: ranking})))
+			require.Equal(t, totalCount(anew.Choose(r, n, "", Options{})), totalCount(shared.Choose(r, n, "", Options{Ranking: ranking})))
 		}
 		for _, h := range shared {
-			require.True(t, h.Free.Covers(Amount{}) && h.Slots >= 0)
+			require.True(t, h.Free.Covers(Resources{}) && h.TaskSlots >= 0)
 		}
 	})
 }
