--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -19,12 +19,12 @@
 
 var zones = []string{"east", "north", "west"}
 
-var types = []wire.MachineType{
+var machineTypes = []wire.MachineType{
 	{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.08, StartupS: 4, Zones: zones},
 	{Name: "g8", Cores: 8, Accelerators: 2, MemGB: 64, OnDemandPrice: 2, SpotPrice: 0.7, StartupS: 5, Zones: zones},
 }
 
-func settings() config.Settings {
+func testSettings() config.Settings {
 	return config.Settings{Cluster: config.Cluster{
 		Zones: zones,
 		Teams: []config.Team{
@@ -39,21 +39,21 @@
 	}}
 }
 
-func newWorld(t interface{ Logf(string, ...any) }, seed uint64, controllers int) *World {
-	return worldOf(settings(), seed, controllers)
+func newCluster(t interface{ Logf(string, ...any) }, seed uint64, controllers int) *Cluster {
+	return newClusterWith(testSettings(), seed, controllers)
 }
 
-func worldOf(set config.Settings, seed uint64, controllers int) *World {
-	return worldWith(set, seed, controllers, (*World).Start)
+func newClusterWith(set config.Settings, seed uint64, controllers int) *Cluster {
+	return newClusterStartedBy(set, seed, controllers, (*Cluster).Start)
 }
 
-func worldWith(set config.Settings, seed uint64, controllers int, start func(w *World, i int)) *World {
-	w := New(set, types, controllers, seed)
+func newClusterStartedBy(set config.Settings, seed uint64, controllers int, start func(w *Cluster, i int)) *Cluster {
+	w := NewCluster(set, machineTypes, controllers, seed)
 	if os.Getenv("WORLD_LOG") != "" {
 		w.Log(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}
 	for i := range 4 {
-		w.AddMachine(types[0], zones[i%len(zones)], false, 0)
+		w.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
 	}
 	for i := range controllers {
 		start(w, i)
@@ -61,8 +61,8 @@
 	return w
 }
 
-// job makes a job of one of the shapes from a number.
-func job(n, kind int) (wire.JobSpec, time.Duration) {
+// testJob makes a job of one of the shapes from a number.
+func testJob(n, kind int) (wire.JobSpec, time.Duration) {
 	s := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: "batch", Team: []string{"blue", "red"}[n%2],
 		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1 + n%7, Cores: 1, MemGB: 2, Image: "img", ImageGB: 1,
 		RuntimeS: 5, Spot: n%3 == 0}
@@ -87,23 +87,23 @@
 	return s, run
 }
 
-// trouble is one thing that goes wrong for a while.
-type trouble struct {
-	kind string
-	at   time.Duration
-	last time.Duration
-	who  int
+// fault is one thing that goes wrong for a while.
+type fault struct {
+	kind     string
+	at       time.Duration
+	duration time.Duration
+	target   int
 }
 
-var troubleKinds = []string{"crash", "crash all", "flicker", "state down", "state cut", "worker cut", "cloud down",
+var faultKinds = []string{"crash", "crash all", "flicker", "state down", "state cut", "worker cut", "cloud down",
 	"hang", "die", "notice", "slow state", "faulty", "deaf", "alone", "flicker all", "zone cut", "freeze",
 	"boots", "polls", "mute"}
 
-func (tr trouble) happen(w *World) {
-	n := tr.who % len(w.nodes)
-	machine := func() *machine {
+func (tr fault) inject(w *Cluster) {
+	n := tr.target % len(w.controllers)
+	machine := func() *fakeMachine {
 		for i := range w.machines {
-			if m := w.machines[(i+tr.who)%len(w.machines)]; m.up && !m.dead && !m.hung {
+			if m := w.machines[(i+tr.target)%len(w.machines)]; m.up && !m.terminated && !m.hung {
 				return m
 			}
 		}
@@ -114,7 +114,7 @@
 		w.Stop(n)
 		w.At(3*time.Second, func() { w.Start(n) })
 	case "crash all":
-		for i := range w.nodes {
+		for i := range w.controllers {
 			w.Stop(i)
 			w.At(3*time.Second+time.Duration(i)*200*time.Millisecond, func() { w.Start(i) })
 		}
@@ -124,62 +124,62 @@
 	case "flicker all":
 		// All are back within a fraction of a second, and some again while the
 		// others still choose owners, buyer and launchers.
-		for i := range w.nodes {
+		for i := range w.controllers {
 			w.Start(i)
 			w.At(time.Duration(200+150*i)*time.Millisecond, func() { w.Start(i) })
 		}
 	case "alone":
-		w.CutState[n], w.CutPeers[n] = true, true
-		w.At(tr.last, func() { delete(w.CutState, n); delete(w.CutPeers, n) })
+		w.StorePartitioned[n], w.PeersPartitioned[n] = true, true
+		w.At(tr.duration, func() { delete(w.StorePartitioned, n); delete(w.PeersPartitioned, n) })
 	case "freeze":
-		w.Freeze(n, 2*tr.last)
+		w.Stall(n, 2*tr.duration)
 	case "boots":
 		// Machines come up late, never, or within a moment.
-		boot := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[tr.who%3]
-		w.Boot = func(string, string) time.Duration { return boot }
-		w.At(2*tr.last, func() { w.Boot = nil })
+		boot := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[tr.target%3]
+		w.ProvisioningDelay = func(string, string) time.Duration { return boot }
+		w.At(2*tr.duration, func() { w.ProvisioningDelay = nil })
 	case "polls":
-		w.PollStorm(2 * tr.last)
+		w.PollStorm(2 * tr.duration)
 	case "zone cut":
-		w.CutOff(zones[tr.who%len(zones)], n, 2*tr.last)
+		w.PartitionZone(zones[tr.target%len(zones)], n, 2*tr.duration)
 	case "deaf":
 		if m := machine(); m != nil {
-			m.inboundCut = true
-			w.At(2*tr.last, func() { m.inboundCut = false })
+			m.inboundPartitioned = true
+			w.At(2*tr.duration, func() { m.inboundPartitioned = false })
 		}
 	case "mute":
 		if m := machine(); m != nil {
-			m.outboundCut = true
-			w.At(2*tr.last, func() { m.outboundCut = false })
+			m.outboundPartitioned = true
+			w.At(2*tr.duration, func() { m.outboundPartitioned = false })
 		}
 	case "state down":
-		w.StateDown = true
-		w.At(tr.last, func() { w.StateDown = false; w.store.RenewAll(w.now) })
+		w.StoreUnavailable = true
+		w.At(tr.duration, func() { w.StoreUnavailable = false; w.store.RenewAll(w.now) })
 	case "state cut":
-		w.CutState[n] = true
-		w.At(tr.last, func() { delete(w.CutState, n) })
+		w.StorePartitioned[n] = true
+		w.At(tr.duration, func() { delete(w.StorePartitioned, n) })
 	case "worker cut":
-		w.CutWorkers[n] = true
-		w.At(tr.last, func() { delete(w.CutWorkers, n) })
+		w.WorkersPartitioned[n] = true
+		w.At(tr.duration, func() { delete(w.WorkersPartitioned, n) })
 	case "cloud down":
-		w.CloudDown = true
-		w.At(tr.last, func() { w.CloudDown = false })
+		w.CloudUnavailable = true
+		w.At(tr.duration, func() { w.CloudUnavailable = false })
 	case "slow state":
-		w.SlowState = 500 * time.Millisecond
-		w.At(tr.last, func() { w.SlowState = 0 })
+		w.StoreDelay = 500 * time.Millisecond
+		w.At(tr.duration, func() { w.StoreDelay = 0 })
 	case "hang":
 		if m := machine(); m != nil {
 			m.hung = true
-			w.At(tr.last, m.resume)
+			w.At(tr.duration, m.resume)
 		}
 	case "die":
 		if m := machine(); m != nil {
-			m.vanish()
+			m.terminate()
 		}
 	case "notice":
 		if m := machine(); m != nil {
-			m.recall = w.now + 8_000_000_000
-			w.At(8*time.Second, m.vanish)
+			m.preemptionAt = w.now + 8_000_000_000
+			w.At(8*time.Second, m.terminate)
 		}
 	case "faulty":
 		if m := machine(); m != nil {
@@ -188,31 +188,31 @@
 	}
 }
 
-// play runs one generated day and then a quiet time in which all must end.
-func play(t *rapid.T) *World { return playWith(t, (*World).Start) }
+// runGeneratedSchedule runs one generated day and then a quiet time in which all must end.
+func runGeneratedSchedule(t *rapid.T) *Cluster { return runGeneratedScheduleWith(t, (*Cluster).Start) }
 
-// playWith is play with controllers that are started so.
-func playWith(t *rapid.T, start func(w *World, i int)) *World {
-	set := settings()
+// runGeneratedScheduleWith is play with controllers that are started so.
+func runGeneratedScheduleWith(t *rapid.T, start func(w *Cluster, i int)) *Cluster {
+	set := testSettings()
 	set.Cluster.Teams = append(set.Cluster.Teams, config.Team{Name: "guest"})
-	w := worldWith(set, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 3).Draw(t, "controllers"), start)
-	w.Loss = rapid.SampledFrom([]float64{0, 0.02, 0.08}).Draw(t, "loss")
-	w.LateReports = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late")
+	w := newClusterStartedBy(set, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 3).Draw(t, "controllers"), start)
+	w.MessageLoss = rapid.SampledFrom([]float64{0, 0.02, 0.08}).Draw(t, "loss")
+	w.DuplicatedHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late")
 	// What meets what: each is there on some days and not on others.
-	w.LateWrites = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "late writes")
-	w.LateAtOnce = rapid.Bool().Draw(t, "at once")
-	w.KeepReports = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "kept reports")
-	w.CancelAtEnd = rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cancel at end")
-	w.HangAtCancel = rapid.SampledFrom([]time.Duration{0, 0, 8 * time.Second, 50 * time.Second}).Draw(t, "hang at cancel")
-	w.CloseLooks = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "close looks")
+	w.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "late writes")
+	w.LoseAnswersOnly = rapid.Bool().Draw(t, "at once")
+	w.ReplayedHeartbeats = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "kept reports")
+	w.CancelOnCompletion = rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cancel at end")
+	w.HangOnCancel = rapid.SampledFrom([]time.Duration{0, 0, 8 * time.Second, 50 * time.Second}).Draw(t, "hang at cancel")
+	w.RequestBursts = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "close looks")
 	for n := range rapid.IntRange(4, 24).Draw(t, "jobs") {
-		spec, run := job(n, rapid.IntRange(0, 7).Draw(t, "kind"))
+		spec, run := testJob(n, rapid.IntRange(0, 7).Draw(t, "kind"))
 		at := time.Duration(rapid.IntRange(0, 60).Draw(t, "at")) * time.Second
 		if n%6 == 5 && spec.Accelerators == 0 {
 			spec.Team = "guest"
 		}
 		if rapid.IntRange(0, 9).Draw(t, "mistaken") == 0 {
-			w.At(at, func() { w.SubmitMistaken(spec) })
+			w.At(at, func() { w.SubmitFailing(spec) })
 		} else {
 			w.At(at, func() { w.Submit(spec, run) })
 		}
@@ -223,16 +223,16 @@
 		}
 	}
 	for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-		tr := trouble{rapid.SampledFrom(troubleKinds).Draw(t, "trouble"),
+		tr := fault{rapid.SampledFrom(faultKinds).Draw(t, "trouble"),
 			time.Duration(rapid.IntRange(5, 90).Draw(t, "when")) * time.Second,
 			time.Duration(rapid.IntRange(2, 25).Draw(t, "last")) * time.Second, rapid.IntRange(0, 9).Draw(t, "who")}
-		w.At(tr.at, func() { tr.happen(w) })
+		w.At(tr.at, func() { tr.inject(w) })
 	}
-	w.At(30*time.Second, func() { w.AskUnknown("wk-999999") })
+	w.At(30*time.Second, func() { w.PollUnknown("wk-999999") })
 	w.Run(130 * time.Second)
-	w.Loss, w.LateWrites, w.KeepReports, w.HangAtCancel, w.CloseLooks, w.CancelAtEnd = 0, 0, 0, 0, false, 0
+	w.MessageLoss, w.DelayedCommits, w.ReplayedHeartbeats, w.HangOnCancel, w.RequestBursts, w.CancelOnCompletion = 0, 0, 0, 0, false, 0
 	w.Run(50 * time.Second) // the last late copies and the last trouble
-	w.CalmAt = w.Now()
+	w.FaultsOverAt = w.Now()
 	w.Run(250 * time.Second)
 	return w
 }
@@ -242,8 +242,8 @@
 // protocol's rules.
 func TestRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(t)
-		require.Empty(t, w.Broken)
+		w := runGeneratedSchedule(t)
+		require.Empty(t, w.Violations)
 		require.Empty(t, w.Unfinished(), "jobs that never ended: %v", w.Records())
 	})
 }
