--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -61,11 +61,12 @@
 		"rollout-exclude":       {"rollout", "exclude", "rig-2", "--reason", "its host burnt"},
 		"rollout-include":       {"rollout", "include", "rig-2", "--version", "7"},
 		"shares-move":           {"shares", "move", "4", "rig-1", "--epoch", "7"},
-		"shares-move-any-epoch": {"shares", "move", shareNumber(answers), "rig-1"},
+		"shares-move-any-epoch": {"shares", "move", shardNumber(answers), "rig-1"},
 		"shares-drain":          {"shares", "drain", "rig-1", "--reason", "new disks"},
 		"shares-end-drain":      {"shares", "end-drain", "rig-1"},
 	}
 	require.Len(t, answers, len(wire.AdminViews))
+	require.Len(t, viewCommands, len(wire.AdminViews))
 	for _, view := range wire.AdminViews {
 		commands[string(view)] = []string{string(view)}
 	}
@@ -81,8 +82,20 @@
 	}
 }
 
-// shareNumber is the number of a share that the view of shares has.
-func shareNumber(answers map[wire.AdminView]any) string {
+// TestShardsAlias: "shards" and its alias "shares", which operators' scripts use, are the
+// same command.
+func TestShardsAlias(t *testing.T) {
+	t.Setenv(admin.TokenVariable, "secret")
+	api := &golden.Recorder{Answers: encodeAnswers(t, adminAnswers())}
+	server := httptest.NewServer(api)
+	t.Cleanup(server.Close)
+	addr := strings.TrimPrefix(server.URL, "http://")
+	out := runRoot(t, "admin", "--addr", addr, "shards")
+	golden.Compare(t, "admin-shares.txt", []byte(string(api.Requests())+"\n"+out))
+}
+
+// shardNumber is the number of a shard that the view of shards has.
+func shardNumber(answers map[wire.AdminView]any) string {
 	return fmt.Sprint(answers[wire.ViewShards].(*wire.AdminShards).Shards[0].Shard)
 }
 
--- a/cmd/lilacrill/load_shards_test.go
+++ b/cmd/lilacrill/load_shards_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		moved := v.Shards[random.IntN(len(v.Shards))]
-		_, err = admin.NewClient(s.addrs[asked], loadToken).ChangeShares(wire.AdminShardChange{Move: &moved.Shard, Epoch: moved.Epoch,
+		_, err = admin.NewClient(s.addrs[asked], loadToken).ChangeShards(wire.AdminShardChange{Move: &moved.Shard, Epoch: moved.Epoch,
 			To: fmt.Sprint("node-", random.IntN(s.size.controllers))})
 		if err != nil {
 			s.refused.Add(1)
--- a/cmd/lilacrill/shards_bench_test.go
+++ b/cmd/lilacrill/shards_bench_test.go
@@ -109,7 +109,7 @@
 			to++
 		}
 		from := time.Now()
-		_, err := admin.NewClient(s.addrs[0], loadToken).ChangeShares(wire.AdminShardChange{Move: &id, Epoch: before.Epoch, To: fmt.Sprint("node-", to)})
+		_, err := admin.NewClient(s.addrs[0], loadToken).ChangeShards(wire.AdminShardChange{Move: &id, Epoch: before.Epoch, To: fmt.Sprint("node-", to)})
 		if err != nil {
 			continue // the balance moves it just now
 		}
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -167,12 +167,12 @@
 // activate asks a controller for the compressed format.
 func (u *upgrade) activate(i int) error {
 	client := admin.NewClient(u.addrs[i], loadToken)
-	version, err := rolloutVersion(client)
+	present, err := decodeView[wire.AdminRollout](client, wire.ViewRollout)
 	if err != nil {
 		return err
 	}
 	format := record.FormatCompressed
-	_, err = client.ChangeRollout(wire.AdminRolloutChange{Version: version, Activate: &format})
+	_, err = client.ChangeRollout(wire.AdminRolloutChange{Version: present.Version, Activate: &format})
 	return err
 }
 
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -38,8 +38,8 @@
 	return c.call(http.MethodPatch, wire.ViewRollout, change)
 }
 
-// ChangeShares moves a share, drains a controller or ends a drain.
-func (c *Client) ChangeShares(change wire.AdminShardChange) (json.RawMessage, error) {
+// ChangeShards moves a shard, drains a controller or ends a drain.
+func (c *Client) ChangeShards(change wire.AdminShardChange) (json.RawMessage, error) {
 	return c.call(http.MethodPatch, wire.ViewShards, change)
 }
 
