--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -44,6 +44,9 @@
 	}
 }
 
+// commandRetryInterval is how long commands to a machine are left to take effect.
+const commandRetryInterval = time.Second
+
 // maxCommands keeps an answer to a worker under the protocol's 64 KiB.
 const maxCommands = 400
 
@@ -233,7 +236,7 @@
 	c.emit(SendCommands{call(c, func(a WorkerResponse) {
 		m.reconciliation.sending = false
 		c.fleet.commandCallsInFlight--
-		c.notePingResult(m, asked, a)
+		m.liveness.noteCallResult(asked, c.fleet.reachableSince, a.Heartbeat != nil)
 		c.applyWorkerResponse(m, a)
 		if m.reconciliation.resend {
 			c.sendCommandsNow(m)
--- /dev/null
+++ b/internal/controller/failure_detector.go
@@ -0,0 +1,262 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/record"
+	"lilacrill/internal/rendezvous"
+	"lilacrill/wire"
+)
+
+// Failure detection. A worker that sends no heartbeats is probed, by one of the
+// controllers; one that leaves probes unanswered is unresponsive, and one whose
+// heartbeats arrive while calls to it fail is unreachable.
+//
+// Silence proves nothing of what runs on a machine: the worker may be out of reach of
+// this controller alone, it keeps its tasks running until its own lease runs out, and
+// this process may have stalled itself. So an unresponsive machine only gets no new
+// tasks; its tasks count as exited once a direct heartbeat says so or the machine is
+// terminated.
+
+const (
+	// heartbeatJitter is the longest interval between two heartbeats, relative to the
+	// configured one: workers spread them by a quarter.
+	heartbeatJitter = 1.25
+	// heartbeatTimeoutFactor is how long a worker may be silent before it is probed,
+	// relative to the configured interval.
+	heartbeatTimeoutFactor = 1.3
+	// criticalProbeAfter is the same where critical tasks run.
+	criticalProbeAfter = 1500 * time.Millisecond
+	// provisionerProbeDelay is how much later the provisioner probes on its own account.
+	provisionerProbeDelay = 500 * time.Millisecond
+	// heartbeatRequestInterval is how long a machine is left alone after a probe.
+	heartbeatRequestInterval = 900 * time.Millisecond
+	// unreachableThreshold is how many direct calls in a row a machine may leave
+	// unanswered before it counts as unreachable.
+	unreachableThreshold = 2
+	// Of the direct calls that may be under way, one in probeCallDivisor is for probes,
+	// and one in urgentCallDivisor is kept for commands to machines with critical tasks.
+	probeCallDivisor, urgentCallDivisor = 4, 4
+
+	reachabilityProbeAfter      = 500 * time.Millisecond
+	reachabilityProbeEvery      = 300 * time.Millisecond
+	reachabilityProbeCandidates = 4 // machines heard last, of which one is probed
+	isolationSuspectedAfter     = 1500 * time.Millisecond
+	isolatedAfter               = 3 * time.Second
+)
+
+// lastSeen is when a machine last showed itself. One that has only just become known, or
+// that this controller has had no chance to hear yet, as when this process stalled, is
+// not silent.
+func (c *Controller) lastSeen(m *machine) Time {
+	return max(m.liveness.lastHeartbeatAt, m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
+}
+
+// maxHeartbeatInterval is the longest time between two heartbeats of a healthy worker.
+func (c *Controller) maxHeartbeatInterval() time.Duration {
+	return config.Seconds(heartbeatJitter * c.settings.Cluster.Workers.ReportS)
+}
+
+// defaultHeartbeatTimeout is how long a worker without critical tasks may be silent before
+// it is probed.
+func (c *Controller) defaultHeartbeatTimeout() time.Duration {
+	return config.Seconds(heartbeatTimeoutFactor * c.settings.Cluster.Workers.ReportS)
+}
+
+// heartbeatTimeout is how long a worker may be silent before it is probed. Where critical
+// tasks run, somebody waits for them at every moment, and heartbeats may be too far apart
+// to wait for the next.
+func (c *Controller) heartbeatTimeout(m *machine) time.Duration {
+	if c.hasCriticalTasks(m) {
+		return min(c.defaultHeartbeatTimeout(), criticalProbeAfter)
+	}
+	return c.defaultHeartbeatTimeout()
+}
+
+// hasCriticalTasks reports whether critical tasks are placed on a machine.
+func (c *Controller) hasCriticalTasks(m *machine) bool {
+	return c.scheduler.criticalAllocations[m.id] > 0
+}
+
+// noteHeartbeat notes a heartbeat that is newer than all before.
+func (l *liveness) noteHeartbeat(now Time) {
+	l.lastHeartbeatAt, l.unansweredRequests = now, 0
+}
+
+// resetUnansweredAfterSilence is called when a heartbeat arrives. Calls that a machine left
+// unanswered while nothing came from it either do not show that it is unreachable.
+func (l *liveness) resetUnansweredAfterSilence(now Time, maxInterval time.Duration) {
+	if now.Sub(l.lastHeartbeatAt) > maxInterval+heartbeatSlack {
+		l.unansweredCalls = 0
+	}
+}
+
+// noteCallResult notes whether a worker answered a direct call made at calledAt. One whose
+// heartbeats arrive, but which no call reaches, looks healthy while its lease runs out.
+// A failure from before reachableSince is this controller's own: it reached no worker.
+func (l *liveness) noteCallResult(calledAt, reachableSince Time, answered bool) {
+	if answered {
+		l.unansweredCalls = 0
+		return
+	}
+	if calledAt < reachableSince {
+		return
+	}
+	if l.unansweredCalls == 0 || l.unreachableSince < reachableSince {
+		l.unreachableSince, l.unansweredCalls = calledAt, 0
+	}
+	l.unansweredCalls++
+}
+
+// unreachable reports whether a machine seems not to receive commands: it gets no new
+// tasks.
+func (m *machine) unreachable() bool { return m.liveness.unansweredCalls >= unreachableThreshold }
+
+// shouldProbe reports whether it is up to this controller to probe a machine: one of the
+// live controllers does, chosen by the machine's name, and the provisioner a little later,
+// since it must know for itself. While siblings are out of reach, the heartbeats that they
+// receive are not gossiped: each controller then probes for itself, or it would take most
+// machines for silent after a while, and place nothing on them.
+func (c *Controller) shouldProbe(m *machine, quiet time.Duration) bool {
+	if quiet > c.defaultHeartbeatTimeout() && !c.allPeersHeard() {
+		return true
+	}
+	if c.cache.provisionerIncarnation == c.membership.incarnation && quiet > c.heartbeatTimeout(m)+provisionerProbeDelay {
+		return true
+	}
+	return len(c.membership.eligibleControllers) == 0 || rendezvous.Highest(c.membership.eligibleControllers, string(m.id)) == c.settings.Label
+}
+
+// confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
+// controller, as the team's owner, should write down: hints prove nothing.
+func (c *Controller) confirmDirectly(m *machine) {
+	if m.liveness.requesting || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.liveness.nextRequest) || !c.canProbe() {
+		return
+	}
+	for _, allocation := range m.allocations {
+		if !c.ownsTeam(allocation.page.team) {
+			continue
+		}
+		for i := range allocation.Tasks.All {
+			if c.hintsAtChange(m, allocation, m.tasks[allocation.key(i)]) {
+				c.probeMachine(m)
+				return
+			}
+		}
+	}
+}
+
+// hintsAtChange reports whether a task's status in the latest heartbeat, nil if it is not
+// listed, suggests that a direct heartbeat would prove something about its allocation.
+func (c *Controller) hintsAtChange(m *machine, allocation *Allocation, task *wire.TaskStatus) bool {
+	if task != nil {
+		return task.State == wire.TaskExited
+	}
+	return allocation.Eviction != record.EvictionNone || c.cache.jobs[allocation.Job] == nil ||
+		!c.isAlive(allocation.Launcher) || m.latestHeartbeat.AgentEpoch > allocation.AgentEpoch
+}
+
+// canProbe reports whether another machine may be probed now. When hundreds hang, calls
+// to them would pile up otherwise, with a socket each.
+func (c *Controller) canProbe() bool {
+	return c.fleet.heartbeatRequestsInFlight < max(1, c.fleet.maxWorkerCalls/probeCallDivisor)
+}
+
+// probeMachines probes machines, as many as may be at a time: those with critical tasks
+// first, and of the rest those that were not probed for the longest time. In the order of
+// their names, a few that hang were probed over and over while others that hang were never
+// found silent.
+func (c *Controller) probeMachines(due []*machine) {
+	if len(due) == 0 || !c.canProbe() {
+		return
+	}
+	slices.SortStableFunc(due, func(a, b *machine) int {
+		if critical := c.hasCriticalTasks(a); critical != c.hasCriticalTasks(b) {
+			if critical {
+				return -1
+			}
+			return 1
+		}
+		return cmp.Compare(a.liveness.nextRequest, b.liveness.nextRequest)
+	})
+	for _, m := range due {
+		if !c.canProbe() {
+			return
+		}
+		c.probeMachine(m)
+	}
+}
+
+// probeMachine requests a heartbeat from a worker.
+func (c *Controller) probeMachine(m *machine) {
+	m.liveness.requesting = true
+	m.liveness.nextRequest = c.now.Add(heartbeatRequestInterval)
+	c.fleet.heartbeatRequestsInFlight++
+	c.metrics.count(countProbes, 1)
+	calledAt := c.now
+	c.emit(RequestHeartbeat{call(c, func(response WorkerResponse) {
+		m.liveness.requesting = false
+		c.fleet.heartbeatRequestsInFlight--
+		if response.Heartbeat == nil {
+			m.liveness.unansweredRequests++
+		}
+		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
+		c.applyWorkerResponse(m, response)
+	}), m.addr})
+}
+
+// isolated reports whether this controller reaches no workers, though there are some that
+// are up: where machines were only just provisioned, or none joins, no controller hears
+// any, and if all took that for their own fault none would provision others.
+func (c *Controller) isolated() bool {
+	return c.membership.ready && c.fleet.machinesUp > 0 && c.sinceDirectHeartbeat() > isolatedAfter
+}
+
+// isolationSuspected reports whether no worker has reached this controller for a moment,
+// though it probed some that siblings hear: whatever it takes for silent meanwhile, it may
+// be the one that is isolated. Once a provisioner gave up hundreds of machines in the time
+// that it took to find that out.
+func (c *Controller) isolationSuspected() bool {
+	return c.sinceDirectHeartbeat() > isolationSuspectedAfter
+}
+
+// sinceDirectHeartbeat is for how long no worker has reached this controller, while it was
+// ready and not stalled.
+func (c *Controller) sinceDirectHeartbeat() time.Duration {
+	return c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt, c.resumedAt))
+}
+
+// probeOwnReachability probes some worker when none has reached this controller for a
+// while: they may all report to others, or this controller may be isolated.
+func (c *Controller) probeOwnReachability() {
+	if c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
+		return
+	}
+	c.fleet.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
+	if candidates := c.reachabilityCandidates(); len(candidates) > 0 {
+		c.probeMachine(candidates[c.rand.IntN(len(candidates))])
+	}
+}
+
+// reachabilityCandidates is the machines that are most likely to answer a probe, the best
+// first: those that answered the last call, and of them those heard last.
+func (c *Controller) reachabilityCandidates() []*machine {
+	var candidates []*machine
+	for _, m := range c.orderedMachines() {
+		if m.addr == "" || m.scaling.terminated || m.liveness.requesting || m.latestHeartbeat == nil || c.now.Sub(m.liveness.lastHeartbeatAt) >= forgetMachineAfter {
+			continue
+		}
+		// One that answers is as good as any other; one that did not may be dead.
+		i, _ := slices.BinarySearchFunc(candidates, m, func(a, b *machine) int {
+			return cmp.Or(cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls), -cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
+		})
+		if i < reachabilityProbeCandidates {
+			candidates = slices.Insert(candidates, i, m)
+			candidates = candidates[:min(len(candidates), reachabilityProbeCandidates)]
+		}
+	}
+	return candidates
+}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"slices"
-
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
@@ -92,12 +90,6 @@
 	return line
 }
 
-// sameStatus reports whether nothing changed between two reports of a machine
-// but their number and the token.
-func sameStatus(a, b *wire.Heartbeat) bool {
-	return a.AgentEpoch == b.AgentEpoch && a.PreemptionNoticeS == nil && b.PreemptionNoticeS == nil && a.Addr == b.Addr && slices.Equal(a.Tasks, b.Tasks)
-}
-
 func (c *Controller) handlePeerMessage(l *wire.PeerMessage) {
 	if !c.isSibling(l.From) {
 		c.log.Warn("line from an unknown peer dropped", "peer", l.From)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -1,60 +1,20 @@
 package controller
 
 import (
-	"cmp"
-	"maps"
-	"slices"
 	"time"
 
 	"lilacrill/internal/placement"
-	"lilacrill/internal/record"
 	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
-// fleet is what this controller knows of the machines.
-type fleet struct {
-	machines                  map[wire.MachineID]*machine
-	machinesByID              []*machine                  // by name; nil if that changed
-	recordedImages            map[wire.MachineID][]string // as the state service has them
-	imageBuckets              map[int]map[wire.MachineID][]string
-	nextImageBucket           int
-	labelSets                 map[machineKind]placement.Tags
-	outboundSuspect           bool       // most machines leave our calls unanswered: it is us, not them
-	machinesUp                int        // machines that are up, as far as known
-	heartbeatRequestsInFlight int        // machines that are being asked for their report
-	commandCallsInFlight      int        // machines that are being told their orders
-	maxWorkerCalls            int        // direct calls to workers that may be under way at once
-	queuedUrgentCommands      []*machine // have orders, but too many calls are under way
-	queuedCommands            []*machine
-	recordingImages           bool
-	lastDirectHeartbeat       Time // when a worker last spoke to this controller itself
-	reachableSince            Time // since when workers do, after a while in which none did
-	nextReachabilityProbe     Time
-	nextImageRecord           Time
-	timers                    []timer
-}
-
-type timer struct {
-	at  Time
-	run func()
-}
-
-func (f *fleet) init(callsAtOnce int) {
-	f.maxWorkerCalls = callsAtOnce
-	f.machines = map[wire.MachineID]*machine{}
-	f.recordedImages = map[wire.MachineID][]string{}
-	f.imageBuckets = map[int]map[wire.MachineID][]string{}
-	f.labelSets = map[machineKind]placement.Tags{}
-}
-
 // machineKind is what the labels of a machine say.
 type machineKind struct {
 	kind, zone string
 	spot       bool
 }
 
-// machine is one machine as reported by its worker and listed by the cloud.
+// machine is one machine as its worker reports it and the cloud lists it.
 type machine struct {
 	id           wire.MachineID
 	addr         string
@@ -84,17 +44,17 @@
 
 // liveness is what the failure detector knows of a machine.
 type liveness struct {
-	lastHeartbeatAt Time // when something new last came
+	lastHeartbeatAt Time // when a heartbeat with news last came, direct or gossiped
 	lastDirectAt    Time
 
 	unansweredCalls  int  // direct calls without a response since the last that had one, whatever it reports
 	unreachableSince Time // when the first of them was made
 
-	requesting         bool
-	nextRequest        Time
-	unansweredRequests int // unanswered in a row
+	requesting         bool // a probe is under way
+	nextRequest        Time // no probe before
+	unansweredRequests int  // probes in a row that were not answered
 
-	gossipedHeartbeat   *wire.Heartbeat // what the siblings were last told
+	gossipedHeartbeat   *wire.Heartbeat // the last heartbeat that the siblings were sent
 	redirectedToPeerAt  Time            // when it was told to try another controller
 	redirectedToOwnerAt Time            // when it was redirected to the owner of its shard
 }
@@ -141,14 +101,15 @@
 	failedJobs  map[wire.JobID]Time
 }
 
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	task    wire.TaskID
 	attempt wire.Attempt
 }
 
-// key names one of the entry's tasks.
-func (e *Allocation) key(i int) attemptKey {
-	return attemptKey{wire.TaskID{Job: e.Job, Index: i}, e.Attempt}
+// key identifies the allocation's attempt of the job's task with an index.
+func (e *Allocation) key(index int) attemptKey {
+	return attemptKey{wire.TaskID{Job: e.Job, Index: index}, e.Attempt}
 }
 
 func newMachine(id wire.MachineID, now Time) *machine {
@@ -169,153 +130,38 @@
 	}
 }
 
-func (c *Controller) machine(id wire.MachineID) *machine {
-	m := c.fleet.machines[id]
-	if m == nil {
-		m = newMachine(id, c.now)
-		c.fleet.machines[id] = m
-		c.fleet.machinesByID = nil
-		c.restoreRecordedImages(m)
-	}
-	return m
-}
-
-// orderedMachines is the machines by name. It must not be changed.
-func (c *Controller) orderedMachines() []*machine {
-	if c.fleet.machinesByID == nil {
-		c.fleet.machinesByID = slices.SortedFunc(maps.Values(c.fleet.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
-	}
-	return c.fleet.machinesByID
-}
-
-// allocationsOn is the records' entries on a machine.
-func (c *Controller) allocationsOn(id wire.MachineID) []*Allocation {
-	if m := c.fleet.machines[id]; m != nil {
-		return m.allocations
-	}
-	return nil
-}
-
-// running counts an entry's tasks that the newest report shows running.
-func (m *machine) running(e *Allocation) int {
-	n := 0
-	for i := range e.Tasks.All {
-		if t := m.tasks[e.key(i)]; t != nil && t.State == wire.TaskRunning {
-			n++
+// running counts an allocation's tasks that run by the latest heartbeat.
+func (m *machine) running(allocation *Allocation) int {
+	count := 0
+	for i := range allocation.Tasks.All {
+		if task := m.tasks[allocation.key(i)]; task != nil && task.State == wire.TaskRunning {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// isTerminated reports whether a machine was returned, as far as can be told: asking it
-// would only cost calls.
+// isTerminated reports whether a machine was terminated, as far as can be told: probing
+// it would only cost calls.
 func (m *machine) isTerminated() bool {
 	return m.scaling.terminated || m.scaling.terminationLiftedAt > m.liveness.lastHeartbeatAt
 }
 
 const (
-	commandRetryInterval     = time.Second
-	heartbeatRequestInterval = 900 * time.Millisecond
-	// fleetReviewInterval is how often all machines are looked at.
-	fleetReviewInterval   = 200 * time.Millisecond
-	forgetMachineAfter    = 2 * time.Minute
-	cleanupFenceInterval  = 45 * time.Second
-	cleanupFenceThreshold = 40
-	imageRecordInterval   = time.Second
-	imageBuckets          = 24
-	maxRecordedImages     = 6  // of one machine, those seen in use last
-	maxCachedImages       = 40 // remembered of one machine
+	imageRecordInterval = time.Second
+	imageBuckets        = 24
+	maxRecordedImages   = 6  // of one machine, those seen in use last
+	maxCachedImages     = 40 // remembered of one machine
 )
 
-func (c *Controller) tickFleet() {
-	kept := c.fleet.timers[:0]
-	for _, t := range c.fleet.timers {
-		if c.isDue(t.at) {
-			t.run()
-		} else {
-			kept = append(kept, t)
-		}
-	}
-	c.fleet.timers = kept
-	if !c.isDue(c.scheduler.nextFleetReview) {
-		return
-	}
-	c.scheduler.nextFleetReview = c.now.Add(fleetReviewInterval)
-	c.tickCompletedTasks()
-	c.probeOwnReachability()
-	uncleared, oldest := 0, false
-	unreachable, reporting := 0, 0
-	var due []*machine // to be asked for their reports
-	c.fleet.machinesUp = 0
-	for _, m := range c.orderedMachines() {
-		if m.scaling.terminated || c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.scaling.lastListedAt) > forgetMachineAfter {
-			if len(m.allocations) == 0 && (!m.scaling.terminated || c.now.Sub(m.scaling.terminatedAt) > forgetMachineAfter) {
-				delete(c.fleet.machines, m.id)
-				c.fleet.machinesByID = nil
-			}
-			continue
-		}
-		if !m.isTerminated() && (m.latestHeartbeat != nil || m.scaling.status == wire.MachineRunning) {
-			c.fleet.machinesUp++
-		}
-		uncleared = max(uncleared, len(m.reconciliation.pendingCleanup))
-		oldest = oldest || len(m.reconciliation.pendingCleanup) > 0
-		quiet := c.now.Sub(c.lastSeen(m))
-		if m.latestHeartbeat != nil && quiet < forgetMachineAfter {
-			reporting++
-			if m.unreachable() {
-				unreachable++
-			}
-		}
-		if m.reconciliation.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.reconciliation.nextSend) && quiet < c.heartbeatTimeout(m) {
-			for _, e := range m.allocations {
-				if e.Launcher == c.membership.incarnation && e.Eviction == record.EvictionNone {
-					if c.sendCommands(m) {
-						c.metrics.count(countLaunchRetries, 1)
-					}
-					break
-				}
-			}
-		}
-		if m.isTerminated() && len(m.allocations) == 0 {
-			continue
-		}
-		// Ask a silent worker itself: it may have lost its way to us. So is one
-		// that left a call unanswered, though its reports go on.
-		if m.addr != "" && m.scaling.status != wire.MachineBooting && !m.liveness.requesting && c.isDue(m.liveness.nextRequest) &&
-			(m.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)) {
-			due = append(due, m)
-		}
-	}
-	c.probeMachines(due)
-	c.fleet.outboundSuspect = unreachable > 2 && 3*unreachable > reporting
-	if uncleared > cleanupFenceThreshold || oldest && c.now.Sub(c.scheduler.lastTokenRaise) > cleanupFenceInterval {
-		c.raiseToken()
-	}
-}
-
-// labelsOf is a machine's labels; all of a kind share them.
-func (c *Controller) labelsOf(m *machine) placement.Tags {
-	return c.kindLabels(machineKind{m.machineType, m.zone, m.spot})
-}
-
-func (c *Controller) kindLabels(k machineKind) placement.Tags {
-	tags := c.fleet.labelSets[k]
-	if tags == nil {
-		tags = machineLabels(k.kind, k.zone, k.spot)
-		c.fleet.labelSets[k] = tags
-	}
-	return tags
-}
-
 func machineLabels(kind, zone string, spot bool) placement.Tags {
-	s := "false"
+	isSpot := "false"
 	if spot {
-		s = "true"
+		isSpot = "true"
 	}
-	return placement.Tags{placement.LabelType: kind, placement.LabelZone: zone, placement.LabelSpot: s}
+	return placement.Tags{placement.LabelType: kind, placement.LabelZone: zone, placement.LabelSpot: isSpot}
 }
 
-func machineResources(t *wire.MachineType) placement.Resources {
-	return placement.Resources{Cores: t.Cores, Accelerators: t.Accelerators, MemGB: t.MemGB}
+func machineResources(machineType *wire.MachineType) placement.Resources {
+	return placement.Resources{Cores: machineType.Cores, Accelerators: machineType.Accelerators, MemGB: machineType.MemGB}
 }
