--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,264 +1,322 @@
 package controller
 
 import (
+	"maps"
 	"time"
 
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// admitCommands reports whether a machine may be told its orders now; if not, it is
-// once other calls are over.
+// A worker obeys commands in the name of the highest fencing token that it has seen, and
+// refuses those of a lower one. The token is raised in the state store, and a controller
+// takes it from there only together with everything that was written before: a command
+// that carries it is based on all of that. So whoever raises the token fences off every
+// command that was sent before and has not arrived yet, by whichever controller.
+
+const (
+	// commandRetryInterval is how long commands to a machine are left to take effect.
+	commandRetryInterval = time.Second
+	// maxCommands keeps a response to a worker under the protocol's 64 KiB.
+	maxCommands = 400
+	// checkpointMarginS is granted on top of the time that a job says it needs to save a
+	// checkpoint, in seconds.
+	checkpointMarginS = 3.0
+	// orphanGracePeriod is how long a task without an allocation may be reported before
+	// it is stopped: the record may be on its way to this controller.
+	orphanGracePeriod = 5 * time.Second
+	// tokenRaiseInterval is the least time between two raises for the sake of cleanup.
+	tokenRaiseInterval = 10 * time.Second
+	// neverRevision is a revision that no token is ever newer than.
+	neverRevision = ^wire.Revision(0)
+)
+
+// admitCommands reports whether a machine may be sent its commands now; if not, they are
+// sent once other calls are over.
 func (c *Controller) admitCommands(m *machine) bool {
-	most := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
+	limit := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
 	urgent := c.hasCriticalTasks(m)
 	if !urgent {
-		most -= most / urgentCallDivisor
+		limit -= limit / urgentCallDivisor
 	}
-	if c.fleet.commandCallsInFlight < max(1, most) {
+	if c.fleet.commandCallsInFlight < max(1, limit) {
 		return true
 	}
-	if !m.reconciliation.queued {
-		m.reconciliation.queued = true
-		if urgent {
-			c.fleet.queuedUrgentCommands = append(c.fleet.queuedUrgentCommands, m)
-		} else {
-			c.fleet.queuedCommands = append(c.fleet.queuedCommands, m)
-		}
-	}
+	c.fleet.queueCommands(m, urgent)
 	return false
 }
 
-// sendQueuedCommands sends the orders of machines that waited for other calls to end.
+// queueCommands has a machine wait, once, until other calls are over.
+func (f *fleet) queueCommands(m *machine, urgent bool) {
+	if m.reconciliation.queued {
+		return
+	}
+	m.reconciliation.queued = true
+	if urgent {
+		f.queuedUrgentCommands = append(f.queuedUrgentCommands, m)
+	} else {
+		f.queuedCommands = append(f.queuedCommands, m)
+	}
+}
+
+// sendQueuedCommands sends the commands of machines that waited for other calls to end.
 func (c *Controller) sendQueuedCommands() {
-	for _, held := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
-		for len(*held) > 0 {
-			m := (*held)[0]
+	for _, queue := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
+		for len(*queue) > 0 {
+			m := (*queue)[0]
 			m.reconciliation.queued = false
-			*held = (*held)[1:]
+			*queue = (*queue)[1:]
 			c.sendCommandsNow(m)
 			if m.reconciliation.queued {
-				return // it is in line again: too many are still under way
+				return // it was queued again: too many calls are still under way
 			}
 		}
 	}
 }
 
-// commandRetryInterval is how long commands to a machine are left to take effect.
-const commandRetryInterval = time.Second
-
-// maxCommands keeps an answer to a worker under the protocol's 64 KiB.
-const maxCommands = 400
+func gracePeriod(seconds float64) *float64 { return &seconds }
 
-func gracePeriod(s float64) *float64 { return &s }
+func stopCommand(attempt attemptKey, gracePeriodS float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: attempt.task, Attempt: attempt.attempt, GracePeriodS: gracePeriod(gracePeriodS)}
+}
 
-// commandsFor says what a machine has to be told, going by its newest report and
-// the records.
+// commandsFor says which commands a machine needs, by its latest heartbeat and the
+// allocations on it.
 func (c *Controller) commandsFor(m *machine) []wire.Command {
-	var orders []wire.Command
-	r := m.latestHeartbeat
+	var commands []wire.Command
 	m.reconciliation.launchDeferred = false
-	for _, e := range m.allocations {
-		if e.AgentEpoch != r.AgentEpoch {
+	for _, allocation := range m.allocations {
+		if allocation.AgentEpoch != m.latestHeartbeat.AgentEpoch {
 			continue
 		}
-		j := c.cache.jobs[e.Job]
-		for i := range e.Tasks.All {
-			if len(orders) >= maxCommands {
-				return orders
+		for i := range allocation.Tasks.All {
+			if len(commands) >= maxCommands {
+				return commands
 			}
-			id := wire.TaskID{Job: e.Job, Index: i}
-			t := m.tasks[e.key(i)]
-			switch {
-			case t == nil:
-				// Only the recorded launcher launches, and after a take-over only
-				// when the worker has seen the token that fences off the one before.
-				if j == nil || e.Eviction != record.EvictionNone || e.Launcher != c.membership.incarnation || r.Token < e.Fence {
-					continue
-				}
-				// A launch while it may have been withdrawn unknown to us would start it
-				// after its user was told.
-				if !c.canLaunch() || c.defersGangLaunch(m, e, j) {
-					m.reconciliation.launchDeferred = true
-					continue
-				}
-				orders = append(orders, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: e.Attempt})
-			case t.State == wire.TaskExited:
-			case j == nil || e.Eviction == record.EvictionImmediate:
-				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: gracePeriod(0)})
-			case e.Eviction == record.EvictionGraceful && t.State != wire.TaskCheckpointing:
-				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: e.Attempt, GracePeriodS: gracePeriod(j.spec.CheckpointSaveS + checkpointMarginS)})
+			if command := c.commandForTask(m, allocation, i); command != nil {
+				commands = append(commands, *command)
 			}
 		}
 	}
-	return orders
+	return commands
 }
 
-const (
-	// checkpointMarginS is granted on top of what a job says it needs to save.
-	checkpointMarginS = 3.0
-	// orphanGracePeriod is how long a task without a record may be reported before
-	// it is stopped: the record may be on its way to us.
-	orphanGracePeriod = 5 * time.Second
-)
-
-// cleanupCommands says which ended tasks a machine may forget. A cleared attempt would
-// start again if a launch of it were still under way, so first its entry must
-// be gone from the records, then the token raised, and then the worker must
-// have seen that token: no launch sent before can pass it, and no controller
-// that knows it sends one.
-func (c *Controller) cleanupCommands(m *machine) []wire.Command {
-	var orders []wire.Command
-	recorded := map[attemptKey]bool{}
-	for _, e := range m.allocations {
-		for i := range e.Tasks.All {
-			recorded[e.key(i)] = true
+// commandForTask is the command that one task of an allocation needs; nil if none.
+func (c *Controller) commandForTask(m *machine, allocation *Allocation, index int) *wire.Command {
+	job := c.cache.jobs[allocation.Job]
+	attempt := allocation.key(index)
+	var command wire.Command
+	switch task := m.tasks[attempt]; {
+	case task == nil:
+		if !c.admitLaunch(m, allocation, job) {
+			return nil
 		}
+		command = wire.Command{Verb: wire.VerbLaunch, Task: attempt.task, Attempt: attempt.attempt}
+	case task.State == wire.TaskExited:
+		return nil
+	case job == nil || allocation.Eviction == record.EvictionImmediate:
+		command = stopCommand(attempt, 0)
+	case allocation.Eviction == record.EvictionGraceful && task.State != wire.TaskCheckpointing:
+		command = stopCommand(attempt, job.spec.CheckpointSaveS+checkpointMarginS)
+	default:
+		return nil
 	}
-	seen := map[attemptKey]bool{}
-	var fresh []attemptKey
+	return &command
+}
+
+// admitLaunch reports whether this process may launch an allocation's tasks now, and notes
+// if it may only later.
+//
+// Only the recorded launcher launches, and after a failover only once the worker has seen
+// the token that fences off the launcher before. While the knowledge of cancellations is
+// old, the job may have been cancelled unknown to this controller, and its task would
+// start after its user was told that it was cancelled.
+func (c *Controller) admitLaunch(m *machine, allocation *Allocation, job *job) bool {
+	if job == nil || allocation.Eviction != record.EvictionNone || allocation.Launcher != c.membership.incarnation || m.latestHeartbeat.Token < allocation.Fence {
+		return false
+	}
+	if !c.canLaunch() || c.defersGangLaunch(m, allocation, job) {
+		m.reconciliation.launchDeferred = true
+		return false
+	}
+	return true
+}
+
+// cleanupCommands says which tasks without an allocation a machine is to stop, and of
+// which exited ones it may forget the attempt.
+func (c *Controller) cleanupCommands(m *machine) []wire.Command {
+	var commands []wire.Command
+	var unconfirmed []attemptKey
+	recorded := m.recordedAttempts()
+	reported := map[attemptKey]bool{}
 	for i := range m.latestHeartbeat.Tasks {
-		t := &m.latestHeartbeat.Tasks[i]
-		key := attemptKey{t.Task, t.Attempt}
-		if recorded[key] || c.jobUnreadable(t.Task.Job) {
+		task := &m.latestHeartbeat.Tasks[i]
+		attempt := attemptKey{task.Task, task.Attempt}
+		if recorded[attempt] || c.jobUnreadable(task.Task.Job) {
 			continue
 		}
-		seen[key] = true
-		if t.State != wire.TaskExited {
-			if _, over := c.completion(t.Task.Job); over && len(orders) < maxCommands {
-				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: gracePeriod(0)})
-				continue
-			}
-			since, ok := m.reconciliation.orphanTasks[key]
-			if !ok {
-				m.reconciliation.orphanTasks[key] = c.now
-			} else if c.cacheComplete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod && len(orders) < maxCommands {
-				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: gracePeriod(0)})
+		reported[attempt] = true
+		full := len(commands) >= maxCommands
+		if task.State != wire.TaskExited {
+			if c.shouldStopOrphan(m, attempt, full) {
+				commands = append(commands, stopCommand(attempt, 0))
 			}
 			continue
 		}
-		without, ok := m.reconciliation.pendingCleanup[key]
-		if !ok {
-			without = neverRevision
-			m.reconciliation.pendingCleanup[key] = without
-			fresh = append(fresh, key)
+		if _, known := m.reconciliation.pendingCleanup[attempt]; !known {
+			m.reconciliation.pendingCleanup[attempt] = neverRevision
+			unconfirmed = append(unconfirmed, attempt)
 		}
-		if c.cache.tokenVersion > without && m.latestHeartbeat.Token >= c.cache.token && len(orders) < maxCommands {
-			orders = append(orders, wire.Command{Verb: wire.VerbClear, Task: t.Task, Attempt: t.Attempt})
+		if !full && c.mayClear(m, attempt) {
+			commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
-	if len(fresh) > 0 {
-		c.readBarrier(func(ok bool) { c.confirmUnrecorded(m, fresh, ok) })
+	if len(unconfirmed) > 0 {
+		c.readBarrier(func(ok bool) { c.confirmUnrecorded(m, unconfirmed, ok) })
 	}
-	for key := range m.reconciliation.pendingCleanup {
-		if !seen[key] {
-			delete(m.reconciliation.pendingCleanup, key)
+	m.reconciliation.retainReported(reported)
+	return commands
+}
+
+// recordedAttempts is the attempts of the allocations on a machine.
+func (m *machine) recordedAttempts() map[attemptKey]bool {
+	recorded := map[attemptKey]bool{}
+	for _, allocation := range m.allocations {
+		for i := range allocation.Tasks.All {
+			recorded[allocation.key(i)] = true
 		}
 	}
-	for key := range m.reconciliation.orphanTasks {
-		if !seen[key] {
-			delete(m.reconciliation.orphanTasks, key)
-		}
+	return recorded
+}
+
+// shouldStopOrphan reports whether a task that runs without an allocation is to be stopped
+// now: at once if its job is complete, otherwise after a while in which its record would
+// have come. With full there is no room for the command, and the task is only noted.
+func (c *Controller) shouldStopOrphan(m *machine, attempt attemptKey, full bool) bool {
+	if _, complete := c.completion(attempt.task.Job); complete && !full {
+		return true
 	}
-	return orders
+	since, known := m.reconciliation.orphanTasks[attempt]
+	if !known {
+		m.reconciliation.orphanTasks[attempt] = c.now
+		return false
+	}
+	return !full && c.cacheComplete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod
 }
 
-// neverRevision is a revision that no token is ever newer than.
-const neverRevision = ^wire.Revision(0)
+// mayClear reports whether a worker may forget an exited attempt. A cleared attempt would
+// start again if a launch of it were still under way, so first its allocation must be gone
+// from the records, then the token raised, and then the worker must have seen that token:
+// no launch sent before can pass it, and no controller that knows it sends one.
+func (c *Controller) mayClear(m *machine, attempt attemptKey) bool {
+	return c.cache.tokenVersion > m.reconciliation.pendingCleanup[attempt] && m.latestHeartbeat.Token >= c.cache.token
+}
 
-// confirmUnrecorded notes, after a barrier, that ended attempts have no entry. Without
-// the barrier the entry could merely be on its way to us: the attempt would be
-// cleared, launched again by its launcher, and then taken for ended.
-func (c *Controller) confirmUnrecorded(m *machine, keys []attemptKey, ok bool) {
+// retainReported forgets the attempts that a machine's latest heartbeat no longer lists.
+func (r *reconciliation) retainReported(reported map[attemptKey]bool) {
+	maps.DeleteFunc(r.pendingCleanup, func(attempt attemptKey, _ wire.Revision) bool { return !reported[attempt] })
+	maps.DeleteFunc(r.orphanTasks, func(attempt attemptKey, _ Time) bool { return !reported[attempt] })
+}
+
+// confirmUnrecorded notes, after a read barrier, that exited attempts have no allocation.
+// Without the barrier the allocation could merely be on its way to this controller: the
+// attempt would be cleared, launched again by its launcher, and then taken for exited.
+func (c *Controller) confirmUnrecorded(m *machine, attempts []attemptKey, ok bool) {
 	if !ok {
-		for _, key := range keys {
-			delete(m.reconciliation.pendingCleanup, key)
+		for _, attempt := range attempts {
+			delete(m.reconciliation.pendingCleanup, attempt)
 		}
 		return
 	}
-	for _, key := range keys {
-		if _, open := m.reconciliation.pendingCleanup[key]; !open {
+	for _, attempt := range attempts {
+		if _, pending := m.reconciliation.pendingCleanup[attempt]; !pending {
 			continue
 		}
-		m.reconciliation.pendingCleanup[key] = max(c.cache.revision, c.cache.ownRevision)
-		for _, e := range m.allocations {
-			if e.Job == key.task.Job && e.Attempt == key.attempt && e.Tasks.Has(key.task.Index) {
-				delete(m.reconciliation.pendingCleanup, key)
+		m.reconciliation.pendingCleanup[attempt] = max(c.cache.revision, c.cache.ownRevision)
+		for _, allocation := range m.allocations {
+			if allocation.Job == attempt.task.Job && allocation.Attempt == attempt.attempt && allocation.Tasks.Has(attempt.task.Index) {
+				delete(m.reconciliation.pendingCleanup, attempt)
 			}
 		}
 	}
 }
 
-// sendCommands sends a machine what it has to be told, directly, and reports whether
-// there was anything.
+// sendCommands sends a machine the commands that it needs, directly, and reports whether
+// there were any.
 func (c *Controller) sendCommands(m *machine) bool {
 	if m.reconciliation.sending || m.latestHeartbeat == nil || m.scaling.terminated || !c.isDue(m.reconciliation.nextSend) || !c.membership.ready {
 		return false
 	}
-	token := c.cache.token
-	var orders []wire.Command
-	if m.latestHeartbeat.Token > c.cache.token {
-		c.readBarrier(func(bool) {})
-		// While the state service is away we cannot learn of that token. To stop what
-		// is over is right whatever was written before it, so that much may be said
-		// in its name.
-		if c.storeReachable() {
-			return false
-		}
-		if orders = c.stopCommands(m); len(orders) == 0 {
-			return false
-		}
-		token = m.latestHeartbeat.Token
-	}
-	if m.reconciliation.reconciledHeartbeat == m.latestHeartbeat {
-		return false
-	}
-	if orders == nil {
-		orders = c.commandsFor(m)
-	}
-	fenced := len(orders) == 0 && c.awaitsFence(m)
-	if len(orders) == 0 && !fenced {
-		if !m.reconciliation.launchDeferred {
-			m.reconciliation.reconciledHeartbeat = m.latestHeartbeat
-		}
+	request := c.commandRequest(m)
+	if request == nil || !c.admitCommands(m) {
 		return false
 	}
-	if !c.admitCommands(m) {
-		return false
-	}
-	if fenced {
-		orders = []wire.Command{} // only to be shown the token
-	}
 	m.reconciliation.sending = true
 	c.fleet.commandCallsInFlight++
 	m.reconciliation.nextSend = c.now.Add(commandRetryInterval)
-	asked := c.now
-	c.emit(SendCommands{call(c, func(a WorkerResponse) {
+	calledAt := c.now
+	c.emit(SendCommands{call(c, func(response WorkerResponse) {
 		m.reconciliation.sending = false
 		c.fleet.commandCallsInFlight--
-		m.liveness.noteCallResult(asked, c.fleet.reachableSince, a.Heartbeat != nil)
-		c.applyWorkerResponse(m, a)
+		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
+		c.applyWorkerResponse(m, response)
 		if m.reconciliation.resend {
 			c.sendCommandsNow(m)
 		}
 		c.sendQueuedCommands()
-	}), m.addr, wire.CommandRequest{Token: token, AgentEpoch: m.latestHeartbeat.AgentEpoch, Commands: orders}})
+	}), m.addr, *request})
 	return true
 }
 
-// awaitsFence reports whether a machine has not seen the token that something on
-// it waits for: until its next report, which may be far off, nothing else would
-// show it.
+// commandRequest is what to send a machine by its latest heartbeat; nil if nothing.
+func (c *Controller) commandRequest(m *machine) *wire.CommandRequest {
+	heartbeat := m.latestHeartbeat
+	request := &wire.CommandRequest{Token: c.cache.token, AgentEpoch: heartbeat.AgentEpoch}
+	if heartbeat.Token > c.cache.token {
+		c.readBarrier(func(bool) {})
+		// While the state store is out of reach that token cannot be read. To stop what
+		// is complete is right whatever was written before it, so that much may be
+		// commanded in its name.
+		if c.storeReachable() {
+			return nil
+		}
+		if request.Commands = c.stopCommands(m); len(request.Commands) == 0 {
+			return nil
+		}
+		request.Token = heartbeat.Token
+	}
+	if m.reconciliation.reconciledHeartbeat == heartbeat {
+		return nil
+	}
+	if request.Commands == nil {
+		request.Commands = c.commandsFor(m)
+	}
+	if len(request.Commands) > 0 {
+		return request
+	}
+	if c.awaitsFence(m) {
+		request.Commands = []wire.Command{} // only to show it the token
+		return request
+	}
+	if !m.reconciliation.launchDeferred {
+		m.reconciliation.reconciledHeartbeat = heartbeat
+	}
+	return nil
+}
+
+// awaitsFence reports whether a machine has not seen the token that an allocation on it
+// waits for: until its next heartbeat, which may be far off, nothing else would show it.
 func (c *Controller) awaitsFence(m *machine) bool {
-	for _, e := range m.allocations {
-		if e.AgentEpoch == m.latestHeartbeat.AgentEpoch && e.Fence > m.latestHeartbeat.Token && e.Fence <= c.cache.token && (e.Launcher == c.membership.incarnation || c.ownsTeam(e.page.team)) {
+	for _, allocation := range m.allocations {
+		if allocation.AgentEpoch == m.latestHeartbeat.AgentEpoch && allocation.Fence > m.latestHeartbeat.Token && allocation.Fence <= c.cache.token &&
+			(allocation.Launcher == c.membership.incarnation || c.ownsTeam(allocation.page.team)) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendCommandsNow sends what has just been decided.
+// sendCommandsNow sends what has just been decided, without the pause after earlier commands.
 func (c *Controller) sendCommandsNow(m *machine) {
 	if m.reconciliation.sending {
 		m.reconciliation.resend = true
@@ -269,17 +327,18 @@
 	c.sendCommands(m)
 }
 
+// sendCommandsForJob sends the machines of a job's allocations what has just been decided.
 func (c *Controller) sendCommandsForJob(id wire.JobID) {
-	for _, e := range c.scheduler.allocationsByJob[id] {
-		if m := c.fleet.machines[e.Machine]; m != nil {
+	for _, allocation := range c.scheduler.allocationsByJob[id] {
+		if m := c.fleet.machines[allocation.Machine]; m != nil {
 			c.sendCommandsNow(m)
 		}
 	}
 }
 
-// raiseToken makes a fence so that ended tasks can be cleared.
+// raiseToken raises the fencing token so that exited tasks can be cleared.
 func (c *Controller) raiseToken() {
-	if !c.isDue(c.scheduler.lastTokenRaise.Add(10 * time.Second)) {
+	if !c.isDue(c.scheduler.lastTokenRaise.Add(tokenRaiseInterval)) {
 		return
 	}
 	c.scheduler.lastTokenRaise = c.now
