--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -7,154 +7,208 @@
 	"lilacrill/wire"
 )
 
-// collectTaskExits removes what is proven to be gone and fences what may be. Silence
-// alone proves nothing.
-func (c *Controller) collectTaskExits(r *placementTransaction) {
-	for _, p := range r.team.orderedPages() {
-		if !p.needsReview || c.cache.unreadable[p.key] != nil {
+// An allocation is removed from the records only once its tasks are proven to have
+// exited, since its room is then given to others and the task may be placed again. There
+// are three proofs:
+//
+//   - a direct heartbeat of the agent epoch for which it was launched lists the task as
+//     exited;
+//   - a direct heartbeat has a later agent epoch: the worker's lease ran out, and it killed
+//     everything;
+//   - the machine was terminated.
+//
+// That a heartbeat does not list a task proves that it has exited only if no launch of it
+// can still arrive: the allocation was fenced, and the worker has seen the fencing token.
+// Silence proves nothing, and gossiped heartbeats do not either: they may be late.
+
+// launchTimeout is how long a launcher has to get a launch to a worker before the
+// controller that the worker reports to takes over.
+const launchTimeout = 3 * time.Second
+
+// observedTasks is the tasks of an allocation by what a direct heartbeat of its agent
+// epoch says of them.
+type observedTasks struct {
+	exited  record.TaskSet
+	done    record.TaskSet // of the exited: those that need not run again
+	missing record.TaskSet // not listed
+}
+
+// collectTaskExits removes tasks that are proven to have exited from the pages of a team,
+// and fences off launches that may still arrive.
+func (c *Controller) collectTaskExits(txn *placementTransaction) {
+	for _, page := range txn.team.orderedPages() {
+		if !page.needsReview || c.cache.unreadable[page.key] != nil {
 			continue // a write of a page that cannot be read would be lost
 		}
-		p.needsReview = false
+		page.needsReview = false
 		c.metrics.count(countPagesReviewed, 1)
-		for i := range p.allocations {
+		for i := range page.allocations {
 			// Room is left for the pages of the zones that it may place in. On a page
-			// that is written anyway, more proofs cost no further write.
-			if r.pages[p.key] == nil && !c.canCompleteJob(r) || !c.hasCapacityFor(r, 2) {
-				p.needsReview = true
+			// that is written anyway, more exits cost no further write.
+			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !c.hasCapacityFor(txn, 2) {
+				page.needsReview = true
 				break
 			}
-			if c.collectTaskExit(r, p, &p.allocations[i]) {
-				p.needsReview = true
+			if c.collectTaskExit(txn, page, &page.allocations[i]) {
+				page.needsReview = true
 			}
 		}
 	}
 }
 
-// markForReview notes that a machine showed something new: what stands on it may be
-// proven to have ended.
+// markForReview notes that a machine showed something new: tasks of its allocations may be
+// proven to have exited.
 func (m *machine) markForReview() {
-	for _, e := range m.allocations {
-		e.page.needsReview = true
+	for _, allocation := range m.allocations {
+		allocation.page.needsReview = true
 	}
 }
 
-// collectTaskExit takes what is proven of one entry, and reports whether to look at it
-// again even if its machine shows nothing new: something is open, or was taken and
-// is yet to be written. Most entries run for long and cost nothing meanwhile.
-func (c *Controller) collectTaskExit(r *placementTransaction, p *page, e *Allocation) bool {
-	m := e.host
-	if m.scaling.terminated {
-		c.removeTasks(r, p, e, e.Tasks, record.TaskSet{})
+// collectTaskExit removes the exited tasks of one allocation, and reports whether to look
+// at it again even if its machine shows nothing new: something is open, or was removed and
+// is yet to be written. Most allocations run for long and cost nothing meanwhile.
+func (c *Controller) collectTaskExit(txn *placementTransaction, page *page, allocation *Allocation) bool {
+	m := allocation.host
+	heartbeat := m.directHeartbeat
+	// After a new agent epoch the worker obeys no command that was meant for the one before.
+	if m.scaling.terminated || heartbeat != nil && heartbeat.AgentEpoch > allocation.AgentEpoch {
+		c.removeTasks(txn, page, allocation, allocation.Tasks, record.TaskSet{})
 		return true
 	}
-	rep := m.directHeartbeat
-	if rep == nil || rep.AgentEpoch < e.AgentEpoch {
+	if heartbeat == nil || heartbeat.AgentEpoch < allocation.AgentEpoch {
 		return false
 	}
-	if rep.AgentEpoch > e.AgentEpoch {
-		// The worker's lease ran out: it killed everything, and obeys no command
-		// that was meant for the session before.
-		c.removeTasks(r, p, e, e.Tasks, record.TaskSet{})
-		return true
+	observed := c.observeTasks(m, allocation)
+	if !observed.missing.Empty() {
+		if c.fencedOff(allocation, heartbeat) {
+			observed.exited = observed.exited.With(observed.missing)
+		} else {
+			c.fenceMissingTasks(txn, page, allocation)
+		}
+	}
+	if observed.exited.Empty() {
+		return !observed.missing.Empty()
+	}
+	if !observed.done.Empty() {
+		observed.done = c.noteTasksDone(txn, allocation, observed.done)
 	}
-	j := c.cache.jobs[e.Job]
-	var gone, done, lacking record.TaskSet
-	for i := range e.Tasks.All {
-		t := m.directTasks[e.key(i)]
+	c.removeTasks(txn, page, allocation, observed.exited, observed.done)
+	return true
+}
+
+// observeTasks sorts an allocation's tasks by what the direct heartbeat says of them.
+func (c *Controller) observeTasks(m *machine, allocation *Allocation) observedTasks {
+	var observed observedTasks
+	countsAsDone := c.cache.jobs[allocation.Job] != nil && allocation.Shape != wire.ShapeService
+	for i := range allocation.Tasks.All {
+		task := m.directTasks[allocation.key(i)]
 		switch {
-		case t == nil:
-			lacking = lacking.Add(i)
-		case t.State == wire.TaskExited:
-			gone = gone.Add(i)
-			if t.Cause == wire.CauseDone && j != nil && e.Shape != wire.ShapeService {
-				done = done.Add(i)
+		case task == nil:
+			observed.missing = observed.missing.Add(i)
+		case task.State == wire.TaskExited:
+			observed.exited = observed.exited.Add(i)
+			if task.Cause == wire.CauseDone && countsAsDone {
+				observed.done = observed.done.Add(i)
 			}
 		}
 	}
-	if !lacking.Empty() {
-		switch {
-		case j == nil || e.Eviction != record.EvictionNone:
-			if e.Eviction != record.EvictionNone && e.Fence > 0 {
-				if rep.Token >= e.Fence {
-					gone = gone.With(lacking)
-				}
-				break
+	return observed
+}
+
+// fencedOff reports whether no launch of an allocation that is to end can reach its worker
+// any more: what the worker does not list then will never run.
+func (c *Controller) fencedOff(allocation *Allocation, heartbeat *wire.Heartbeat) bool {
+	return allocation.Eviction != record.EvictionNone && allocation.Fence > 0 && heartbeat.Token >= allocation.Fence
+}
+
+// fenceMissingTasks fences off a launch of tasks that a worker does not list, where it may
+// still arrive though it should not: the tasks are to end, or their launcher has failed and
+// this process takes over. With the fence, a launch that the other sent is refused or shows
+// in the next heartbeat.
+func (c *Controller) fenceMissingTasks(txn *placementTransaction, page *page, allocation *Allocation) {
+	switch {
+	case allocation.Eviction != record.EvictionNone && allocation.Fence > 0:
+		// fenced already: the worker has yet to see it
+	case allocation.Eviction != record.EvictionNone || c.cache.jobs[allocation.Job] == nil:
+		c.raiseFence(txn, page, allocation, func(staged *Allocation) {
+			if staged.Eviction == record.EvictionNone {
+				staged.Eviction = record.EvictionImmediate
 			}
-			// A launch may still be under way; fence it off.
-			c.raiseFence(r, p, e, func(d *Allocation) {
-				if d.Eviction == record.EvictionNone {
-					d.Eviction = record.EvictionImmediate
-				}
-			})
-		case !c.isAlive(e.Launcher) || e.Launcher != c.membership.incarnation && (c.isIsolatedIncarnation(e.Launcher) || c.launchTimedOut(m, e)):
-			// Its launcher is gone, or lives but does not reach this worker: take
-			// over, with a fence so that a launch it sent is dead or in the next
-			// report.
-			c.raiseFence(r, p, e, func(d *Allocation) {
-				d.Launcher = c.membership.incarnation
-				c.metrics.count(countTakeOvers, 1)
-			})
-		}
+		})
+	case c.launcherFailed(allocation):
+		c.raiseFence(txn, page, allocation, func(staged *Allocation) {
+			staged.Launcher = c.membership.incarnation
+			c.metrics.count(countTakeOvers, 1)
+		})
 	}
-	if gone.Empty() {
-		return !lacking.Empty()
+}
+
+// launcherFailed reports whether an allocation's launcher has ended, or lives but does not
+// reach the worker.
+func (c *Controller) launcherFailed(allocation *Allocation) bool {
+	if !c.isAlive(allocation.Launcher) {
+		return true
 	}
-	if !done.Empty() {
-		if e.Shape == wire.ShapeGang {
-			done = record.Span(0, j.spec.Tasks) // they complete together
-		}
-		r.completed[e.Job] = r.completed[e.Job].With(done)
-		// Where there is no room for the end it is written down later (completeJobs):
-		// the machine's room is free all the same.
-		if !r.completedJobs[e.Job] && j.completed.With(r.completed[e.Job]).Len() == j.spec.Tasks && c.canCompleteJob(r) {
-			c.completeJob(r, j)
-		}
+	return allocation.Launcher != c.membership.incarnation &&
+		(c.isIsolatedIncarnation(allocation.Launcher) || c.launchTimedOut(allocation.host, allocation))
+}
+
+// noteTasksDone has the transaction record tasks as done, and complete the job if they were
+// its last. It returns the tasks to record: those of a gang complete together.
+func (c *Controller) noteTasksDone(txn *placementTransaction, allocation *Allocation, done record.TaskSet) record.TaskSet {
+	job := c.cache.jobs[allocation.Job]
+	if allocation.Shape == wire.ShapeGang {
+		done = record.Span(0, job.spec.Tasks)
 	}
-	c.removeTasks(r, p, e, gone, done)
-	return true
+	txn.completed[job.id] = txn.completed[job.id].With(done)
+	// Where there is no room for the completion it is written later (completeJobs): the
+	// machine's room is free all the same.
+	if !txn.completedJobs[job.id] && job.completed.With(txn.completed[job.id]).Len() == job.spec.Tasks && c.canCompleteJob(txn) {
+		c.completeJob(txn, job)
+	}
+	return done
 }
 
-// canCompleteJob reports whether a round may take on another change and still have room
-// to place tasks in all zones.
-func (c *Controller) canCompleteJob(r *placementTransaction) bool {
-	return c.hasCapacityFor(r, 3+len(c.settings.Cluster.Zones))
+// canCompleteJob reports whether a transaction may take on another change and still have
+// room to place tasks in all zones.
+func (c *Controller) canCompleteJob(txn *placementTransaction) bool {
+	return c.hasCapacityFor(txn, 3+len(c.settings.Cluster.Zones))
 }
 
-// launchTimedOut reports whether a worker that reports here has lacked an entry's tasks
-// for so long that its launcher does not seem to reach it.
-func (c *Controller) launchTimedOut(m *machine, e *Allocation) bool {
-	first := e.Tasks.First()
-	since, ok := m.reconciliation.missingSince[e.key(first)]
+// launchTimedOut reports whether a worker that sends heartbeats to this controller has
+// lacked an allocation's tasks for so long that its launcher does not seem to reach it.
+func (c *Controller) launchTimedOut(m *machine, allocation *Allocation) bool {
+	first := allocation.key(allocation.Tasks.First())
+	since, ok := m.reconciliation.missingSince[first]
 	if !ok {
-		m.reconciliation.missingSince[e.key(first)] = c.now
+		m.reconciliation.missingSince[first] = c.now
 		return false
 	}
-	patience := launchTimeout
-	if j := c.cache.jobs[e.Job]; j != nil && e.Shape == wire.ShapeGang {
-		patience += c.gangImagePullTime(j, e.Attempt) // its launcher may hold it back
+	timeout := launchTimeout
+	if job := c.cache.jobs[allocation.Job]; job != nil && allocation.Shape == wire.ShapeGang {
+		timeout += c.gangImagePullTime(job, allocation.Attempt) // its launcher may defer it
 	}
-	return c.now.Sub(max(since, c.resumedAt)) > patience && c.now.Sub(m.liveness.lastDirectAt) < launchTimeout
+	return c.now.Sub(max(since, c.resumedAt)) > timeout && c.now.Sub(m.liveness.lastDirectAt) < launchTimeout
 }
 
-// launchTimeout is how long a launcher has to get a launch to a worker before
-// the controller that hears the worker takes over.
-const launchTimeout = 3 * time.Second
-
-// raiseFence changes an entry and raises the token in the same write.
-func (c *Controller) raiseFence(r *placementTransaction, p *page, e *Allocation, change func(*Allocation)) {
-	d := c.stagePage(r, p)
-	for i := range d.allocations {
-		if x := &d.allocations[i]; sameAllocation(x, e) {
-			change(x)
-			x.Fence = c.cache.token + 1
-			c.metrics.count(countFences, 1)
-			if !r.raisesToken {
-				r.raisesToken = true
-				r.operations++
-				r.conditions[record.TokenKey] = c.cache.keyVersions[record.TokenKey]
-			}
-			r.notifyMachines[e.Machine] = true
+// raiseFence changes an allocation and raises the token in the same transaction: whoever
+// knows of the token knows of the change.
+func (c *Controller) raiseFence(txn *placementTransaction, page *page, allocation *Allocation, change func(*Allocation)) {
+	staged := c.stagePage(txn, page)
+	for i := range staged.allocations {
+		candidate := &staged.allocations[i]
+		if !sameAllocation(candidate, allocation) {
+			continue
+		}
+		change(candidate)
+		candidate.Fence = c.cache.token + 1
+		c.metrics.count(countFences, 1)
+		if !txn.raisesToken {
+			txn.raisesToken = true
+			txn.operations++
+			txn.conditions[record.TokenKey] = c.cache.keyVersions[record.TokenKey]
 		}
+		txn.notifyMachines[allocation.Machine] = true
 	}
 }
 
@@ -162,38 +216,39 @@
 	return a.Job == b.Job && a.Attempt == b.Attempt && a.Machine == b.Machine && a.Eviction == b.Eviction
 }
 
-// removeTasks takes tasks out of an entry and notes those of them that are done.
-func (c *Controller) removeTasks(r *placementTransaction, p *page, e *Allocation, gone, done record.TaskSet) {
-	d := c.stagePage(r, p)
-	kept := d.allocations[:0]
-	for _, x := range d.allocations {
-		if x.Job == e.Job && x.Attempt == e.Attempt && x.Machine == e.Machine {
-			x.Tasks = x.Tasks.Without(gone)
-			if x.Tasks.Empty() {
+// removeTasks takes exited tasks out of an allocation and records those of them that are
+// done.
+func (c *Controller) removeTasks(txn *placementTransaction, page *page, allocation *Allocation, exited, done record.TaskSet) {
+	staged := c.stagePage(txn, page)
+	kept := staged.allocations[:0]
+	for _, candidate := range staged.allocations {
+		if candidate.Job == allocation.Job && candidate.Attempt == allocation.Attempt && candidate.Machine == allocation.Machine {
+			candidate.Tasks = candidate.Tasks.Without(exited)
+			if candidate.Tasks.Empty() {
 				continue
 			}
 		}
-		kept = append(kept, x)
+		kept = append(kept, candidate)
 	}
-	d.allocations = kept
+	staged.allocations = kept
 	if !done.Empty() {
-		d.completed[e.Job] = d.completed[e.Job].With(done)
+		staged.completed[allocation.Job] = staged.completed[allocation.Job].With(done)
 	}
 }
 
-// completeJobs ends jobs whose last tasks were noted by several controllers at once,
-// none of which saw them all, or by a round that had no room left for their ends:
-// when hundreds of small jobs end together, their ends come after their tasks'.
-func (c *Controller) completeJobs(rounds map[string]*placementTransaction) {
+// completeJobs completes jobs whose last tasks were recorded by several controllers at
+// once, none of which saw them all, or by a transaction that had no room left for the
+// completions: when hundreds of small jobs end together, these come after their tasks'.
+func (c *Controller) completeJobs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
-		j := c.cache.jobs[id]
-		r := rounds[j.spec.Team]
-		if r == nil || j.completed.Len() < j.spec.Tasks || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(r, 3) {
+		job := c.cache.jobs[id]
+		txn := transactions[job.spec.Team]
+		if txn == nil || job.completed.Len() < job.spec.Tasks || !c.ownsTeam(job.spec.Team) || !c.hasCapacityFor(txn, 3) {
 			continue
 		}
-		if !r.completedJobs[id] {
-			r.completed[id] = record.TaskSet{}
-			c.completeJob(r, j)
+		if !txn.completedJobs[id] {
+			txn.completed[id] = record.TaskSet{}
+			c.completeJob(txn, job)
 		}
 	}
 }
