--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -7,187 +7,194 @@
 	"lilacrill/wire"
 )
 
-// membership is this process's place among the controllers.
+const (
+	// joinConflictDelay is how long to wait after another controller changed the token
+	// while this one joined.
+	joinConflictDelay = 50 * time.Millisecond
+	// serialBits leaves room for 16 million serial numbers a process and for an
+	// incarnation of 29 bits below 2^53, which is as far as decimal numbers in JSON are
+	// exact.
+	serialBits = 24
+)
+
+// membership is this process's place among the controllers: its cache of the records, its
+// lease, and its incarnation. It becomes ready once its cache holds the raise of the token
+// that made its incarnation, and everything that was written before that.
 type membership struct {
 	loading, loaded bool
-	catchUpRevision wire.Revision // the cache is whole once the feed is here
-	nextAttempt     Time
+	catchUpRevision wire.Revision // the cache is complete once it has reached it
+	nextAttempt     Time          // to load the cache, or to join
 	nextWatch       Time
-	stale           bool // the state service was away, and what changed meanwhile is not known yet
+	stale           bool // the state store was out of reach, and what changed meanwhile is not known yet
 	catchingUp      bool
 
-	incarnation wire.FencingToken // the token this process raised when it started
+	incarnation wire.FencingToken // the token that this process raised when it started; 0 until then
 	joining     bool
 	ready       bool
 	readyAt     Time
 	lastSerial  uint64
 
-	assignedRateFraction float64  // of the state service's limits
-	eligibleControllers  []string // the living controllers that reach workers
+	assignedRateFraction float64  // of the state store's rate limits
+	eligibleControllers  []string // the live controllers that reach workers
 
-	leaseID           wire.LeaseID
+	leaseID           wire.LeaseID // 0: none
 	leaseCallInFlight bool
 	nextRenewal       Time
-	enrolled          bool // our node record hangs on the present permit
+	enrolled          bool // our liveness record hangs on the present lease
 }
 
-const (
-	membershipLeaseTTL   = 5 * time.Second
-	leaseRenewalInterval = 800 * time.Millisecond
-)
-
-// cacheComplete reports whether the cache is complete up to its feed.
+// cacheComplete reports whether the cache is complete up to its revision.
 func (c *Controller) cacheComplete() bool {
 	return c.membership.loaded && c.cache.revision >= c.membership.catchUpRevision
 }
 
 func (c *Controller) tickMembership() {
-	if !c.membership.loaded {
+	c.keepCacheLoaded()
+	if !c.membership.leaseCallInFlight && c.isDue(c.membership.nextRenewal) {
+		c.renewLease()
+	}
+	c.catchUpAfterOutage()
+	c.keepCacheCurrent()
+	c.startBarrier()
+	c.keepEnrolled()
+	c.checkReady()
+}
+
+// keepCacheLoaded loads the cache, or watches the state store for changes of it.
+func (c *Controller) keepCacheLoaded() {
+	switch {
+	case !c.membership.loaded:
 		if !c.membership.loading && c.isDue(c.membership.nextAttempt) {
 			c.membership.loading = true
 			c.reloadCache()
 		}
-	} else if !c.cache.watching && c.isDue(c.membership.nextWatch) && c.now.Sub(c.cancellations.cacheCurrentAt) > watchIdleDelay {
+	case !c.cache.watching && c.isDue(c.membership.nextWatch) && c.now.Sub(c.cancellations.cacheCurrentAt) > watchIdleDelay:
 		c.openWatch()
 	}
-	if !c.membership.leaseCallInFlight && c.isDue(c.membership.nextRenewal) {
-		c.tickLease()
-	}
-	if c.membership.stale && !c.membership.catchingUp && c.storeReachable() {
-		c.membership.catchingUp = true
-		c.readBarrier(func(ok bool) {
-			c.membership.catchingUp = false
-			c.membership.stale = !ok
-		})
+}
+
+// catchUpAfterOutage reads what changed while the state store was out of reach.
+func (c *Controller) catchUpAfterOutage() {
+	if !c.membership.stale || c.membership.catchingUp || !c.storeReachable() {
+		return
 	}
-	c.keepCacheCurrent()
-	c.startBarrier()
-	if c.membership.enrolled && (c.cache.liveControllers[c.settings.Label] != c.membership.incarnation || c.cache.isolatedControllers[c.settings.Label] != c.isolated()) {
-		// A late copy of an earlier enrolment may hang the record on a lease that
-		// has since run out; or others should know that we no longer hear workers.
+	c.membership.catchingUp = true
+	c.readBarrier(func(ok bool) {
+		c.membership.catchingUp = false
+		c.membership.stale = !ok
+	})
+}
+
+// keepEnrolled writes this controller's liveness record where it is missing or wrong: a late
+// copy of an earlier one may hang it on a lease that has since expired, or others should
+// know that this controller has lost the workers, or has them again.
+func (c *Controller) keepEnrolled() {
+	label := c.settings.Label
+	if c.membership.enrolled && (c.cache.liveControllers[label] != c.membership.incarnation || c.cache.isolatedControllers[label] != c.isolated()) {
 		c.membership.enrolled = false
 	}
 	if c.cacheComplete() && c.membership.leaseID != 0 && !c.membership.enrolled && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
 		c.join()
 	}
-	if !c.membership.ready && c.membership.incarnation != 0 && c.cache.token >= c.membership.incarnation {
-		c.membership.ready, c.membership.readyAt = true, c.now
-		c.rolloutEvent(RolloutReady)
-		c.log.Info("ready", "boot", c.membership.incarnation, "ledger", c.cache.revision, "jobs", len(c.cache.jobs))
-	}
 }
 
-func (c *Controller) tickLease() {
-	c.membership.leaseCallInFlight = true
-	c.membership.nextRenewal = c.now.Add(leaseRenewalInterval)
-	then := func(g LeaseResult) {
-		c.membership.leaseCallInFlight = false
-		switch g.Outcome {
-		case Succeeded:
-			c.noteStoreResponse()
-			if g.LeaseID != 0 && g.LeaseID != c.membership.leaseID {
-				c.membership.leaseID, c.membership.enrolled = g.LeaseID, false
-			}
-		case NotFound:
-			c.noteStoreResponse()
-			c.log.Warn("the lease ran out")
-			c.membership.leaseID, c.membership.enrolled = 0, false
-			c.membership.nextRenewal = c.now
-		default:
-			c.membership.nextRenewal = c.now.Add(storeRetryDelay)
-		}
-	}
-	if c.membership.leaseID == 0 {
-		c.emit(GrantLease{call(c, then), membershipLeaseTTL})
-	} else {
-		c.emit(RenewLease{call(c, then), c.membership.leaseID})
+func (c *Controller) checkReady() {
+	if c.membership.ready || c.membership.incarnation == 0 || c.cache.token < c.membership.incarnation {
+		return
 	}
+	c.membership.ready, c.membership.readyAt = true, c.now
+	c.rolloutEvent(RolloutReady)
+	c.log.Info("ready", "incarnation", c.membership.incarnation, "revision", c.cache.revision, "jobs", len(c.cache.jobs))
 }
 
-// join lists this controller among the living. The first time it also raises
-// the token: whatever an earlier process of any name sent is fenced off from
-// every worker that has seen it, and the number names this process's hires
-// and attempts.
-//
-// It demands the format in force that this process knows: one that cannot read a newer
-// format is neither listed before it learns of that nor after.
+// join lists this controller among the live ones. The first time it also raises the token:
+// whatever an earlier process of any controller sent is fenced off from every worker that
+// has seen it. The new token is this process's incarnation, which also makes its serial
+// numbers unique.
 func (c *Controller) join() {
 	c.membership.joining = true
-	boot := c.membership.incarnation
-	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Demand()}}
-	if boot == 0 {
-		boot = c.cache.token + 1
-		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]})
-		txn.Then = []wire.Change{c.putChange(record.TokenKey, boot),
-			c.putChange(record.RegistrationKey(c.settings.Label), c.registration(boot))}
+	incarnation := c.membership.incarnation
+	if incarnation == 0 {
+		incarnation = c.cache.token + 1
 	}
-	node := c.putChange(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: boot, Isolated: c.isolated()})
-	node.LeaseID = c.membership.leaseID
-	txn.Then = append(txn.Then, node)
 	leaseID := c.membership.leaseID
-	c.commit(PriorityLease, txn, func(r CommitResult) {
+	c.commit(PriorityLease, c.joinTransaction(incarnation), func(result CommitResult) {
 		c.membership.joining = false
-		switch r.Outcome {
-		case Succeeded:
-			if c.membership.incarnation == 0 {
-				c.membership.incarnation = boot
-				c.shards.table.Joined(boot)
-				c.rolloutEvent(RolloutRegistered)
-			}
-			c.membership.enrolled = c.membership.leaseID == leaseID
-		case Conflict:
-			c.readBarrier(func(bool) {})
-			c.membership.nextAttempt = c.now.Add(50 * time.Millisecond)
-			return
-		case NotFound:
-			c.membership.leaseID, c.membership.enrolled = 0, false
-			c.membership.nextRenewal = c.now
-		default:
-			c.membership.nextAttempt = c.now.Add(storeRetryDelay)
-		}
-		// The token is adopted from the feed.
+		c.handleJoinResult(result.Outcome, incarnation, leaseID)
+		// The token is taken from a read of the state store alone.
 		c.readBarrier(func(bool) {})
 	})
 }
 
+// joinTransaction is conditional on the format in force that this process knows: one that
+// cannot read a newer format is neither listed before it learns of that nor after.
+func (c *Controller) joinTransaction(incarnation wire.FencingToken) wire.Transaction {
+	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Demand()}}
+	if c.membership.incarnation == 0 {
+		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]})
+		txn.Then = []wire.Change{c.putChange(record.TokenKey, incarnation),
+			c.putChange(record.RegistrationKey(c.settings.Label), c.registration(incarnation))}
+	}
+	liveness := c.putChange(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: incarnation, Isolated: c.isolated()})
+	liveness.LeaseID = c.membership.leaseID
+	txn.Then = append(txn.Then, liveness)
+	return txn
+}
+
+func (c *Controller) handleJoinResult(outcome Outcome, incarnation wire.FencingToken, leaseID wire.LeaseID) {
+	switch outcome {
+	case Succeeded:
+		if c.membership.incarnation == 0 {
+			c.membership.incarnation = incarnation
+			c.shards.table.Joined(incarnation)
+			c.rolloutEvent(RolloutRegistered)
+		}
+		c.membership.enrolled = c.membership.leaseID == leaseID
+	case Conflict:
+		c.membership.nextAttempt = c.now.Add(joinConflictDelay)
+	case NotFound:
+		c.membership.dropLease(c.now)
+	default:
+		c.membership.nextAttempt = c.now.Add(storeRetryDelay)
+	}
+}
+
 // registration is what this process registers.
-func (c *Controller) registration(boot wire.FencingToken) record.Registration {
-	m := c.rollout.tracker.Registration(boot)
-	m.Sharding = c.shardingEnabled()
-	return m
+func (c *Controller) registration(incarnation wire.FencingToken) record.Registration {
+	registration := c.rollout.tracker.Registration(incarnation)
+	registration.Sharding = c.shardingEnabled()
+	return registration
 }
 
-// isAlive reports whether the process with this boot is known to be alive.
-func (c *Controller) isAlive(boot wire.FencingToken) bool {
-	if boot == c.membership.incarnation {
+// isAlive reports whether the process of an incarnation is known to be alive.
+func (c *Controller) isAlive(incarnation wire.FencingToken) bool {
+	if incarnation == c.membership.incarnation {
 		return true
 	}
-	for _, b := range c.cache.liveControllers {
-		if b == boot {
-			return true
-		}
-	}
-	return false
+	_, alive := c.cache.liveController(incarnation)
+	return alive
 }
 
-// isIsolatedIncarnation reports whether the process with this boot reaches no workers, by its
-// own word.
-func (c *Controller) isIsolatedIncarnation(boot wire.FencingToken) bool {
-	for label, b := range c.cache.liveControllers {
-		if b == boot {
-			return c.cache.isolatedControllers[label]
+// isIsolatedIncarnation reports whether the process of an incarnation reaches no workers, as
+// it says itself.
+func (c *Controller) isIsolatedIncarnation(incarnation wire.FencingToken) bool {
+	label, alive := c.cache.liveController(incarnation)
+	return alive && c.cache.isolatedControllers[label]
+}
+
+// liveController finds the label of the live controller whose process has an incarnation.
+func (s *stateCache) liveController(incarnation wire.FencingToken) (label string, alive bool) {
+	for label, live := range s.liveControllers {
+		if live == incarnation {
+			return label, true
 		}
 	}
-	return false
+	return "", false
 }
 
-// name makes a name or number that no other process ever makes: the boot, then
-// a counter.
+// nextSerial makes a number that no other process ever makes: the incarnation, then a
+// counter.
 func (c *Controller) nextSerial() uint64 {
 	c.membership.lastSerial++
 	return uint64(c.membership.incarnation)<<serialBits | c.membership.lastSerial
 }
-
-// serialBits leaves room for 16 million names a process and for a boot number
-// of 29 bits below 2^53, which is as far as decimal numbers in JSON are exact.
-const serialBits = 24
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -2,59 +2,76 @@
 
 import "lilacrill/internal/rendezvous"
 
-// ownsTeam reports whether this controller is a team's owner: the one that looks
-// after whatever its jobs need beyond the first placement. It is only a hint
-// that spares lost writes; safety rests on the conditions of the writes.
+// ownsTeam reports whether this controller is a team's owner: the one that looks after
+// whatever the team's jobs need beyond the first placement. It is only a hint that avoids
+// transactions lost to one another; safety rests on their conditions.
 func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
 
+// teamOwner is the label of a team's owner. A team that the settings do not name is given
+// one when it first comes up.
 func (c *Controller) teamOwner(team string) string {
-	if s, ok := c.scheduler.teamOwners[team]; ok {
-		return s
+	if owner, ok := c.scheduler.teamOwners[team]; ok {
+		return owner
 	}
-	best := rendezvous.Highest(c.membership.eligibleControllers, team)
-	c.scheduler.teamOwners[team] = best
-	return best
+	owner := rendezvous.Highest(c.membership.eligibleControllers, team)
+	c.scheduler.teamOwners[team] = owner
+	return owner
 }
 
-// assignOwnership shares out the teams and the state service's limits among the living
-// controllers. All come to the same result once they know of the same ones;
-// until then it costs lost writes and refused calls, not safety.
+// assignOwnership divides the teams and the state store's rate limits among the live
+// controllers. All come to the same result once they know of the same ones; until then it
+// costs lost transactions and refused calls, not safety.
 func (c *Controller) assignOwnership() {
+	c.membership.eligibleControllers = c.findEligibleControllers()
+	var teams []string
+	for i := range c.settings.Cluster.Teams {
+		teams = append(teams, c.settings.Cluster.Teams[i].Name)
+	}
+	// Each is given no more than its part: at many writes a second a controller with
+	// three teams holds two of them up.
+	c.scheduler.teamOwners = rendezvous.Assign(c.membership.eligibleControllers, teams)
+	if fraction := c.computeRateFraction(); fraction != c.membership.assignedRateFraction {
+		c.membership.assignedRateFraction = fraction
+		c.emit(SetRateShare{fraction})
+	}
+}
+
+// findEligibleControllers is the live controllers that reach workers, by label; this one if
+// there is none.
+func (c *Controller) findEligibleControllers() []string {
 	var labels []string
-	weight := map[string]float64{}
 	for _, label := range sortedKeys(c.cache.liveControllers) {
-		weight[label] = 1
-		if c.cache.liveControllers[label] == c.cache.provisionerIncarnation {
-			weight[label]++
-		}
 		if !c.cache.isolatedControllers[label] {
 			labels = append(labels, label)
 		}
 	}
 	if len(labels) == 0 {
-		labels = append(labels, c.settings.Label) // nobody else is known to be of use
+		return []string{c.settings.Label}
 	}
-	var names []string
-	for i := range c.settings.Cluster.Teams {
-		names = append(names, c.settings.Cluster.Teams[i].Name)
+	return labels
+}
+
+// computeRateFraction is the part of the state store's rate limits that this controller may
+// use. A controller counts once, once more as the provisioner, and once for every team that
+// it owns.
+func (c *Controller) computeRateFraction() float64 {
+	weights := map[string]int{}
+	for label, incarnation := range c.cache.liveControllers {
+		weights[label] = 1
+		if incarnation == c.cache.provisionerIncarnation {
+			weights[label]++
+		}
 	}
-	// Each takes no more than its part: at many writes a second a controller with three
-	// teams holds two of them up.
-	c.scheduler.teamOwners = rendezvous.Assign(labels, names)
 	for _, owner := range c.scheduler.teamOwners {
-		weight[owner]++
+		weights[owner]++
 	}
-	sum := 0.0
-	for _, w := range weight {
-		sum += w
+	sum := 0
+	for _, weight := range weights {
+		sum += weight
 	}
-	own := weight[c.settings.Label]
+	own := weights[c.settings.Label]
 	if own == 0 {
 		own, sum = 1, sum+1 // not enrolled yet
 	}
-	c.membership.eligibleControllers = labels
-	if part := own / sum; part != c.membership.assignedRateFraction {
-		c.membership.assignedRateFraction = part
-		c.emit(SetRateShare{part})
-	}
+	return float64(own) / float64(sum)
 }
