--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,10 @@
-// Package controller is the scheduler as a state machine: inputs in; what to send,
-// write and answer out. It has no clock, no socket and no goroutine. One
-// goroutine owns a Core.
+// Package controller is the scheduler as a state machine: inputs go in; what to send, to
+// write and to answer comes out. It has no clock, no socket and no goroutine, so that the
+// same inputs always lead to the same outputs. One goroutine owns a Controller.
+//
+// Three to five controllers work at the same time, on the same records. None relies on
+// being the only one: each write is a transaction with conditions on the versions that it
+// was based on, and each command to a worker carries a fencing token (see commands.go).
 package controller
 
 import (
@@ -10,7 +14,17 @@
 
 	"lilacrill/internal/config"
 	"lilacrill/internal/sockets"
-	"lilacrill/wire"
+)
+
+const (
+	// stallThreshold is a time between inputs after which a controller does not trust
+	// what it has not heard: it had no processor to hear it with.
+	stallThreshold = 700 * time.Millisecond
+	// storeTimeout is how long the state store may leave calls unanswered before a
+	// controller takes it for unreachable, and its own cache for old.
+	storeTimeout = 2 * time.Second
+	// randStream sets the random numbers apart from others made from the same seed.
+	randStream = 0x6c696c61
 )
 
 // Controller is the state of one controller.
@@ -43,22 +57,20 @@
 	gossip         gossip
 
 	lastStep  Time
-	resumedAt Time // when this process last went on after standing still
+	resumedAt Time // when this process last resumed after a stall
 }
 
-// New makes a controller that has just started.
+// New makes a controller that has just started. Controllers with the same seed draw the
+// same random numbers.
 func New(settings *config.Settings, log *slog.Logger, seed uint64) *Controller {
 	c := &Controller{
 		settings:     settings,
 		log:          log,
-		rand:         rand.New(rand.NewPCG(seed, 0x6c696c61)),
+		rand:         rand.New(rand.NewPCG(seed, randStream)),
 		pendingCalls: map[CallID]pendingCall{},
-		gossip: gossip{
-			peers:           map[string]*peerState{},
-			pendingMachines: map[wire.MachineID]bool{},
-		},
 	}
 	c.cache.init()
+	c.gossip.init()
 	c.fleet.init(sockets.Share(settings).Direct)
 	c.provisioner.init()
 	c.scheduler.init()
@@ -72,24 +84,37 @@
 	return c
 }
 
-// Step takes one input at a moment of the steady clock and of the time of day
-// and returns what is to be done. The result is valid until the next call.
+// Step takes one input, at a moment of the steady clock and a time of day in Unix
+// milliseconds, and returns what is to be done, in order. The result is valid until the
+// next call.
 func (c *Controller) Step(now Time, wall int64, in Input) []Output {
-	if now > c.now {
-		c.now = now
+	c.advanceClock(now, wall)
+	c.outputs = c.outputs[:0]
+	if c.rollout.shutdownCause != nil {
+		c.refuseWhileShuttingDown(in)
+		return c.outputs
+	}
+	c.handle(in)
+	if c.rollout.shutdownCause != nil {
+		c.emitShutdown()
+		return c.outputs
 	}
-	// What waited in buffers meanwhile comes before the next tick, so whatever
-	// comes first has to notice.
+	c.runScheduler()
+	return c.outputs
+}
+
+// advanceClock notes the time, and whether this process has stalled. That shows at
+// whichever input comes first: what waited in buffers meanwhile comes before the next tick.
+func (c *Controller) advanceClock(now Time, wall int64) {
+	c.now = max(c.now, now)
 	if c.now.Sub(c.lastStep) > stallThreshold {
 		c.resumedAt = c.now
 	}
 	c.lastStep = c.now
 	c.wall = wall
-	c.outputs = c.outputs[:0]
-	if c.rollout.shutdownCause != nil {
-		c.refuseWhileShuttingDown(in)
-		return c.outputs
-	}
+}
+
+func (c *Controller) handle(in Input) {
 	switch in := in.(type) {
 	case Tick:
 		c.tick()
@@ -114,53 +139,8 @@
 	case PeerMessageReceived:
 		c.handlePeerMessage(in.Message)
 	}
-	if c.rollout.shutdownCause != nil {
-		c.emitShutdown()
-		return c.outputs
-	}
-	c.runScheduler()
-	return c.outputs
 }
 
-// Healthy reports whether this controller can take requests: not while it
-// starts, and not while only it is cut from the state service, as far as it can
-// tell: a sibling says that it has it, or none can be heard at all.
-func (c *Controller) Healthy() bool {
-	return c.membership.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
-}
-
-// lostPeerQuorum reports whether this controller hears and is heard by less than half of
-// all, itself among them: what it hears one way only may be held back for the other.
-// In an outage of the state service those who are well still hear
-// one another; two that share a zone which is cut off do as well, so one
-// sibling is not enough.
-func (c *Controller) lostPeerQuorum() bool {
-	heard := 1
-	for _, p := range c.gossip.peers {
-		if c.now.Sub(p.ackedAt) <= ackTimeout {
-			heard++
-		}
-	}
-	return 2*heard <= 1+len(c.settings.Siblings) && c.now.Sub(c.membership.readyAt) > ackTimeout
-}
-
-func (c *Controller) emit(o Output) { c.outputs = append(c.outputs, o) }
-
-// noteStoreResponse notes that the state service has answered the call whose result
-// is being handled. An answer to a call from before this process stood still may
-// have waited all the while: it does not show that the service can be reached,
-// nor that what is known here is fresh.
-func (c *Controller) noteStoreResponse() {
-	if c.callStartedAt < c.resumedAt {
-		return
-	}
-	c.membership.stale = c.membership.stale || c.membership.loaded && !c.storeReachable()
-	c.cache.lastStoreResponse = c.now
-}
-
-// isDue reports whether t has come.
-func (c *Controller) isDue(t Time) bool { return c.now >= t }
-
 func (c *Controller) tick() {
 	c.measureLag()
 	c.tickMembership()
@@ -176,31 +156,30 @@
 	c.sendForwardedJobs()
 }
 
-const (
-	// peerHeartbeatInterval is how often siblings tell one another that they are well.
-	peerHeartbeatInterval = time.Second
-	// gossipInterval is how often siblings are told what workers reported.
-	gossipInterval       = 200 * time.Millisecond
-	heartbeatsPerMessage = 100
-	// stallThreshold is a time between inputs after which a controller does not trust
-	// what it has not heard: it had no processor to hear it with.
-	stallThreshold = 700 * time.Millisecond
-	// storeTimeout is how long the state service may be silent before a
-	// controller doubts its own view.
-	storeTimeout = 2 * time.Second
-)
+func (c *Controller) emit(o Output) { c.outputs = append(c.outputs, o) }
 
-func (c *Controller) storeReachable() bool {
-	return c.now.Sub(c.cache.lastStoreResponse) < storeTimeout
+// isDue reports whether t has come.
+func (c *Controller) isDue(t Time) bool { return c.now >= t }
+
+// Healthy reports whether this controller can take requests: not while it starts, and not
+// while it alone cannot reach the state store, as far as it can tell: a sibling says that
+// it can, or this controller is connected to too few siblings to know.
+func (c *Controller) Healthy() bool {
+	return c.membership.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
 }
 
-// peerWithStore names a sibling that has the state service while this one has
-// not; "" if there is none.
-func (c *Controller) peerWithStore() string {
-	for _, s := range c.settings.Siblings {
-		if p := c.gossip.peers[s.Label]; p != nil && p.storeReachable && c.now.Sub(p.lastHeardAt) < 2*peerHeartbeatInterval+peerHeartbeatInterval/2 {
-			return s.Label
-		}
+// noteStoreResponse notes that the state store has answered the call whose result is being
+// handled. A response to a call from before this process stalled may have waited all the
+// while: it does not show that the store can be reached, nor that the cache is current.
+func (c *Controller) noteStoreResponse() {
+	if c.callStartedAt < c.resumedAt {
+		return
 	}
-	return ""
+	c.membership.stale = c.membership.stale || c.membership.loaded && !c.storeReachable()
+	c.cache.lastStoreResponse = c.now
+}
+
+// storeReachable reports whether the state store answered a call lately.
+func (c *Controller) storeReachable() bool {
+	return c.now.Sub(c.cache.lastStoreResponse) < storeTimeout
 }
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -1,16 +1,39 @@
 package controller
 
 import (
+	"time"
+
+	"lilacrill/internal/config"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// gossip is what controllers tell one another: hints only, which never prove anything.
+const (
+	// peerHeartbeatInterval is how often siblings are sent a message at least.
+	peerHeartbeatInterval = time.Second
+	// gossipInterval is how often siblings are sent the heartbeats received meanwhile.
+	gossipInterval = 200 * time.Millisecond
+	// heartbeatsPerMessage bounds the heartbeats in full that one message carries.
+	heartbeatsPerMessage = 100
+	// peerTimeout is how long a sibling may send nothing before it counts as lost.
+	peerTimeout = 3 * peerHeartbeatInterval
+	// ackTimeout is how long ago a sibling may have acknowledged a watermark of ours
+	// before it counts as lost: our watermark, and its own with the acknowledgement, take
+	// an interval each.
+	ackTimeout = peerTimeout + watermarkInterval
+	// peerStoreTimeout is how long it counts that a sibling said it reaches the state store.
+	peerStoreTimeout = 2*peerHeartbeatInterval + peerHeartbeatInterval/2
+)
+
+// gossip is what controllers tell one another of the workers' heartbeats and of themselves.
+// It is hints only: messages may be lost, late or out of order, and prove nothing. What a
+// controller writes down on account of a hint it first confirms, by a direct heartbeat or
+// the conditions of its transaction.
 type gossip struct {
-	peers         map[string]*peerState
+	peers         map[string]*peerState // by label
 	nextHeartbeat Time
 	nextMessage   Time
-	// sendAll says that a sibling is new and is to be told all that was heard.
+	// sendAll says that a sibling is new and is to be sent all heartbeats that are known.
 	sendAll         bool
 	pendingMachines map[wire.MachineID]bool // machines heard since the last message
 }
@@ -20,120 +43,183 @@
 	lastHeardAt    Time
 	storeReachable bool
 
-	process              uint64        // the one that last attested
-	sequence             uint64        // its newest attestation
+	process              uint64        // the sibling's process that last sent a watermark
+	sequence             uint64        // its newest watermark
 	firstHeardAt         Time          // when the first of them came
 	revision             wire.Revision // up to which it knows all changes
-	ackedAt              Time          // when our newest attestation was sent that it has heard
+	ackedAt              Time          // when the newest of our watermarks that it received was sent
 	cancellationsKnownAt Time          // up to when all is known that it may have told users
 }
 
-// sendGossip tells the siblings what was heard since the last time; if nothing was,
-// from time to time only that this controller lives.
+func (g *gossip) init() {
+	g.peers = map[string]*peerState{}
+	g.pendingMachines = map[wire.MachineID]bool{}
+}
+
+// peer finds a sibling's state, or adds that of one that has sent nothing yet.
+func (g *gossip) peer(label string) *peerState {
+	peer := g.peers[label]
+	if peer == nil {
+		peer = &peerState{lastHeardAt: -Time(peerTimeout) - 1, ackedAt: -Time(ackTimeout) - 1}
+		g.peers[label] = peer
+	}
+	return peer
+}
+
+// isHeard reports whether messages of the sibling arrive.
+func (p *peerState) isHeard(now Time) bool { return now.Sub(p.lastHeardAt) <= peerTimeout }
+
+// hearsUs reports whether messages arrive both ways: what arrives one way only may be held
+// up on the other.
+func (p *peerState) hearsUs(now Time) bool { return now.Sub(p.ackedAt) <= ackTimeout }
+
+// countConnected counts the siblings with which messages arrive both ways.
+func (g *gossip) countConnected(now Time) int {
+	count := 0
+	for _, peer := range g.peers {
+		if peer.hearsUs(now) {
+			count++
+		}
+	}
+	return count
+}
+
+// withStore names a sibling that reaches the state store, as it last said; "" if none does.
+func (g *gossip) withStore(siblings []config.Sibling, now Time) string {
+	for _, sibling := range siblings {
+		if peer := g.peers[sibling.Label]; peer != nil && peer.storeReachable && now.Sub(peer.lastHeardAt) < peerStoreTimeout {
+			return sibling.Label
+		}
+	}
+	return ""
+}
+
+// lostPeerQuorum reports whether this controller is connected to less than half of all
+// controllers, itself among them. In an outage of the state store those that are well still
+// are connected to one another; two that share a partitioned zone are as well, so one
+// sibling is not enough.
+func (c *Controller) lostPeerQuorum() bool {
+	connected := 1 + c.gossip.countConnected(c.now)
+	return 2*connected <= 1+len(c.settings.Siblings) && c.now.Sub(c.membership.readyAt) > ackTimeout
+}
+
+// peerWithStore names a sibling that reaches the state store; "" if none does.
+func (c *Controller) peerWithStore() string {
+	return c.gossip.withStore(c.settings.Siblings, c.now)
+}
+
+func (c *Controller) isSibling(label string) bool {
+	for _, sibling := range c.settings.Siblings {
+		if sibling.Label == label {
+			return true
+		}
+	}
+	return false
+}
+
+// sendGossip sends the siblings the heartbeats received since the last time; if there were
+// none, it says from time to time only that this controller lives.
 func (c *Controller) sendGossip() {
 	if !c.isDue(c.gossip.nextMessage) {
 		return
 	}
 	c.gossip.nextMessage = c.now.Add(gossipInterval)
-	line := c.newPeerMessage()
+	message := c.newPeerMessage()
 	if c.gossip.sendAll {
 		c.gossip.sendAll = false
-		for id, m := range c.fleet.machines {
-			if m.directHeartbeat != nil && c.now.Sub(m.liveness.lastDirectAt) < forgetMachineAfter && !m.scaling.terminated {
-				c.gossip.pendingMachines[id] = true
-			}
-			m.liveness.gossipedHeartbeat = nil
-		}
-		c.provisioner.gossipedStatus = nil
+		c.queueAllHeartbeats()
 	}
 	if c.isDue(c.cancellations.next) {
-		line.Watermark = c.newWatermark()
+		message.Watermark = c.newWatermark()
+	}
+	c.addCapacityOffer(message)
+	message = c.addHeartbeats(message)
+	hasContent := len(message.Heartbeats) > 0 || len(message.UnchangedHeartbeats) > 0 || message.Watermark != nil || message.Capacity != nil
+	if hasContent || c.isDue(c.gossip.nextHeartbeat) {
+		c.gossip.nextHeartbeat = c.now.Add(peerHeartbeatInterval)
+		c.broadcast(message)
 	}
-	c.addCapacityOffer(line)
+}
+
+// queueAllHeartbeats has the next messages carry all that this controller knows of the
+// machines at first hand, in full.
+func (c *Controller) queueAllHeartbeats() {
+	for id, m := range c.fleet.machines {
+		if m.directHeartbeat != nil && c.now.Sub(m.liveness.lastDirectAt) < forgetMachineAfter && !m.scaling.terminated {
+			c.gossip.pendingMachines[id] = true
+		}
+		m.liveness.gossipedHeartbeat = nil
+	}
+	c.provisioner.gossipedStatus = nil
+}
+
+// addHeartbeats adds the pending machines' heartbeats to a message, of those that show
+// nothing new only that they came. It broadcasts messages that are full, and returns the
+// one that is not.
+func (c *Controller) addHeartbeats(message *wire.PeerMessage) *wire.PeerMessage {
 	for _, id := range sortedKeys(c.gossip.pendingMachines) {
 		m := c.fleet.machines[id]
 		if m == nil || m.directHeartbeat == nil {
 			continue
 		}
-		r := m.directHeartbeat
-		if m.liveness.gossipedHeartbeat != nil && sameStatus(m.liveness.gossipedHeartbeat, r) {
-			line.UnchangedHeartbeats = append(line.UnchangedHeartbeats, wire.UnchangedHeartbeat{Machine: id, AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, Token: r.Token})
+		heartbeat := m.directHeartbeat
+		if m.liveness.gossipedHeartbeat != nil && sameStatus(m.liveness.gossipedHeartbeat, heartbeat) {
+			message.UnchangedHeartbeats = append(message.UnchangedHeartbeats, wire.UnchangedHeartbeat{
+				Machine: id, AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, Token: heartbeat.Token})
 		} else {
-			line.Heartbeats = append(line.Heartbeats, r)
+			message.Heartbeats = append(message.Heartbeats, heartbeat)
 		}
-		m.liveness.gossipedHeartbeat = r
-		if len(line.Heartbeats) == heartbeatsPerMessage {
-			c.broadcast(line)
-			line = c.newPeerMessage()
+		m.liveness.gossipedHeartbeat = heartbeat
+		if len(message.Heartbeats) == heartbeatsPerMessage {
+			c.broadcast(message)
+			message = c.newPeerMessage()
 		}
 	}
 	clear(c.gossip.pendingMachines)
-	if len(line.Heartbeats) > 0 || len(line.UnchangedHeartbeats) > 0 || line.Watermark != nil || line.Capacity != nil || c.isDue(c.gossip.nextHeartbeat) {
-		c.gossip.nextHeartbeat = c.now.Add(peerHeartbeatInterval)
-		c.broadcast(line)
-	}
+	return message
 }
 
-// broadcast sends a line to all siblings.
-func (c *Controller) broadcast(line *wire.PeerMessage) {
+// broadcast sends a message to all siblings.
+func (c *Controller) broadcast(message *wire.PeerMessage) {
 	c.metrics.count(countPeerMessages, 1)
-	c.emit(Broadcast{line})
+	c.emit(Broadcast{message})
 }
 
-// newPeerMessage is an empty line in the format in force. Lines of the first format do not
-// name it: builds that know no other may read them.
+// newPeerMessage is an empty message in the format in force. Messages of the first format
+// do not name it: builds that know no other may read them.
 func (c *Controller) newPeerMessage() *wire.PeerMessage {
-	line := &wire.PeerMessage{From: c.settings.Label, StoreReachable: c.storeReachable()}
-	if f := c.rollout.tracker.Format(); f > record.FormatPlain {
-		line.Format = f
+	message := &wire.PeerMessage{From: c.settings.Label, StoreReachable: c.storeReachable()}
+	if format := c.rollout.tracker.Format(); format > record.FormatPlain {
+		message.Format = format
 	}
-	return line
+	return message
 }
 
-func (c *Controller) handlePeerMessage(l *wire.PeerMessage) {
-	if !c.isSibling(l.From) {
-		c.log.Warn("line from an unknown peer dropped", "peer", l.From)
+// handlePeerMessage takes the hints in a sibling's message.
+func (c *Controller) handlePeerMessage(message *wire.PeerMessage) {
+	if !c.isSibling(message.From) {
+		c.log.Warn("message from unknown peer dropped", "peer", message.From)
 		return
 	}
-	p := c.gossip.peers[l.From]
-	if p == nil {
-		p = &peerState{lastHeardAt: -Time(peerTimeout) - 1, ackedAt: -Time(ackTimeout) - 1}
-		c.gossip.peers[l.From] = p
-	}
-	for _, r := range l.Heartbeats {
-		c.applyHeartbeat(r, false)
+	peer := c.gossip.peer(message.From)
+	for _, heartbeat := range message.Heartbeats {
+		c.applyHeartbeat(heartbeat, false)
 	}
-	for i := range l.UnchangedHeartbeats {
-		c.applyUnchangedHeartbeat(&l.UnchangedHeartbeats[i])
+	for i := range message.UnchangedHeartbeats {
+		c.applyUnchangedHeartbeat(&message.UnchangedHeartbeats[i])
 	}
-	if len(l.CloudMachines) > 0 {
-		c.applyMachineList(l.CloudMachines)
+	if len(message.CloudMachines) > 0 {
+		c.applyMachineList(message.CloudMachines)
 	}
-	if l.Capacity != nil {
-		c.forwarding.siblingCapacity[l.From] = *l.Capacity
+	if message.Capacity != nil {
+		c.forwarding.siblingCapacity[message.From] = *message.Capacity
 	}
-	c.applyForwardedJobs(l.ForwardedJobs)
-	if c.now.Sub(p.lastHeardAt) > peerTimeout {
+	c.applyForwardedJobs(message.ForwardedJobs)
+	if !peer.isHeard(c.now) {
 		c.gossip.sendAll = true // it may be new, or have missed much
 	}
-	p.lastHeardAt, p.storeReachable = c.now, l.StoreReachable
-	if l.Watermark != nil {
-		c.applyWatermark(p, l.Watermark)
-	}
-}
-
-// peerTimeout is how long a sibling may say nothing before it counts as lost.
-const peerTimeout = 3 * peerHeartbeatInterval
-
-// ackTimeout is how long ago a sibling may have sent what it last heard of us
-// before it counts as lost: our attestation, and its own with the echo, take a turn each.
-const ackTimeout = peerTimeout + watermarkInterval
-
-func (c *Controller) isSibling(label string) bool {
-	for _, s := range c.settings.Siblings {
-		if s.Label == label {
-			return true
-		}
+	peer.lastHeardAt, peer.storeReachable = c.now, message.StoreReachable
+	if message.Watermark != nil {
+		c.applyWatermark(peer, message.Watermark)
 	}
-	return false
 }
