--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -21,24 +21,24 @@
 
 // start makes the machines and starts the controllers.
 func (f clusterSetup) start() *Cluster {
-	w := NewCluster(f.settings, f.types, f.controllers, 1)
-	w.Capacity = f.capacity
+	cluster := NewCluster(f.settings, f.types, f.controllers, 1)
+	cluster.Capacity = f.capacity
 	for i := range f.machines {
-		w.AddMachine(f.types[f.pattern[i%len(f.pattern)]], zones[i%len(zones)], false, 0)
+		cluster.AddMachine(f.types[f.pattern[i%len(f.pattern)]], zones[i%len(zones)], false, 0)
 	}
 	for i := range f.controllers {
-		w.Start(i)
+		cluster.Start(i)
 	}
-	return w
+	return cluster
 }
 
 // benchmarkCluster runs a world for so long, again and again; no rule may break.
 func benchmarkCluster(b *testing.B, length time.Duration, world func() *Cluster) {
 	for b.Loop() {
-		w := world()
-		w.Run(length)
-		if len(w.Violations) > 0 {
-			b.Fatal(w.Violations[0])
+		cluster := world()
+		cluster.Run(length)
+		if len(cluster.Violations) > 0 {
+			b.Fatal(cluster.Violations[0])
 		}
 	}
 }
@@ -89,22 +89,22 @@
 func BenchmarkBurst(b *testing.B) { benchmarkCluster(b, 30*time.Second, burstCluster) }
 
 func burstCluster() *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 200, CPUsMax: 900}, {Name: "red", CPUs: 200, CPUsMax: 900, GPUs: 8, GPUsMax: 60}}
-	set.Cluster.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 32}
+	settings := testSettings()
+	settings.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 200, CPUsMax: 900}, {Name: "red", CPUs: 200, CPUsMax: 900, GPUs: 8, GPUsMax: 60}}
+	settings.Cluster.State = config.State{RPS: 150, WriteRPS: 40, ValueKB: 8, TxnOps: 32}
 	types := []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, OnDemandPrice: 11, SpotPrice: 4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	w := clusterSetup{settings: set, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, capacity: 3}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, capacity: 3}.start()
 	for n := range 60 {
 		spec, run := testJob(n, []int{0, 3, 0, 1}[n%4])
 		if spec.Shape == wire.ShapeArray {
 			spec.Tasks = 20 + n
 		}
-		w.At(time.Duration(n*300)*time.Millisecond, func() { w.Submit(spec, run+10*time.Second) })
+		cluster.At(time.Duration(n*300)*time.Millisecond, func() { cluster.Submit(spec, run+10*time.Second) })
 	}
-	return w
+	return cluster
 }
 
 // BenchmarkGrown is half a minute of five controllers with some 1,500 machines,
@@ -113,15 +113,15 @@
 func BenchmarkGrown(b *testing.B) { benchmarkCluster(b, 30*time.Second, grownCluster) }
 
 func grownCluster() *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = teamsAlike(8, config.Team{CPUs: 1000, CPUsMax: 1800})
-	set.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
-	set.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
+	settings := testSettings()
+	settings.Cluster.Teams = teamsAlike(8, config.Team{CPUs: 1000, CPUsMax: 1800})
+	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
+	settings.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "c8", Cores: 8, MemGB: 32, OnDemandPrice: 0.36, SpotPrice: 0.1, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	w := clusterSetup{settings: set, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, capacity: 400}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, capacity: 400}.start()
 	for n := range 430 {
 		spec, run := testJob(n, 1)
 		spec.Tasks, spec.MemGB, spec.SpreadZones = []int{3, 4, 16}[n%3], 3.4, true
@@ -132,9 +132,9 @@
 			at = time.Duration(n-400) * time.Second
 		}
 		spec.Team = teamName(n % 8)
-		w.At(at, func() { w.Submit(spec, run+20*time.Second) })
+		cluster.At(at, func() { cluster.Submit(spec, run+20*time.Second) })
 	}
-	return w
+	return cluster
 }
 
 // BenchmarkFleet is a minute of three controllers with some 1,900 machines, 240
@@ -144,25 +144,25 @@
 func BenchmarkFleet(b *testing.B) { benchmarkCluster(b, time.Minute, mixedFleetCluster) }
 
 func mixedFleetCluster() *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 9000, CPUsMax: 150000, GPUs: 900, GPUsMax: 2500})
-	set.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
-	set.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
-	set.Cluster.Quota = config.Quota{CoreShare: 0.3, MemMB: 320, Sockets: 2600}
-	w := clusterSetup{settings: set, types: mixedTypes(), pattern: mixedPattern, controllers: 3, machines: 1860, capacity: 250}.start()
+	settings := testSettings()
+	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 9000, CPUsMax: 150000, GPUs: 900, GPUsMax: 2500})
+	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
+	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
+	settings.Cluster.Quota = config.Quota{CoreShare: 0.3, MemMB: 320, Sockets: 2600}
+	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: 3, machines: 1860, capacity: 250}.start()
 	for n := range 420 {
 		spec, run := mixedJob(n, []int{1, 1, 1, 1, 2, 0, 3}[n%7], 150+n*2, 150*time.Second)
-		w.At(2*time.Second+time.Duration(n)*80*time.Millisecond, func() { w.Submit(spec, run) })
+		cluster.At(2*time.Second+time.Duration(n)*80*time.Millisecond, func() { cluster.Submit(spec, run) })
 	}
-	w.At(20*time.Second, func() { w.PartitionZone(zones[1], 1, 20*time.Second) })
-	w.At(25*time.Second, func() {
-		for _, m := range w.machines[:150] {
-			m.hung = true
-			w.At(20*time.Second, m.resume)
+	cluster.At(20*time.Second, func() { cluster.PartitionZone(zones[1], 1, 20*time.Second) })
+	cluster.At(25*time.Second, func() {
+		for _, machine := range cluster.machines[:150] {
+			machine.hung = true
+			cluster.At(20*time.Second, machine.resume)
 		}
 	})
-	w.At(35*time.Second, func() { w.Stall(0, 15*time.Second) })
-	return w
+	cluster.At(35*time.Second, func() { cluster.Stall(0, 15*time.Second) })
+	return cluster
 }
 
 // BenchmarkFlood is half a minute of five controllers with 1,500 full machines and
@@ -171,16 +171,16 @@
 func BenchmarkFlood(b *testing.B) { benchmarkCluster(b, 40*time.Second, floodCluster) }
 
 func floodCluster() *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = []config.Team{{Name: "desk", CPUs: 8000, CPUsMax: 9000}, {Name: "guest"}}
-	set.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
-	set.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
+	settings := testSettings()
+	settings.Cluster.Teams = []config.Team{{Name: "desk", CPUs: 8000, CPUsMax: 9000}, {Name: "guest"}}
+	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
+	settings.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
-	w := clusterSetup{settings: set, types: types, pattern: []int{0}, controllers: 5, machines: 1500}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0}, controllers: 5, machines: 1500}.start()
 	for n := range 1500 {
 		spec, _ := testJob(n, 0)
 		spec.Team, spec.Tasks, spec.Cores, spec.Priority = "guest", 1, 0.25, wire.PriorityBestEffort
-		w.At(2*time.Second+time.Duration(n)*20*time.Millisecond, func() { w.Submit(spec, 100*time.Second) })
+		cluster.At(2*time.Second+time.Duration(n)*20*time.Millisecond, func() { cluster.Submit(spec, 100*time.Second) })
 	}
-	return w
+	return cluster
 }
--- a/internal/simulation/format_bench_test.go
+++ b/internal/simulation/format_bench_test.go
@@ -28,35 +28,35 @@
 }
 
 func benchmarkFormat(b *testing.B, machines int, format wire.Format) {
-	set := testSettings()
-	set.Cluster.Teams = teamsAlike(4, config.Team{CPUs: float64(machines), CPUsMax: 100000})
-	set.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
-	set.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
-	set.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
-	w := clusterSetup{settings: set, types: mixedTypes()[:2], pattern: []int{0, 1}, controllers: 3, machines: machines}.start()
-	w.Run(5 * second)
+	settings := testSettings()
+	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: float64(machines), CPUsMax: 100000})
+	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
+	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
+	settings.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
+	cluster := clusterSetup{settings: settings, types: mixedTypes()[:2], pattern: []int{0, 1}, controllers: 3, machines: machines}.start()
+	cluster.Run(5 * time.Second)
 	if format > record.FormatPlain {
-		reply := w.changeRollout(0, wire.AdminRolloutChange{Activate: &format})
-		w.Run(second)
+		reply := cluster.changeRollout(0, wire.AdminRolloutChange{Activate: &format})
+		cluster.Run(time.Second)
 		require.Equal(b, 200, reply.Status)
 	}
-	clear(w.Observed)
+	clear(cluster.Observed)
 	for n := range 60 {
 		spec, run := mixedJob(n, []int{1, 0, 0}[n%3], machines/8, 0)
-		w.At(time.Duration(n)*second, func() { w.Submit(spec, run) })
+		cluster.At(time.Duration(n)*time.Second, func() { cluster.Submit(spec, run) })
 	}
-	w.Run(60 * second)
+	cluster.Run(60 * time.Second)
 	pages, entries := 0, 0
-	for _, e := range w.store.List(record.PlacementPrefix) {
-		if groups := decodePage(e.Value).Groups; len(groups) > 0 {
+	for _, entry := range cluster.store.List(record.PlacementPrefix) {
+		if groups := decodePage(entry.Value).Groups; len(groups) > 0 {
 			pages++
 			for i := range groups {
 				entries += len(groups[i].Machines)
 			}
 		}
 	}
-	b.ReportMetric(float64(w.Observed["bytes written"])/60, "bytes/s")
-	b.ReportMetric(float64(w.Observed["values written"])/60, "values/s")
+	b.ReportMetric(float64(cluster.Observed["bytes written"])/60, "bytes/s")
+	b.ReportMetric(float64(cluster.Observed["values written"])/60, "values/s")
 	b.ReportMetric(float64(entries)/float64(max(1, pages)), "entries/page")
-	require.Empty(b, w.Violations)
+	require.Empty(b, cluster.Violations)
 }
--- a/internal/simulation/freeze_test.go
+++ b/internal/simulation/freeze_test.go
@@ -14,24 +14,24 @@
 // long, and tasks of a job that was withdrawn outlived their time.
 func TestFrozenKnowsNothing(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newCluster(t, seed, 2)
+		cluster := newCluster(t, seed, 2)
 		spec, _ := testJob(1, 1)
 		spec.Tasks, spec.Zone = 2, zones[0]
-		w.At(2*time.Second, func() { w.Submit(spec, 0) })
-		for _, m := range w.machines {
-			m.controller = 0
+		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
+		for _, machine := range cluster.machines {
+			machine.controller = 0
 		}
-		w.Run(20 * time.Second)
+		cluster.Run(20 * time.Second)
 		other, run := testJob(2, 0)
-		w.Stall(0, 8*time.Second)
-		w.At(200*time.Millisecond, func() { w.Submit(other, run) }) // news for its open watch
-		w.At(time.Second, func() {
-			w.CloudUnavailable = true
-			w.PartitionZone(zones[0], 0, 70*time.Second)
-			w.CancelJob(spec.ID)
+		cluster.Stall(0, 8*time.Second)
+		cluster.At(200*time.Millisecond, func() { cluster.Submit(other, run) }) // news for its open watch
+		cluster.At(time.Second, func() {
+			cluster.CloudUnavailable = true
+			cluster.PartitionZone(zones[0], 0, 70*time.Second)
+			cluster.CancelJob(spec.ID)
 		})
-		w.Run(70 * time.Second)
-		require.Empty(t, w.Violations, "seed %d", seed)
+		cluster.Run(70 * time.Second)
+		require.Empty(t, cluster.Violations, "seed %d", seed)
 	}
 }
 
@@ -41,43 +41,43 @@
 // and replicas of what then really dies come back.
 func TestBuyerCutFromWorkers(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newCluster(t, seed, 3)
+		cluster := newCluster(t, seed, 3)
 		for i := range 20 {
-			w.AddMachine(machineTypes[0], zones[i%3], false, 0)
+			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 12
-		w.At(2*time.Second, func() { w.Submit(spec, 0) })
+		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
 		for n := range 30 {
 			array, run := testJob(2+n, 0)
-			w.At(time.Duration(2*n)*time.Second, func() { w.Submit(array, run) })
+			cluster.At(time.Duration(2*n)*time.Second, func() { cluster.Submit(array, run) })
 		}
-		w.Run(20 * time.Second)
-		buyer := w.provisioner()
+		cluster.Run(20 * time.Second)
+		buyer := cluster.provisioner()
 		require.GreaterOrEqual(t, buyer, 0)
-		w.WorkersPartitioned[buyer] = true
-		w.Run(14 * time.Second)
-		for _, m := range w.machines[:24] {
-			require.False(t, m.terminated, "seed %d: %s was returned though it is well", seed, m.id)
+		cluster.WorkersPartitioned[buyer] = true
+		cluster.Run(14 * time.Second)
+		for _, machine := range cluster.machines[:24] {
+			require.False(t, machine.terminated, "seed %d: %s was returned though it is well", seed, machine.id)
 		}
-		require.NotEqual(t, buyer, w.provisioner(), "seed %d: who is cut off still buys", seed)
-		for _, m := range w.machines {
-			if !m.terminated && len(m.tasks) > 0 {
-				m.terminate()
+		require.NotEqual(t, buyer, cluster.provisioner(), "seed %d: who is cut off still buys", seed)
+		for _, machine := range cluster.machines {
+			if !machine.terminated && len(machine.tasks) > 0 {
+				machine.terminate()
 				break
 			}
 		}
-		w.Run(16 * time.Second)
+		cluster.Run(16 * time.Second)
 		running := 0
-		w.eachActiveTask(func(_ *fakeMachine, tk *fakeTask) {
-			if tk.id.Job == spec.ID {
+		cluster.eachActiveTask(func(_ *fakeMachine, task *fakeTask) {
+			if task.id.Job == spec.ID {
 				running++
 			}
 		})
 		require.Equal(t, 12, running, "seed %d", seed)
-		delete(w.WorkersPartitioned, buyer)
-		w.Run(100 * time.Second)
-		require.Empty(t, w.Violations)
-		require.Empty(t, w.Unfinished())
+		delete(cluster.WorkersPartitioned, buyer)
+		cluster.Run(100 * time.Second)
+		require.Empty(t, cluster.Violations)
+		require.Empty(t, cluster.Unfinished())
 	}
 }
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -14,24 +14,24 @@
 // limit: a limit of 0 is none. Once all that they submitted was refused for ever.
 func TestGuestsAreServed(t *testing.T) {
 	for seed := range uint64(3) {
-		set := testSettings()
-		set.Cluster.Teams = append(set.Cluster.Teams, config.Team{Name: "guest"})
-		w := NewCluster(set, machineTypes, 2, seed)
+		settings := testSettings()
+		settings.Cluster.Teams = append(settings.Cluster.Teams, config.Team{Name: "guest"})
+		cluster := NewCluster(settings, machineTypes, 2, seed)
 		for i := range 6 {
-			w.AddMachine(machineTypes[0], zones[i%3], false, 0)
+			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
-		w.Start(0)
-		w.Start(1)
+		cluster.Start(0)
+		cluster.Start(1)
 		for n := range 20 {
 			spec, run := testJob(n, 0)
 			spec.Team, spec.Tasks, spec.Priority = "guest", 1+n%3*20, wire.PriorityBestEffort
-			w.At(time.Duration(2+n)*time.Second, func() { w.Submit(spec, run) })
+			cluster.At(time.Duration(2+n)*time.Second, func() { cluster.Submit(spec, run) })
 		}
-		w.Run(200 * time.Second)
-		for id, j := range w.jobs {
-			require.True(t, j.accepted, "%s was refused", id)
+		cluster.Run(200 * time.Second)
+		for id, job := range cluster.jobs {
+			require.True(t, job.accepted, "%s was refused", id)
 		}
-		require.Empty(t, w.Unfinished())
-		require.Empty(t, w.Violations)
+		require.Empty(t, cluster.Unfinished())
+		require.Empty(t, cluster.Violations)
 	}
 }
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -73,11 +73,11 @@
 }
 
 // Record notes an event that takes place now.
-func (h *History) Record(e HistoryEvent) {
+func (h *History) Record(event HistoryEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e.At = time.Now()
-	h.events = append(h.events, e)
+	event.At = time.Now()
+	h.events = append(h.events, event)
 }
 
 // Count is how many events of a kind there are.
@@ -85,8 +85,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, e := range h.events {
-		if e.Kind == kind {
+	for _, event := range h.events {
+		if event.Kind == kind {
 			n++
 		}
 	}
@@ -105,8 +105,8 @@
 	c := historyCheck{specs: h.specs, teams: teams, cancelTimeout: cancel, running: map[wire.TaskID]HistoryEvent{}, completed: map[wire.JobID]map[int]bool{},
 		reported: map[wire.JobID]HistoryEvent{}, cancelled: map[wire.JobID]bool{}, cores: map[string]float64{},
 		placements: map[wire.MachineID]HistoryEvent{}}
-	for _, e := range h.events {
-		c.check(e)
+	for _, event := range h.events {
+		c.check(event)
 	}
 	for id, last := range c.reported {
 		if !last.Status.IsTerminal() {
@@ -138,70 +138,70 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *historyCheck) check(e HistoryEvent) {
-	switch e.Kind {
+func (c *historyCheck) check(event HistoryEvent) {
+	switch event.Kind {
 	case TaskStarted:
-		c.checkStart(e)
+		c.checkStart(event)
 	case TaskCompleted, TaskStopped:
-		c.checkEnd(e)
+		c.checkEnd(event)
 	case CancelRequested:
-		c.cancelled[e.Job] = true
+		c.cancelled[event.Job] = true
 	case StatusReported:
-		c.checkStatus(e)
+		c.checkStatus(event)
 	case TaskPlaced:
-		c.checkPlacement(e)
+		c.checkPlacement(event)
 	}
 }
 
 // checkPlacement holds a placement under an epoch against the one before on its machine.
-func (c *historyCheck) checkPlacement(e HistoryEvent) {
-	before := c.placements[e.Machine]
+func (c *historyCheck) checkPlacement(event HistoryEvent) {
+	before := c.placements[event.Machine]
 	switch {
-	case e.Epoch == 0:
+	case event.Epoch == 0:
 		return
-	case e.Epoch < before.Epoch:
-		c.violation("%v placed on %s under epoch %d, after one under epoch %d", e.Task, e.Machine, e.Epoch, before.Epoch)
-	case e.Epoch == before.Epoch && e.Launcher != before.Launcher:
-		c.violation("%v placed on %s by two processes, %d and %d, under epoch %d", e.Task, e.Machine, before.Launcher, e.Launcher, e.Epoch)
+	case event.Epoch < before.Epoch:
+		c.violation("%v placed on %s under epoch %d, after one under epoch %d", event.Task, event.Machine, event.Epoch, before.Epoch)
+	case event.Epoch == before.Epoch && event.Launcher != before.Launcher:
+		c.violation("%v placed on %s by two processes, %d and %d, under epoch %d", event.Task, event.Machine, before.Launcher, event.Launcher, event.Epoch)
 	}
-	c.placements[e.Machine] = e
+	c.placements[event.Machine] = event
 }
 
-func (c *historyCheck) checkStart(e HistoryEvent) {
-	spec, known := c.specs[e.Task.Job]
+func (c *historyCheck) checkStart(event HistoryEvent) {
+	spec, known := c.specs[event.Task.Job]
 	if !known {
-		c.violation("%v started on %s, and nobody submitted it", e.Task, e.Machine)
+		c.violation("%v started on %s, and nobody submitted it", event.Task, event.Machine)
 		return
 	}
-	if other, twice := c.running[e.Task]; twice {
-		c.violation("%v started on %s while on %s", e.Task, e.Machine, other.Machine)
+	if other, twice := c.running[event.Task]; twice {
+		c.violation("%v started on %s while on %s", event.Task, event.Machine, other.Machine)
 	}
-	if spec.Zone != "" && spec.Zone != e.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, e.Type) {
-		c.violation("%v started on %s, a %s in %s", e.Task, e.Machine, e.Type, e.Zone)
+	if spec.Zone != "" && spec.Zone != event.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, event.Type) {
+		c.violation("%v started on %s, a %s in %s", event.Task, event.Machine, event.Type, event.Zone)
 	}
-	c.checkCancelled(e.Task, e.Machine, c.reported[e.Task.Job], e.At)
-	c.running[e.Task] = e
+	c.checkCancelled(event.Task, event.Machine, c.reported[event.Task.Job], event.At)
+	c.running[event.Task] = event
 	c.cores[spec.Team] += spec.Cores
 	for i := range c.teams {
 		if limit, _ := c.teams[i].Limits(); c.teams[i].Name == spec.Team && c.cores[spec.Team] > limit+1e-6 {
-			c.violation("%s uses %v cores of %v as %v starts", spec.Team, c.cores[spec.Team], limit, e.Task)
+			c.violation("%s uses %v cores of %v as %v starts", spec.Team, c.cores[spec.Team], limit, event.Task)
 		}
 	}
 }
 
-func (c *historyCheck) checkEnd(e HistoryEvent) {
-	start, on := c.running[e.Task]
-	if !on || start.Machine != e.Machine {
+func (c *historyCheck) checkEnd(event HistoryEvent) {
+	start, on := c.running[event.Task]
+	if !on || start.Machine != event.Machine {
 		return
 	}
-	delete(c.running, e.Task)
-	c.cores[c.specs[e.Task.Job].Team] -= c.specs[e.Task.Job].Cores
-	c.checkCancelled(e.Task, e.Machine, c.reported[e.Task.Job], e.At)
-	if e.Kind == TaskCompleted {
-		if c.completed[e.Task.Job] == nil {
-			c.completed[e.Task.Job] = map[int]bool{}
+	delete(c.running, event.Task)
+	c.cores[c.specs[event.Task.Job].Team] -= c.specs[event.Task.Job].Cores
+	c.checkCancelled(event.Task, event.Machine, c.reported[event.Task.Job], event.At)
+	if event.Kind == TaskCompleted {
+		if c.completed[event.Task.Job] == nil {
+			c.completed[event.Task.Job] = map[int]bool{}
 		}
-		c.completed[e.Task.Job][e.Task.Index] = true
+		c.completed[event.Task.Job][event.Task.Index] = true
 	}
 }
 
@@ -213,20 +213,20 @@
 	}
 }
 
-func (c *historyCheck) checkStatus(e HistoryEvent) {
-	before := c.reported[e.Job]
+func (c *historyCheck) checkStatus(event HistoryEvent) {
+	before := c.reported[event.Job]
 	switch {
 	case before.Status.IsTerminal():
-		if e.Status != before.Status && (e.RequestedAt.IsZero() || e.RequestedAt.After(before.At)) {
-			c.violation("%s was called %s, and then %s", e.Job, before.Status, e.Status)
+		if event.Status != before.Status && (event.RequestedAt.IsZero() || event.RequestedAt.After(before.At)) {
+			c.violation("%s was called %s, and then %s", event.Job, before.Status, event.Status)
 		}
 		return
-	case e.Status == wire.StatusCancelled && !c.cancelled[e.Job]:
-		c.violation("%s was called withdrawn, and nobody asked for that", e.Job)
-	case e.Status == wire.StatusDone && !c.isComplete(e.Job):
-		c.violation("%s was called done with %d tasks of %d done", e.Job, len(c.completed[e.Job]), c.specs[e.Job].Tasks)
+	case event.Status == wire.StatusCancelled && !c.cancelled[event.Job]:
+		c.violation("%s was called withdrawn, and nobody asked for that", event.Job)
+	case event.Status == wire.StatusDone && !c.isComplete(event.Job):
+		c.violation("%s was called done with %d tasks of %d done", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
 	}
-	c.reported[e.Job] = e
+	c.reported[event.Job] = event
 }
 
 // isComplete reports whether all tasks of a job are done; those of a gang are together.
@@ -242,16 +242,16 @@
 	defer h.mu.Unlock()
 	accepted, started := map[wire.JobID]time.Time{}, map[wire.JobID]bool{}
 	var out []time.Duration
-	for _, e := range h.events {
-		_, known := accepted[e.Job]
+	for _, event := range h.events {
+		_, known := accepted[event.Job]
 		switch {
-		case e.Kind == StatusReported && !known && !started[e.Job] && !e.At.Before(from) && e.At.Before(to):
-			accepted[e.Job] = e.At
-		case e.Kind == TaskStarted && known && !started[e.Job]:
-			out = append(out, e.At.Sub(accepted[e.Job]))
+		case event.Kind == StatusReported && !known && !started[event.Job] && !event.At.Before(from) && event.At.Before(to):
+			accepted[event.Job] = event.At
+		case event.Kind == TaskStarted && known && !started[event.Job]:
+			out = append(out, event.At.Sub(accepted[event.Job]))
 		}
-		if e.Kind == TaskStarted {
-			started[e.Job] = true
+		if event.Kind == TaskStarted {
+			started[event.Job] = true
 		}
 	}
 	return out
--- a/internal/simulation/history_once.go
+++ b/internal/simulation/history_once.go
@@ -23,12 +23,12 @@
 	defer h.mu.Unlock()
 	c := historyCheck{specs: h.specs, cancelled: map[wire.JobID]bool{}}
 	returned := map[wire.MachineID]bool{}
-	for _, e := range h.events {
-		switch e.Kind {
+	for _, event := range h.events {
+		switch event.Kind {
 		case CancelRequested:
-			c.cancelled[e.Job] = true
+			c.cancelled[event.Job] = true
 		case MachineTerminated:
-			returned[e.Machine] = true
+			returned[event.Machine] = true
 		}
 	}
 	lost := map[wire.TaskID]bool{} // placed on a machine that was returned
@@ -36,17 +36,17 @@
 	for _, kind := range []HistoryKind{TaskPlaced, TaskStarted, TaskCompleted, TaskStopped} {
 		counts[kind] = map[wire.TaskID]int{}
 	}
-	for _, e := range h.events {
-		on := placedAttempt{e.Task, e.Attempt, e.Machine}
-		if e.Kind == TaskPlaced {
-			placed[on] = true
-			lost[e.Task] = lost[e.Task] || returned[e.Machine]
+	for _, event := range h.events {
+		attempt := placedAttempt{event.Task, event.Attempt, event.Machine}
+		if event.Kind == TaskPlaced {
+			placed[attempt] = true
+			lost[event.Task] = lost[event.Task] || returned[event.Machine]
 		}
-		if e.Kind == TaskStarted && !placed[on] {
-			c.violation("%v started on %s without a placement there", e.Task, e.Machine)
+		if event.Kind == TaskStarted && !placed[attempt] {
+			c.violation("%v started on %s without a placement there", event.Task, event.Machine)
 		}
-		if counts[e.Kind] != nil {
-			counts[e.Kind][e.Task]++
+		if counts[event.Kind] != nil {
+			counts[event.Kind][event.Task]++
 		}
 	}
 	for id, spec := range h.specs {
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -18,7 +18,9 @@
 	task := func(kind HistoryKind, index int, machine wire.MachineID) HistoryEvent {
 		return HistoryEvent{Kind: kind, Machine: machine, Type: "c4", Zone: "east", Task: wire.TaskID{Job: id, Index: index}}
 	}
-	told := func(s wire.Status) HistoryEvent { return HistoryEvent{Kind: StatusReported, Job: id, Status: s} }
+	told := func(status wire.Status) HistoryEvent {
+		return HistoryEvent{Kind: StatusReported, Job: id, Status: status}
+	}
 	cancelled := HistoryEvent{Kind: CancelRequested, Job: id}
 	accepted := told(wire.StatusPending)
 	elsewhere := task(TaskStarted, 0, "m-1")
@@ -40,9 +42,9 @@
 		require.Contains(t, strings.Join(h.Check([]config.Team{{Name: "blue", CPUsMax: 2}}, time.Minute), "; "), broken)
 	}
 	placed := func(boot wire.FencingToken, epoch wire.ShardEpoch) HistoryEvent {
-		e := task(TaskPlaced, 0, "m-1")
-		e.Launcher, e.Epoch = boot, epoch
-		return e
+		event := task(TaskPlaced, 0, "m-1")
+		event.Launcher, event.Epoch = boot, epoch
+		return event
 	}
 	for broken, events := range map[string][]HistoryEvent{
 		"two processes, 7 and 8": {placed(7, 1), placed(7, 1), placed(8, 1)},
@@ -95,11 +97,11 @@
 func historyOf(events []HistoryEvent) *History {
 	h := NewHistory()
 	h.RecordSubmission(wire.JobSpec{ID: "wk-1", Team: "blue", Tasks: 3, Cores: 1, Zone: "east"})
-	for i, e := range events {
-		if e.At.IsZero() {
-			e.At = time.Unix(int64(i), 0)
+	for i, event := range events {
+		if event.At.IsZero() {
+			event.At = time.Unix(int64(i), 0)
 		}
-		h.events = append(h.events, e)
+		h.events = append(h.events, event)
 	}
 	return h
 }
--- a/internal/simulation/http.go
+++ b/internal/simulation/http.go
@@ -58,16 +58,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.Expire(s.now())
-	q := r.URL.Query()
+	query := r.URL.Query()
 	switch {
 	case r.URL.Path == "/follow":
 		s.follow(w, r)
 	case r.URL.Path == "/kv":
-		list := wire.EntryList{Entries: s.store.List(q.Get("under")), Revision: s.store.Revision()}
-		for len(list.Entries) > 0 && list.Entries[0].Key <= q.Get("after") {
+		list := wire.EntryList{Entries: s.store.List(query.Get("under")), Revision: s.store.Revision()}
+		for len(list.Entries) > 0 && list.Entries[0].Key <= query.Get("after") {
 			list.Entries = list.Entries[1:]
 		}
-		if page, err := strconv.Atoi(q.Get("page")); err == nil && page < len(list.Entries) {
+		if page, err := strconv.Atoi(query.Get("page")); err == nil && page < len(list.Entries) {
 			list.Entries, list.More = list.Entries[:page], true
 		}
 		writeJSON(w, http.StatusOK, list)
@@ -79,15 +79,15 @@
 			writeJSON(w, http.StatusNotFound, wire.TransactionResponse{Revision: s.store.Revision()})
 		}
 	case r.URL.Path == "/multi":
-		var t wire.Transaction
-		if json.NewDecoder(r.Body).Decode(&t) != nil {
+		var txn wire.Transaction
+		if json.NewDecoder(r.Body).Decode(&txn) != nil {
 			writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
-		switch c := s.store.Commit(t); c.Outcome {
+		switch c := s.store.Commit(txn); c.Outcome {
 		case controller.Succeeded:
 			if s.placements != nil {
-				s.placements.committed(s.store, t)
+				s.placements.committed(s.store, txn)
 			}
 			writeJSON(w, http.StatusOK, wire.TransactionResponse{Revision: c.Revision})
 		case controller.Conflict:
@@ -118,13 +118,13 @@
 
 // follow is called, and returns, with the lock held.
 func (s *StoreServer) follow(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	block, _ := strconv.ParseInt(q.Get("block_ms"), 10, 64)
+	query := r.URL.Query()
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 	timer := time.NewTimer(time.Duration(block) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		if f := s.store.Changes(q.Get("under"), wire.Revision(after)); len(f.Events) > 0 {
+		if changes := s.store.Changes(query.Get("under"), wire.Revision(after)); len(changes.Events) > 0 {
 			break
 		}
 		changed := s.changed
@@ -138,17 +138,17 @@
 		}
 		s.mu.Lock()
 	}
-	writeJSON(w, http.StatusOK, s.store.Changes(q.Get("under"), wire.Revision(after)))
+	writeJSON(w, http.StatusOK, s.store.Changes(query.Get("under"), wire.Revision(after)))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
-	b, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(b) // the client may be gone; a stand-in does not mind
+	_, _ = w.Write(encoded) // the client may be gone; a stand-in does not mind
 }
 
 // CloudServer is a cloud over HTTP with a catalogue and no machine to rent.
@@ -185,9 +185,9 @@
 		return list
 	}
 	after := wire.MachineID(r.URL.Query().Get("after"))
-	for _, m := range s.Machines() {
-		if m.ID > after {
-			list.Machines = append(list.Machines, m)
+	for _, machine := range s.Machines() {
+		if machine.ID > after {
+			list.Machines = append(list.Machines, machine)
 		}
 	}
 	slices.SortFunc(list.Machines, func(a, b wire.CloudMachine) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/simulation/http_history.go
+++ b/internal/simulation/http_history.go
@@ -23,21 +23,21 @@
 }
 
 // committed takes a transaction that the store has carried out.
-func (l *placementLog) committed(s *Store, t wire.Transaction) {
+func (l *placementLog) committed(s *Store, txn wire.Transaction) {
 	var policy record.ShardPolicy
 	if value, _, ok := s.Get(record.ShardPolicyKey); ok && json.Unmarshal(value, &policy) != nil {
 		return
 	}
 	fresh := map[wire.Attempt]bool{}
-	for _, c := range t.Then {
+	for _, change := range txn.Then {
 		switch {
-		case strings.HasPrefix(c.Put, record.ShardPrefix):
-			l.recordOwner(c)
-		case strings.HasPrefix(c.Put, record.PlacementPrefix):
-			for _, g := range decodePage(c.Value).Groups {
-				if !l.attempts[g.Attempt] {
-					fresh[g.Attempt] = true
-					l.recordPlacements(s, &g, policy.Enabled)
+		case strings.HasPrefix(change.Put, record.ShardPrefix):
+			l.recordOwner(change)
+		case strings.HasPrefix(change.Put, record.PlacementPrefix):
+			for _, group := range decodePage(change.Value).Groups {
+				if !l.attempts[group.Attempt] {
+					fresh[group.Attempt] = true
+					l.recordPlacements(s, &group, policy.Enabled)
 				}
 			}
 		}
@@ -48,13 +48,13 @@
 }
 
 // recordOwner notes who owns a share from now on.
-func (l *placementLog) recordOwner(c wire.Change) {
+func (l *placementLog) recordOwner(change wire.Change) {
 	var now record.Shard
-	if json.Unmarshal(c.Value, &now) != nil {
+	if json.Unmarshal(change.Value, &now) != nil {
 		return
 	}
 	for id := range wire.ShardID(shard.Count) {
-		if record.ShardKey(id) == c.Put {
+		if record.ShardKey(id) == change.Put {
 			if l.epochs[id] == nil {
 				l.epochs[id] = map[wire.FencingToken]wire.ShardEpoch{}
 			}
@@ -65,8 +65,8 @@
 
 // recordPlacements notes the tasks of a group, under the epoch in which its launcher last owned the
 // machine's share: a later one than it may know of is not its own.
-func (l *placementLog) recordPlacements(s *Store, g *record.AllocationGroup, sharded bool) {
-	for i, machine := range g.Machines {
+func (l *placementLog) recordPlacements(s *Store, group *record.AllocationGroup, sharded bool) {
+	for i, machine := range group.Machines {
 		id := shard.ShardOf(machine)
 		var epoch wire.ShardEpoch
 		if sharded {
@@ -74,13 +74,13 @@
 			value, _, _ := s.Get(record.ShardKey(id))
 			_ = json.Unmarshal(value, &owner)
 			epoch = owner.Epoch
-			if own, ever := l.epochs[id][g.Launcher]; ever {
+			if own, ever := l.epochs[id][group.Launcher]; ever {
 				epoch = own
 			}
 		}
-		for index := range g.Tasks[i].All {
-			l.history.Record(HistoryEvent{Kind: TaskPlaced, Job: g.Job, Machine: machine, Task: wire.TaskID{Job: g.Job, Index: index},
-				Attempt: g.Attempt, Launcher: g.Launcher, Epoch: epoch})
+		for index := range group.Tasks[i].All {
+			l.history.Record(HistoryEvent{Kind: TaskPlaced, Job: group.Job, Machine: machine, Task: wire.TaskID{Job: group.Job, Index: index},
+				Attempt: group.Attempt, Launcher: group.Launcher, Epoch: epoch})
 		}
 	}
 }
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -23,33 +23,33 @@
 // TestLargeFleetShared is TestLargeFleet with shares in use.
 func TestLargeFleetShared(t *testing.T) {
 	t.Parallel()
-	w := runLargeFleet(t, (*Cluster).startWithShards)
-	require.Greater(t, w.Observed["placed in a share"], largeFleet/2)
-	require.Zero(t, w.unownedShards())
+	cluster := runLargeFleet(t, (*Cluster).startWithShards)
+	require.Greater(t, cluster.Observed["placed in a share"], largeFleet/2)
+	require.Zero(t, cluster.unownedShards())
 }
 
-func runLargeFleet(t *testing.T, start func(w *Cluster, i int)) *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 4000, CPUsMax: 9000})
-	set.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
-	set.Cluster.State = config.State{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 32}
-	set.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
-	set.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // no time to wait for others' ends
+func runLargeFleet(t *testing.T, start func(cluster *Cluster, i int)) *Cluster {
+	settings := testSettings()
+	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 4000, CPUsMax: 9000})
+	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
+	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 32}
+	settings.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
+	settings.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // no time to wait for others' ends
 	kinds := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
-	w := NewCluster(set, kinds, 3, 1)
-	w.Capacity = largeFleet
-	for i := range w.controllers {
-		start(w, i)
+	cluster := NewCluster(settings, kinds, 3, 1)
+	cluster.Capacity = largeFleet
+	for i := range cluster.controllers {
+		start(cluster, i)
 	}
 	for n := range 4 {
 		spec, _ := testJob(n, 0)
 		spec.Team, spec.Tasks, spec.Cores, spec.MemGB, spec.RuntimeS, spec.Spot = teamName(n), largeFleet/4, 4, 16, 500, false
-		w.At(2*second, func() { w.Submit(spec, 500*second) })
+		cluster.At(2*time.Second, func() { cluster.Submit(spec, 500*time.Second) })
 	}
 	up := func() int {
 		n := 0
-		for _, m := range w.machines {
-			if m.up && !m.terminated {
+		for _, machine := range cluster.machines {
+			if machine.up && !machine.terminated {
 				n++
 			}
 		}
@@ -57,27 +57,27 @@
 	}
 	running := func() int {
 		n := 0
-		w.eachActiveTask(func(*fakeMachine, *fakeTask) { n++ })
+		cluster.eachActiveTask(func(*fakeMachine, *fakeTask) { n++ })
 		return n
 	}
 	until := func(what string, most time.Duration, ok func() bool) {
-		from := w.Now()
+		from := cluster.Now()
 		for !ok() {
-			require.Less(t, w.Now()-from, most, "%s: %d up, %d running", what, up(), running())
-			w.Run(5 * second)
+			require.Less(t, cluster.Now()-from, most, "%s: %d up, %d running", what, up(), running())
+			cluster.Run(5 * time.Second)
 		}
-		t.Logf("%s after %v", what, w.Now()-from)
+		t.Logf("%s after %v", what, cluster.Now()-from)
 	}
 	until("all tasks run, one to a machine", 6*time.Minute, func() bool { return running() == largeFleet })
-	before := len(w.machines)
-	for i := range w.controllers {
-		w.restart(i, 3*second)
+	before := len(cluster.machines)
+	for i := range cluster.controllers {
+		cluster.restart(i, 3*time.Second)
 	}
-	w.Run(30 * second)
+	cluster.Run(30 * time.Second)
 	require.Equal(t, largeFleet, running(), "all controllers restarted")
-	require.Less(t, len(w.machines)-before, largeFleet/50, "well machines were given up and rented anew")
-	until("all jobs are done", 12*time.Minute, func() bool { return len(w.Unfinished()) == 0 })
+	require.Less(t, len(cluster.machines)-before, largeFleet/50, "well machines were given up and rented anew")
+	until("all jobs are done", 12*time.Minute, func() bool { return len(cluster.Unfinished()) == 0 })
 	until("nearly all are returned", 5*time.Minute, func() bool { return up() < largeFleet/20 })
-	require.Empty(t, w.Violations)
-	return w
+	require.Empty(t, cluster.Violations)
+	return cluster
 }
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -172,8 +172,8 @@
 	if h := w.fleet.settings.History; h != nil {
 		h.Record(HistoryEvent{Kind: MachineTerminated, Machine: w.id})
 	}
-	for key, t := range w.tasks {
-		if t.State == wire.TaskRunning {
+	for key, status := range w.tasks {
+		if status.State == wire.TaskRunning {
 			w.record(TaskStopped, key)
 		}
 	}
@@ -184,11 +184,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sequence++
-	r := &wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.machineType, Zone: w.zone, AgentEpoch: 1, Sequence: w.sequence, Token: w.token}
-	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, *t)
+	heartbeat := &wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.machineType, Zone: w.zone, AgentEpoch: 1, Sequence: w.sequence, Token: w.token}
+	for _, status := range w.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, *status)
 	}
-	return r
+	return heartbeat
 }
 
 // handleCommands obeys a direct command unless its token is too low.
@@ -234,35 +234,35 @@
 }
 
 func (w *loopbackWorker) sendHeartbeat(client *httpcall.Client) bool {
-	var a wire.HeartbeatResponse
-	status, err := client.Call(http.MethodPost, "/hello", w.heartbeat(), 4*time.Second, map[int]any{http.StatusOK: &a})
+	var response wire.HeartbeatResponse
+	status, err := client.Call(http.MethodPost, "/hello", w.heartbeat(), 4*time.Second, map[int]any{http.StatusOK: &response})
 	if err != nil || status != http.StatusOK {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.terminated && a.Token >= w.token {
-		w.token = a.Token
-		w.execute(a.Commands)
+	if !w.terminated && response.Token >= w.token {
+		w.token = response.Token
+		w.execute(response.Commands)
 	}
 	return true
 }
 
 // execute is called with the lock held.
 func (w *loopbackWorker) execute(orders []wire.Command) {
-	for _, o := range orders {
-		key := taskKey{o.Task, o.Attempt}
-		t := w.tasks[key]
+	for _, command := range orders {
+		key := taskKey{command.Task, command.Attempt}
+		status := w.tasks[key]
 		switch {
-		case o.Verb == wire.VerbLaunch && t == nil:
-			w.tasks[key] = &wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskPulling}
+		case command.Verb == wire.VerbLaunch && status == nil:
+			w.tasks[key] = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskPulling}
 			time.AfterFunc(loopbackPullTime, func() { w.start(key) })
-		case o.Verb == wire.VerbStop && t != nil && t.State != wire.TaskExited:
-			if t.State == wire.TaskRunning {
+		case command.Verb == wire.VerbStop && status != nil && status.State != wire.TaskExited:
+			if status.State == wire.TaskRunning {
 				w.record(TaskStopped, key)
 			}
-			t.State, t.Cause = wire.TaskExited, wire.CauseStopped
-		case o.Verb == wire.VerbClear && t != nil && t.State == wire.TaskExited:
+			status.State, status.Cause = wire.TaskExited, wire.CauseStopped
+		case command.Verb == wire.VerbClear && status != nil && status.State == wire.TaskExited:
 			delete(w.tasks, key)
 		}
 	}
@@ -286,10 +286,10 @@
 // transition takes a task from one state to another and has that reported soon.
 func (w *loopbackWorker) transition(key taskKey, from, to wire.TaskState, cause wire.Cause) {
 	w.mu.Lock()
-	t := w.tasks[key]
-	moved := t != nil && t.State == from
+	status := w.tasks[key]
+	moved := status != nil && status.State == from
 	if moved {
-		t.State, t.Cause = to, cause
+		status.State, status.Cause = to, cause
 		if to == wire.TaskRunning {
 			w.record(TaskStarted, key)
 		} else {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -58,23 +58,23 @@
 
 func (m *fakeMachine) heartbeat() *wire.Heartbeat {
 	m.sequence++
-	r := &wire.Heartbeat{Machine: m.id, Addr: string(m.id), Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+	heartbeat := &wire.Heartbeat{Machine: m.id, Addr: string(m.id), Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
 		AgentEpoch: m.agentEpoch, Sequence: m.sequence, Token: m.token}
 	if m.preemptionAt != 0 {
 		s := m.preemptionAt.Sub(m.cluster.now).Seconds()
-		r.PreemptionNoticeS = &s
+		heartbeat.PreemptionNoticeS = &s
 	}
-	for _, t := range m.sortedTasks() {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
+	for _, task := range m.sortedTasks() {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task.id, Attempt: task.attempt, State: task.state, Cause: task.cause, Checkpointed: task.checkpointed})
 	}
-	return r
+	return heartbeat
 }
 
 // sortedTasks is the tasks in a fixed order, so that a world repeats.
 func (m *fakeMachine) sortedTasks() []*fakeTask {
 	out := make([]*fakeTask, 0, len(m.tasks))
-	for _, t := range m.tasks {
-		out = append(out, t)
+	for _, task := range m.tasks {
+		out = append(out, task)
 	}
 	slices.SortFunc(out, func(a, b *fakeTask) int {
 		return cmp.Or(cmp.Compare(a.id.Job, b.id.Job), a.id.Index-b.id.Index, cmp.Compare(a.attempt, b.attempt))
@@ -109,9 +109,9 @@
 	if m.cluster.now-m.leaseRenewedAt <= controller.Time(m.cluster.Lease) {
 		return
 	}
-	for _, t := range m.tasks {
-		t.active = false
-		t.epoch++
+	for _, task := range m.tasks {
+		task.active = false
+		task.epoch++
 	}
 	m.tasks = map[taskKey]*fakeTask{}
 	m.agentEpoch++
@@ -119,16 +119,16 @@
 }
 
 func (m *fakeMachine) heartbeatLoop() {
-	w := m.cluster
+	cluster := m.cluster
 	if m.terminated {
 		return
 	}
 	m.deliver(m.sendHeartbeat)
-	w.after(time.Duration(float64(w.HeartbeatInterval)*(0.75+0.5*w.rng.Float64())), m.heartbeatLoop)
+	cluster.after(time.Duration(float64(cluster.HeartbeatInterval)*(0.75+0.5*cluster.rng.Float64())), m.heartbeatLoop)
 }
 
 func (m *fakeMachine) sendHeartbeat() {
-	w := m.cluster
+	cluster := m.cluster
 	if m.heartbeatInFlight {
 		return
 	}
@@ -136,7 +136,7 @@
 	m.heartbeatsSent++
 	if m.outboundPartitioned {
 		mark := m.heartbeatsSent
-		w.after(500*time.Millisecond, func() {
+		cluster.after(500*time.Millisecond, func() {
 			if m.heartbeatsSent == mark && m.heartbeatInFlight {
 				m.heartbeatInFlight = false
 				m.deliver(m.nextController)
@@ -144,7 +144,7 @@
 		})
 		return
 	}
-	n, sentAt, session, mark := w.controllers[m.controller], w.now, m.agentEpoch, m.heartbeatsSent
+	process, sentAt, agentEpoch, mark := cluster.controllers[m.controller], cluster.now, m.agentEpoch, m.heartbeatsSent
 	open := true
 	finish := func(f func()) {
 		m.deliver(func() {
@@ -156,27 +156,27 @@
 			f()
 		})
 	}
-	w.after(4*time.Second, func() { finish(m.nextController) })
-	r := m.heartbeat()
-	w.sendToController(n, func(id controller.RequestID) controller.Input {
-		return controller.HeartbeatReceived{Request: id, Heartbeat: r}
+	cluster.after(4*time.Second, func() { finish(m.nextController) })
+	heartbeat := m.heartbeat()
+	cluster.sendToController(process, func(id controller.RequestID) controller.Input {
+		return controller.HeartbeatReceived{Request: id, Heartbeat: heartbeat}
 	},
 		func(rep controller.Reply) {
 			if m.inboundPartitioned {
 				return
 			}
 			finish(func() {
-				a, ok := rep.Body.(wire.HeartbeatResponse)
+				response, ok := rep.Body.(wire.HeartbeatResponse)
 				if !ok || rep.Status != 200 {
 					m.nextController()
 					return
 				}
-				if a.Token < m.token || m.agentEpoch != session {
+				if response.Token < m.token || m.agentEpoch != agentEpoch {
 					return
 				}
-				m.token = a.Token
+				m.token = response.Token
 				m.leaseRenewedAt = max(m.leaseRenewedAt, sentAt)
-				m.execute(a.Commands)
+				m.execute(response.Commands)
 			})
 		})
 }
@@ -196,24 +196,24 @@
 }
 
 func (m *fakeMachine) execute(orders []wire.Command) {
-	for _, o := range orders {
-		key := taskKey{o.Task, o.Attempt}
-		t := m.tasks[key]
-		switch o.Verb {
+	for _, command := range orders {
+		key := taskKey{command.Task, command.Attempt}
+		task := m.tasks[key]
+		switch command.Verb {
 		case wire.VerbLaunch:
-			if t == nil {
-				m.launch(o)
+			if task == nil {
+				m.launch(command)
 			}
 		case wire.VerbStop:
-			if t != nil && t.state != wire.TaskExited {
-				m.stop(t, *o.GracePeriodS)
+			if task != nil && task.state != wire.TaskExited {
+				m.stop(task, *command.GracePeriodS)
 			}
 		case wire.VerbClear:
-			if t != nil && t.state == wire.TaskExited {
+			if task != nil && task.state == wire.TaskExited {
 				// Another copy of the launch may be under way, and would start the
 				// task again.
-				if m.token <= t.token {
-					m.cluster.violation("unfenced clear of %v", t.id)
+				if m.token <= task.token {
+					m.cluster.violation("unfenced clear of %v", task.id)
 				}
 				delete(m.tasks, key)
 			}
@@ -221,135 +221,135 @@
 	}
 }
 
-func (m *fakeMachine) launch(o wire.Command) {
-	w := m.cluster
+func (m *fakeMachine) launch(command wire.Command) {
+	cluster := m.cluster
 	m.launches++
-	t := &fakeTask{id: o.Task, attempt: o.Attempt, state: wire.TaskPulling, token: m.token}
-	m.tasks[taskKey{o.Task, o.Attempt}] = t
-	j := w.jobs[o.Task.Job]
-	if j != nil {
-		j.launches++
+	task := &fakeTask{id: command.Task, attempt: command.Attempt, state: wire.TaskPulling, token: m.token}
+	m.tasks[taskKey{command.Task, command.Attempt}] = task
+	job := cluster.jobs[command.Task.Job]
+	if job != nil {
+		job.launches++
 	}
-	if j == nil {
-		w.violation("invented: launch of %v, which nobody submitted", o.Task)
+	if job == nil {
+		cluster.violation("invented: launch of %v, which nobody submitted", command.Task)
 		return
 	}
 	var cores, accel, mem float64
-	for _, x := range m.tasks {
-		if x == t || x.state == wire.TaskExited {
+	for _, other := range m.tasks {
+		if other == task || other.state == wire.TaskExited {
 			continue
 		}
-		if x.id == t.id {
-			t.state, t.cause = wire.TaskExited, wire.CauseInUse
+		if other.id == task.id {
+			task.state, task.cause = wire.TaskExited, wire.CauseInUse
 			return
 		}
-		spec := &w.jobs[x.id.Job].spec
+		spec := &cluster.jobs[other.id.Job].spec
 		cores, accel, mem = cores+spec.Cores, accel+spec.Accelerators, mem+spec.MemGB
 	}
-	s := &j.spec
-	if cores+s.Cores > m.machineType.Cores || accel+s.Accelerators > m.machineType.Accelerators || mem+s.MemGB > m.machineType.MemGB {
-		t.state, t.cause = wire.TaskExited, wire.CauseNoRoom
+	spec := &job.spec
+	if cores+spec.Cores > m.machineType.Cores || accel+spec.Accelerators > m.machineType.Accelerators || mem+spec.MemGB > m.machineType.MemGB {
+		task.state, task.cause = wire.TaskExited, wire.CauseNoRoom
 		return
 	}
-	fetch := time.Duration(w.rng.Int64N(int64(2 * time.Second)))
-	if w.ImagePullTime > 0 && !m.images[j.spec.Image] {
-		fetch = w.ImagePullTime
+	fetch := time.Duration(cluster.rng.Int64N(int64(2 * time.Second)))
+	if cluster.ImagePullTime > 0 && !m.images[job.spec.Image] {
+		fetch = cluster.ImagePullTime
 	}
-	w.after(fetch, func() {
+	cluster.after(fetch, func() {
 		m.deliver(func() {
-			if t.state == wire.TaskPulling && m.tasks[taskKey{t.id, t.attempt}] == t {
-				m.images[j.spec.Image] = true
-				m.start(t, j)
+			if task.state == wire.TaskPulling && m.tasks[taskKey{task.id, task.attempt}] == task {
+				m.images[job.spec.Image] = true
+				m.start(task, job)
 			}
 		})
 	})
 }
 
-func (m *fakeMachine) start(t *fakeTask, j *submittedJob) {
-	w := m.cluster
-	t.active = true
-	j.placements = append(j.placements, placement{m, t})
-	w.checkStart(m, t, j)
+func (m *fakeMachine) start(task *fakeTask, job *submittedJob) {
+	cluster := m.cluster
+	task.active = true
+	job.placements = append(job.placements, placement{m, task})
+	cluster.checkStart(m, task, job)
 	if m.faulty {
-		w.after(time.Second, func() { m.deliver(func() { m.exit(t, wire.CauseError) }) })
+		cluster.after(time.Second, func() { m.deliver(func() { m.exit(task, wire.CauseError) }) })
 	}
-	if j.spec.Shape == wire.ShapeGang {
-		t.state = wire.TaskWaiting
-		w.after(w.GangWaitTimeout, func() {
+	if job.spec.Shape == wire.ShapeGang {
+		task.state = wire.TaskWaiting
+		cluster.after(cluster.GangWaitTimeout, func() {
 			m.deliver(func() {
-				if t.state == wire.TaskWaiting {
-					m.exit(t, wire.CauseGangTimeout)
+				if task.state == wire.TaskWaiting {
+					m.exit(task, wire.CauseGangTimeout)
 				}
 			})
 		})
-		w.startGangIfReady(j, t.attempt)
+		cluster.startGangIfReady(job, task.attempt)
 		return
 	}
-	m.run(t, j)
+	m.run(task, job)
 }
 
-func (m *fakeMachine) run(t *fakeTask, j *submittedJob) {
-	t.state = wire.TaskRunning
-	if j.alwaysFails {
-		m.cluster.after(time.Second, func() { m.deliver(func() { m.exit(t, wire.CauseError) }) })
+func (m *fakeMachine) run(task *fakeTask, job *submittedJob) {
+	task.state = wire.TaskRunning
+	if job.alwaysFails {
+		m.cluster.after(time.Second, func() { m.deliver(func() { m.exit(task, wire.CauseError) }) })
 		return
 	}
-	if j.spec.Shape == wire.ShapeService {
+	if job.spec.Shape == wire.ShapeService {
 		return
 	}
-	d := j.runtime
-	if j.runtimeOf != nil {
-		d = j.runtimeOf(t.id.Index)
+	d := job.runtime
+	if job.runtimeOf != nil {
+		d = job.runtimeOf(task.id.Index)
 	}
-	if j.completed[t.id.Index] {
+	if job.completed[task.id.Index] {
 		d = 0
 	}
 	m.cluster.after(d, func() {
 		m.deliver(func() {
-			if t.state == wire.TaskRunning && t.active {
-				if j.spec.Shape == wire.ShapeGang {
-					m.cluster.completeGang(j, t.attempt)
+			if task.state == wire.TaskRunning && task.active {
+				if job.spec.Shape == wire.ShapeGang {
+					m.cluster.completeGang(job, task.attempt)
 				} else {
-					m.exit(t, wire.CauseDone)
+					m.exit(task, wire.CauseDone)
 				}
 			}
 		})
 	})
 }
 
-func (m *fakeMachine) stop(t *fakeTask, windup float64) {
-	w := m.cluster
-	j := w.jobs[t.id.Job]
-	if t.state == wire.TaskRunning && j.spec.CheckpointIntervalS > 0 && windup >= j.spec.CheckpointSaveS {
-		t.state = wire.TaskCheckpointing
-		w.after(time.Duration(j.spec.CheckpointSaveS*float64(time.Second)), func() {
+func (m *fakeMachine) stop(task *fakeTask, gracePeriodS float64) {
+	cluster := m.cluster
+	job := cluster.jobs[task.id.Job]
+	if task.state == wire.TaskRunning && job.spec.CheckpointIntervalS > 0 && gracePeriodS >= job.spec.CheckpointSaveS {
+		task.state = wire.TaskCheckpointing
+		cluster.after(time.Duration(job.spec.CheckpointSaveS*float64(time.Second)), func() {
 			m.deliver(func() {
-				if t.state == wire.TaskCheckpointing {
-					t.checkpointed = true
-					m.exit(t, wire.CauseStopped)
+				if task.state == wire.TaskCheckpointing {
+					task.checkpointed = true
+					m.exit(task, wire.CauseStopped)
 				}
 			})
 		})
 		return
 	}
-	if t.state == wire.TaskCheckpointing && windup > 0 {
+	if task.state == wire.TaskCheckpointing && gracePeriodS > 0 {
 		return
 	}
-	m.exit(t, wire.CauseStopped)
+	m.exit(task, wire.CauseStopped)
 }
 
-func (m *fakeMachine) exit(t *fakeTask, why wire.Cause) {
-	if t.state == wire.TaskExited || m.tasks[taskKey{t.id, t.attempt}] != t {
+func (m *fakeMachine) exit(task *fakeTask, cause wire.Cause) {
+	if task.state == wire.TaskExited || m.tasks[taskKey{task.id, task.attempt}] != task {
 		return
 	}
-	wasRunning := t.state == wire.TaskRunning || t.state == wire.TaskCheckpointing
-	t.state, t.cause, t.active = wire.TaskExited, why, false
-	j := m.cluster.jobs[t.id.Job]
-	if why == wire.CauseDone {
-		j.completed[t.id.Index] = true
-		m.cluster.jobCompleted(j)
-	} else if j.spec.Shape == wire.ShapeGang && wasRunning {
-		m.cluster.failGang(j, t.attempt)
+	wasRunning := task.state == wire.TaskRunning || task.state == wire.TaskCheckpointing
+	task.state, task.cause, task.active = wire.TaskExited, cause, false
+	job := m.cluster.jobs[task.id.Job]
+	if cause == wire.CauseDone {
+		job.completed[task.id.Index] = true
+		m.cluster.jobCompleted(job)
+	} else if job.spec.Shape == wire.ShapeGang && wasRunning {
+		m.cluster.failGang(job, task.attempt)
 	}
 	m.sendHeartbeat()
 }
@@ -357,10 +357,10 @@
 // terminate ends the machine and everything on it.
 func (m *fakeMachine) terminate() {
 	m.terminated, m.terminatedAt = true, m.cluster.now
-	for _, t := range m.sortedTasks() {
-		if t.active && m.cluster.jobs[t.id.Job].spec.Shape == wire.ShapeGang && t.state != wire.TaskWaiting {
-			m.cluster.failGang(m.cluster.jobs[t.id.Job], t.attempt)
+	for _, task := range m.sortedTasks() {
+		if task.active && m.cluster.jobs[task.id.Job].spec.Shape == wire.ShapeGang && task.state != wire.TaskWaiting {
+			m.cluster.failGang(m.cluster.jobs[task.id.Job], task.attempt)
 		}
-		t.active = false
+		task.active = false
 	}
 }
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -18,47 +18,45 @@
 type faultPair struct {
 	name      string
 	configure func(*config.Settings)
-	inject    func(w *Cluster)
+	inject    func(cluster *Cluster)
 	observed  map[string]int
 }
 
-const second = time.Second
-
 // submitMixedJobs submits arrays, gangs and services, one job each half second, some of them
 // called off after a while.
-func submitMixedJobs(w *Cluster, jobs int, cancelEvery int) {
+func submitMixedJobs(cluster *Cluster, jobs int, cancelEvery int) {
 	for n := range jobs {
 		spec, run := testJob(n, n%8)
-		at := 2*second + time.Duration(n)*second/2
-		w.At(at, func() { w.Submit(spec, run) })
+		at := 2*time.Second + time.Duration(n)*time.Second/2
+		cluster.At(at, func() { cluster.Submit(spec, run) })
 		if cancelEvery > 0 && n%cancelEvery == 0 || spec.Shape == wire.ShapeService {
-			w.At(at+time.Duration(3+n%9)*second, func() { w.CancelJob(spec.ID) })
+			cluster.At(at+time.Duration(3+n%9)*time.Second, func() { cluster.CancelJob(spec.ID) })
 		}
 	}
 }
 
 // submitSmallJobs submits jobs of one task each, four a second, a quarter of them called off.
-func submitSmallJobs(w *Cluster, jobs int) {
+func submitSmallJobs(cluster *Cluster, jobs int) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
 		spec.Tasks = 1
-		at := 2*second + time.Duration(n)*second/4
-		w.At(at, func() { w.Submit(spec, time.Duration(1+n%3)*second) })
+		at := 2*time.Second + time.Duration(n)*time.Second/4
+		cluster.At(at, func() { cluster.Submit(spec, time.Duration(1+n%3)*time.Second) })
 		if n%4 == 0 {
-			w.At(at+time.Duration(n%5)*second/2, func() { w.CancelJob(spec.ID) })
+			cluster.At(at+time.Duration(n%5)*time.Second/2, func() { cluster.CancelJob(spec.ID) })
 		}
 	}
 }
 
 // submitLongJobs submits jobs of long tasks that fill what their teams may use, and calls every
 // other off at the given moment.
-func submitLongJobs(w *Cluster, jobs int, cancelAt time.Duration) {
+func submitLongJobs(cluster *Cluster, jobs int, cancelAt time.Duration) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
 		spec.Tasks = 3
-		w.At(2*second, func() { w.Submit(spec, 60*second) })
+		cluster.At(2*time.Second, func() { cluster.Submit(spec, 60*time.Second) })
 		if n%2 == 0 {
-			w.At(cancelAt+time.Duration(n)*50*time.Millisecond, func() { w.CancelJob(spec.ID) })
+			cluster.At(cancelAt+time.Duration(n)*50*time.Millisecond, func() { cluster.CancelJob(spec.ID) })
 		}
 	}
 }
@@ -71,259 +69,262 @@
 }
 
 // restart ends a controller and has it back after a while.
-func (w *Cluster) restart(i int, after time.Duration) {
-	w.Observed["restart"]++
-	w.Stop(i)
-	w.At(after, func() { w.Start(i) })
+func (c *Cluster) restart(i int, after time.Duration) {
+	c.Observed["restart"]++
+	c.Stop(i)
+	c.At(after, func() { c.Start(i) })
 }
 
 // restartProvisioner ends the controller that buys, or another if there is none.
-func (w *Cluster) restartProvisioner(after time.Duration) { w.restart(max(0, w.provisioner()), after) }
+func (c *Cluster) restartProvisioner(after time.Duration) { c.restart(max(0, c.provisioner()), after) }
 
-func (w *Cluster) storeOutage(d time.Duration) {
-	w.StoreUnavailable = true
-	w.At(d, func() { w.StoreUnavailable = false; w.store.RenewAll(w.now) })
+func (c *Cluster) storeOutage(d time.Duration) {
+	c.StoreUnavailable = true
+	c.At(d, func() { c.StoreUnavailable = false; c.store.RenewAll(c.now) })
 }
 
-func (w *Cluster) partitionFromStore(i int, d time.Duration) {
-	w.StorePartitioned[i] = true
-	w.At(d, func() { delete(w.StorePartitioned, i) })
+func (c *Cluster) partitionFromStore(i int, d time.Duration) {
+	c.StorePartitioned[i] = true
+	c.At(d, func() { delete(c.StorePartitioned, i) })
 }
 
 // eachBusyMachine has something happen to all machines with tasks whose number divides.
-func (w *Cluster) eachBusyMachine(every int, f func(*fakeMachine)) {
-	for i, m := range w.machines {
-		if len(m.tasks) > 0 && !m.terminated && i%every == 0 {
-			f(m)
+func (c *Cluster) eachBusyMachine(every int, f func(*fakeMachine)) {
+	for i, machine := range c.machines {
+		if len(machine.tasks) > 0 && !machine.terminated && i%every == 0 {
+			f(machine)
 		}
 	}
 }
 
 var faultPairs = []faultPair{
-	{name: "late writes and leaders that end", observed: map[string]int{"unanswered write": 15, "restart": 8}, inject: func(w *Cluster) {
-		w.DelayedCommits = 0.3
-		submitMixedJobs(w, 60, 4)
-		w.At(15*second, func() { w.restartProvisioner(3 * second) })
-		w.At(32*second, func() { w.restartProvisioner(300 * time.Millisecond) })
-		w.At(60*second, func() { w.DelayedCommits = 0 })
+	{name: "late writes and leaders that end", observed: map[string]int{"unanswered write": 15, "restart": 8}, inject: func(cluster *Cluster) {
+		cluster.DelayedCommits = 0.3
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(15*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(32*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
+		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "answers of writes lost while all ask", observed: map[string]int{"unanswered write": 15, "close look": 1000}, inject: func(w *Cluster) {
-		w.DelayedCommits, w.LoseAnswersOnly, w.RequestBursts = 0.3, true, true
-		submitMixedJobs(w, 60, 5)
-		w.At(60*second, func() { w.DelayedCommits = 0 })
+	{name: "answers of writes lost while all ask", observed: map[string]int{"unanswered write": 15, "close look": 1000}, inject: func(cluster *Cluster) {
+		cluster.DelayedCommits, cluster.LoseAnswersOnly, cluster.RequestBursts = 0.3, true, true
+		submitMixedJobs(cluster, 60, 5)
+		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "late writes while all ask", observed: map[string]int{"unanswered write": 15, "close look": 1000}, inject: func(w *Cluster) {
-		w.DelayedCommits, w.RequestBursts = 0.2, true
-		submitMixedJobs(w, 60, 5)
-		w.At(60*second, func() { w.DelayedCommits = 0 })
+	{name: "late writes while all ask", observed: map[string]int{"unanswered write": 15, "close look": 1000}, inject: func(cluster *Cluster) {
+		cluster.DelayedCommits, cluster.RequestBursts = 0.2, true
+		submitMixedJobs(cluster, 60, 5)
+		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "old reports as a leader begins", observed: map[string]int{"kept report at a new controller": 100, "restart": 12}, inject: func(w *Cluster) {
-		w.ReplayedHeartbeats, w.DuplicatedHeartbeats = 0.2, 0.1
-		submitMixedJobs(w, 60, 4)
+	{name: "old reports as a leader begins", observed: map[string]int{"kept report at a new controller": 100, "restart": 12}, inject: func(cluster *Cluster) {
+		cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0.2, 0.1
+		submitMixedJobs(cluster, 60, 4)
 		for i := range 3 {
-			w.At(time.Duration(14+13*i)*second, func() { w.restartProvisioner(time.Duration(i) * second) })
+			cluster.At(time.Duration(14+13*i)*time.Second, func() { cluster.restartProvisioner(time.Duration(i) * time.Second) })
 		}
-		w.At(60*second, func() { w.ReplayedHeartbeats, w.DuplicatedHeartbeats = 0, 0 })
+		cluster.At(60*time.Second, func() { cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0, 0 })
 	}},
-	{name: "reports of earlier sessions as a leader begins", observed: map[string]int{"report of an earlier session": 20}, inject: func(w *Cluster) {
-		submitMixedJobs(w, 60, 4)
-		w.At(10*second, func() { w.ReplayedHeartbeats = 0.5 })
-		w.At(20*second, func() {
-			for i := range w.controllers {
-				w.restart(i, 20*second) // all are away for longer than a lease
+	{name: "reports of earlier sessions as a leader begins", observed: map[string]int{"report of an earlier session": 20}, inject: func(cluster *Cluster) {
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(10*time.Second, func() { cluster.ReplayedHeartbeats = 0.5 })
+		cluster.At(20*time.Second, func() {
+			for i := range cluster.controllers {
+				cluster.restart(i, 20*time.Second) // all are away for longer than a lease
 			}
 		})
-		w.At(70*second, func() { w.ReplayedHeartbeats = 0 })
+		cluster.At(70*time.Second, func() { cluster.ReplayedHeartbeats = 0 })
 	}},
-	{name: "called off and asked about at the end", observed: map[string]int{"cancelled at its end": 100, "close look": 1000}, inject: func(w *Cluster) {
-		w.CancelOnCompletion, w.RequestBursts = 0.7, true
-		submitMixedJobs(w, 80, 0)
+	{name: "called off and asked about at the end", observed: map[string]int{"cancelled at its end": 100, "close look": 1000}, inject: func(cluster *Cluster) {
+		cluster.CancelOnCompletion, cluster.RequestBursts = 0.7, true
+		submitMixedJobs(cluster, 80, 0)
 	}},
-	{name: "small jobs, a quarter called off", observed: map[string]int{"withdrawn": 100}, inject: func(w *Cluster) {
-		submitSmallJobs(w, 240)
+	{name: "small jobs, a quarter called off", observed: map[string]int{"withdrawn": 100}, inject: func(cluster *Cluster) {
+		submitSmallJobs(cluster, 240)
 	}},
-	{name: "small jobs, called off, looked at, and a leader that ends", observed: map[string]int{"withdrawn": 50, "restart": 8}, inject: func(w *Cluster) {
-		submitSmallJobs(w, 200)
-		w.RequestBursts = true
-		w.At(20*second, func() { w.restartProvisioner(3 * second) })
-		w.At(36*second, func() { w.restartProvisioner(200 * time.Millisecond) })
+	{name: "small jobs, called off, looked at, and a leader that ends", observed: map[string]int{"withdrawn": 50, "restart": 8}, inject: func(cluster *Cluster) {
+		submitSmallJobs(cluster, 200)
+		cluster.RequestBursts = true
+		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(36*time.Second, func() { cluster.restartProvisioner(200 * time.Millisecond) })
 	}},
-	{name: "a leader cut off with users and workers, jobs called off by another", observed: map[string]int{"withdrawn": 20, "leader cut off": 4}, inject: func(w *Cluster) {
-		submitLongJobs(w, 10, 21*second)
-		w.At(20*second, func() {
-			n := max(0, w.provisioner())
-			w.Observed["leader cut off"]++
-			w.PeersPartitioned[n] = true
-			for _, m := range w.machines {
-				m.controller = n
+	{name: "a leader cut off with users and workers, jobs called off by another", observed: map[string]int{"withdrawn": 20, "leader cut off": 4}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 10, 21*time.Second)
+		cluster.At(20*time.Second, func() {
+			n := max(0, cluster.provisioner())
+			cluster.Observed["leader cut off"]++
+			cluster.PeersPartitioned[n] = true
+			for _, machine := range cluster.machines {
+				machine.controller = n
 			}
-			w.partitionFromStore(n, 45*second)
-			w.At(45*second, func() { delete(w.PeersPartitioned, n) })
+			cluster.partitionFromStore(n, 45*time.Second)
+			cluster.At(45*time.Second, func() { delete(cluster.PeersPartitioned, n) })
 		})
 	}},
-	{name: "called off while work changes hands", observed: map[string]int{"withdrawn": 20, "restart": 8}, inject: func(w *Cluster) {
-		submitLongJobs(w, 10, 20500*time.Millisecond)
-		w.At(20*second, func() { w.restart(0, 6*second) })
-		w.At(21*second, func() { w.restart(1, 400*time.Millisecond) })
+	{name: "called off while work changes hands", observed: map[string]int{"withdrawn": 20, "restart": 8}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 10, 20500*time.Millisecond)
+		cluster.At(20*time.Second, func() { cluster.restart(0, 6*time.Second) })
+		cluster.At(21*time.Second, func() { cluster.restart(1, 400*time.Millisecond) })
 	}},
-	{name: "at the limit, machines hang at their cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"machine hung at a cancellation": 8, "restart": 4, "at a limit": 8}, inject: func(w *Cluster) {
-		w.HangOnCancel = 25 * second
-		submitLongJobs(w, 16, 20*second)
-		w.At(19*second, w.countTeamsAtLimit)
-		w.At(20500*time.Millisecond, func() { w.restartProvisioner(3 * second) })
-		w.At(45*second, func() { w.HangOnCancel = 0 })
+	{name: "at the limit, machines hang at their cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"machine hung at a cancellation": 8, "restart": 4, "at a limit": 8}, inject: func(cluster *Cluster) {
+		cluster.HangOnCancel = 25 * time.Second
+		submitLongJobs(cluster, 16, 20*time.Second)
+		cluster.At(19*time.Second, cluster.countTeamsAtLimit)
+		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(45*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "at the limit, machines deaf at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"withdrawn": 20, "restart": 4, "at a limit": 8}, inject: func(w *Cluster) {
-		submitLongJobs(w, 16, 20*second)
-		w.At(19*second, func() {
-			w.countTeamsAtLimit()
-			w.eachBusyMachine(2, func(m *fakeMachine) {
-				m.inboundPartitioned = true
-				w.At(30*second, func() { m.inboundPartitioned = false })
+	{name: "at the limit, machines deaf at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"withdrawn": 20, "restart": 4, "at a limit": 8}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 16, 20*time.Second)
+		cluster.At(19*time.Second, func() {
+			cluster.countTeamsAtLimit()
+			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
+				machine.inboundPartitioned = true
+				cluster.At(30*time.Second, func() { machine.inboundPartitioned = false })
 			})
 		})
-		w.At(20500*time.Millisecond, func() { w.restartProvisioner(3 * second) })
+		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
 	}},
-	{name: "at the limit, machines cut off at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"withdrawn": 20, "restart": 4, "at a limit": 8}, inject: func(w *Cluster) {
-		submitLongJobs(w, 16, 20*second)
-		w.At(19*second, func() { w.countTeamsAtLimit(); w.PartitionZone(zones[0], 2, 35*second) })
-		w.At(20500*time.Millisecond, func() { w.restart(0, 3*second) })
+	{name: "at the limit, machines cut off at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[string]int{"withdrawn": 20, "restart": 4, "at a limit": 8}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 16, 20*time.Second)
+		cluster.At(19*time.Second, func() { cluster.countTeamsAtLimit(); cluster.PartitionZone(zones[0], 2, 35*time.Second) })
+		cluster.At(20500*time.Millisecond, func() { cluster.restart(0, 3*time.Second) })
 	}},
-	{name: "hand over and back, all end, one is back at once", observed: map[string]int{"restart": 20}, inject: func(w *Cluster) {
-		submitMixedJobs(w, 60, 4)
-		w.At(12*second, func() { w.restartProvisioner(3 * second) })
-		w.At(20*second, func() { w.restartProvisioner(3 * second) })
-		w.At(30*second, func() {
-			for i := range w.controllers {
-				w.restart(i, []time.Duration{400 * time.Millisecond, 4 * second, 9 * second}[i])
+	{name: "hand over and back, all end, one is back at once", observed: map[string]int{"restart": 20}, inject: func(cluster *Cluster) {
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(12*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(30*time.Second, func() {
+			for i := range cluster.controllers {
+				cluster.restart(i, []time.Duration{400 * time.Millisecond, 4 * time.Second, 9 * time.Second}[i])
 			}
 		})
 	}},
-	{name: "a leader ends while machines with long tasks hang or are deaf", observed: map[string]int{"restart": 4, "out of reach": 8}, inject: func(w *Cluster) {
-		submitLongJobs(w, 10, 30*second)
-		w.At(20*second, func() {
-			w.eachBusyMachine(2, func(m *fakeMachine) {
-				w.Observed["out of reach"]++
-				if len(m.tasks)%2 == 0 {
-					m.hung = true
-					w.At(9*second, m.resume)
+	{name: "a leader ends while machines with long tasks hang or are deaf", observed: map[string]int{"restart": 4, "out of reach": 8}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 10, 30*time.Second)
+		cluster.At(20*time.Second, func() {
+			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
+				cluster.Observed["out of reach"]++
+				if len(machine.tasks)%2 == 0 {
+					machine.hung = true
+					cluster.At(9*time.Second, machine.resume)
 				} else {
-					m.inboundPartitioned = true
-					w.At(20*second, func() { m.inboundPartitioned = false })
+					machine.inboundPartitioned = true
+					cluster.At(20*time.Second, func() { machine.inboundPartitioned = false })
 				}
 			})
-			w.restartProvisioner(3 * second)
+			cluster.restartProvisioner(3 * time.Second)
 		})
 	}},
-	{name: "mute machines, jobs called off", observed: map[string]int{"out of reach": 8, "withdrawn": 20}, inject: func(w *Cluster) {
-		submitLongJobs(w, 10, 21*second)
-		w.At(20*second, func() {
-			w.eachBusyMachine(2, func(m *fakeMachine) {
-				w.Observed["out of reach"]++
-				m.outboundPartitioned = true
-				w.At(30*second, func() { m.outboundPartitioned = false })
+	{name: "mute machines, jobs called off", observed: map[string]int{"out of reach": 8, "withdrawn": 20}, inject: func(cluster *Cluster) {
+		submitLongJobs(cluster, 10, 21*time.Second)
+		cluster.At(20*time.Second, func() {
+			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
+				cluster.Observed["out of reach"]++
+				machine.outboundPartitioned = true
+				cluster.At(30*time.Second, func() { machine.outboundPartitioned = false })
 			})
 		})
 	}},
-	{name: "all away for longer than a lease", observed: map[string]int{"restart": 12, "withdrawn": 10}, inject: func(w *Cluster) {
-		submitMixedJobs(w, 60, 4)
-		w.At(20*second, func() {
-			for i := range w.controllers {
-				w.restart(i, w.Lease+5*second+time.Duration(i)*400*time.Millisecond)
+	{name: "all away for longer than a lease", observed: map[string]int{"restart": 12, "withdrawn": 10}, inject: func(cluster *Cluster) {
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(20*time.Second, func() {
+			for i := range cluster.controllers {
+				cluster.restart(i, cluster.Lease+5*time.Second+time.Duration(i)*400*time.Millisecond)
 			}
 		})
 	}},
-	{name: "leaders change ten times, also in an outage", observed: map[string]int{"restart": 40, "withdrawn": 20}, inject: func(w *Cluster) {
-		submitMixedJobs(w, 80, 4)
+	{name: "leaders change ten times, also in an outage", observed: map[string]int{"restart": 40, "withdrawn": 20}, inject: func(cluster *Cluster) {
+		submitMixedJobs(cluster, 80, 4)
 		for i := range 10 {
-			w.At(time.Duration(10+8*i)*second, func() { w.restartProvisioner(time.Duration(200+700*(i%4)) * time.Millisecond) })
+			cluster.At(time.Duration(10+8*i)*time.Second, func() { cluster.restartProvisioner(time.Duration(200+700*(i%4)) * time.Millisecond) })
 		}
-		w.At(40*second, func() { w.storeOutage(25 * second) })
+		cluster.At(40*time.Second, func() { cluster.storeOutage(25 * time.Second) })
 	}},
-	{name: "a zone cut off with a controller", observed: map[string]int{"withdrawn": 20}, inject: func(w *Cluster) {
-		submitMixedJobs(w, 60, 3)
-		w.At(15*second, func() { w.PartitionZone(zones[1], 1, w.Lease+20*second) })
+	{name: "a zone cut off with a controller", observed: map[string]int{"withdrawn": 20}, inject: func(cluster *Cluster) {
+		submitMixedJobs(cluster, 60, 3)
+		cluster.At(15*time.Second, func() { cluster.PartitionZone(zones[1], 1, cluster.Lease+20*time.Second) })
 	}},
-	{name: "ends far apart across a change of leader", observed: map[string]int{"restart": 12}, inject: func(w *Cluster) {
+	{name: "ends far apart across a change of leader", observed: map[string]int{"restart": 12}, inject: func(cluster *Cluster) {
 		for n := range 12 {
 			spec, _ := testJob(n, 0)
 			spec.Tasks = 2 + n%2
-			w.At(2*second, func() {
-				w.SubmitWithRuntimes(spec, func(i int) time.Duration { return time.Duration(5+25*i) * second })
+			cluster.At(2*time.Second, func() {
+				cluster.SubmitWithRuntimes(spec, func(i int) time.Duration { return time.Duration(5+25*i) * time.Second })
 			})
 		}
 		for i := range 3 {
-			w.At(time.Duration(10+10*i)*second, func() { w.restartProvisioner(3 * second) })
+			cluster.At(time.Duration(10+10*i)*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		}
 	}},
-	{name: "more work than room over slow links", observed: map[string]int{"withdrawn": 20}, inject: func(w *Cluster) {
-		w.StoreDelay, w.MessageLoss = 700*time.Millisecond, 0.02
-		submitMixedJobs(w, 120, 4)
-		w.At(70*second, func() { w.StoreDelay, w.MessageLoss = 0, 0 })
+	{name: "more work than room over slow links", observed: map[string]int{"withdrawn": 20}, inject: func(cluster *Cluster) {
+		cluster.StoreDelay, cluster.MessageLoss = 700*time.Millisecond, 0.02
+		submitMixedJobs(cluster, 120, 4)
+		cluster.At(70*time.Second, func() { cluster.StoreDelay, cluster.MessageLoss = 0, 0 })
 	}},
-	{name: "a slow state service, then refused, then away, while users call off", observed: map[string]int{"withdrawn": 20}, inject: func(w *Cluster) {
-		w.RequestBursts = true
-		submitLongJobs(w, 12, 24*second)
-		w.At(15*second, func() { w.StoreDelay = 600 * time.Millisecond })
-		w.At(23*second, func() { w.StoreDelay = 0; w.partitionFromStore(max(0, w.provisioner()), 20*second) })
-		w.At(25200*time.Millisecond, func() { w.storeOutage(w.CancelTimeout + 8*second) })
+	{name: "a slow state service, then refused, then away, while users call off", observed: map[string]int{"withdrawn": 20}, inject: func(cluster *Cluster) {
+		cluster.RequestBursts = true
+		submitLongJobs(cluster, 12, 24*time.Second)
+		cluster.At(15*time.Second, func() { cluster.StoreDelay = 600 * time.Millisecond })
+		cluster.At(23*time.Second, func() {
+			cluster.StoreDelay = 0
+			cluster.partitionFromStore(max(0, cluster.provisioner()), 20*time.Second)
+		})
+		cluster.At(25200*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 8*time.Second) })
 	}},
-	{name: "jobs of one zone lose machines", observed: map[string]int{"died": 8}, inject: func(w *Cluster) {
+	{name: "jobs of one zone lose machines", observed: map[string]int{"died": 8}, inject: func(cluster *Cluster) {
 		for n := range 24 {
 			spec, run := testJob(n, 7)
-			w.At(time.Duration(2+n/2)*second, func() { w.Submit(spec, run+10*second) })
+			cluster.At(time.Duration(2+n/2)*time.Second, func() { cluster.Submit(spec, run+10*time.Second) })
 		}
 		for i := range 3 {
-			w.At(time.Duration(8+6*i)*second, func() {
-				for _, m := range w.machines {
-					if len(m.tasks) > 0 && !m.terminated {
-						w.Observed["died"]++
-						m.terminate()
+			cluster.At(time.Duration(8+6*i)*time.Second, func() {
+				for _, machine := range cluster.machines {
+					if len(machine.tasks) > 0 && !machine.terminated {
+						cluster.Observed["died"]++
+						machine.terminate()
 						break
 					}
 				}
 			})
 		}
 	}},
-	{name: "commands and answers held up", observed: map[string]int{"withdrawn": 20}, inject: func(w *Cluster) {
-		w.MessageLoss = 0.15 // half of what is not lost outright comes late
-		submitMixedJobs(w, 60, 4)
-		w.At(60*second, func() { w.MessageLoss = 0 })
+	{name: "commands and answers held up", observed: map[string]int{"withdrawn": 20}, inject: func(cluster *Cluster) {
+		cluster.MessageLoss = 0.15 // half of what is not lost outright comes late
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(60*time.Second, func() { cluster.MessageLoss = 0 })
 	}},
-	{name: "machines up at once, writes lag, the leader ends", observed: map[string]int{"unanswered write": 12, "restart": 8}, inject: func(w *Cluster) {
-		w.ProvisioningDelay = func(string, string) time.Duration { return second }
-		w.DelayedCommits, w.StoreDelay = 0.2, 300*time.Millisecond
-		submitMixedJobs(w, 60, 4)
-		w.At(9*second, func() { w.restartProvisioner(3 * second) })
-		w.At(22*second, func() { w.restartProvisioner(500 * time.Millisecond) })
-		w.At(60*second, func() { w.DelayedCommits, w.StoreDelay = 0, 0 })
+	{name: "machines up at once, writes lag, the leader ends", observed: map[string]int{"unanswered write": 12, "restart": 8}, inject: func(cluster *Cluster) {
+		cluster.ProvisioningDelay = func(string, string) time.Duration { return time.Second }
+		cluster.DelayedCommits, cluster.StoreDelay = 0.2, 300*time.Millisecond
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(9*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(22*time.Second, func() { cluster.restartProvisioner(500 * time.Millisecond) })
+		cluster.At(60*time.Second, func() { cluster.DelayedCommits, cluster.StoreDelay = 0, 0 })
 	}},
-	{name: "machines hang at a cancellation in an outage", observed: map[string]int{"machine hung at a cancellation": 8}, inject: func(w *Cluster) {
-		w.HangOnCancel = 60 * second
-		submitLongJobs(w, 10, 19500*time.Millisecond)
-		w.At(20600*time.Millisecond, func() { w.storeOutage(w.CancelTimeout + 5*second) })
-		w.At(40*second, func() { w.HangOnCancel = 0 })
+	{name: "machines hang at a cancellation in an outage", observed: map[string]int{"machine hung at a cancellation": 8}, inject: func(cluster *Cluster) {
+		cluster.HangOnCancel = 60 * time.Second
+		submitLongJobs(cluster, 10, 19500*time.Millisecond)
+		cluster.At(20600*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 5*time.Second) })
+		cluster.At(40*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "all end while machines hang with withdrawn work", observed: map[string]int{"machine hung at a cancellation": 8, "restart": 12, "withdrawn": 8}, inject: func(w *Cluster) {
-		w.HangOnCancel = 60 * second
-		submitLongJobs(w, 10, 18*second)
-		w.At(21*second, func() {
-			w.WorkersPartitioned = map[int]bool{0: true, 1: true, 2: true}
-			w.At(25*second, func() { w.WorkersPartitioned = map[int]bool{} })
+	{name: "all end while machines hang with withdrawn work", observed: map[string]int{"machine hung at a cancellation": 8, "restart": 12, "withdrawn": 8}, inject: func(cluster *Cluster) {
+		cluster.HangOnCancel = 60 * time.Second
+		submitLongJobs(cluster, 10, 18*time.Second)
+		cluster.At(21*time.Second, func() {
+			cluster.WorkersPartitioned = map[int]bool{0: true, 1: true, 2: true}
+			cluster.At(25*time.Second, func() { cluster.WorkersPartitioned = map[int]bool{} })
 		})
-		w.At(30*second, func() {
-			w.HangOnCancel = 0
-			for i := range w.controllers {
-				w.restart(i, 3*second)
+		cluster.At(30*time.Second, func() {
+			cluster.HangOnCancel = 0
+			for i := range cluster.controllers {
+				cluster.restart(i, 3*time.Second)
 			}
-			w.storeOutage(22 * second)
+			cluster.storeOutage(22 * time.Second)
 		})
 	}},
-	{name: "odd requests while leaders change", observed: map[string]int{"refused for good": 20, "submitted again": 100, "cancelled when done": 100, "restart": 8}, inject: func(w *Cluster) {
-		w.machineTypes = append(slices.Clone(w.machineTypes), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, OnDemandPrice: 3, SpotPrice: 1, StartupS: 5, Zones: zones[:1]})
-		submitMixedJobs(w, 60, 6)
+	{name: "odd requests while leaders change", observed: map[string]int{"refused for good": 20, "submitted again": 100, "cancelled when done": 100, "restart": 8}, inject: func(cluster *Cluster) {
+		cluster.machineTypes = append(slices.Clone(cluster.machineTypes), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, OnDemandPrice: 3, SpotPrice: 1, StartupS: 5, Zones: zones[:1]})
+		submitMixedJobs(cluster, 60, 6)
 		for i := range 20 {
-			w.At(time.Duration(10+4*i)*second, w.repeatRequests)
+			cluster.At(time.Duration(10+4*i)*time.Second, cluster.repeatRequests)
 			spec, _ := testJob(900+i, 0)
 			switch i % 4 {
 			case 0:
@@ -336,60 +337,60 @@
 				// Only one zone has machines that large.
 				spec.Shape, spec.SpreadZones, spec.Tasks, spec.Cores, spec.Team = wire.ShapeService, true, 2, 9, "red"
 			}
-			w.At(time.Duration(5+3*i)*second, func() { w.SubmitUnschedulable(spec) })
+			cluster.At(time.Duration(5+3*i)*time.Second, func() { cluster.SubmitUnschedulable(spec) })
 		}
-		w.At(20*second, func() { w.restartProvisioner(3 * second) })
-		w.At(40*second, func() { w.restartProvisioner(300 * time.Millisecond) })
+		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
+		cluster.At(40*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
 	}},
-	{name: "everything is read anew while users ask", observed: map[string]int{"read anew": 4, "close look": 500}, inject: func(w *Cluster) {
-		w.RequestBursts = true
-		submitMixedJobs(w, 60, 4)
-		w.At(20*second, func() {
+	{name: "everything is read anew while users ask", observed: map[string]int{"read anew": 4, "close look": 500}, inject: func(cluster *Cluster) {
+		cluster.RequestBursts = true
+		submitMixedJobs(cluster, 60, 4)
+		cluster.At(20*time.Second, func() {
 			// The feed goes back no further than that, as after very many changes.
-			w.partitionFromStore(0, 8*second)
-			w.At(7500*time.Millisecond, func() { w.store.Compact(); w.Observed["read anew"]++ })
+			cluster.partitionFromStore(0, 8*time.Second)
+			cluster.At(7500*time.Millisecond, func() { cluster.store.Compact(); cluster.Observed["read anew"]++ })
 		})
 	}},
 }
 
 // countTeamsAtLimit counts that a team uses all that it may.
-func (w *Cluster) countTeamsAtLimit() {
+func (c *Cluster) countTeamsAtLimit() {
 	used := map[string]float64{}
-	w.eachActiveTask(func(_ *fakeMachine, t *fakeTask) { s := &w.jobs[t.id.Job].spec; used[s.Team] += s.Cores })
-	for _, t := range w.Settings.Cluster.Teams {
+	c.eachActiveTask(func(_ *fakeMachine, t *fakeTask) { spec := &c.jobs[t.id.Job].spec; used[spec.Team] += spec.Cores })
+	for _, t := range c.Settings.Cluster.Teams {
 		if cpus, _ := t.Limits(); used[t.Name] > cpus-1 {
-			w.Observed["at a limit"]++
+			c.Observed["at a limit"]++
 		}
 	}
 }
 
 // TestMeetings holds the rules where two troubles meet, one meeting at a time.
 func TestMeetings(t *testing.T) {
-	for _, mt := range faultPairs {
-		t.Run(mt.name, func(t *testing.T) {
+	for _, pair := range faultPairs {
+		t.Run(pair.name, func(t *testing.T) {
 			seen := map[string]int{}
 			for seed := range uint64(4) {
-				set := testSettings()
-				if mt.configure != nil {
-					mt.configure(&set)
+				settings := testSettings()
+				if pair.configure != nil {
+					pair.configure(&settings)
 				}
-				w := newClusterWith(set, seed, 3)
+				cluster := newClusterWith(settings, seed, 3)
 				for i := range 9 {
-					w.AddMachine(machineTypes[i%2], zones[i%3], false, 0)
+					cluster.AddMachine(machineTypes[i%2], zones[i%3], false, 0)
 				}
-				mt.inject(w)
-				w.Run(125 * time.Second)
-				w.RequestBursts, w.CancelOnCompletion = false, 0
-				w.Run(45 * time.Second)
-				w.FaultsOverAt = w.Now()
-				w.Run(250 * time.Second)
-				require.Empty(t, w.Violations, "seed %d", seed)
-				require.Empty(t, w.Unfinished(), "seed %d", seed)
-				for name, n := range w.Observed {
+				pair.inject(cluster)
+				cluster.Run(125 * time.Second)
+				cluster.RequestBursts, cluster.CancelOnCompletion = false, 0
+				cluster.Run(45 * time.Second)
+				cluster.FaultsOverAt = cluster.Now()
+				cluster.Run(250 * time.Second)
+				require.Empty(t, cluster.Violations, "seed %d", seed)
+				require.Empty(t, cluster.Unfinished(), "seed %d", seed)
+				for name, n := range cluster.Observed {
 					seen[name] += n
 				}
 			}
-			for name, n := range mt.observed {
+			for name, n := range pair.observed {
 				require.GreaterOrEqual(t, seen[name], n, fmt.Sprintf("%s: not what the test is about", name))
 			}
 			t.Log(seen)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -18,151 +18,151 @@
 
 // callRemote carries a call out somewhere else, with all that may go wrong:
 // exec runs there; lost is the result if no answer comes.
-func (w *Cluster) callRemote(n *controllerProcess, gen int, id controller.CallID, lost controller.Result, exec func() controller.Result) {
-	if w.rng.Float64() < w.MessageLoss {
-		w.completeCall(n, gen, callTimeout, id, lost)
-		switch w.rng.IntN(3) {
+func (c *Cluster) callRemote(process *controllerProcess, generation int, call controller.CallID, lost controller.Result, exec func() controller.Result) {
+	if c.rng.Float64() < c.MessageLoss {
+		c.completeCall(process, generation, callTimeout, call, lost)
+		switch c.rng.IntN(3) {
 		case 0: // carried out, but the answer is lost
-			w.after(w.latency(), func() { exec() })
+			c.after(c.latency(), func() { exec() })
 		case 1: // held up, and carried out long after
-			w.after(time.Duration(w.rng.IntN(40_000))*time.Millisecond, func() { exec() })
+			c.after(time.Duration(c.rng.IntN(40_000))*time.Millisecond, func() { exec() })
 		}
 		return
 	}
-	w.after(w.latency(), func() {
+	c.after(c.latency(), func() {
 		result := exec()
-		w.completeCall(n, gen, w.latency(), id, result)
-		if w.rng.Float64() < w.MessageLoss/2 { // a late copy
-			w.after(time.Duration(w.rng.IntN(30_000))*time.Millisecond, func() { exec() })
+		c.completeCall(process, generation, c.latency(), call, result)
+		if c.rng.Float64() < c.MessageLoss/2 { // a late copy
+			c.after(time.Duration(c.rng.IntN(30_000))*time.Millisecond, func() { exec() })
 		}
 	})
 }
 
 // callWorker carries out a call to a worker; a hanging one carries it out later.
-func (w *Cluster) callWorker(n *controllerProcess, id controller.CallID, addr string, timeout time.Duration, exec func(*fakeMachine) controller.WorkerResponse) {
-	gen := n.generation
+func (c *Cluster) callWorker(process *controllerProcess, call controller.CallID, addr string, timeout time.Duration, exec func(*fakeMachine) controller.WorkerResponse) {
+	generation := process.generation
 	open := true
-	n.directCalls++
-	n.maxDirectCalls = max(n.maxDirectCalls, n.directCalls)
-	finish := func(d time.Duration, a controller.WorkerResponse) {
+	process.directCalls++
+	process.maxDirectCalls = max(process.maxDirectCalls, process.directCalls)
+	finish := func(d time.Duration, response controller.WorkerResponse) {
 		if open {
 			open = false
-			if n.generation == gen {
-				n.directCalls--
+			if process.generation == generation {
+				process.directCalls--
 			}
-			w.completeCall(n, gen, d, id, a)
+			c.completeCall(process, generation, d, call, response)
 		}
 	}
-	w.after(timeout, func() { finish(0, controller.WorkerResponse{Outcome: controller.Unknown}) })
-	m := w.machinesByID[wire.MachineID(addr)]
-	if m != nil && w.isPartitioned(m.zone, n) {
+	c.after(timeout, func() { finish(0, controller.WorkerResponse{Outcome: controller.Unknown}) })
+	machine := c.machinesByID[wire.MachineID(addr)]
+	if machine != nil && c.isPartitioned(machine.zone, process) {
 		return
 	}
-	if m == nil || m.terminated || m.inboundPartitioned || w.DropDirectCalls || w.WorkersPartitioned[n.index] {
+	if machine == nil || machine.terminated || machine.inboundPartitioned || c.DropDirectCalls || c.WorkersPartitioned[process.index] {
 		return
 	}
-	deliver := func() { m.deliver(func() { finish(w.latency(), exec(m)) }) }
-	d := w.latency()
-	if w.rng.Float64() < w.MessageLoss {
-		d = time.Duration(w.rng.IntN(30_000)) * time.Millisecond
-		w.Observed[fmt.Sprint("call held up, rig-", n.index)]++
+	deliver := func() { machine.deliver(func() { finish(c.latency(), exec(machine)) }) }
+	d := c.latency()
+	if c.rng.Float64() < c.MessageLoss {
+		d = time.Duration(c.rng.IntN(30_000)) * time.Millisecond
+		c.Observed[fmt.Sprint("call held up, rig-", process.index)]++
 	}
-	w.after(d, deliver)
-	if w.rng.Float64() < w.MessageLoss/2 {
-		w.after(time.Duration(w.rng.IntN(30_000))*time.Millisecond, deliver)
+	c.after(d, deliver)
+	if c.rng.Float64() < c.MessageLoss/2 {
+		c.after(time.Duration(c.rng.IntN(30_000))*time.Millisecond, deliver)
 	}
 }
 
 // isPartitioned reports whether a cut lies between a zone's machines and a controller.
-func (w *Cluster) isPartitioned(zone string, n *controllerProcess) bool {
-	return w.PartitionedZone != "" && (zone == w.PartitionedZone) != (n.index == w.ControllerInZone)
+func (c *Cluster) isPartitioned(zone string, process *controllerProcess) bool {
+	return c.PartitionedZone != "" && (zone == c.PartitionedZone) != (process.index == c.ControllerInZone)
 }
 
 // PartitionZone cuts a zone and the controller in it off from everything for a while.
-func (w *Cluster) PartitionZone(zone string, inside int, d time.Duration) {
-	w.PartitionedZone, w.ControllerInZone = zone, inside
-	w.StorePartitioned[inside], w.PeersPartitioned[inside] = true, true
-	w.At(d, func() {
-		w.PartitionedZone = ""
-		delete(w.StorePartitioned, inside)
-		delete(w.PeersPartitioned, inside)
+func (c *Cluster) PartitionZone(zone string, inside int, d time.Duration) {
+	c.PartitionedZone, c.ControllerInZone = zone, inside
+	c.StorePartitioned[inside], c.PeersPartitioned[inside] = true, true
+	c.At(d, func() {
+		c.PartitionedZone = ""
+		delete(c.StorePartitioned, inside)
+		delete(c.PeersPartitioned, inside)
 	})
 }
 
 // duplicatePeerMessage has a copy of a line come late, perhaps.
-func (w *Cluster) duplicatePeerMessage(to *controllerProcess, line wire.PeerMessage) {
-	if w.DuplicatedPeerMessages == 0 || w.rng.Float64() >= w.DuplicatedPeerMessages {
+func (c *Cluster) duplicatePeerMessage(receiver *controllerProcess, message wire.PeerMessage) {
+	if c.DuplicatedPeerMessages == 0 || c.rng.Float64() >= c.DuplicatedPeerMessages {
 		return
 	}
-	w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(time.Minute))), func() {
-		if to.controller == nil {
+	c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(time.Minute))), func() {
+		if receiver.controller == nil {
 			return
 		}
-		if line.Format < w.ActiveFormat() && w.ActiveFormat() > 1 {
-			w.Observed["line of an earlier format"]++
+		if message.Format < c.ActiveFormat() && c.ActiveFormat() > 1 {
+			c.Observed["line of an earlier format"]++
 		}
-		w.step(to, controller.PeerMessageReceived{Message: &line})
+		c.step(receiver, controller.PeerMessageReceived{Message: &message})
 	})
 }
 
 // sendToController sends a request to a controller.
-func (w *Cluster) sendToController(n *controllerProcess, makeInput func(controller.RequestID) controller.Input, then func(controller.Reply)) {
-	if r, fromWorker := makeInput(0).(controller.HeartbeatReceived); fromWorker && w.rng.Float64() < w.ReplayedHeartbeats {
-		w.recordedHeartbeats = append(w.recordedHeartbeats, recordedHeartbeat{r.Heartbeat, w.now})
+func (c *Cluster) sendToController(process *controllerProcess, newInput func(controller.RequestID) controller.Input, then func(controller.Reply)) {
+	if r, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.rng.Float64() < c.ReplayedHeartbeats {
+		c.recordedHeartbeats = append(c.recordedHeartbeats, recordedHeartbeat{r.Heartbeat, c.now})
 	}
-	if _, fromWorker := makeInput(0).(controller.HeartbeatReceived); fromWorker && w.rng.Float64() < w.DuplicatedHeartbeats {
-		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(3*w.Lease))), func() {
-			if n.controller != nil && !w.WorkersPartitioned[n.index] {
-				n.lastRequest++
-				w.step(n, makeInput(n.lastRequest))
+	if _, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.rng.Float64() < c.DuplicatedHeartbeats {
+		c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(3*c.Lease))), func() {
+			if process.controller != nil && !c.WorkersPartitioned[process.index] {
+				process.lastRequest++
+				c.step(process, newInput(process.lastRequest))
 			}
 		})
 	}
-	if r, fromWorker := makeInput(0).(controller.HeartbeatReceived); fromWorker && w.isPartitioned(r.Heartbeat.Zone, n) {
+	if r, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.isPartitioned(r.Heartbeat.Zone, process) {
 		return
 	}
-	d := w.latency()
-	if w.rng.Float64() < w.MessageLoss {
-		if w.rng.IntN(2) == 0 {
+	d := c.latency()
+	if c.rng.Float64() < c.MessageLoss {
+		if c.rng.IntN(2) == 0 {
 			return
 		}
-		d = time.Duration(w.rng.IntN(30_000)) * time.Millisecond
+		d = time.Duration(c.rng.IntN(30_000)) * time.Millisecond
 	}
-	w.after(d, func() {
-		if n.controller == nil {
+	c.after(d, func() {
+		if process.controller == nil {
 			return
 		}
-		in := makeInput(0)
-		if _, fromWorker := in.(controller.HeartbeatReceived); fromWorker && w.WorkersPartitioned[n.index] {
+		in := newInput(0)
+		if _, fromWorker := in.(controller.HeartbeatReceived); fromWorker && c.WorkersPartitioned[process.index] {
 			return
 		}
-		n.lastRequest++
-		n.replyHandlers[n.lastRequest] = then
-		w.step(n, makeInput(n.lastRequest))
+		process.lastRequest++
+		process.replyHandlers[process.lastRequest] = then
+		c.step(process, newInput(process.lastRequest))
 	})
 }
 
 // replayHeartbeats hands the kept reports to all controllers, again and again while a
 // controller that has just been started reads its state and begins to act.
-func (w *Cluster) replayHeartbeats(began *controllerProcess) {
-	kept := w.recordedHeartbeats
-	w.recordedHeartbeats = nil
-	gen := began.generation
+func (c *Cluster) replayHeartbeats(began *controllerProcess) {
+	kept := c.recordedHeartbeats
+	c.recordedHeartbeats = nil
+	generation := began.generation
 	for i := range 8 {
-		w.after(time.Duration(i)*250*time.Millisecond, func() {
-			for _, n := range w.controllers {
-				for _, k := range kept {
-					if n.controller == nil || began.generation != gen {
+		c.after(time.Duration(i)*250*time.Millisecond, func() {
+			for _, process := range c.controllers {
+				for _, recorded := range kept {
+					if process.controller == nil || began.generation != generation {
 						continue
 					}
-					if n == began && n.controller.Healthy() {
-						w.Observed["kept report at a new controller"]++
-						if m := w.machinesByID[k.heartbeat.Machine]; m != nil && k.heartbeat.AgentEpoch < m.agentEpoch {
-							w.Observed["report of an earlier session"]++
+					if process == began && process.controller.Healthy() {
+						c.Observed["kept report at a new controller"]++
+						if machine := c.machinesByID[recorded.heartbeat.Machine]; machine != nil && recorded.heartbeat.AgentEpoch < machine.agentEpoch {
+							c.Observed["report of an earlier session"]++
 						}
 					}
-					n.lastRequest++
-					w.step(n, controller.HeartbeatReceived{Request: n.lastRequest, Heartbeat: k.heartbeat})
+					process.lastRequest++
+					c.step(process, controller.HeartbeatReceived{Request: process.lastRequest, Heartbeat: recorded.heartbeat})
 				}
 			}
 		})
--- a/internal/simulation/rollout_schedule_test.go
+++ b/internal/simulation/rollout_schedule_test.go
@@ -15,27 +15,27 @@
 var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "freeze", "state cut", "state down", "stop", "activate", "activate", "exclude"}
 
 // rolloutStep does one of them to a controller.
-func (w *Cluster) rolloutStep(kind string, who int, last time.Duration) {
-	i := who % len(w.controllers)
+func (c *Cluster) rolloutStep(kind string, who int, last time.Duration) {
+	i := who % len(c.controllers)
 	switch kind {
 	case "upgrade":
-		w.startNewer(i)
+		c.startNewer(i)
 	case "roll back":
-		w.startOlder(i)
+		c.startOlder(i)
 	case "restart":
-		w.restart(i, last/10)
+		c.restart(i, last/10)
 	case "freeze":
-		w.Stall(i, last)
+		c.Stall(i, last)
 	case "state cut":
-		w.partitionFromStore(i, last)
+		c.partitionFromStore(i, last)
 	case "state down":
-		w.storeOutage(last / 2)
+		c.storeOutage(last / 2)
 	case "stop":
-		w.Stop(i)
+		c.Stop(i)
 	case "activate":
-		w.changeRollout(i, w.activateCompressed())
+		c.changeRollout(i, c.activateCompressed())
 	case "exclude":
-		w.changeRollout(i, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-0", Reason: "drawn"})
+		c.changeRollout(i, wire.AdminRolloutChange{Version: c.rolloutVersion(), Exclude: "rig-0", Reason: "drawn"})
 	}
 }
 
@@ -46,45 +46,45 @@
 func TestRolloutSchedules(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newLargeValueCluster(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "controllers"), func(w *Cluster, i int) {
+		cluster := newLargeValueCluster(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "controllers"), func(cluster *Cluster, i int) {
 			if rapid.IntRange(0, 2).Draw(t, "older") == 0 {
-				w.startOlder(i)
+				cluster.startOlder(i)
 			} else {
-				w.startNewer(i)
+				cluster.startNewer(i)
 			}
 		})
-		w.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
-		w.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "late writes")
-		w.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late lines")
-		submitMixedJobs(w, 50, 6)
+		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
+		cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "late writes")
+		cluster.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late lines")
+		submitMixedJobs(cluster, 50, 6)
 		for range rapid.IntRange(3, 16).Draw(t, "steps") {
 			kind := rapid.SampledFrom(rolloutSteps).Draw(t, "step")
 			who := rapid.IntRange(0, 3).Draw(t, "who")
-			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * second
-			w.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "when"))*second, func() { w.rolloutStep(kind, who, last) })
+			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * time.Second
+			cluster.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "when"))*time.Second, func() { cluster.rolloutStep(kind, who, last) })
 		}
-		w.Run(75 * second)
-		w.MessageLoss, w.DelayedCommits, w.DuplicatedPeerMessages = 0, 0, 0
-		if len(w.Shutdowns) > 0 {
+		cluster.Run(75 * time.Second)
+		cluster.MessageLoss, cluster.DelayedCommits, cluster.DuplicatedPeerMessages = 0, 0, 0
+		if len(cluster.Shutdowns) > 0 {
 			seen["an older process ended"]++
 		}
-		if w.ActiveFormat() == record.FormatCompressed {
+		if cluster.ActiveFormat() == record.FormatCompressed {
 			seen["in force on the way"]++
 		}
-		for i := range w.controllers {
-			w.startNewer(i)
+		for i := range cluster.controllers {
+			cluster.startNewer(i)
 		}
-		w.Run(15 * second)
-		if w.ActiveFormat() == record.FormatPlain {
-			reply := w.changeRollout(0, w.activateCompressed())
-			w.Run(2 * second)
+		cluster.Run(15 * time.Second)
+		if cluster.ActiveFormat() == record.FormatPlain {
+			reply := cluster.changeRollout(0, cluster.activateCompressed())
+			cluster.Run(2 * time.Second)
 			require.Equal(t, 200, reply.Status, "%v", reply.Body)
 		}
-		w.Run(45 * second) // the last late copies
-		w.FaultsOverAt = w.Now()
-		w.Run(150 * second)
-		require.Empty(t, w.Violations)
-		require.Empty(t, w.Unfinished())
+		cluster.Run(45 * time.Second) // the last late copies
+		cluster.FaultsOverAt = cluster.Now()
+		cluster.Run(150 * time.Second)
+		require.Empty(t, cluster.Violations)
+		require.Empty(t, cluster.Unfinished())
 	})
 	require.Greater(t, seen["in force on the way"], 10)
 	require.Greater(t, seen["an older process ended"], 3)
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -17,51 +17,51 @@
 
 // plainFormatFeatures is the features of a controller that reads the first format only.
 func plainFormatFeatures() config.Features {
-	f := config.DefaultFeatures()
-	f.Rollout.NewestFormat = record.FormatPlain
-	return f
+	features := config.DefaultFeatures()
+	features.Rollout.NewestFormat = record.FormatPlain
+	return features
 }
 
 // startOlder starts a controller that reads the first format only, or ends it and
 // starts it so.
-func (w *Cluster) startOlder(i int) {
-	w.Features[i] = plainFormatFeatures()
-	w.Start(i)
+func (c *Cluster) startOlder(i int) {
+	c.Features[i] = plainFormatFeatures()
+	c.Start(i)
 }
 
 // startNewer starts a controller that reads all formats.
-func (w *Cluster) startNewer(i int) {
-	delete(w.Features, i)
-	w.Start(i)
+func (c *Cluster) startNewer(i int) {
+	delete(c.Features, i)
+	c.Start(i)
 }
 
 // changeRollout asks a controller for a change; the reply is there some time later.
-func (w *Cluster) changeRollout(i int, change wire.AdminRolloutChange) *controller.Reply {
+func (c *Cluster) changeRollout(i int, change wire.AdminRolloutChange) *controller.Reply {
 	reply := &controller.Reply{}
-	w.sendToController(w.controllers[i], func(id controller.RequestID) controller.Input {
+	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
 		return controller.RolloutChangeRequested{Request: id, Change: change}
 	},
-		func(r controller.Reply) { *reply = r })
+		func(received controller.Reply) { *reply = received })
 	return reply
 }
 
 // activateCompressed is the change that activates the compressed format, made from the version
 // that stands in the state service.
-func (w *Cluster) activateCompressed() wire.AdminRolloutChange {
+func (c *Cluster) activateCompressed() wire.AdminRolloutChange {
 	format := record.FormatCompressed
-	return wire.AdminRolloutChange{Version: w.rolloutVersion(), Activate: &format}
+	return wire.AdminRolloutChange{Version: c.rolloutVersion(), Activate: &format}
 }
 
-func (w *Cluster) rolloutVersion() wire.Revision {
-	_, version, _ := w.store.Get(record.RolloutKey)
+func (c *Cluster) rolloutVersion() wire.Revision {
+	_, version, _ := c.store.Get(record.RolloutKey)
 	return version
 }
 
 // mustChange makes a change and wants a status.
-func (w *Cluster) mustChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
+func (c *Cluster) mustChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
 	t.Helper()
-	reply := w.changeRollout(i, change)
-	w.Run(2 * second)
+	reply := c.changeRollout(i, change)
+	c.Run(2 * time.Second)
 	body, err := json.Marshal(reply.Body)
 	require.NoError(t, err)
 	require.Equal(t, status, reply.Status, "%s", body)
@@ -69,10 +69,10 @@
 }
 
 // compressedRecords counts the records in the state service that are compressed.
-func (w *Cluster) compressedRecords() int {
+func (c *Cluster) compressedRecords() int {
 	n := 0
-	for _, e := range w.store.List(record.RootKey) {
-		if strings.HasPrefix(string(e.Value), `"`) {
+	for _, entry := range c.store.List(record.RootKey) {
+		if strings.HasPrefix(string(entry.Value), `"`) {
 			n++
 		}
 	}
@@ -80,91 +80,91 @@
 }
 
 // newLargeValueCluster has values large enough for records to be compressed.
-func newLargeValueCluster(seed uint64, controllers int, start func(w *Cluster, i int)) *Cluster {
-	set := testSettings()
-	set.Cluster.State.ValueKB = 8
-	for i := range set.Cluster.Teams {
-		set.Cluster.Teams[i].CPUsMax = 60
+func newLargeValueCluster(seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
+	settings := testSettings()
+	settings.Cluster.State.ValueKB = 8
+	for i := range settings.Cluster.Teams {
+		settings.Cluster.Teams[i].CPUsMax = 60
 	}
-	w := NewCluster(set, machineTypes, controllers, seed)
+	cluster := NewCluster(settings, machineTypes, controllers, seed)
 	for i := range 12 {
-		w.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
+		cluster.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
 	}
 	for i := range controllers {
-		start(w, i)
+		start(cluster, i)
 	}
-	return w
+	return cluster
 }
 
 // submitBusyLoad submits arrays, gangs and services for a minute and a half, some called off.
-func submitBusyLoad(w *Cluster) {
-	submitMixedJobs(w, 120, 7)
+func submitBusyLoad(cluster *Cluster) {
+	submitMixedJobs(cluster, 120, 7)
 	for n := range 4 {
 		spec, _ := testJob(1000+n, 0)
 		spec.Tasks = 24
-		w.At(time.Duration(3+10*n)*second, func() { w.Submit(spec, 25*second) })
+		cluster.At(time.Duration(3+10*n)*time.Second, func() { cluster.Submit(spec, 25*time.Second) })
 	}
 }
 
 // requireAllFinished lets everything end and wants that nothing broke a rule on the way.
-func requireAllFinished(t *testing.T, w *Cluster) {
+func requireAllFinished(t *testing.T, cluster *Cluster) {
 	t.Helper()
-	w.Run(60 * second)
-	w.FaultsOverAt = w.Now()
-	w.Run(150 * second)
-	require.Empty(t, w.Violations)
-	require.Empty(t, w.Unfinished())
+	cluster.Run(60 * time.Second)
+	cluster.FaultsOverAt = cluster.Now()
+	cluster.Run(150 * time.Second)
+	require.Empty(t, cluster.Violations)
+	require.Empty(t, cluster.Unfinished())
 }
 
 // TestRolloutControllerDown: a controller that is down throughout holds the activation
 // up, by name, until an operator excludes it; back as it was, it must not serve.
 func TestRolloutControllerDown(t *testing.T) {
-	w := newLargeValueCluster(1, 3, (*Cluster).startOlder)
-	submitBusyLoad(w)
-	w.Run(8 * second)
-	w.Stop(2)
-	w.Run(8 * second)
-	w.startNewer(0)
-	w.startNewer(1)
-	w.Run(5 * second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-2 is down")
-	w.mustChange(t, 1, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-2", Reason: "its host burnt"}, http.StatusOK)
-	w.mustChange(t, 0, w.activateCompressed(), http.StatusOK)
-	require.Equal(t, record.FormatCompressed, w.ActiveFormat())
-	w.Run(10 * second)
-	require.Positive(t, w.compressedRecords(), "records are compressed now")
-
-	w.startOlder(2)
-	w.Run(10 * second)
-	require.Len(t, w.Shutdowns, 1)
-	require.Equal(t, 2, w.Shutdowns[0].Controller)
-	require.ErrorContains(t, w.Shutdowns[0].Cause, "format 2 is in force")
-	w.startNewer(2)
-	w.Run(10 * second)
-	require.True(t, w.controllers[2].controller.Healthy())
-	requireAllFinished(t, w)
+	cluster := newLargeValueCluster(1, 3, (*Cluster).startOlder)
+	submitBusyLoad(cluster)
+	cluster.Run(8 * time.Second)
+	cluster.Stop(2)
+	cluster.Run(8 * time.Second)
+	cluster.startNewer(0)
+	cluster.startNewer(1)
+	cluster.Run(5 * time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 is down")
+	cluster.mustChange(t, 1, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "its host burnt"}, http.StatusOK)
+	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
+	cluster.Run(10 * time.Second)
+	require.Positive(t, cluster.compressedRecords(), "records are compressed now")
+
+	cluster.startOlder(2)
+	cluster.Run(10 * time.Second)
+	require.Len(t, cluster.Shutdowns, 1)
+	require.Equal(t, 2, cluster.Shutdowns[0].Controller)
+	require.ErrorContains(t, cluster.Shutdowns[0].Cause, "format 2 is in force")
+	cluster.startNewer(2)
+	cluster.Run(10 * time.Second)
+	require.True(t, cluster.controllers[2].controller.Healthy())
+	requireAllFinished(t, cluster)
 }
 
 // TestRollbackAfterHalf: with half of the controllers upgraded nothing of the later
 // format is written, and they may go back.
 func TestRollbackAfterHalf(t *testing.T) {
-	w := newLargeValueCluster(2, 4, (*Cluster).startOlder)
-	submitBusyLoad(w)
+	cluster := newLargeValueCluster(2, 4, (*Cluster).startOlder)
+	submitBusyLoad(cluster)
 	for i := range 2 {
-		w.At(time.Duration(15+8*i)*second, func() { w.startNewer(i) })
+		cluster.At(time.Duration(15+8*i)*time.Second, func() { cluster.startNewer(i) })
 	}
-	w.Run(35 * second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-3 reads formats 1 to 1 only")
+	cluster.Run(35 * time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-3 reads formats 1 to 1 only")
 	for i := range 2 {
-		w.At(time.Duration(5+8*i)*second, func() { w.startOlder(i) })
+		cluster.At(time.Duration(5+8*i)*time.Second, func() { cluster.startOlder(i) })
 	}
-	w.Run(60 * second)
-	require.Zero(t, w.compressedRecords())
-	require.Empty(t, w.Shutdowns)
-	for i := range w.controllers {
-		require.True(t, w.controllers[i].controller.Healthy())
+	cluster.Run(60 * time.Second)
+	require.Zero(t, cluster.compressedRecords())
+	require.Empty(t, cluster.Shutdowns)
+	for i := range cluster.controllers {
+		require.True(t, cluster.controllers[i].controller.Healthy())
 	}
-	requireAllFinished(t, w)
+	requireAllFinished(t, cluster)
 }
 
 // TestRolloutPausedController: an older controller stands still across the activation,
@@ -173,28 +173,28 @@
 func TestRolloutPausedController(t *testing.T) {
 	unanswered, heldUp := 0, 0
 	for seed := range uint64(8) {
-		w := newLargeValueCluster(30+seed, 3, func(w *Cluster, i int) {
+		cluster := newLargeValueCluster(30+seed, 3, func(cluster *Cluster, i int) {
 			if i == 2 {
-				w.startOlder(i)
+				cluster.startOlder(i)
 			} else {
-				w.startNewer(i)
+				cluster.startNewer(i)
 			}
 		})
-		submitBusyLoad(w)
-		w.Run(18 * second)
-		w.DelayedCommits, w.MessageLoss = 0.6, 0.4
-		w.Run(5 * second)
-		w.Stall(2, 25*second)
-		w.DelayedCommits, w.MessageLoss = 0, 0
-		w.Run(9 * second) // its lease runs out
-		w.mustChange(t, 0, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-2", Reason: "hangs"}, http.StatusOK)
-		w.mustChange(t, 0, w.activateCompressed(), http.StatusOK)
-		w.Run(20 * second)
-		require.Len(t, w.Shutdowns, 1, "seed %d", seed)
-		unanswered += w.Observed["unanswered write"]
-		heldUp += w.Observed["call held up, rig-2"]
-		w.startNewer(2)
-		requireAllFinished(t, w)
+		submitBusyLoad(cluster)
+		cluster.Run(18 * time.Second)
+		cluster.DelayedCommits, cluster.MessageLoss = 0.6, 0.4
+		cluster.Run(5 * time.Second)
+		cluster.Stall(2, 25*time.Second)
+		cluster.DelayedCommits, cluster.MessageLoss = 0, 0
+		cluster.Run(9 * time.Second) // its lease runs out
+		cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "hangs"}, http.StatusOK)
+		cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+		cluster.Run(20 * time.Second)
+		require.Len(t, cluster.Shutdowns, 1, "seed %d", seed)
+		unanswered += cluster.Observed["unanswered write"]
+		heldUp += cluster.Observed["call held up, rig-2"]
+		cluster.startNewer(2)
+		requireAllFinished(t, cluster)
 	}
 	require.Greater(t, unanswered, 8, "writes that were carried out late")
 	require.Greater(t, heldUp, 8, "direct calls of the older controller that came late")
@@ -205,25 +205,25 @@
 func TestRolloutStartInTheMoment(t *testing.T) {
 	refused, retired := 0, 0
 	for step := range 40 {
-		w := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewer)
-		w.Run(5 * second)
-		w.Stop(2)
-		w.Run(7 * second)
-		w.mustChange(t, 0, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-2", Reason: "for long"}, http.StatusOK)
-		w.startOlder(2)
+		cluster := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewer)
+		cluster.Run(5 * time.Second)
+		cluster.Stop(2)
+		cluster.Run(7 * time.Second)
+		cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "for long"}, http.StatusOK)
+		cluster.startOlder(2)
 		var reply *controller.Reply
-		w.At(time.Duration(step)*5*time.Millisecond, func() { reply = w.changeRollout(0, w.activateCompressed()) })
-		w.Run(15 * second)
-		if w.ActiveFormat() == record.FormatCompressed {
+		cluster.At(time.Duration(step)*5*time.Millisecond, func() { reply = cluster.changeRollout(0, cluster.activateCompressed()) })
+		cluster.Run(15 * time.Second)
+		if cluster.ActiveFormat() == record.FormatCompressed {
 			require.Equal(t, http.StatusOK, reply.Status)
-			require.Len(t, w.Shutdowns, 1)
+			require.Len(t, cluster.Shutdowns, 1)
 			retired++
 		} else {
 			require.Equal(t, http.StatusConflict, reply.Status)
-			require.True(t, w.controllers[2].controller.Healthy())
+			require.True(t, cluster.controllers[2].controller.Healthy())
 			refused++
 		}
-		require.Empty(t, w.Violations)
+		require.Empty(t, cluster.Violations)
 	}
 	require.Positive(t, refused)
 	require.Positive(t, retired)
@@ -232,261 +232,261 @@
 // TestActivationAnswerLost: the activation is carried out and only its answer lost. The
 // operator is told that it may have been; asked again it is in force.
 func TestActivationAnswerLost(t *testing.T) {
-	w := newLargeValueCluster(4, 3, (*Cluster).startNewer)
-	w.Run(10 * second)
-	change := w.activateCompressed()
-	w.DelayedCommits, w.LoseAnswersOnly = 1, true
-	reply := w.changeRollout(0, change)
-	w.Run(3 * second)
-	w.DelayedCommits = 0
+	cluster := newLargeValueCluster(4, 3, (*Cluster).startNewer)
+	cluster.Run(10 * time.Second)
+	change := cluster.activateCompressed()
+	cluster.DelayedCommits, cluster.LoseAnswersOnly = 1, true
+	reply := cluster.changeRollout(0, change)
+	cluster.Run(3 * time.Second)
+	cluster.DelayedCommits = 0
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
 	require.Positive(t, reply.RetryAfter)
-	require.Equal(t, record.FormatCompressed, w.ActiveFormat())
-	require.Contains(t, w.mustChange(t, 1, change, http.StatusConflict), "stale")
-	require.Contains(t, w.mustChange(t, 1, w.activateCompressed(), http.StatusConflict), "in force already")
-	submitBusyLoad(w)
-	w.Run(30 * second)
-	require.Positive(t, w.compressedRecords())
-	requireAllFinished(t, w)
+	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
+	require.Contains(t, cluster.mustChange(t, 1, change, http.StatusConflict), "stale")
+	require.Contains(t, cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusConflict), "in force already")
+	submitBusyLoad(cluster)
+	cluster.Run(30 * time.Second)
+	require.Positive(t, cluster.compressedRecords())
+	requireAllFinished(t, cluster)
 }
 
 // TestRolloutStateService: while the state service is away the operator is told to come
 // back; one that it refuses for longer than a lease holds the activation up.
 func TestRolloutStateService(t *testing.T) {
-	w := newLargeValueCluster(5, 3, (*Cluster).startNewer)
-	submitBusyLoad(w)
-	w.Run(10 * second)
-	w.storeOutage(10 * second)
-	w.Run(4 * second)
-	reply := w.changeRollout(0, w.activateCompressed())
-	w.Run(2 * second)
+	cluster := newLargeValueCluster(5, 3, (*Cluster).startNewer)
+	submitBusyLoad(cluster)
+	cluster.Run(10 * time.Second)
+	cluster.storeOutage(10 * time.Second)
+	cluster.Run(4 * time.Second)
+	reply := cluster.changeRollout(0, cluster.activateCompressed())
+	cluster.Run(2 * time.Second)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
 	require.Positive(t, reply.RetryAfter)
-	w.Run(10 * second)
-	w.partitionFromStore(1, 20*second)
-	w.Run(8 * second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-1 is down")
-	require.Equal(t, record.FormatPlain, w.ActiveFormat())
-	w.Run(20 * second)
-	w.mustChange(t, 1, w.activateCompressed(), http.StatusOK)
-	requireAllFinished(t, w)
+	cluster.Run(10 * time.Second)
+	cluster.partitionFromStore(1, 20*time.Second)
+	cluster.Run(8 * time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-1 is down")
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat())
+	cluster.Run(20 * time.Second)
+	cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusOK)
+	requireAllFinished(t, cluster)
 }
 
 // TestExcludedControllerReturns: an exclusion holds for the processes of before only.
 // One that returns and reads too little holds the activation up again.
 func TestExcludedControllerReturns(t *testing.T) {
-	w := newLargeValueCluster(6, 3, (*Cluster).startNewer)
-	w.Run(5 * second)
-	w.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "alive"}, http.StatusConflict)
-	w.Stop(2)
-	w.Run(7 * second)
-	w.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "being repaired"}, http.StatusOK)
-	w.startOlder(2)
-	w.Run(5 * second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-2 reads formats 1 to 1 only")
-	w.Stop(2)
-	w.Run(7 * second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-2 is down")
-	w.startNewer(2)
-	w.Run(5 * second)
-	w.mustChange(t, 2, w.activateCompressed(), http.StatusOK)
-	submitBusyLoad(w)
-	requireAllFinished(t, w)
+	cluster := newLargeValueCluster(6, 3, (*Cluster).startNewer)
+	cluster.Run(5 * time.Second)
+	cluster.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "alive"}, http.StatusConflict)
+	cluster.Stop(2)
+	cluster.Run(7 * time.Second)
+	cluster.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "being repaired"}, http.StatusOK)
+	cluster.startOlder(2)
+	cluster.Run(5 * time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 reads formats 1 to 1 only")
+	cluster.Stop(2)
+	cluster.Run(7 * time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 is down")
+	cluster.startNewer(2)
+	cluster.Run(5 * time.Second)
+	cluster.mustChange(t, 2, cluster.activateCompressed(), http.StatusOK)
+	submitBusyLoad(cluster)
+	requireAllFinished(t, cluster)
 }
 
 // TestTwoOperatorsActivate: of two that activate at once, from the same version, one
 // succeeds and the other is told.
 func TestTwoOperatorsActivate(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newLargeValueCluster(200+seed, 3, (*Cluster).startNewer)
-		w.Run(6 * second)
-		first, second := w.changeRollout(0, w.activateCompressed()), w.changeRollout(1, w.activateCompressed())
-		w.Run(3 * time.Second)
-		require.ElementsMatch(t, []int{http.StatusOK, http.StatusConflict}, []int{first.Status, second.Status})
-		require.Equal(t, record.FormatCompressed, w.ActiveFormat())
-		require.Empty(t, w.Violations)
+		cluster := newLargeValueCluster(200+seed, 3, (*Cluster).startNewer)
+		cluster.Run(6 * time.Second)
+		firstReply, secondReply := cluster.changeRollout(0, cluster.activateCompressed()), cluster.changeRollout(1, cluster.activateCompressed())
+		cluster.Run(3 * time.Second)
+		require.ElementsMatch(t, []int{http.StatusOK, http.StatusConflict}, []int{firstReply.Status, secondReply.Status})
+		require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
+		require.Empty(t, cluster.Violations)
 	}
 }
 
 // TestRestartIntoMixedVersions: all end and come back, some of them older, before and
 // after the activation.
 func TestRestartIntoMixedVersions(t *testing.T) {
-	w := newLargeValueCluster(7, 4, (*Cluster).startNewer)
-	submitBusyLoad(w)
-	w.Run(12 * second)
+	cluster := newLargeValueCluster(7, 4, (*Cluster).startNewer)
+	submitBusyLoad(cluster)
+	cluster.Run(12 * time.Second)
 	mixed := func() {
-		for i := range w.controllers {
-			w.Stop(i)
+		for i := range cluster.controllers {
+			cluster.Stop(i)
 		}
-		w.Run(3 * second)
-		for i := range w.controllers {
+		cluster.Run(3 * time.Second)
+		for i := range cluster.controllers {
 			if i%2 == 0 {
-				w.startNewer(i)
+				cluster.startNewer(i)
 			} else {
-				w.startOlder(i)
+				cluster.startOlder(i)
 			}
 		}
-		w.Run(10 * second)
+		cluster.Run(10 * time.Second)
 	}
 	mixed()
-	require.Empty(t, w.Shutdowns)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-1 reads")
-	w.startNewer(1)
-	w.startNewer(3)
-	w.Run(8 * second)
-	w.mustChange(t, 1, w.activateCompressed(), http.StatusOK)
-	w.Run(5 * second)
+	require.Empty(t, cluster.Shutdowns)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-1 reads")
+	cluster.startNewer(1)
+	cluster.startNewer(3)
+	cluster.Run(8 * time.Second)
+	cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusOK)
+	cluster.Run(5 * time.Second)
 	mixed()
-	require.Len(t, w.Shutdowns, 2)
-	require.True(t, w.controllers[0].controller.Healthy() && w.controllers[2].controller.Healthy())
-	requireAllFinished(t, w)
+	require.Len(t, cluster.Shutdowns, 2)
+	require.True(t, cluster.controllers[0].controller.Healthy() && cluster.controllers[2].controller.Healthy())
+	requireAllFinished(t, cluster)
 }
 
 // TestLinesOfEarlierFormat: copies of lines from before the activation, and from
 // processes of before, come long after it.
 func TestLinesOfEarlierFormat(t *testing.T) {
-	w := newLargeValueCluster(8, 3, (*Cluster).startNewer)
-	w.DuplicatedPeerMessages = 0.2
-	submitBusyLoad(w)
-	w.Run(30 * second)
-	w.mustChange(t, 0, w.activateCompressed(), http.StatusOK)
-	w.At(5*second, func() { w.restart(1, 2*second) })
-	w.Run(70 * second)
-	w.DuplicatedPeerMessages = 0
-	require.Greater(t, w.Observed["line of an earlier format"], 20)
-	requireAllFinished(t, w)
+	cluster := newLargeValueCluster(8, 3, (*Cluster).startNewer)
+	cluster.DuplicatedPeerMessages = 0.2
+	submitBusyLoad(cluster)
+	cluster.Run(30 * time.Second)
+	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	cluster.At(5*time.Second, func() { cluster.restart(1, 2*time.Second) })
+	cluster.Run(70 * time.Second)
+	cluster.DuplicatedPeerMessages = 0
+	require.Greater(t, cluster.Observed["line of an earlier format"], 20)
+	requireAllFinished(t, cluster)
 }
 
 // TestUnregisteredBuild: a build that knows of no registration lists itself among the
 // living and registers nothing. It holds the activation up, also over the record that
 // a newer process of the same controller left.
 func TestUnregisteredBuild(t *testing.T) {
-	w := newLargeValueCluster(9, 3, (*Cluster).startNewer)
-	w.Run(6 * second)
-	w.Stop(2)
-	w.Run(7 * second)
-	lease := w.store.Grant(w.now, controller.Time(time.Hour))
+	cluster := newLargeValueCluster(9, 3, (*Cluster).startNewer)
+	cluster.Run(6 * time.Second)
+	cluster.Stop(2)
+	cluster.Run(7 * time.Second)
+	lease := cluster.store.Grant(cluster.now, controller.Time(time.Hour))
 	enrol := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
-	require.Equal(t, controller.Succeeded, w.store.Commit(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
-	w.Run(second)
-	require.Contains(t, w.mustChange(t, 0, w.activateCompressed(), http.StatusConflict), "rig-2 runs a build that does not register")
-	w.mustChange(t, 0, wire.AdminRolloutChange{Version: w.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
-	require.Equal(t, record.FormatPlain, w.ActiveFormat())
+	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
+	cluster.Run(time.Second)
+	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 runs a build that does not register")
+	cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat())
 }
 
 // TestAutomaticActivation: where the deployment wants it, a format comes into force by
 // itself, once all have been ready for long enough without a break.
 func TestAutomaticActivation(t *testing.T) {
-	w := newLargeValueCluster(10, 3, func(w *Cluster, i int) {
-		f, settle := config.DefaultFeatures(), 20.0
-		f.Rollout.Activation, f.Rollout.SettleS = config.ActivationAutomatic, &settle
-		w.Features[i] = f
-		w.Start(i)
+	cluster := newLargeValueCluster(10, 3, func(cluster *Cluster, i int) {
+		features, settle := config.DefaultFeatures(), 20.0
+		features.Rollout.Activation, features.Rollout.SettleS = config.ActivationAutomatic, &settle
+		cluster.Features[i] = features
+		cluster.Start(i)
 	})
-	w.Run(15 * second)
-	w.Stop(1)
-	w.Run(30 * second)
-	require.Equal(t, record.FormatPlain, w.ActiveFormat(), "one is down")
-	w.Start(1)
-	w.Run(15 * second)
-	require.Equal(t, record.FormatPlain, w.ActiveFormat(), "not settled")
-	w.Run(15 * second)
-	require.Equal(t, record.Newest, w.ActiveFormat())
-	require.Empty(t, w.Violations)
+	cluster.Run(15 * time.Second)
+	cluster.Stop(1)
+	cluster.Run(30 * time.Second)
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "one is down")
+	cluster.Start(1)
+	cluster.Run(15 * time.Second)
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "not settled")
+	cluster.Run(15 * time.Second)
+	require.Equal(t, record.Newest, cluster.ActiveFormat())
+	require.Empty(t, cluster.Violations)
 }
 
 // TestDamagedRecords: a job record and a placement record that cannot be understood are
 // left alone, with what they speak of, and take nothing else down.
 func TestDamagedRecords(t *testing.T) {
-	w := newLargeValueCluster(11, 3, (*Cluster).startNewer)
-	w.Run(5 * second)
-	w.mustChange(t, 0, w.activateCompressed(), http.StatusOK)
-	submitBusyLoad(w)
+	cluster := newLargeValueCluster(11, 3, (*Cluster).startNewer)
+	cluster.Run(5 * time.Second)
+	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	submitBusyLoad(cluster)
 	spec, _ := testJob(2000, 0) // of the team whose records stay whole
 	spec.Tasks, spec.Team = 2, "red"
-	w.At(0, func() { w.Submit(spec, 150*second) })
-	w.Run(20 * second)
+	cluster.At(0, func() { cluster.Submit(spec, 150*time.Second) })
+	cluster.Run(20 * time.Second)
 
-	damaged := map[string]json.RawMessage{}
-	damage := func(key string) {
-		value, version, ok := w.store.Get(key)
+	corrupted := map[string]json.RawMessage{}
+	corruptRecord := func(key string) {
+		value, version, ok := cluster.store.Get(key)
 		require.True(t, ok, key)
-		damaged[key] = value
-		spoilt := json.RawMessage(`"KLUv/WQ="`)
-		require.Equal(t, controller.Succeeded, w.store.Commit(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
-			Then: []wire.Change{{Put: key, Value: spoilt}}}).Outcome)
+		corrupted[key] = value
+		corrupt := json.RawMessage(`"KLUv/WQ="`)
+		require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
+			Then: []wire.Change{{Put: key, Value: corrupt}}}).Outcome)
 	}
-	damage(record.JobKey(spec.ID))
-	for _, e := range w.store.List(record.PlacementPrefix + "blue/") {
-		if len(decodePage(e.Value).Groups) > 0 {
-			damage(e.Key)
+	corruptRecord(record.JobKey(spec.ID))
+	for _, entry := range cluster.store.List(record.PlacementPrefix + "blue/") {
+		if len(decodePage(entry.Value).Groups) > 0 {
+			corruptRecord(entry.Key)
 			break
 		}
 	}
-	require.Len(t, damaged, 2)
-	lost := w.Observed["lost write"]
-	w.Run(15 * second)
-	require.Less(t, w.Observed["lost write"]-lost, 30, "writes that are lost over and over")
-	for i := range w.controllers { // also where nothing is remembered from before
-		w.restart(i, 2*second)
+	require.Len(t, corrupted, 2)
+	lost := cluster.Observed["lost write"]
+	cluster.Run(15 * time.Second)
+	require.Less(t, cluster.Observed["lost write"]-lost, 30, "writes that are lost over and over")
+	for i := range cluster.controllers { // also where nothing is remembered from before
+		cluster.restart(i, 2*time.Second)
 	}
-	w.Run(25 * second)
+	cluster.Run(25 * time.Second)
 	reply := &controller.Reply{}
-	w.sendToController(w.controllers[0], func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: spec.ID} }, func(r controller.Reply) { *reply = r })
-	w.Run(second)
+	cluster.sendToController(cluster.controllers[0], func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: spec.ID} }, func(received controller.Reply) { *reply = received })
+	cluster.Run(time.Second)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
-	require.Len(t, w.jobs[spec.ID].active(), 2, "its tasks run on")
+	require.Len(t, cluster.jobs[spec.ID].active(), 2, "its tasks run on")
 	red := 0
-	for id, j := range w.jobs {
-		if j.spec.Team == "red" && id != spec.ID && j.submittedAt > w.now.Add(-20*second) && j.startedAt != 0 {
+	for id, job := range cluster.jobs {
+		if job.spec.Team == "red" && id != spec.ID && job.submittedAt > cluster.now.Add(-20*time.Second) && job.startedAt != 0 {
 			red++
 		}
 	}
 	require.Positive(t, red, "the other team's jobs start")
 
-	for key, value := range damaged {
-		_, version, _ := w.store.Get(key)
-		require.Equal(t, controller.Succeeded, w.store.Commit(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
+	for key, value := range corrupted {
+		_, version, _ := cluster.store.Get(key)
+		require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{If: []wire.Condition{{Key: key, Version: version}},
 			Then: []wire.Change{{Put: key, Value: value}}}).Outcome)
 	}
-	requireAllFinished(t, w)
+	requireAllFinished(t, cluster)
 }
 
 // TestSettingsOutliveAnOlderController: settings that a later release stored keep its
 // fields when they are changed through an older controller, and apply on all.
 func TestSettingsOutliveAnOlderController(t *testing.T) {
-	w := newLargeValueCluster(12, 3, func(w *Cluster, i int) {
+	cluster := newLargeValueCluster(12, 3, func(cluster *Cluster, i int) {
 		if i == 1 {
-			w.startOlder(i)
+			cluster.startOlder(i)
 		} else {
-			w.startNewer(i)
+			cluster.startNewer(i)
 		}
 	})
-	w.Run(6 * second)
+	cluster.Run(6 * time.Second)
 	stored := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":50,"of_a_later_release":{"x":[1]}}`)}
-	require.Equal(t, controller.Succeeded, w.store.Commit(wire.Transaction{Then: []wire.Change{stored}}).Outcome)
-	w.Run(2 * second)
-	_, version, _ := w.store.Get(record.SettingsKey)
+	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{stored}}).Outcome)
+	cluster.Run(2 * time.Second)
+	_, version, _ := cluster.store.Get(record.SettingsKey)
 	reply := &controller.Reply{}
 	change := wire.AdminSettings{Version: version, Settings: json.RawMessage(`{"spare_least":3}`)}
-	w.sendToController(w.controllers[1], func(id controller.RequestID) controller.Input {
+	cluster.sendToController(cluster.controllers[1], func(id controller.RequestID) controller.Input {
 		return controller.SettingsChangeRequested{Request: id, Change: change}
-	}, func(r controller.Reply) { *reply = r })
-	w.Run(2 * second)
+	}, func(received controller.Reply) { *reply = received })
+	cluster.Run(2 * time.Second)
 	require.Equal(t, http.StatusOK, reply.Status, "%v", reply.Body)
-	value, _, _ := w.store.Get(record.SettingsKey)
+	value, _, _ := cluster.store.Get(record.SettingsKey)
 	require.Contains(t, string(value), `"of_a_later_release":{"x":[1]}`)
 	require.Contains(t, string(value), `"idle_s":50`)
 	require.Contains(t, string(value), `"spare_least":3`)
 
 	strange := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":"for ever"}`)}
-	require.Equal(t, controller.Succeeded, w.store.Commit(wire.Transaction{Then: []wire.Change{strange}}).Outcome)
-	w.Run(2 * second)
-	w.sendToController(w.controllers[1], func(id controller.RequestID) controller.Input {
+	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{strange}}).Outcome)
+	cluster.Run(2 * time.Second)
+	cluster.sendToController(cluster.controllers[1], func(id controller.RequestID) controller.Input {
 		return controller.SettingsChangeRequested{Request: id, Change: change}
-	}, func(r controller.Reply) { *reply = r })
-	w.Run(2 * second)
+	}, func(received controller.Reply) { *reply = received })
+	cluster.Run(2 * time.Second)
 	require.Equal(t, http.StatusConflict, reply.Status)
-	value, _, _ = w.store.Get(record.SettingsKey)
+	value, _, _ = cluster.store.Get(record.SettingsKey)
 	require.Equal(t, string(strange.Value), string(value), "not written over")
 }
--- a/internal/simulation/shares_cases_test.go
+++ b/internal/simulation/shares_cases_test.go
@@ -20,36 +20,36 @@
 const adopted record.MovePhase = "adopted"
 
 // controllerIndex is the number of the controller with a label.
-func (w *Cluster) controllerIndex(l string) int {
-	return slices.IndexFunc(w.controllers, func(n *controllerProcess) bool { return controllerLabel(n.index) == l })
+func (c *Cluster) controllerIndex(l string) int {
+	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return controllerLabel(process.index) == l })
 }
 
 // startMove has a share moved, and returns its source and target when it has come to a
 // step.
-func (w *Cluster) startMove(t *testing.T, id wire.ShardID, step record.MovePhase) (source, target int) {
+func (c *Cluster) startMove(t *testing.T, id wire.ShardID, step record.MovePhase) (source, target int) {
 	t.Helper()
-	before := w.Shard(id)
-	source = w.controllerIndex(before.Owner.Label)
-	target = (source + 1) % len(w.controllers)
-	w.changeShards((source+2)%len(w.controllers), w.shardMove(id, target))
+	before := c.Shard(id)
+	source = c.controllerIndex(before.Owner.Label)
+	target = (source + 1) % len(c.controllers)
+	c.changeShards((source+2)%len(c.controllers), c.shardMove(id, target))
 	for range 3000 {
-		w.Run(time.Millisecond)
-		s := w.Shard(id)
+		c.Run(time.Millisecond)
+		s := c.Shard(id)
 		if s.Move != nil && s.Move.Phase == step || step == adopted && s.Epoch > before.Epoch {
 			return source, target
 		}
 	}
-	require.Fail(t, "the move never came to a step", "%s: %+v", step, w.Shard(id))
+	require.Fail(t, "the move never came to a step", "%s: %+v", step, c.Shard(id))
 	return 0, 0
 }
 
 // shuffleShards has every share moved to another controller again and again until some time.
-func (w *Cluster) shuffleShards(until time.Duration) {
-	for n := 0; w.Now()+time.Duration(n)*200*time.Millisecond < until; n++ {
-		w.At(time.Duration(n)*200*time.Millisecond, func() {
+func (c *Cluster) shuffleShards(until time.Duration) {
+	for n := 0; c.Now()+time.Duration(n)*200*time.Millisecond < until; n++ {
+		c.At(time.Duration(n)*200*time.Millisecond, func() {
 			for k := range 8 {
 				id := wire.ShardID((8*n + k) % shard.Count)
-				w.changeShards((n+k)%len(w.controllers), w.shardMove(id, (w.controllerIndex(w.Shard(id).Owner.Label)+1)%len(w.controllers)))
+				c.changeShards((n+k)%len(c.controllers), c.shardMove(id, (c.controllerIndex(c.Shard(id).Owner.Label)+1)%len(c.controllers)))
 			}
 		})
 	}
@@ -58,24 +58,24 @@
 // finishSharded lets everything end, and wants every share owned by one that lives, and moves
 // to come to rest: as the last machines are returned, controllers that hear no worker any
 // more hand over all that they own, and get their part again.
-func finishSharded(t *testing.T, w *Cluster) {
+func finishSharded(t *testing.T, cluster *Cluster) {
 	t.Helper()
-	requireAllFinished(t, w)
-	require.Zero(t, w.unownedShards())
+	requireAllFinished(t, cluster)
+	require.Zero(t, cluster.unownedShards())
 	for range 60 {
-		if w.movingShards() == 0 {
+		if cluster.movingShards() == 0 {
 			return
 		}
-		w.Run(second)
+		cluster.Run(time.Second)
 	}
-	require.Zero(t, w.movingShards(), "moves never come to rest")
+	require.Zero(t, cluster.movingShards(), "moves never come to rest")
 }
 
 // movingShards counts the shares on the move.
-func (w *Cluster) movingShards() int {
+func (c *Cluster) movingShards() int {
 	n := 0
 	for id := range wire.ShardID(shard.Count) {
-		if w.Shard(id).Move != nil {
+		if c.Shard(id).Move != nil {
 			n++
 		}
 	}
@@ -89,29 +89,29 @@
 	t.Parallel()
 	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased, adopted} {
 		for ends, who := range []string{"source", "target", "both"} {
-			for _, back := range []time.Duration{300 * time.Millisecond, 9 * second} {
+			for _, back := range []time.Duration{300 * time.Millisecond, 9 * time.Second} {
 				t.Run(fmt.Sprint(step, " ", who, " ", back), func(t *testing.T) {
-					w := newShardedCluster(t, uint64(ends)+7, 3)
-					submitMixedJobs(w, 60, 6)
-					w.Run(10 * second)
+					cluster := newShardedCluster(t, uint64(ends)+7, 3)
+					submitMixedJobs(cluster, 60, 6)
+					cluster.Run(10 * time.Second)
 					const id = 11
-					before := w.Shard(id)
-					source, target := w.startMove(t, id, step)
+					before := cluster.Shard(id)
+					source, target := cluster.startMove(t, id, step)
 					for i, controller := range []int{source, target} {
 						if ends == i || ends == 2 {
-							w.restart(controller, back)
+							cluster.restart(controller, back)
 						}
 					}
-					w.Run(8 * second)
-					if who == "target" && back > 8*second && step != adopted {
-						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, w.Shard(id), "undone")
+					cluster.Run(8 * time.Second)
+					if who == "target" && back > 8*time.Second && step != adopted {
+						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, cluster.Shard(id), "undone")
 					}
-					w.Run(12 * second)
-					require.True(t, w.isLive(w.Shard(id).Owner))
+					cluster.Run(12 * time.Second)
+					require.True(t, cluster.isLive(cluster.Shard(id).Owner))
 					if who != "target" || step == adopted {
-						require.Greater(t, w.Shard(id).Epoch, before.Epoch)
+						require.Greater(t, cluster.Shard(id).Epoch, before.Epoch)
 					}
-					finishSharded(t, w)
+					finishSharded(t, cluster)
 				})
 			}
 		}
@@ -125,26 +125,26 @@
 	t.Parallel()
 	refused, heldUp, takenOver := 0, 0, 0
 	for seed := range uint64(10) {
-		w := newShardedCluster(t, 40+seed, 3)
-		submitBusyLoad(w)
-		w.Run(12 * second)
+		cluster := newShardedCluster(t, 40+seed, 3)
+		submitBusyLoad(cluster)
+		cluster.Run(12 * time.Second)
 		frozen := int(seed) % 3
-		w.DelayCommitsOf[frozen], w.MessageLoss = true, 0.3
-		w.Run(5 * second)
-		w.Stall(frozen, 50*second)
-		w.DelayCommitsOf[frozen], w.MessageLoss = false, 0
+		cluster.DelayCommitsOf[frozen], cluster.MessageLoss = true, 0.3
+		cluster.Run(5 * time.Second)
+		cluster.Stall(frozen, 50*time.Second)
+		cluster.DelayCommitsOf[frozen], cluster.MessageLoss = false, 0
 		// Its lease runs out, or later, where a renewal of it was held up on its way.
 		for range 45 {
-			if w.Run(second); w.shardsByOwner()[controllerLabel(frozen)] == 0 {
+			if cluster.Run(time.Second); cluster.shardsByOwner()[controllerLabel(frozen)] == 0 {
 				break
 			}
 		}
-		require.Zero(t, w.shardsByOwner()[controllerLabel(frozen)], "seed %d", seed)
-		takenOver += w.Observed["share taken over"]
-		w.Run(50 * second)
-		refused += w.Observed["placement refused for its share"]
-		heldUp += w.Observed[fmt.Sprint("call held up, rig-", frozen)]
-		finishSharded(t, w)
+		require.Zero(t, cluster.shardsByOwner()[controllerLabel(frozen)], "seed %d", seed)
+		takenOver += cluster.Observed["share taken over"]
+		cluster.Run(50 * time.Second)
+		refused += cluster.Observed["placement refused for its share"]
+		heldUp += cluster.Observed[fmt.Sprint("call held up, rig-", frozen)]
+		finishSharded(t, cluster)
 	}
 	require.Greater(t, takenOver, 50)
 	require.Greater(t, refused, 4)
@@ -157,41 +157,41 @@
 	t.Parallel()
 	seen := map[string]int{}
 	for seed := range uint64(6) {
-		set := testSettings()
-		set.Cluster.State.ValueKB = 8
-		set.Cluster.Teams[0].CPUsMax, set.Cluster.Teams[1].CPUsMax = 10, 12
-		w := newClusterStartedBy(set, 60+seed, 3, (*Cluster).startWithShards)
-		w.Run(10 * second)
-		w.changeSettings(`{"idle_s":5}`)
-		submitMixedJobs(w, 60, 4)
+		settings := testSettings()
+		settings.Cluster.State.ValueKB = 8
+		settings.Cluster.Teams[0].CPUsMax, settings.Cluster.Teams[1].CPUsMax = 10, 12
+		cluster := newClusterStartedBy(settings, 60+seed, 3, (*Cluster).startWithShards)
+		cluster.Run(10 * time.Second)
+		cluster.changeSettings(`{"idle_s":5}`)
+		submitMixedJobs(cluster, 60, 4)
 		for n := range 6 {
 			spec, _ := testJob(1000+n, 0)
 			spec.Tasks = 20
-			w.At(time.Duration(5+8*n)*second, func() { w.Submit(spec, 12*second) })
+			cluster.At(time.Duration(5+8*n)*time.Second, func() { cluster.Submit(spec, 12*time.Second) })
 		}
-		w.shuffleShards(w.Now() + 60*second)
+		cluster.shuffleShards(cluster.Now() + 60*time.Second)
 		for n := range 60 {
-			w.At(time.Duration(n)*second, w.countTeamsAtLimit)
+			cluster.At(time.Duration(n)*time.Second, cluster.countTeamsAtLimit)
 		}
 		for n := range 16 {
-			w.At(time.Duration(4+3*n)*second, func() {
-				w.eachBusyMachine(2, func(m *fakeMachine) {
-					if !m.hung {
-						m.hung = true
-						w.countIfShardMoves("machine hangs in a share that moves", m.id)
-						w.At(time.Duration(1+n%2*15)*second, m.resume)
+			cluster.At(time.Duration(4+3*n)*time.Second, func() {
+				cluster.eachBusyMachine(2, func(machine *fakeMachine) {
+					if !machine.hung {
+						machine.hung = true
+						cluster.countIfShardMoves("machine hangs in a share that moves", machine.id)
+						cluster.At(time.Duration(1+n%2*15)*time.Second, machine.resume)
 					}
 				})
 			})
 		}
-		w.Run(65 * second)
-		for _, m := range w.machines {
-			if m.agentEpoch > 1 {
-				w.Observed["back in a new session"]++
+		cluster.Run(65 * time.Second)
+		for _, machine := range cluster.machines {
+			if machine.agentEpoch > 1 {
+				cluster.Observed["back in a new session"]++
 			}
 		}
-		finishSharded(t, w)
-		for name, n := range w.Observed {
+		finishSharded(t, cluster)
+		for name, n := range cluster.Observed {
 			seen[name] += n
 		}
 	}
@@ -204,12 +204,12 @@
 }
 
 // changeSettings has an operator change the settings.
-func (w *Cluster) changeSettings(settings string) {
-	_, version, _ := w.store.Get(record.SettingsKey)
-	w.sendToController(w.controllers[0], func(id controller.RequestID) controller.Input {
+func (c *Cluster) changeSettings(settings string) {
+	_, version, _ := c.store.Get(record.SettingsKey)
+	c.sendToController(c.controllers[0], func(id controller.RequestID) controller.Input {
 		return controller.SettingsChangeRequested{Request: id, Change: wire.AdminSettings{Version: version, Settings: json.RawMessage(settings)}}
 	}, func(controller.Reply) {})
-	w.Run(second)
+	c.Run(time.Second)
 }
 
 // TestGangOverShares: a gang that needs more machines than any controller owns, and none can
@@ -217,24 +217,24 @@
 func TestGangOverShares(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := newLargeValueCluster(80+seed, 3, (*Cluster).startWithShards)
-		w.Capacity = 0
-		w.Run(15 * second)
-		w.changeSettings(`{"idle_s":86400}`)
+		cluster := newLargeValueCluster(80+seed, 3, (*Cluster).startWithShards)
+		cluster.Capacity = 0
+		cluster.Run(15 * time.Second)
+		cluster.changeSettings(`{"idle_s":86400}`)
 		gang, _ := testJob(1, 2)
 		gang.Tasks, gang.Cores, gang.SingleZone = 10, 4, false
-		w.Submit(gang, 10*second)
-		w.Run(12 * second)
-		began, ok := w.StartDelay(gang.ID)
+		cluster.Submit(gang, 10*time.Second)
+		cluster.Run(12 * time.Second)
+		began, ok := cluster.StartDelay(gang.ID)
 		require.True(t, ok, "seed %d", seed)
 		t.Log("gang of 10 over 12 machines began after", began)
-		w.Run(15 * second)
+		cluster.Run(15 * time.Second)
 		array, _ := testJob(3, 0)
 		array.Tasks, array.Cores = 12, 4
-		w.Submit(array, 20*second)
-		w.Run(8 * second)
-		require.Len(t, w.jobs[array.ID].active(), 12, "seed %d", seed)
-		finishSharded(t, w)
+		cluster.Submit(array, 20*time.Second)
+		cluster.Run(8 * time.Second)
+		require.Len(t, cluster.jobs[array.ID].active(), 12, "seed %d", seed)
+		finishSharded(t, cluster)
 	}
 }
 
@@ -242,17 +242,17 @@
 func TestAdoptionAnswerLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := newShardedCluster(t, 90+seed, 3)
-		submitMixedJobs(w, 60, 6)
-		w.Run(8 * second)
-		_, target := w.startMove(t, 7, record.MoveReleased)
-		before := w.Observed["unanswered write"]
-		w.DelayCommitsOf[target], w.LoseAnswersOnly = true, true
-		w.Run(2 * second)
-		w.DelayCommitsOf[target] = false
-		require.Greater(t, w.Observed["unanswered write"], before)
-		require.Equal(t, controllerLabel(target), w.Shard(7).Owner.Label)
-		finishSharded(t, w)
+		cluster := newShardedCluster(t, 90+seed, 3)
+		submitMixedJobs(cluster, 60, 6)
+		cluster.Run(8 * time.Second)
+		_, target := cluster.startMove(t, 7, record.MoveReleased)
+		before := cluster.Observed["unanswered write"]
+		cluster.DelayCommitsOf[target], cluster.LoseAnswersOnly = true, true
+		cluster.Run(2 * time.Second)
+		cluster.DelayCommitsOf[target] = false
+		require.Greater(t, cluster.Observed["unanswered write"], before)
+		require.Equal(t, controllerLabel(target), cluster.Shard(7).Owner.Label)
+		finishSharded(t, cluster)
 	}
 }
 
@@ -261,16 +261,16 @@
 func TestOutageInMove(t *testing.T) {
 	t.Parallel()
 	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
-		w := newShardedCluster(t, 95, 3)
-		submitMixedJobs(w, 60, 6)
-		w.Run(8 * second)
-		_, target := w.startMove(t, 9, step)
-		before := w.Observed["share taken over"]
-		w.storeOutage(9 * second)
-		w.Run(15 * second)
-		require.Equal(t, controllerLabel(target), w.Shard(9).Owner.Label)
-		require.Equal(t, before, w.Observed["share taken over"])
-		finishSharded(t, w)
+		cluster := newShardedCluster(t, 95, 3)
+		submitMixedJobs(cluster, 60, 6)
+		cluster.Run(8 * time.Second)
+		_, target := cluster.startMove(t, 9, step)
+		before := cluster.Observed["share taken over"]
+		cluster.storeOutage(9 * time.Second)
+		cluster.Run(15 * time.Second)
+		require.Equal(t, controllerLabel(target), cluster.Shard(9).Owner.Label)
+		require.Equal(t, before, cluster.Observed["share taken over"])
+		finishSharded(t, cluster)
 	}
 }
 
@@ -278,58 +278,58 @@
 // and one that does not enable them keeps them off; started without, it switches them off.
 func TestSharesDormant(t *testing.T) {
 	t.Parallel()
-	w := newLargeValueCluster(96, 3, func(w *Cluster, i int) {
-		w.startWithShards(i)
+	cluster := newLargeValueCluster(96, 3, func(cluster *Cluster, i int) {
+		cluster.startWithShards(i)
 		if i == 2 {
-			f := config.DefaultFeatures()
-			f.Rollout.NewestFormat = record.FormatCompressed
-			w.Features[i] = f
-			w.Start(i)
+			features := config.DefaultFeatures()
+			features.Rollout.NewestFormat = record.FormatCompressed
+			cluster.Features[i] = features
+			cluster.Start(i)
 		}
 	})
-	submitMixedJobs(w, 60, 6)
-	w.Run(15 * second)
-	require.Equal(t, record.FormatCompressed, w.ActiveFormat())
-	reply := w.changeShards(0, wire.AdminShardChange{Drain: "rig-1", Reason: "none"})
-	w.Run(second)
+	submitMixedJobs(cluster, 60, 6)
+	cluster.Run(15 * time.Second)
+	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
+	reply := cluster.changeShards(0, wire.AdminShardChange{Drain: "rig-1", Reason: "none"})
+	cluster.Run(time.Second)
 	require.Equal(t, 409, reply.Status)
 	require.Contains(t, reply.Body.(wire.ErrorResponse).Error, "dormant")
 
-	w.startNewer(2) // reads all formats, and does not enable shares
-	w.Run(15 * second)
-	require.Equal(t, record.FormatSharding, w.ActiveFormat())
-	require.False(t, w.shardPolicy().Enabled)
-	require.Zero(t, w.Observed["placed in a share"])
-	w.startWithShards(2)
-	w.Run(15 * second)
-	require.True(t, w.shardPolicy().Enabled)
-	w.startNewer(0)
-	w.Run(10 * second)
-	require.False(t, w.shardPolicy().Enabled)
-	requireAllFinished(t, w)
+	cluster.startNewer(2) // reads all formats, and does not enable shares
+	cluster.Run(15 * time.Second)
+	require.Equal(t, record.FormatSharding, cluster.ActiveFormat())
+	require.False(t, cluster.shardPolicy().Enabled)
+	require.Zero(t, cluster.Observed["placed in a share"])
+	cluster.startWithShards(2)
+	cluster.Run(15 * time.Second)
+	require.True(t, cluster.shardPolicy().Enabled)
+	cluster.startNewer(0)
+	cluster.Run(10 * time.Second)
+	require.False(t, cluster.shardPolicy().Enabled)
+	requireAllFinished(t, cluster)
 }
 
 // TestDrainedControllerEnds: a drained controller hands over all its shares and ends; nothing
 // has to be taken over. Its drain ended, it gets its part again.
 func TestDrainedControllerEnds(t *testing.T) {
 	t.Parallel()
-	w := newShardedCluster(t, 97, 3)
-	submitMixedJobs(w, 60, 6)
-	reply := w.changeShards(0, wire.AdminShardChange{Drain: "rig-1", Reason: "new disks"})
-	w.Run(8 * second)
+	cluster := newShardedCluster(t, 97, 3)
+	submitMixedJobs(cluster, 60, 6)
+	reply := cluster.changeShards(0, wire.AdminShardChange{Drain: "rig-1", Reason: "new disks"})
+	cluster.Run(8 * time.Second)
 	require.Equal(t, 200, reply.Status)
-	require.Zero(t, w.shardsByOwner()["rig-1"])
-	w.Stop(1)
-	before := w.Observed["share taken over"]
-	w.Run(10 * second)
-	require.Equal(t, before, w.Observed["share taken over"])
-	w.startWithShards(1)
-	w.Run(10 * second)
-	require.Zero(t, w.shardsByOwner()["rig-1"], "it is drained still")
-	w.changeShards(2, wire.AdminShardChange{EndDrain: "rig-1"})
-	w.Run(20 * second)
-	require.InDelta(t, shard.Count/3, w.shardsByOwner()["rig-1"], shard.Tolerance)
-	finishSharded(t, w)
+	require.Zero(t, cluster.shardsByOwner()["rig-1"])
+	cluster.Stop(1)
+	before := cluster.Observed["share taken over"]
+	cluster.Run(10 * time.Second)
+	require.Equal(t, before, cluster.Observed["share taken over"])
+	cluster.startWithShards(1)
+	cluster.Run(10 * time.Second)
+	require.Zero(t, cluster.shardsByOwner()["rig-1"], "it is drained still")
+	cluster.changeShards(2, wire.AdminShardChange{EndDrain: "rig-1"})
+	cluster.Run(20 * time.Second)
+	require.InDelta(t, shard.Count/3, cluster.shardsByOwner()["rig-1"], shard.Tolerance)
+	finishSharded(t, cluster)
 }
 
 // TestReturnedMeanwhile guards the demand on the list of machines to be returned: a placement
@@ -339,23 +339,23 @@
 	t.Parallel()
 	refused := 0
 	for seed := range uint64(8) {
-		w := newCluster(t, 300+seed, 3)
-		w.Capacity = 0
-		w.Run(5 * second)
-		w.changeSettings(`{"idle_s":8}`)
-		w.Run(time.Duration(seed) * 250 * time.Millisecond)
-		w.DelayPlacements = true
+		cluster := newCluster(t, 300+seed, 3)
+		cluster.Capacity = 0
+		cluster.Run(5 * time.Second)
+		cluster.changeSettings(`{"idle_s":8}`)
+		cluster.Run(time.Duration(seed) * 250 * time.Millisecond)
+		cluster.DelayPlacements = true
 		for i := range 4 {
 			spec, run := testJob(10+i, 0)
 			spec.Tasks = 1
-			w.Submit(spec, run)
+			cluster.Submit(spec, run)
 		}
-		w.Run(6 * second)
-		w.DelayPlacements = false
-		w.Run(10 * second)
-		w.Capacity = 3
-		refused += w.Observed["placement refused for a machine to be returned"]
-		requireAllFinished(t, w)
+		cluster.Run(6 * time.Second)
+		cluster.DelayPlacements = false
+		cluster.Run(10 * time.Second)
+		cluster.Capacity = 3
+		refused += cluster.Observed["placement refused for a machine to be returned"]
+		requireAllFinished(t, cluster)
 	}
 	require.Greater(t, refused, 5)
 }
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -49,16 +49,16 @@
 
 // Get reads one key.
 func (s *Store) Get(key string) (json.RawMessage, wire.Revision, bool) {
-	v, ok := s.values[key]
-	return v.value, v.version, ok
+	stored, ok := s.values[key]
+	return stored.value, stored.version, ok
 }
 
 // List reads all keys with a prefix, in order.
 func (s *Store) List(prefix string) []wire.Entry {
 	var out []wire.Entry
-	for key, v := range s.values {
+	for key, stored := range s.values {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, wire.Entry{Key: key, Value: v.value, Version: v.version})
+			out = append(out, wire.Entry{Key: key, Value: stored.value, Version: stored.version})
 		}
 	}
 	slices.SortFunc(out, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
@@ -67,16 +67,16 @@
 
 // Changes is all changes under a prefix after a revision.
 func (s *Store) Changes(prefix string, after wire.Revision) wire.WatchResponse {
-	f := wire.WatchResponse{Revision: s.revision}
-	i, _ := slices.BinarySearchFunc(s.log, after+1, func(l wire.ChangeEvent, a wire.Revision) int {
-		return int(int64(l.Version) - int64(a))
+	changes := wire.WatchResponse{Revision: s.revision}
+	i, _ := slices.BinarySearchFunc(s.log, after+1, func(logged wire.ChangeEvent, a wire.Revision) int {
+		return int(int64(logged.Version) - int64(a))
 	})
-	for _, l := range s.log[i:] {
-		if strings.HasPrefix(l.Put+l.Delete, prefix) {
-			f.Events = append(f.Events, l)
+	for _, logged := range s.log[i:] {
+		if strings.HasPrefix(logged.Put+logged.Delete, prefix) {
+			changes.Events = append(changes.Events, logged)
 		}
 	}
-	return f
+	return changes
 }
 
 // Compact drops the changes so far from the feed: who has not read them has to read
@@ -87,34 +87,34 @@
 func (s *Store) Compacted(after wire.Revision) bool { return after < s.compactedRevision }
 
 // Commit runs a transaction.
-func (s *Store) Commit(t wire.Transaction) controller.CommitResult {
+func (s *Store) Commit(txn wire.Transaction) controller.CommitResult {
 	var failed []string
-	for _, c := range t.If {
-		if s.values[c.Key].version != c.Version {
-			failed = append(failed, c.Key)
+	for _, condition := range txn.If {
+		if s.values[condition.Key].version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
 		return controller.CommitResult{Outcome: controller.Conflict, Revision: s.revision, Failed: failed}
 	}
-	for _, ch := range t.Then {
-		if ch.LeaseID != 0 && s.leases[ch.LeaseID] == nil {
+	for _, change := range txn.Then {
+		if change.LeaseID != 0 && s.leases[change.LeaseID] == nil {
 			return controller.CommitResult{Outcome: controller.NotFound}
 		}
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.revision++
 	}
-	for _, ch := range t.Then {
-		if ch.Put != "" {
-			s.values[ch.Put] = storedValue{ch.Value, s.revision, ch.LeaseID}
-			s.log = append(s.log, wire.ChangeEvent{Put: ch.Put, Value: ch.Value, Version: s.revision})
-		} else if _, ok := s.values[ch.Delete]; ok {
-			delete(s.values, ch.Delete)
-			s.log = append(s.log, wire.ChangeEvent{Delete: ch.Delete, Version: s.revision})
+	for _, change := range txn.Then {
+		if change.Put != "" {
+			s.values[change.Put] = storedValue{change.Value, s.revision, change.LeaseID}
+			s.log = append(s.log, wire.ChangeEvent{Put: change.Put, Value: change.Value, Version: s.revision})
+		} else if _, ok := s.values[change.Delete]; ok {
+			delete(s.values, change.Delete)
+			s.log = append(s.log, wire.ChangeEvent{Delete: change.Delete, Version: s.revision})
 		}
 	}
-	if s.OnChange != nil && len(t.Then) > 0 {
+	if s.OnChange != nil && len(txn.Then) > 0 {
 		s.OnChange()
 	}
 	return controller.CommitResult{Outcome: controller.Succeeded, Revision: s.revision}
@@ -128,8 +128,8 @@
 }
 
 // Renew renews a lease and reports whether it still was.
-func (s *Store) Renew(now controller.Time, p wire.LeaseID) bool {
-	l := s.leases[p]
+func (s *Store) Renew(now controller.Time, id wire.LeaseID) bool {
+	l := s.leases[id]
 	if l != nil {
 		l.ends = now + l.ttl
 	}
@@ -138,15 +138,15 @@
 
 // Expire ends the leases that were not renewed in time.
 func (s *Store) Expire(now controller.Time) {
-	for _, p := range slices.Sorted(maps.Keys(s.leases)) {
-		l := s.leases[p]
+	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+		l := s.leases[id]
 		if now < l.ends {
 			continue
 		}
-		delete(s.leases, p)
+		delete(s.leases, id)
 		var drops []wire.Change
-		for key, v := range s.values {
-			if v.leaseID == p {
+		for key, stored := range s.values {
+			if stored.leaseID == id {
 				drops = append(drops, wire.Change{Delete: key})
 			}
 		}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -9,38 +9,38 @@
 	"lilacrill/wire"
 )
 
-func (w *Cluster) randomController() *controllerProcess {
-	return w.controllers[w.rng.IntN(len(w.controllers))]
+func (c *Cluster) randomController() *controllerProcess {
+	return c.controllers[c.rng.IntN(len(c.controllers))]
 }
 
 // Submit has a user submit a job, and repeat it until it is accepted. Its tasks
 // run for runtime.
-func (w *Cluster) Submit(spec wire.JobSpec, runtime time.Duration) {
-	j := w.jobs[spec.ID]
-	if j == nil {
-		j = &submittedJob{spec: spec, runtime: runtime, completed: map[int]bool{}, submittedAt: w.now}
-		w.jobs[spec.ID] = j
+func (c *Cluster) Submit(spec wire.JobSpec, runtime time.Duration) {
+	job := c.jobs[spec.ID]
+	if job == nil {
+		job = &submittedJob{spec: spec, runtime: runtime, completed: map[int]bool{}, submittedAt: c.now}
+		c.jobs[spec.ID] = job
 	}
 	var try func()
 	try = func() {
-		j.submitted = true
-		asked := w.now
-		w.request(func(id controller.RequestID) controller.Input {
+		job.submitted = true
+		sentAt := c.now
+		c.request(func(id controller.RequestID) controller.Input {
 			return controller.JobSubmitted{Request: id, Spec: spec}
 		},
-			func(r controller.Reply, ok bool) {
-				if s, good := r.Body.(wire.JobStatus); ok && good && (r.Status == 200 || r.Status == 201) {
-					w.recordStatus(j, asked, s.Status)
-					w.poll(j)
+			func(reply controller.Reply, ok bool) {
+				if status, good := reply.Body.(wire.JobStatus); ok && good && (reply.Status == 200 || reply.Status == 201) {
+					c.recordStatus(job, sentAt, status.Status)
+					c.poll(job)
 					return
 				}
-				if ok && r.Status == 422 {
-					if j.accepted {
-						w.violation("forgotten: repeat of %s got 422", spec.ID)
+				if ok && reply.Status == 422 {
+					if job.accepted {
+						c.violation("forgotten: repeat of %s got 422", spec.ID)
 					}
 					return
 				}
-				w.after(max(time.Second, r.RetryAfter), try)
+				c.after(max(time.Second, reply.RetryAfter), try)
 			})
 	}
 	try()
@@ -48,19 +48,19 @@
 
 // SubmitUnschedulable has a user submit a job that can never run: it must be refused for
 // good, and never be accepted.
-func (w *Cluster) SubmitUnschedulable(spec wire.JobSpec) {
+func (c *Cluster) SubmitUnschedulable(spec wire.JobSpec) {
 	var try func()
 	try = func() {
-		w.request(func(id controller.RequestID) controller.Input {
+		c.request(func(id controller.RequestID) controller.Input {
 			return controller.JobSubmitted{Request: id, Spec: spec}
-		}, func(r controller.Reply, ok bool) {
+		}, func(reply controller.Reply, ok bool) {
 			switch {
-			case ok && r.Status == 422:
-				w.Observed["refused for good"]++
-			case ok && r.Status < 300:
-				w.violation("accepted though it can never run: %s", spec.ID)
+			case ok && reply.Status == 422:
+				c.Observed["refused for good"]++
+			case ok && reply.Status < 300:
+				c.violation("accepted though it can never run: %s", spec.ID)
 			default:
-				w.after(max(time.Second, r.RetryAfter), try)
+				c.after(max(time.Second, reply.RetryAfter), try)
 			}
 		})
 	}
@@ -69,23 +69,23 @@
 
 // repeatRequests has users call off jobs that are done, and repeat submissions of jobs
 // that are not.
-func (w *Cluster) repeatRequests() {
-	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[id]
+func (c *Cluster) repeatRequests() {
+	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
+		job := c.jobs[id]
 		switch {
-		case j.lastStatus == wire.StatusDone:
-			w.Observed["cancelled when done"]++
-			w.CancelJob(id)
-		case j.accepted && !j.lastStatus.IsTerminal():
-			w.Observed["submitted again"]++
-			asked := w.now
-			w.request(func(r controller.RequestID) controller.Input {
-				return controller.JobSubmitted{Request: r, Spec: j.spec}
+		case job.lastStatus == wire.StatusDone:
+			c.Observed["cancelled when done"]++
+			c.CancelJob(id)
+		case job.accepted && !job.lastStatus.IsTerminal():
+			c.Observed["submitted again"]++
+			sentAt := c.now
+			c.request(func(r controller.RequestID) controller.Input {
+				return controller.JobSubmitted{Request: r, Spec: job.spec}
 			}, func(r controller.Reply, ok bool) {
-				if s, good := r.Body.(wire.JobStatus); ok && good {
-					w.recordStatus(j, asked, s.Status)
+				if status, good := r.Body.(wire.JobStatus); ok && good {
+					c.recordStatus(job, sentAt, status.Status)
 				} else if ok && r.Status < 429 {
-					w.violation("forgotten: repeat of %s got %d", id, r.Status)
+					c.violation("forgotten: repeat of %s got %d", id, r.Status)
 				}
 			})
 		}
@@ -93,78 +93,78 @@
 }
 
 // SubmitWithRuntimes is Submit for a job whose tasks run for different times.
-func (w *Cluster) SubmitWithRuntimes(spec wire.JobSpec, runtime func(index int) time.Duration) {
-	w.jobs[spec.ID] = &submittedJob{spec: spec, runtimeOf: runtime, completed: map[int]bool{}, submittedAt: w.now}
-	w.Submit(spec, 0)
+func (c *Cluster) SubmitWithRuntimes(spec wire.JobSpec, runtime func(index int) time.Duration) {
+	c.jobs[spec.ID] = &submittedJob{spec: spec, runtimeOf: runtime, completed: map[int]bool{}, submittedAt: c.now}
+	c.Submit(spec, 0)
 }
 
 // SubmitFailing is Submit for a job whose tasks fail on every machine.
-func (w *Cluster) SubmitFailing(spec wire.JobSpec) {
-	w.jobs[spec.ID] = &submittedJob{spec: spec, alwaysFails: true, completed: map[int]bool{}, submittedAt: w.now}
-	w.Submit(spec, 0)
+func (c *Cluster) SubmitFailing(spec wire.JobSpec) {
+	c.jobs[spec.ID] = &submittedJob{spec: spec, alwaysFails: true, completed: map[int]bool{}, submittedAt: c.now}
+	c.Submit(spec, 0)
 }
 
 // jobCompleted has the user of a job whose last task has just ended call it off, perhaps.
-func (w *Cluster) jobCompleted(j *submittedJob) {
-	if len(j.completed) < j.spec.Tasks || j.lastStatus.IsTerminal() || w.rng.Float64() >= w.CancelOnCompletion {
+func (c *Cluster) jobCompleted(job *submittedJob) {
+	if len(job.completed) < job.spec.Tasks || job.lastStatus.IsTerminal() || c.rng.Float64() >= c.CancelOnCompletion {
 		return
 	}
-	w.Observed["cancelled at its end"]++
-	w.CancelJob(j.spec.ID)
-	w.burstOfRequests(j)
+	c.Observed["cancelled at its end"]++
+	c.CancelJob(job.spec.ID)
+	c.burstOfRequests(job)
 }
 
 // burstOfRequests has users ask about a job at all controllers within milliseconds,
 // repeat its submission, and call some off at once.
-func (w *Cluster) burstOfRequests(j *submittedJob) {
-	if !w.RequestBursts {
+func (c *Cluster) burstOfRequests(job *submittedJob) {
+	if !c.RequestBursts {
 		return
 	}
 	for i, d := range []time.Duration{1, 2, 4, 7, 12, 30, 80, 200} {
-		w.after(d*time.Millisecond, func() {
-			for _, n := range w.controllers {
-				w.Observed["close look"]++
-				asked := w.now
-				if (i+n.index)%3 == 0 {
-					w.requestFrom(n, func(id controller.RequestID) controller.Input {
-						return controller.JobSubmitted{Request: id, Spec: j.spec}
+		c.after(d*time.Millisecond, func() {
+			for _, process := range c.controllers {
+				c.Observed["close look"]++
+				sentAt := c.now
+				if (i+process.index)%3 == 0 {
+					c.requestFrom(process, func(id controller.RequestID) controller.Input {
+						return controller.JobSubmitted{Request: id, Spec: job.spec}
 					},
-						func(r controller.Reply, ok bool) {
-							if s, good := r.Body.(wire.JobStatus); ok && good {
-								w.recordStatus(j, asked, s.Status)
-							} else if ok && (r.Status == 400 || r.Status == 404 || r.Status == 422) {
-								w.violation("forgotten: repeat of %s got %d", j.spec.ID, r.Status)
+						func(reply controller.Reply, ok bool) {
+							if status, good := reply.Body.(wire.JobStatus); ok && good {
+								c.recordStatus(job, sentAt, status.Status)
+							} else if ok && (reply.Status == 400 || reply.Status == 404 || reply.Status == 422) {
+								c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
 							}
 						})
 				} else {
-					w.pollFrom(n, j)
+					c.pollFrom(process, job)
 				}
 			}
 		})
 	}
-	if w.rng.IntN(4) == 0 && j.spec.Shape != wire.ShapeService {
-		w.after(3*time.Millisecond, func() { w.CancelJob(j.spec.ID) })
+	if c.rng.IntN(4) == 0 && job.spec.Shape != wire.ShapeService {
+		c.after(3*time.Millisecond, func() { c.CancelJob(job.spec.ID) })
 	}
 }
 
 // request sends a request to some controller and gives up after 5 s.
-func (w *Cluster) request(makeInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
-	w.requestFrom(w.randomController(), makeInput, then)
+func (c *Cluster) request(newInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
+	c.requestFrom(c.randomController(), newInput, then)
 }
 
 // requestFrom is ask at a certain controller.
-func (w *Cluster) requestFrom(n *controllerProcess, makeInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
+func (c *Cluster) requestFrom(process *controllerProcess, newInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
 	open := true
-	w.after(5*time.Second, func() {
+	c.after(5*time.Second, func() {
 		if open {
 			open = false
 			then(controller.Reply{}, false)
 		}
 	})
-	w.sendToController(n, makeInput, func(r controller.Reply) {
+	c.sendToController(process, newInput, func(reply controller.Reply) {
 		if open {
 			open = false
-			then(r, true)
+			then(reply, true)
 		}
 	})
 }
@@ -173,110 +173,110 @@
 // and what is the case.
 //
 // An answer to a request that was sent before the user knew better may be old.
-func (w *Cluster) recordStatus(j *submittedJob, asked controller.Time, s wire.Status) {
-	j.accepted, j.answeredAt = true, w.now
-	if j.lastStatus.IsTerminal() && s != j.lastStatus && asked > j.terminalAt {
-		w.violation("went_back: %s was %s and is now %s", j.spec.ID, j.lastStatus, s)
+func (c *Cluster) recordStatus(job *submittedJob, sentAt controller.Time, status wire.Status) {
+	job.accepted, job.answeredAt = true, c.now
+	if job.lastStatus.IsTerminal() && status != job.lastStatus && sentAt > job.terminalAt {
+		c.violation("went_back: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
 	}
-	if s == wire.StatusCancelled && !j.cancelRequested {
-		w.violation("went_back: %s withdrawn, but nobody asked", j.spec.ID)
+	if status == wire.StatusCancelled && !job.cancelRequested {
+		c.violation("went_back: %s withdrawn, but nobody asked", job.spec.ID)
 	}
-	if s == wire.StatusDone && len(j.completed) < j.spec.Tasks {
-		w.violation("not_done: %s told done with %d of %d", j.spec.ID, len(j.completed), j.spec.Tasks)
+	if status == wire.StatusDone && len(job.completed) < job.spec.Tasks {
+		c.violation("not_done: %s told done with %d of %d", job.spec.ID, len(job.completed), job.spec.Tasks)
 	}
-	if s.IsTerminal() && !j.lastStatus.IsTerminal() {
-		j.terminalAt = w.now
-		if s == wire.StatusCancelled {
-			w.Observed["withdrawn"]++
+	if status.IsTerminal() && !job.lastStatus.IsTerminal() {
+		job.terminalAt = c.now
+		if status == wire.StatusCancelled {
+			c.Observed["withdrawn"]++
 		}
-		w.burstOfRequests(j)
-	} else if j.lastStatus == "" {
-		w.burstOfRequests(j)
+		c.burstOfRequests(job)
+	} else if job.lastStatus == "" {
+		c.burstOfRequests(job)
 	}
-	if !j.lastStatus.IsTerminal() {
-		j.lastStatus = s
+	if !job.lastStatus.IsTerminal() {
+		job.lastStatus = status
 	}
 }
 
-func (w *Cluster) poll(j *submittedJob) {
-	w.pollOnce(j)
-	w.after(3*time.Second, func() { w.poll(j) })
+func (c *Cluster) poll(job *submittedJob) {
+	c.pollOnce(job)
+	c.after(3*time.Second, func() { c.poll(job) })
 }
 
-func (w *Cluster) pollOnce(j *submittedJob) { w.pollFrom(w.randomController(), j) }
+func (c *Cluster) pollOnce(job *submittedJob) { c.pollFrom(c.randomController(), job) }
 
-func (w *Cluster) pollFrom(n *controllerProcess, j *submittedJob) {
-	asked := w.now
-	w.requestFrom(n, func(id controller.RequestID) controller.Input {
-		return controller.JobPolled{Request: id, Job: j.spec.ID}
+func (c *Cluster) pollFrom(process *controllerProcess, job *submittedJob) {
+	sentAt := c.now
+	c.requestFrom(process, func(id controller.RequestID) controller.Input {
+		return controller.JobPolled{Request: id, Job: job.spec.ID}
 	},
-		func(r controller.Reply, ok bool) {
+		func(reply controller.Reply, ok bool) {
 			switch {
-			case ok && r.Status == 200:
-				w.recordStatus(j, asked, r.Body.(wire.JobStatus).Status)
-			case ok && r.Status == 404:
-				w.violation("forgotten: poll of %s got 404", j.spec.ID)
+			case ok && reply.Status == 200:
+				c.recordStatus(job, sentAt, reply.Body.(wire.JobStatus).Status)
+			case ok && reply.Status == 404:
+				c.violation("forgotten: poll of %s got 404", job.spec.ID)
 			}
 		})
 }
 
 // PollUnknown polls a job that nobody submitted.
-func (w *Cluster) PollUnknown(id wire.JobID) {
-	w.request(func(r controller.RequestID) controller.Input { return controller.JobPolled{Request: r, Job: id} },
+func (c *Cluster) PollUnknown(id wire.JobID) {
+	c.request(func(r controller.RequestID) controller.Input { return controller.JobPolled{Request: r, Job: id} },
 		func(r controller.Reply, ok bool) {
 			if ok && r.Status == 200 {
-				w.violation("invented: %s", id)
+				c.violation("invented: %s", id)
 			}
 		})
 }
 
 // CancelJob has a user cancel a job, and repeat it until that is answered.
-func (w *Cluster) CancelJob(id wire.JobID) {
-	j := w.jobs[id]
-	if j == nil {
+func (c *Cluster) CancelJob(id wire.JobID) {
+	job := c.jobs[id]
+	if job == nil {
 		return
 	}
-	var try func()
-	try = func() {
-		if !j.accepted {
-			w.after(time.Second, try)
+	var attempt func()
+	attempt = func() {
+		if !job.accepted {
+			c.after(time.Second, attempt)
 			return
 		}
-		if w.HangOnCancel > 0 && !j.cancelRequested {
-			for _, p := range j.active()[:min(1, len(j.active()))] {
-				if !p.machine.hung {
-					w.Observed["machine hung at a cancellation"]++
-					p.machine.hung = true
-					w.after(w.HangOnCancel, p.machine.resume)
+		if c.HangOnCancel > 0 && !job.cancelRequested {
+			for _, placed := range job.active()[:min(1, len(job.active()))] {
+				if !placed.machine.hung {
+					c.Observed["machine hung at a cancellation"]++
+					placed.machine.hung = true
+					c.after(c.HangOnCancel, placed.machine.resume)
 				}
 			}
 		}
-		j.cancelRequested = true
-		asked := w.now
-		w.request(func(r controller.RequestID) controller.Input { return controller.CancelRequested{Request: r, Job: id} },
+		job.cancelRequested = true
+		sentAt := c.now
+		c.request(func(r controller.RequestID) controller.Input { return controller.CancelRequested{Request: r, Job: id} },
 			func(r controller.Reply, ok bool) {
-				if s, good := r.Body.(wire.JobStatus); ok && good && s.Status.IsTerminal() {
-					w.recordStatus(j, asked, s.Status)
+				if status, good := r.Body.(wire.JobStatus); ok && good && status.Status.IsTerminal() {
+					c.recordStatus(job, sentAt, status.Status)
 					return
 				}
-				w.after(time.Second, try)
+				c.after(time.Second, attempt)
 			})
 	}
-	try()
+	attempt()
 }
 
 // PollStorm has users ask about all jobs many times as often for a while.
-func (w *Cluster) PollStorm(d time.Duration) {
-	end := w.now.Add(d)
+func (c *Cluster) PollStorm(d time.Duration) {
+	end := c.now.Add(d)
 	var ask func()
 	ask = func() {
-		for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-			if j := w.jobs[id]; j.accepted {
-				w.pollOnce(j)
+		for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
+			if job := c.jobs[id]; job.accepted {
+				c.pollOnce(job)
 			}
 		}
-		if w.now < end {
-			w.after(300*time.Millisecond, ask)
+		if c.now < end {
+			c.after(300*time.Millisecond, ask)
 		}
 	}
 	ask()
@@ -284,10 +284,10 @@
 
 // Unfinished names the jobs that are not over, but for services and for jobs that
 // can never end because of a mistake in them.
-func (w *Cluster) Unfinished() []wire.JobID {
+func (c *Cluster) Unfinished() []wire.JobID {
 	var out []wire.JobID
-	for id, j := range w.jobs {
-		if j.submitted && !j.lastStatus.IsTerminal() && j.spec.Shape != wire.ShapeService && (!j.alwaysFails || j.cancelRequested) {
+	for id, job := range c.jobs {
+		if job.submitted && !job.lastStatus.IsTerminal() && job.spec.Shape != wire.ShapeService && (!job.alwaysFails || job.cancelRequested) {
 			out = append(out, id)
 		}
 	}
@@ -295,10 +295,10 @@
 }
 
 // Records lists what the state service holds, for a failing test to show.
-func (w *Cluster) Records() []string {
+func (c *Cluster) Records() []string {
 	var out []string
-	for _, e := range w.store.List("l/") {
-		out = append(out, e.Key+" "+string(e.Value)+"\n")
+	for _, entry := range c.store.List("l/") {
+		out = append(out, entry.Key+" "+string(entry.Value)+"\n")
 	}
 	return out
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -160,295 +160,295 @@
 
 // active is the job's tasks that are on machines.
 func (j *submittedJob) active() []placement {
-	j.placements = slices.DeleteFunc(j.placements, func(p placement) bool { return !p.task.active })
+	j.placements = slices.DeleteFunc(j.placements, func(placed placement) bool { return !placed.task.active })
 	return j.placements
 }
 
 // NewCluster makes a world of so many controllers, not yet started.
-func NewCluster(set config.Settings, types []wire.MachineType, controllers int, seed uint64) *Cluster {
-	w := &Cluster{
-		Settings: set,
-		Lease:    config.Seconds(set.Cluster.Workers.LeaseS), HeartbeatInterval: config.Seconds(set.Cluster.Workers.ReportS),
-		GangWaitTimeout: config.Seconds(set.Cluster.Workers.GangWaitS), GangPeerTimeout: config.Seconds(set.Cluster.Workers.GangPeerS),
-		CancelTimeout: config.Seconds(set.Cluster.Workers.CancelS),
+func NewCluster(settings config.Settings, types []wire.MachineType, controllers int, seed uint64) *Cluster {
+	cluster := &Cluster{
+		Settings: settings,
+		Lease:    config.Seconds(settings.Cluster.Workers.LeaseS), HeartbeatInterval: config.Seconds(settings.Cluster.Workers.ReportS),
+		GangWaitTimeout: config.Seconds(settings.Cluster.Workers.GangWaitS), GangPeerTimeout: config.Seconds(settings.Cluster.Workers.GangPeerS),
+		CancelTimeout: config.Seconds(settings.Cluster.Workers.CancelS),
 		Capacity:      3,
 		Observed:      map[string]int{}, StorePartitioned: map[int]bool{}, WorkersPartitioned: map[int]bool{}, PeersPartitioned: map[int]bool{}, DelayCommitsOf: map[int]bool{}, Features: map[int]config.Features{},
 		rng: rand.New(rand.NewPCG(seed, 7)), store: NewStore(),
 		machinesByID: map[wire.MachineID]*fakeMachine{}, provisioned: map[string][]wire.MachineID{}, machineTypes: types,
 		jobs: map[wire.JobID]*submittedJob{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
-	w.store.OnChange = w.notifyWatchers
+	cluster.store.OnChange = cluster.notifyWatchers
 	for i := range controllers {
-		w.controllers = append(w.controllers, &controllerProcess{index: i})
+		cluster.controllers = append(cluster.controllers, &controllerProcess{index: i})
 	}
-	w.every(100*time.Millisecond, func() {
-		if !w.StoreUnavailable {
-			w.store.Expire(w.now)
+	cluster.every(100*time.Millisecond, func() {
+		if !cluster.StoreUnavailable {
+			cluster.store.Expire(cluster.now)
 		}
-		w.checkTasksAndQuotas()
+		cluster.checkTasksAndQuotas()
 	})
-	w.every(time.Second, func() {
-		w.checkNeglect()
-		w.machineListings = append(w.machineListings, machineListing{w.now, w.listMachines()})
-		if len(w.machineListings) > 15 {
-			w.machineListings = w.machineListings[1:]
+	cluster.every(time.Second, func() {
+		cluster.checkNeglect()
+		cluster.machineListings = append(cluster.machineListings, machineListing{cluster.now, cluster.listMachines()})
+		if len(cluster.machineListings) > 15 {
+			cluster.machineListings = cluster.machineListings[1:]
 		}
 	})
-	return w
+	return cluster
 }
 
 // Log sends the cores' log somewhere.
-func (w *Cluster) Log(log *slog.Logger) { w.log = log }
+func (c *Cluster) Log(log *slog.Logger) { c.log = log }
 
 // Now is the time on the world's clock.
-func (w *Cluster) Now() time.Duration { return time.Duration(w.now) }
+func (c *Cluster) Now() time.Duration { return time.Duration(c.now) }
 
-func (w *Cluster) after(d time.Duration, run func()) {
-	w.eventCount++
-	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.eventCount, run})
+func (c *Cluster) after(d time.Duration, run func()) {
+	c.eventCount++
+	heap.Push(&c.events, event{c.now.Add(max(d, 0)), c.eventCount, run})
 }
 
 // At runs f after d.
-func (w *Cluster) At(d time.Duration, f func()) { w.after(d, f) }
+func (c *Cluster) At(d time.Duration, f func()) { c.after(d, f) }
 
-func (w *Cluster) every(d time.Duration, f func()) {
+func (c *Cluster) every(d time.Duration, f func()) {
 	var loop func()
 	loop = func() {
 		f()
-		w.after(d, loop)
+		c.after(d, loop)
 	}
-	w.after(0, loop)
+	c.after(0, loop)
 }
 
 // Run lets time pass.
-func (w *Cluster) Run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.events) > 0 && w.events[0].at <= end {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+func (c *Cluster) Run(d time.Duration) {
+	end := c.now.Add(d)
+	for len(c.events) > 0 && c.events[0].at <= end {
+		e := heap.Pop(&c.events).(event)
+		c.now = e.at
 		e.run()
 	}
-	w.now = end
+	c.now = end
 }
 
-func (w *Cluster) violation(format string, args ...any) {
-	w.Violations = append(w.Violations, fmt.Sprintf("%v: ", time.Duration(w.now))+fmt.Sprintf(format, args...))
+func (c *Cluster) violation(format string, args ...any) {
+	c.Violations = append(c.Violations, fmt.Sprintf("%v: ", time.Duration(c.now))+fmt.Sprintf(format, args...))
 }
 
 // latency is how long one message takes.
-func (w *Cluster) latency() time.Duration {
-	d := time.Duration(500+w.rng.IntN(2500)) * time.Microsecond
-	if w.rng.IntN(200) == 0 {
-		d += time.Duration(w.rng.IntN(300)) * time.Millisecond
+func (c *Cluster) latency() time.Duration {
+	d := time.Duration(500+c.rng.IntN(2500)) * time.Microsecond
+	if c.rng.IntN(200) == 0 {
+		d += time.Duration(c.rng.IntN(300)) * time.Millisecond
 	}
 	return d
 }
 
 // Start starts a controller, or ends it and starts it again.
-func (w *Cluster) Start(i int) {
-	n := w.controllers[i]
-	w.Stop(i)
-	set := w.Settings
-	set.Label = controllerLabel(i)
-	set.Siblings = nil
-	for k := range w.controllers {
+func (c *Cluster) Start(i int) {
+	process := c.controllers[i]
+	c.Stop(i)
+	settings := c.Settings
+	settings.Label = controllerLabel(i)
+	settings.Siblings = nil
+	for k := range c.controllers {
 		if k != i {
-			set.Siblings = append(set.Siblings, config.Sibling{Label: controllerLabel(k)})
+			settings.Siblings = append(settings.Siblings, config.Sibling{Label: controllerLabel(k)})
 		}
 	}
-	set.Cluster.Size = len(w.controllers)
-	set.Features = config.DefaultFeatures()
-	if f, ok := w.Features[i]; ok {
-		set.Features = f
+	settings.Cluster.Size = len(c.controllers)
+	settings.Features = config.DefaultFeatures()
+	if features, ok := c.Features[i]; ok {
+		settings.Features = features
 	}
-	n.controller = controller.New(&set, w.log.With("node", set.Label, "gen", n.generation), w.rng.Uint64())
-	n.startedAt, n.formats = w.now, set.Features.Rollout.Formats()
-	n.replyHandlers = map[controller.RequestID]func(controller.Reply){}
-	n.stalled, n.bufferedInputs, n.directCalls = false, nil, 0
-	gen := n.generation
+	process.controller = controller.New(&settings, c.log.With("node", settings.Label, "gen", process.generation), c.rng.Uint64())
+	process.startedAt, process.formats = c.now, settings.Features.Rollout.Formats()
+	process.replyHandlers = map[controller.RequestID]func(controller.Reply){}
+	process.stalled, process.bufferedInputs, process.directCalls = false, nil, 0
+	generation := process.generation
 	var tick func()
 	tick = func() {
-		if n.generation == gen {
-			w.step(n, controller.Tick{})
-			w.after(controller.TickEvery, tick)
+		if process.generation == generation {
+			c.step(process, controller.Tick{})
+			c.after(controller.TickEvery, tick)
 		}
 	}
 	tick()
-	w.replayHeartbeats(n)
+	c.replayHeartbeats(process)
 }
 
 // controllerLabel is the label of a controller.
 func controllerLabel(i int) string { return fmt.Sprintf("rig-%d", i) }
 
 // Stop ends a controller.
-func (w *Cluster) Stop(i int) {
-	w.controllers[i].generation++
-	w.controllers[i].controller = nil
+func (c *Cluster) Stop(i int) {
+	c.controllers[i].generation++
+	c.controllers[i].controller = nil
 }
 
 // Stall has a controller stand still for a while, its clocks running on. What
 // comes meanwhile waits for it in buffers, and is handled first when it goes on.
-func (w *Cluster) Stall(i int, d time.Duration) {
-	n := w.controllers[i]
-	if n.controller == nil || n.stalled {
+func (c *Cluster) Stall(i int, d time.Duration) {
+	process := c.controllers[i]
+	if process.controller == nil || process.stalled {
 		return
 	}
-	n.stalled = true
-	gen := n.generation
-	w.after(d, func() {
-		if n.generation != gen {
+	process.stalled = true
+	generation := process.generation
+	c.after(d, func() {
+		if process.generation != generation {
 			return
 		}
-		n.stalled = false
-		held := n.bufferedInputs
-		n.bufferedInputs = nil
+		process.stalled = false
+		held := process.bufferedInputs
+		process.bufferedInputs = nil
 		for _, in := range held {
-			w.step(n, in)
+			c.step(process, in)
 		}
 	})
 }
 
-func (w *Cluster) step(n *controllerProcess, in controller.Input) {
-	if n.stalled {
+func (c *Cluster) step(process *controllerProcess, in controller.Input) {
+	if process.stalled {
 		if _, tick := in.(controller.Tick); !tick {
-			n.bufferedInputs = append(n.bufferedInputs, in)
+			process.bufferedInputs = append(process.bufferedInputs, in)
 		}
 		return
 	}
-	wall := 1_700_000_000_000 + time.Duration(w.now).Milliseconds() + int64(n.index)*20
-	for _, o := range n.controller.Step(w.now-n.startedAt, wall, in) {
-		w.execute(n, o)
+	wall := 1_700_000_000_000 + time.Duration(c.now).Milliseconds() + int64(process.index)*20
+	for _, o := range process.controller.Step(c.now-process.startedAt, wall, in) {
+		c.execute(process, o)
 	}
 }
 
 // completeCall hands a call's result back, if the caller still lives.
-func (w *Cluster) completeCall(n *controllerProcess, gen int, d time.Duration, id controller.CallID, result controller.Result) {
-	w.after(d, func() {
-		if n.generation == gen {
-			w.step(n, controller.CallCompleted{Call: id, Result: result})
+func (c *Cluster) completeCall(process *controllerProcess, generation int, d time.Duration, call controller.CallID, result controller.Result) {
+	c.after(d, func() {
+		if process.generation == generation {
+			c.step(process, controller.CallCompleted{Call: call, Result: result})
 		}
 	})
 }
 
-func (w *Cluster) execute(n *controllerProcess, o controller.Output) {
-	gen := n.generation
+func (c *Cluster) execute(process *controllerProcess, o controller.Output) {
+	generation := process.generation
 	switch o := o.(type) {
 	case controller.Reply:
-		then := n.replyHandlers[o.Request]
-		delete(n.replyHandlers, o.Request)
-		if then != nil && w.rng.Float64() >= w.MessageLoss {
-			w.after(w.latency(), func() { then(o) })
+		then := process.replyHandlers[o.Request]
+		delete(process.replyHandlers, o.Request)
+		if then != nil && c.rng.Float64() >= c.MessageLoss {
+			c.after(c.latency(), func() { then(o) })
 		}
 	case controller.LoadKeys:
-		w.loadKeys(n, o)
+		c.loadKeys(process, o)
 	case controller.Watch:
 		if o.Block == 0 {
-			w.callStore(n, o.Call, controller.WatchResult{Outcome: controller.NotExecuted}, controller.WatchResult{Outcome: controller.Unknown}, func() controller.Result { return w.watchResult(o) })
+			c.callStore(process, o.Call, controller.WatchResult{Outcome: controller.NotExecuted}, controller.WatchResult{Outcome: controller.Unknown}, func() controller.Result { return c.watchResult(o) })
 			return
 		}
-		wt := &watcher{watch: o, process: n, generation: gen}
-		w.watchers = append(w.watchers, wt)
-		w.after(w.latency(), func() { w.serveWatcher(wt, false) })
-		w.after(o.Block, func() { w.serveWatcher(wt, true) })
+		watch := &watcher{watch: o, process: process, generation: generation}
+		c.watchers = append(c.watchers, watch)
+		c.after(c.latency(), func() { c.serveWatcher(watch, false) })
+		c.after(o.Block, func() { c.serveWatcher(watch, true) })
 	case controller.GetKey:
-		w.callStore(n, o.Call, controller.GetResult{Outcome: controller.NotExecuted}, controller.GetResult{Outcome: controller.Unknown}, func() controller.Result {
-			v, version, ok := w.store.Get(o.Key)
+		c.callStore(process, o.Call, controller.GetResult{Outcome: controller.NotExecuted}, controller.GetResult{Outcome: controller.Unknown}, func() controller.Result {
+			v, version, ok := c.store.Get(o.Key)
 			if !ok {
 				return controller.GetResult{Outcome: controller.NotFound}
 			}
 			return controller.GetResult{Value: v, Version: version}
 		})
 	case controller.Commit:
-		w.checkTransaction(o.Txn)
-		reads := n.formats
+		c.checkTransaction(o.Txn)
+		reads := process.formats
 		exec := func() controller.CommitResult {
-			before, owners := w.teamAttempts(o.Txn), w.shardsWritten(o.Txn)
-			r := w.store.Commit(o.Txn)
-			if r.Outcome == controller.Succeeded {
-				w.checkPlacedJobs(o.Txn, before)
-				w.checkPlacementOwners(n, o.Txn, before)
-				w.checkShardChanges(o.Txn, owners)
-				w.checkLivenessFormat(o.Txn, reads)
-			} else if r.Outcome == controller.Conflict {
-				w.Observed["lost write"]++
-				w.countRejectedPlacement(o.Txn, before, r.Failed)
+			before, owners := c.teamAttempts(o.Txn), c.shardsWritten(o.Txn)
+			result := c.store.Commit(o.Txn)
+			if result.Outcome == controller.Succeeded {
+				c.checkPlacedJobs(o.Txn, before)
+				c.checkPlacementOwners(process, o.Txn, before)
+				c.checkShardChanges(o.Txn, owners)
+				c.checkLivenessFormat(o.Txn, reads)
+			} else if result.Outcome == controller.Conflict {
+				c.Observed["lost write"]++
+				c.countRejectedPlacement(o.Txn, before, result.Failed)
 			}
-			return r
+			return result
 		}
-		if (w.rng.Float64() < w.DelayedCommits || w.DelayCommitsOf[n.index] || w.DelayPlacements && w.addsPlacements(o.Txn)) && !w.StoreUnavailable && !w.StorePartitioned[n.index] {
-			w.completeCall(n, gen, callTimeout, o.Call, controller.CommitResult{Outcome: controller.Unknown})
-			d := w.latency()
-			if !w.LoseAnswersOnly {
-				d = 2*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
+		if (c.rng.Float64() < c.DelayedCommits || c.DelayCommitsOf[process.index] || c.DelayPlacements && c.addsPlacements(o.Txn)) && !c.StoreUnavailable && !c.StorePartitioned[process.index] {
+			c.completeCall(process, generation, callTimeout, o.Call, controller.CommitResult{Outcome: controller.Unknown})
+			d := c.latency()
+			if !c.LoseAnswersOnly {
+				d = 2*time.Second + time.Duration(c.rng.Int64N(int64(10*time.Second)))
 			}
-			w.after(d, func() {
+			c.after(d, func() {
 				if exec().Outcome == controller.Succeeded {
-					w.Observed["unanswered write"]++
+					c.Observed["unanswered write"]++
 				}
 			})
 			return
 		}
-		w.callStore(n, o.Call, controller.CommitResult{Outcome: controller.NotExecuted}, controller.CommitResult{Outcome: controller.Unknown}, func() controller.Result { return exec() })
+		c.callStore(process, o.Call, controller.CommitResult{Outcome: controller.NotExecuted}, controller.CommitResult{Outcome: controller.Unknown}, func() controller.Result { return exec() })
 	case controller.GrantLease:
-		w.callStore(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
-			return controller.LeaseResult{LeaseID: w.store.Grant(w.now, controller.Time(o.TTL))}
+		c.callStore(process, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
+			return controller.LeaseResult{LeaseID: c.store.Grant(c.now, controller.Time(o.TTL))}
 		})
 	case controller.RenewLease:
-		w.callStore(n, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
-			if !w.store.Renew(w.now, o.LeaseID) {
+		c.callStore(process, o.Call, controller.LeaseResult{Outcome: controller.NotExecuted}, controller.LeaseResult{Outcome: controller.Unknown}, func() controller.Result {
+			if !c.store.Renew(c.now, o.LeaseID) {
 				return controller.LeaseResult{Outcome: controller.NotFound}
 			}
 			return controller.LeaseResult{LeaseID: o.LeaseID}
 		})
 	case controller.RolloutEvent:
-		w.Observed[string(o.Kind)]++
+		c.Observed[string(o.Kind)]++
 	case controller.Shutdown:
-		w.Shutdowns = append(w.Shutdowns, ShutdownEvent{Controller: n.index, Cause: o.Cause})
-		w.after(0, func() {
-			if n.generation == gen {
-				w.Stop(n.index)
+		c.Shutdowns = append(c.Shutdowns, ShutdownEvent{Controller: process.index, Cause: o.Cause})
+		c.after(0, func() {
+			if process.generation == generation {
+				c.Stop(process.index)
 			}
 		})
 	case controller.SetRateShare:
 	case controller.ReadCatalogue:
-		w.callCloud(n, o.Call, controller.CatalogueResult{Outcome: controller.NotExecuted}, func() controller.Result {
-			return controller.CatalogueResult{Catalogue: wire.Catalogue{Types: w.machineTypes}}
+		c.callCloud(process, o.Call, controller.CatalogueResult{Outcome: controller.NotExecuted}, func() controller.Result {
+			return controller.CatalogueResult{Catalogue: wire.Catalogue{Types: c.machineTypes}}
 		})
 	case controller.ListMachines:
-		w.callCloud(n, o.Call, controller.MachinesResult{Outcome: controller.NotExecuted}, func() controller.Result {
-			return controller.MachinesResult{Machines: w.machineListings[w.rng.IntN(min(len(w.machineListings), 5))+max(0, len(w.machineListings)-5)].machines}
+		c.callCloud(process, o.Call, controller.MachinesResult{Outcome: controller.NotExecuted}, func() controller.Result {
+			return controller.MachinesResult{Machines: c.machineListings[c.rng.IntN(min(len(c.machineListings), 5))+max(0, len(c.machineListings)-5)].machines}
 		})
 	case controller.ProvisionMachines:
-		w.callCloud(n, o.Call, controller.ProvisionResult{Outcome: controller.Unknown}, func() controller.Result { return w.provision(o.Request) })
+		c.callCloud(process, o.Call, controller.ProvisionResult{Outcome: controller.Unknown}, func() controller.Result { return c.provision(o.Request) })
 	case controller.TerminateMachines:
-		w.callCloud(n, o.Call, controller.TerminateResult{Outcome: controller.Unknown}, func() controller.Result {
+		c.callCloud(process, o.Call, controller.TerminateResult{Outcome: controller.Unknown}, func() controller.Result {
 			for _, id := range o.Machines {
-				if m := w.machinesByID[id]; m != nil {
-					w.countIfShardMoves("machine returned out of a share that moves", id)
-					m.terminate()
-					m.up = false
+				if machine := c.machinesByID[id]; machine != nil {
+					c.countIfShardMoves("machine returned out of a share that moves", id)
+					machine.terminate()
+					machine.up = false
 				}
 			}
 			return controller.TerminateResult{}
 		})
 	case controller.SendCommands:
-		w.callWorker(n, o.Call, o.Addr, 2*time.Second, func(m *fakeMachine) controller.WorkerResponse { return m.handleCommands(o.Body) })
+		c.callWorker(process, o.Call, o.Addr, 2*time.Second, func(machine *fakeMachine) controller.WorkerResponse { return machine.handleCommands(o.Body) })
 	case controller.RequestHeartbeat:
-		w.callWorker(n, o.Call, o.Addr, 800*time.Millisecond, func(m *fakeMachine) controller.WorkerResponse {
-			return controller.WorkerResponse{Heartbeat: m.heartbeat()}
+		c.callWorker(process, o.Call, o.Addr, 800*time.Millisecond, func(machine *fakeMachine) controller.WorkerResponse {
+			return controller.WorkerResponse{Heartbeat: machine.heartbeat()}
 		})
 	case controller.Broadcast:
-		w.checkPeerMessage(o.Message)
-		for _, s := range w.controllers {
-			if s != n && s.controller != nil && !w.PeersPartitioned[n.index] && !w.PeersPartitioned[s.index] && w.rng.Float64() >= max(w.MessageLoss, w.PeerMessageLoss) {
-				line := *o.Message
-				to, togen := s, s.generation
-				w.after(w.latency(), func() {
-					if to.generation == togen {
-						w.step(to, controller.PeerMessageReceived{Message: &line})
+		c.checkPeerMessage(o.Message)
+		for _, peer := range c.controllers {
+			if peer != process && peer.controller != nil && !c.PeersPartitioned[process.index] && !c.PeersPartitioned[peer.index] && c.rng.Float64() >= max(c.MessageLoss, c.PeerMessageLoss) {
+				message := *o.Message
+				receiver, receiverGeneration := peer, peer.generation
+				c.after(c.latency(), func() {
+					if receiver.generation == receiverGeneration {
+						c.step(receiver, controller.PeerMessageReceived{Message: &message})
 					}
 				})
-				w.duplicatePeerMessage(to, line)
+				c.duplicatePeerMessage(receiver, message)
 			}
 		}
 	default:
