--- a/internal/simulation/world_cloud.go
+++ b/internal/simulation/world_cloud.go
@@ -14,11 +14,11 @@
 	machines []wire.CloudMachine
 }
 
-func (w *Cluster) callCloud(n *controllerProcess, id controller.CallID, refused controller.Result, exec func() controller.Result) {
-	gen := n.generation
-	w.after(100*time.Millisecond, func() {
-		w.callRemote(n, gen, id, refused, func() controller.Result {
-			if w.CloudUnavailable {
+func (c *Cluster) callCloud(process *controllerProcess, call controller.CallID, refused controller.Result, exec func() controller.Result) {
+	generation := process.generation
+	c.after(100*time.Millisecond, func() {
+		c.callRemote(process, generation, call, refused, func() controller.Result {
+			if c.CloudUnavailable {
 				return refused
 			}
 			return exec()
@@ -26,61 +26,61 @@
 	})
 }
 
-func (w *Cluster) provision(h wire.ProvisionRequest) controller.ProvisionResult {
-	if names, ok := w.provisioned[h.Name]; ok {
+func (c *Cluster) provision(request wire.ProvisionRequest) controller.ProvisionResult {
+	if names, ok := c.provisioned[request.Name]; ok {
 		return controller.ProvisionResult{Machines: names}
 	}
-	i := slices.IndexFunc(w.machineTypes, func(t wire.MachineType) bool { return t.Name == h.Type })
+	i := slices.IndexFunc(c.machineTypes, func(t wire.MachineType) bool { return t.Name == request.Type })
 	inUse := 0
-	for _, m := range w.machines {
-		if !m.terminated && m.machineType.Name == h.Type && m.zone == h.Zone && m.spot == h.Spot {
+	for _, machine := range c.machines {
+		if !machine.terminated && machine.machineType.Name == request.Type && machine.zone == request.Zone && machine.spot == request.Spot {
 			inUse++
 		}
 	}
-	number := min(h.Count, w.Capacity-inUse)
+	number := min(request.Count, c.Capacity-inUse)
 	if i < 0 || number <= 0 {
 		return controller.ProvisionResult{Outcome: controller.NotExecuted, NoCapacity: true}
 	}
 	var names []wire.MachineID
 	for range number {
-		boot := time.Duration(1+w.rng.IntN(8)) * time.Second
-		if w.ProvisioningDelay != nil {
-			boot = w.ProvisioningDelay(h.Type, h.Zone)
+		boot := time.Duration(1+c.rng.IntN(8)) * time.Second
+		if c.ProvisioningDelay != nil {
+			boot = c.ProvisioningDelay(request.Type, request.Zone)
 		}
-		names = append(names, w.AddMachine(w.machineTypes[i], h.Zone, h.Spot, boot).id)
-		w.countIfShardMoves("machine rented into a share that moves", names[len(names)-1])
+		names = append(names, c.AddMachine(c.machineTypes[i], request.Zone, request.Spot, boot).id)
+		c.countIfShardMoves("machine rented into a share that moves", names[len(names)-1])
 	}
-	w.provisioned[h.Name] = names
+	c.provisioned[request.Name] = names
 	return controller.ProvisionResult{Machines: names}
 }
 
 // AddMachine rents a machine that comes up after boot.
-func (w *Cluster) AddMachine(kind wire.MachineType, zone string, spot bool, boot time.Duration) *fakeMachine {
-	m := &fakeMachine{cluster: w, id: wire.MachineID(fmt.Sprintf("m-%06d", len(w.machines))), machineType: kind, zone: zone, spot: spot,
-		provisionedAt: w.now, agentEpoch: 1, tasks: map[taskKey]*fakeTask{}, images: map[string]bool{}, controller: w.rng.IntN(len(w.controllers))}
-	w.machines = append(w.machines, m)
-	w.machinesByID[m.id] = m
-	w.after(boot, func() {
-		if !m.terminated {
-			m.up, m.leaseRenewedAt = true, w.now
-			m.heartbeatLoop()
+func (c *Cluster) AddMachine(kind wire.MachineType, zone string, spot bool, boot time.Duration) *fakeMachine {
+	machine := &fakeMachine{cluster: c, id: wire.MachineID(fmt.Sprintf("m-%06d", len(c.machines))), machineType: kind, zone: zone, spot: spot,
+		provisionedAt: c.now, agentEpoch: 1, tasks: map[taskKey]*fakeTask{}, images: map[string]bool{}, controller: c.rng.IntN(len(c.controllers))}
+	c.machines = append(c.machines, machine)
+	c.machinesByID[machine.id] = machine
+	c.after(boot, func() {
+		if !machine.terminated {
+			machine.up, machine.leaseRenewedAt = true, c.now
+			machine.heartbeatLoop()
 		}
 	})
-	return m
+	return machine
 }
 
-func (w *Cluster) listMachines() []wire.CloudMachine {
+func (c *Cluster) listMachines() []wire.CloudMachine {
 	var out []wire.CloudMachine
-	for _, m := range w.machines {
-		if m.terminated && (!m.up || w.now-m.terminatedAt > controller.Time(30*time.Second)) {
+	for _, machine := range c.machines {
+		if machine.terminated && (!machine.up || c.now-machine.terminatedAt > controller.Time(30*time.Second)) {
 			continue
 		}
-		l := wire.CloudMachine{ID: m.id, Addr: string(m.id), Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
-			Status: wire.MachineBooting, AgeS: w.now.Sub(m.provisionedAt).Seconds()}
-		if m.up {
-			l.Status = wire.MachineRunning
+		listed := wire.CloudMachine{ID: machine.id, Addr: string(machine.id), Type: machine.machineType.Name, Zone: machine.zone, Spot: machine.spot,
+			Status: wire.MachineBooting, AgeS: c.now.Sub(machine.provisionedAt).Seconds()}
+		if machine.up {
+			listed.Status = wire.MachineRunning
 		}
-		out = append(out, l)
+		out = append(out, listed)
 	}
 	return out
 }
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -43,22 +43,22 @@
 	return newClusterWith(testSettings(), seed, controllers)
 }
 
-func newClusterWith(set config.Settings, seed uint64, controllers int) *Cluster {
-	return newClusterStartedBy(set, seed, controllers, (*Cluster).Start)
+func newClusterWith(settings config.Settings, seed uint64, controllers int) *Cluster {
+	return newClusterStartedBy(settings, seed, controllers, (*Cluster).Start)
 }
 
-func newClusterStartedBy(set config.Settings, seed uint64, controllers int, start func(w *Cluster, i int)) *Cluster {
-	w := NewCluster(set, machineTypes, controllers, seed)
+func newClusterStartedBy(settings config.Settings, seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
+	cluster := NewCluster(settings, machineTypes, controllers, seed)
 	if os.Getenv("WORLD_LOG") != "" {
-		w.Log(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
+		cluster.Log(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}
 	for i := range 4 {
-		w.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
+		cluster.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
 	}
 	for i := range controllers {
-		start(w, i)
+		start(cluster, i)
 	}
-	return w
+	return cluster
 }
 
 // testJob makes a job of one of the shapes from a number.
@@ -99,91 +99,91 @@
 	"hang", "die", "notice", "slow state", "faulty", "deaf", "alone", "flicker all", "zone cut", "freeze",
 	"boots", "polls", "mute"}
 
-func (tr fault) inject(w *Cluster) {
-	n := tr.target % len(w.controllers)
+func (tr fault) inject(cluster *Cluster) {
+	n := tr.target % len(cluster.controllers)
 	machine := func() *fakeMachine {
-		for i := range w.machines {
-			if m := w.machines[(i+tr.target)%len(w.machines)]; m.up && !m.terminated && !m.hung {
-				return m
+		for i := range cluster.machines {
+			if machine := cluster.machines[(i+tr.target)%len(cluster.machines)]; machine.up && !machine.terminated && !machine.hung {
+				return machine
 			}
 		}
 		return nil
 	}
 	switch tr.kind {
 	case "crash":
-		w.Stop(n)
-		w.At(3*time.Second, func() { w.Start(n) })
+		cluster.Stop(n)
+		cluster.At(3*time.Second, func() { cluster.Start(n) })
 	case "crash all":
-		for i := range w.controllers {
-			w.Stop(i)
-			w.At(3*time.Second+time.Duration(i)*200*time.Millisecond, func() { w.Start(i) })
+		for i := range cluster.controllers {
+			cluster.Stop(i)
+			cluster.At(3*time.Second+time.Duration(i)*200*time.Millisecond, func() { cluster.Start(i) })
 		}
 	case "flicker":
-		w.Start(n)
-		w.At(300*time.Millisecond, func() { w.Start(n) })
+		cluster.Start(n)
+		cluster.At(300*time.Millisecond, func() { cluster.Start(n) })
 	case "flicker all":
 		// All are back within a fraction of a second, and some again while the
 		// others still choose owners, buyer and launchers.
-		for i := range w.controllers {
-			w.Start(i)
-			w.At(time.Duration(200+150*i)*time.Millisecond, func() { w.Start(i) })
+		for i := range cluster.controllers {
+			cluster.Start(i)
+			cluster.At(time.Duration(200+150*i)*time.Millisecond, func() { cluster.Start(i) })
 		}
 	case "alone":
-		w.StorePartitioned[n], w.PeersPartitioned[n] = true, true
-		w.At(tr.duration, func() { delete(w.StorePartitioned, n); delete(w.PeersPartitioned, n) })
+		cluster.StorePartitioned[n], cluster.PeersPartitioned[n] = true, true
+		cluster.At(tr.duration, func() { delete(cluster.StorePartitioned, n); delete(cluster.PeersPartitioned, n) })
 	case "freeze":
-		w.Stall(n, 2*tr.duration)
+		cluster.Stall(n, 2*tr.duration)
 	case "boots":
 		// Machines come up late, never, or within a moment.
 		boot := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[tr.target%3]
-		w.ProvisioningDelay = func(string, string) time.Duration { return boot }
-		w.At(2*tr.duration, func() { w.ProvisioningDelay = nil })
+		cluster.ProvisioningDelay = func(string, string) time.Duration { return boot }
+		cluster.At(2*tr.duration, func() { cluster.ProvisioningDelay = nil })
 	case "polls":
-		w.PollStorm(2 * tr.duration)
+		cluster.PollStorm(2 * tr.duration)
 	case "zone cut":
-		w.PartitionZone(zones[tr.target%len(zones)], n, 2*tr.duration)
+		cluster.PartitionZone(zones[tr.target%len(zones)], n, 2*tr.duration)
 	case "deaf":
-		if m := machine(); m != nil {
-			m.inboundPartitioned = true
-			w.At(2*tr.duration, func() { m.inboundPartitioned = false })
+		if machine := machine(); machine != nil {
+			machine.inboundPartitioned = true
+			cluster.At(2*tr.duration, func() { machine.inboundPartitioned = false })
 		}
 	case "mute":
-		if m := machine(); m != nil {
-			m.outboundPartitioned = true
-			w.At(2*tr.duration, func() { m.outboundPartitioned = false })
+		if machine := machine(); machine != nil {
+			machine.outboundPartitioned = true
+			cluster.At(2*tr.duration, func() { machine.outboundPartitioned = false })
 		}
 	case "state down":
-		w.StoreUnavailable = true
-		w.At(tr.duration, func() { w.StoreUnavailable = false; w.store.RenewAll(w.now) })
+		cluster.StoreUnavailable = true
+		cluster.At(tr.duration, func() { cluster.StoreUnavailable = false; cluster.store.RenewAll(cluster.now) })
 	case "state cut":
-		w.StorePartitioned[n] = true
-		w.At(tr.duration, func() { delete(w.StorePartitioned, n) })
+		cluster.StorePartitioned[n] = true
+		cluster.At(tr.duration, func() { delete(cluster.StorePartitioned, n) })
 	case "worker cut":
-		w.WorkersPartitioned[n] = true
-		w.At(tr.duration, func() { delete(w.WorkersPartitioned, n) })
+		cluster.WorkersPartitioned[n] = true
+		cluster.At(tr.duration, func() { delete(cluster.WorkersPartitioned, n) })
 	case "cloud down":
-		w.CloudUnavailable = true
-		w.At(tr.duration, func() { w.CloudUnavailable = false })
+		cluster.CloudUnavailable = true
+		cluster.At(tr.duration, func() { cluster.CloudUnavailable = false })
 	case "slow state":
-		w.StoreDelay = 500 * time.Millisecond
-		w.At(tr.duration, func() { w.StoreDelay = 0 })
+		cluster.StoreDelay = 500 * time.Millisecond
+		cluster.At(tr.duration, func() { cluster.StoreDelay = 0 })
 	case "hang":
-		if m := machine(); m != nil {
-			m.hung = true
-			w.At(tr.duration, m.resume)
+		if machine := machine(); machine != nil {
+			machine.hung = true
+			cluster.At(tr.duration, machine.resume)
 		}
 	case "die":
-		if m := machine(); m != nil {
-			m.terminate()
+		if machine := machine(); machine != nil {
+			machine.terminate()
 		}
 	case "notice":
-		if m := machine(); m != nil {
-			m.preemptionAt = w.now + 8_000_000_000
-			w.At(8*time.Second, m.terminate)
+		if machine := machine(); machine != nil {
+			machine.preemptionAt = cluster.now + 8_000_000_000
+			cluster.At(8*time.Second, machine.terminate)
 		}
 	case "faulty":
-		if m := machine(); m != nil {
-			m.faulty = true
+		if machine := machine(); machine != nil {
+			machine.faulty = true
 		}
 	}
 }
@@ -192,19 +192,19 @@
 func runGeneratedSchedule(t *rapid.T) *Cluster { return runGeneratedScheduleWith(t, (*Cluster).Start) }
 
 // runGeneratedScheduleWith is play with controllers that are started so.
-func runGeneratedScheduleWith(t *rapid.T, start func(w *Cluster, i int)) *Cluster {
-	set := testSettings()
-	set.Cluster.Teams = append(set.Cluster.Teams, config.Team{Name: "guest"})
-	w := newClusterStartedBy(set, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 3).Draw(t, "controllers"), start)
-	w.MessageLoss = rapid.SampledFrom([]float64{0, 0.02, 0.08}).Draw(t, "loss")
-	w.DuplicatedHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late")
+func runGeneratedScheduleWith(t *rapid.T, start func(cluster *Cluster, i int)) *Cluster {
+	settings := testSettings()
+	settings.Cluster.Teams = append(settings.Cluster.Teams, config.Team{Name: "guest"})
+	cluster := newClusterStartedBy(settings, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 3).Draw(t, "controllers"), start)
+	cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0.02, 0.08}).Draw(t, "loss")
+	cluster.DuplicatedHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late")
 	// What meets what: each is there on some days and not on others.
-	w.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "late writes")
-	w.LoseAnswersOnly = rapid.Bool().Draw(t, "at once")
-	w.ReplayedHeartbeats = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "kept reports")
-	w.CancelOnCompletion = rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cancel at end")
-	w.HangOnCancel = rapid.SampledFrom([]time.Duration{0, 0, 8 * time.Second, 50 * time.Second}).Draw(t, "hang at cancel")
-	w.RequestBursts = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "close looks")
+	cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "late writes")
+	cluster.LoseAnswersOnly = rapid.Bool().Draw(t, "at once")
+	cluster.ReplayedHeartbeats = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "kept reports")
+	cluster.CancelOnCompletion = rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cancel at end")
+	cluster.HangOnCancel = rapid.SampledFrom([]time.Duration{0, 0, 8 * time.Second, 50 * time.Second}).Draw(t, "hang at cancel")
+	cluster.RequestBursts = rapid.SampledFrom([]bool{false, false, true}).Draw(t, "close looks")
 	for n := range rapid.IntRange(4, 24).Draw(t, "jobs") {
 		spec, run := testJob(n, rapid.IntRange(0, 7).Draw(t, "kind"))
 		at := time.Duration(rapid.IntRange(0, 60).Draw(t, "at")) * time.Second
@@ -212,29 +212,29 @@
 			spec.Team = "guest"
 		}
 		if rapid.IntRange(0, 9).Draw(t, "mistaken") == 0 {
-			w.At(at, func() { w.SubmitFailing(spec) })
+			cluster.At(at, func() { cluster.SubmitFailing(spec) })
 		} else {
-			w.At(at, func() { w.Submit(spec, run) })
+			cluster.At(at, func() { cluster.Submit(spec, run) })
 		}
 		// Some services are left running, so that there is something to ask about.
 		cancelled := rapid.IntRange(0, 5).Draw(t, "cancelled")
 		if spec.Shape == wire.ShapeService && cancelled < 4 || cancelled == 0 {
-			w.At(at+time.Duration(rapid.IntRange(0, 90).Draw(t, "cancel"))*time.Second, func() { w.CancelJob(spec.ID) })
+			cluster.At(at+time.Duration(rapid.IntRange(0, 90).Draw(t, "cancel"))*time.Second, func() { cluster.CancelJob(spec.ID) })
 		}
 	}
 	for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-		tr := fault{rapid.SampledFrom(faultKinds).Draw(t, "trouble"),
+		planned := fault{rapid.SampledFrom(faultKinds).Draw(t, "trouble"),
 			time.Duration(rapid.IntRange(5, 90).Draw(t, "when")) * time.Second,
 			time.Duration(rapid.IntRange(2, 25).Draw(t, "last")) * time.Second, rapid.IntRange(0, 9).Draw(t, "who")}
-		w.At(tr.at, func() { tr.inject(w) })
+		cluster.At(planned.at, func() { planned.inject(cluster) })
 	}
-	w.At(30*time.Second, func() { w.PollUnknown("wk-999999") })
-	w.Run(130 * time.Second)
-	w.MessageLoss, w.DelayedCommits, w.ReplayedHeartbeats, w.HangOnCancel, w.RequestBursts, w.CancelOnCompletion = 0, 0, 0, 0, false, 0
-	w.Run(50 * time.Second) // the last late copies and the last trouble
-	w.FaultsOverAt = w.Now()
-	w.Run(250 * time.Second)
-	return w
+	cluster.At(30*time.Second, func() { cluster.PollUnknown("wk-999999") })
+	cluster.Run(130 * time.Second)
+	cluster.MessageLoss, cluster.DelayedCommits, cluster.ReplayedHeartbeats, cluster.HangOnCancel, cluster.RequestBursts, cluster.CancelOnCompletion = 0, 0, 0, 0, false, 0
+	cluster.Run(50 * time.Second) // the last late copies and the last trouble
+	cluster.FaultsOverAt = cluster.Now()
+	cluster.Run(250 * time.Second)
+	return cluster
 }
 
 // TestRulesHold drives several cores through generated days of losses, delays,
@@ -242,8 +242,8 @@
 // protocol's rules.
 func TestRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := runGeneratedSchedule(t)
-		require.Empty(t, w.Violations)
-		require.Empty(t, w.Unfinished(), "jobs that never ended: %v", w.Records())
+		cluster := runGeneratedSchedule(t)
+		require.Empty(t, cluster.Violations)
+		require.Empty(t, cluster.Unfinished(), "jobs that never ended: %v", cluster.Records())
 	})
 }
