--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -7,93 +7,121 @@
 )
 
 // crashLoopBackoff is what this controller knows of a job whose tasks fail. A job that was
-// submitted with a mistake fails on every machine until its user cancels it: it is
-// tried again and again, with few tasks, ever longer pauses between, and at nobody
-// else's cost.
+// submitted with a mistake fails on every machine until its user cancels it: it is retried
+// with a few canary tasks after ever longer pauses, and at no other job's cost.
 type crashLoopBackoff struct {
-	failedMachines      map[wire.MachineID]Time // machines on which tasks failed since one last went well
-	consecutiveBackoffs int                     // pauses that were made since then
+	failedMachines      map[wire.MachineID]Time // the machines on which tasks failed since the last success, and when
+	consecutiveBackoffs int                     // since the last success
 	retryAt             Time                    // no new tasks before
-	runningSince        Time                    // since when tasks were seen running without an error
-	hasSucceeded        bool                    // tasks of it went well
-	avoidMachines       map[wire.MachineID]Time
+	runningSince        Time                    // since when canary tasks have been seen running without an error
+	hasSucceeded        bool                    // a task of it completed, or ran for long enough
+	avoidMachines       map[wire.MachineID]Time // machines to avoid, and until when
 }
 
 const (
 	// minFailedMachines is on how many machines a job must have failed before it, and
-	// not they, looks at fault.
+	// not the machines, counts as faulty.
 	minFailedMachines = 3
 	// canaryTasks is how many tasks of such a job are tried after a pause.
 	canaryTasks = 2
-	// canaryPeriod is how long a task may run without an error before the job counts
-	// as one that runs after all.
+	// canaryPeriod is how long canary tasks have to run without an error before the job
+	// counts as recovered.
 	canaryPeriod = 15 * time.Second
-	// maxBackoffsWithPreemption is the number of pauses after which a job is given only what is
-	// free: nothing is rented, gathered or stopped for it any more.
+	// maxBackoffsWithPreemption is the number of consecutive backoffs after which a job gets
+	// free capacity only: nothing is provisioned, gathered or evicted for it any more.
 	maxBackoffsWithPreemption = 2
-	minCrashLoopBackoff       = 2 * time.Second // doubled with every pause in a row
+	minCrashLoopBackoff       = 2 * time.Second // doubled with every consecutive backoff
 	maxCrashLoopBackoff       = time.Minute
-	// failureLifetime is how long an error is remembered: a service that goes on for
-	// long meets several faulty machines in time.
+	maxBackoffDoublings       = 10 // keeps the doubling from overflowing
+	// failureLifetime is how long a failure is remembered: a service that runs for long
+	// meets several faulty machines in time.
 	failureLifetime = 2 * time.Minute
 
 	// faultyMachineThreshold is how many jobs must have failed on a machine that run well
-	// elsewhere.
+	// elsewhere before the machine is quarantined.
 	faultyMachineThreshold = 2
-	avoidFullMachineFor    = 3 * time.Second
-	avoidFaultyMachineFor  = 2 * time.Minute
-	unknownCauseBackoff    = 2 * time.Second
-	faultyMachineLifetime  = 5 * time.Minute
+	// unprovenJobWeight is how much a job counts of which no task has succeeded yet: it may
+	// be faulty itself.
+	unprovenJobWeight     = 0.5
+	avoidFullMachineFor   = 3 * time.Second
+	avoidFaultyMachineFor = 2 * time.Minute
+	unknownCauseBackoff   = 2 * time.Second
+	faultyMachineLifetime = 5 * time.Minute
 )
 
-// inBackoff reports whether none of a job's tasks are to be placed for now. While it
-// pauses it takes part in nothing: it takes no room, no guarantee, no turn.
+// failsEverywhere reports whether the job's tasks failed on so many machines that the job, and
+// not the machines, looks faulty.
+func (b *crashLoopBackoff) failsEverywhere() bool { return len(b.failedMachines) >= minFailedMachines }
+
+// noteFailure notes a failure on a machine. Outside of a crash loop, old failures are
+// forgotten.
+func (b *crashLoopBackoff) noteFailure(machine wire.MachineID, now Time) {
+	for id, at := range b.failedMachines {
+		if now.Sub(at) > failureLifetime && b.consecutiveBackoffs == 0 {
+			delete(b.failedMachines, id)
+		}
+	}
+	b.avoidMachines[machine] = now.Add(avoidFaultyMachineFor)
+	b.failedMachines[machine] = now
+	b.runningSince = 0
+}
+
+// backOff starts the next pause.
+func (b *crashLoopBackoff) backOff(now Time) {
+	pause := min(minCrashLoopBackoff<<min(b.consecutiveBackoffs, maxBackoffDoublings), maxCrashLoopBackoff)
+	b.consecutiveBackoffs++
+	b.retryAt = now.Add(pause)
+}
+
+// noteSuccess ends the crash loop and reports whether there was a failure to recover from.
+func (b *crashLoopBackoff) noteSuccess() bool {
+	b.hasSucceeded = true
+	if len(b.failedMachines) == 0 && b.consecutiveBackoffs == 0 {
+		return false
+	}
+	clear(b.failedMachines)
+	b.consecutiveBackoffs, b.retryAt, b.runningSince = 0, 0, 0
+	return true
+}
+
+// mayPreempt reports whether capacity may be provisioned, gathered or freed for a job, as
+// opposed to one that has kept failing on every machine.
+func (j *job) mayPreempt() bool { return j.crashLoop.consecutiveBackoffs <= maxBackoffsWithPreemption }
+
+// inBackoff reports whether none of a job's tasks are to be placed for now. While it is in
+// backoff it takes no room, no part of its team's quota guarantee and no turn.
 func (c *Controller) inBackoff(j *job) bool {
 	return j.unreadable || !c.isDue(j.crashLoop.retryAt)
 }
 
-// noteTaskFailure remembers that a task of a job failed on a machine.
+// noteTaskFailure notes that a task of a job failed on a machine: the job is backed off if it
+// fails on every machine, and the machine is quarantined if it looks faulty.
 func (c *Controller) noteTaskFailure(j *job, m *machine) {
-	for id, at := range j.crashLoop.failedMachines {
-		if c.now.Sub(at) > failureLifetime && j.crashLoop.consecutiveBackoffs == 0 {
-			delete(j.crashLoop.failedMachines, id)
-		}
-	}
-	j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFaultyMachineFor)
-	j.crashLoop.failedMachines[m.id] = c.now
-	j.crashLoop.runningSince = 0
+	j.crashLoop.noteFailure(m.id, c.now)
 	m.quarantine.failedJobs[j.id] = c.now
-	if len(j.crashLoop.failedMachines) >= minFailedMachines && !c.inBackoff(j) {
-		// It fails wherever it runs: the job is at fault, not the machines.
-		pause := min(minCrashLoopBackoff<<min(j.crashLoop.consecutiveBackoffs, 10), maxCrashLoopBackoff)
-		j.crashLoop.consecutiveBackoffs++
-		j.crashLoop.retryAt = c.now.Add(pause)
+	if j.crashLoop.failsEverywhere() && !c.inBackoff(j) {
+		j.crashLoop.backOff(c.now)
 		c.scheduler.dirty = true
 		if j.crashLoop.consecutiveBackoffs == 1 {
 			c.metrics.count(countCrashLoops, 1)
-			c.log.Info("job fails wherever it runs; it is tried again with few tasks", "job", j.id, "class", j.spec.Class,
-				"team", j.spec.Team, "machines", len(j.crashLoop.failedMachines))
+			c.log.Info("job in crash-loop backoff", "job", j.id, "class", j.spec.Class,
+				"team", j.spec.Team, "failed_machines", len(j.crashLoop.failedMachines))
 		}
 	}
 	c.quarantineIfFaulty(m)
 }
 
-// noteTaskSuccess remembers that a job runs well.
+// noteTaskSuccess notes that a task of a job completed, or ran for long enough.
 func (c *Controller) noteTaskSuccess(j *job) {
-	j.crashLoop.hasSucceeded = true
-	if len(j.crashLoop.failedMachines) == 0 && j.crashLoop.consecutiveBackoffs == 0 {
-		return
-	}
-	if j.crashLoop.consecutiveBackoffs > 0 {
-		c.log.Info("job runs after all", "job", j.id, "class", j.spec.Class)
+	wasInCrashLoop := j.crashLoop.consecutiveBackoffs > 0
+	if j.crashLoop.noteSuccess() && wasInCrashLoop {
+		c.log.Info("job recovered from crash loop", "job", j.id, "class", j.spec.Class)
 		c.scheduler.dirty = true
 	}
-	clear(j.crashLoop.failedMachines)
-	j.crashLoop.consecutiveBackoffs, j.crashLoop.retryAt, j.crashLoop.runningSince = 0, 0, 0
 }
 
-// limitToCanaries is how many more tasks of a job that failed everywhere may be tried now.
-// Once those that are tried have run for a while, it is not broken.
+// limitToCanaries is how many of count tasks of a job may be placed now: of a job in a crash
+// loop a few canary tasks only, until they have run for a while. A gang is tried as a whole.
 func (c *Controller) limitToCanaries(j *job, count int) int {
 	if j.crashLoop.consecutiveBackoffs == 0 || j.spec.Shape == wire.ShapeGang {
 		return count
@@ -101,8 +129,8 @@
 	return min(count, max(0, canaryTasks-c.placedTasks(j.id)))
 }
 
-// noteCanaryRunning is told that a task of a failing job was seen running. If it goes on
-// like that for a while, the job is not at fault.
+// noteCanaryRunning notes that a task of a job in a crash loop was seen running. Once its
+// canary tasks have run for canaryPeriod, the job has recovered.
 func (c *Controller) noteCanaryRunning(j *job) {
 	if j.crashLoop.runningSince == 0 {
 		j.crashLoop.runningSince = c.now
@@ -111,38 +139,38 @@
 	}
 }
 
-// quarantineIfFaulty calls a machine faulty when several jobs failed on it that do not fail
-// elsewhere. A job of which no task has gone well yet may be at fault itself, and
-// tells half as much; one that was withdrawn tells nothing.
+// quarantineIfFaulty quarantines a machine on which several jobs failed that do not fail
+// elsewhere. A job of which no task has succeeded yet may be faulty itself and counts half;
+// a cancelled job does not count.
 func (c *Controller) quarantineIfFaulty(m *machine) {
-	n := 0.0
+	failedJobs := 0.0
 	for id, at := range m.quarantine.failedJobs {
 		j := c.cache.jobs[id]
-		f, _ := c.completion(id)
+		completion, _ := c.completion(id)
 		switch {
 		case c.now.Sub(at) > faultyMachineLifetime:
 			delete(m.quarantine.failedJobs, id)
-		case j == nil && f.Status == wire.StatusDone, j != nil && len(j.crashLoop.failedMachines) < minFailedMachines && j.crashLoop.hasSucceeded:
-			n++
-		case j != nil && len(j.crashLoop.failedMachines) < minFailedMachines:
-			n += 0.5
+		case j == nil && completion.Status == wire.StatusDone, j != nil && !j.crashLoop.failsEverywhere() && j.crashLoop.hasSucceeded:
+			failedJobs++
+		case j != nil && !j.crashLoop.failsEverywhere():
+			failedJobs += unprovenJobWeight
 		}
 	}
-	if n >= faultyMachineThreshold && c.isDue(m.quarantine.faultyUntil) {
+	if failedJobs >= faultyMachineThreshold && c.isDue(m.quarantine.faultyUntil) {
 		m.quarantine.faultyUntil = c.now.Add(faultyMachineLifetime)
-		c.log.Info("machine looks faulty", "machine", m.id, "jobs", n)
+		c.log.Info("machine quarantined", "machine", m.id, "failed_jobs", failedJobs)
 	}
 }
 
-// noteTaskExit remembers what an exit says of its machine and its job. All of this
-// only steers the choice of machines.
-func (c *Controller) noteTaskExit(m *machine, t *wire.TaskStatus) {
-	c.log.Debug("task ended", "task", t.Task, "attempt", t.Attempt, "machine", m.id, "cause", t.Cause, "stored", t.Checkpointed)
-	j := c.cache.jobs[t.Task.Job]
+// noteTaskExit notes what a task's exit says about its machine and its job. All of this
+// steers the choice of machines only.
+func (c *Controller) noteTaskExit(m *machine, status *wire.TaskStatus) {
+	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", m.id, "cause", status.Cause, "checkpointed", status.Checkpointed)
+	j := c.cache.jobs[status.Task.Job]
 	if j == nil {
 		return
 	}
-	switch t.Cause {
+	switch status.Cause {
 	case wire.CauseNoRoom, wire.CauseInUse:
 		j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFullMachineFor)
 	case wire.CauseUnknown:
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -128,7 +128,7 @@
 	})
 	for _, o := range options {
 		for count > 0 && rd.Holds(rules, j.spec.Team, o.host) && c.makeRoom(p.transactions, o.host, w, promised) {
-			c.reserveFreeingCapacity(p, rd, j, o.host, 1)
+			p.reserveFreeingCapacity(rd, j, o.host, 1)
 			count--
 			c.metrics.count(countPreempted, 1)
 			c.log.Debug("work stopped for a more urgent job", "job", j.id, "class", j.spec.Class, "machine", o.host.ID)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -11,105 +11,171 @@
 	"lilacrill/wire"
 )
 
-// evictBrokenGangs stops what is left of a gang that lost a task, so that it can start
-// again as a whole.
+// gangEvictionOperations is how many operations a transaction must have left for the eviction
+// of a gang's remaining tasks.
+const gangEvictionOperations = 4
+
+// evictBrokenGangs evicts the remaining tasks of gangs that lost a task, so that each can
+// start again as a whole.
 func (c *Controller) evictBrokenGangs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
 		j := c.cache.jobs[id]
-		r := transactions[j.spec.Team]
-		if j.spec.Shape != wire.ShapeGang || r == nil || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(r, 4) {
+		txn := transactions[j.spec.Team]
+		if j.spec.Shape != wire.ShapeGang || txn == nil || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(txn, gangEvictionOperations) {
 			continue
 		}
-		if r.completedJobs[id] || c.jobUnreadable(id) {
+		if txn.completedJobs[id] || c.jobUnreadable(id) {
 			continue
 		}
 		var placed record.TaskSet
-		for _, l := range c.jobAllocations(r, id) {
-			placed = placed.With(l.allocation.Tasks)
+		for _, located := range c.jobAllocations(txn, id) {
+			placed = placed.With(located.allocation.Tasks)
 		}
 		if n := placed.Len(); n > 0 && n < j.spec.Tasks {
-			c.stageJobEviction(r, id, record.EvictionImmediate)
+			c.stageJobEviction(txn, id, record.EvictionImmediate)
 		}
 	}
 }
 
-// gatherCapacity gets room ready for tasks that start at once or share a zone, which
-// cannot be had one by one: in the zone (for those that need one) that comes
-// closest, it has less urgent work stopped if that is all it takes, and keeps
-// for them what is free or being freed, so that smaller work does not nibble it
-// away. It returns that zone and how many tasks still lack room there.
-//
-// A zone gathers for one job at a time, the most urgent: when several large gangs
-// each kept a part of what they need, a fifth of the machines stood idle.
-func (c *Controller) gatherCapacity(p *schedulingPass, w *pendingJob, count int) (string, int) {
-	j := w.job
+// hostCapacity is how many tasks of a job a host has room for: free or being freed, and if
+// less urgent tasks are evicted as well.
+type hostCapacity struct {
+	host           *placement.Host
+	now, preempted int
+}
+
+// zoneCapacity is the capacity of a zone's hosts for the tasks of a job.
+type zoneCapacity struct {
+	hosts          []hostCapacity
+	now, preempted int
+}
+
+// capacityByZone sums up the capacity of the hosts for up to count tasks of a job that must
+// start at once: by zone if the job needs a single zone, and under "" otherwise.
+// fits says whether the job may run on a host at all; addPreemptable adds to the free
+// resources of a host those of the tasks that may be evicted there.
+func capacityByZone(j *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
+	addPreemptable func(*placement.Host, placement.Resources) placement.Resources) map[string]*zoneCapacity {
 	need := j.request.Need
-	rd := p.fleet.NewEvaluator(p.jobHosts[j.id])
-	type room struct {
-		host      *placement.Host
-		now, most int // tasks that there will be room for, and if others are stopped
-	}
-	rooms, now, most := map[string][]room{}, map[string]int{}, map[string]int{}
-	lower := ^uint8(0) << (j.spec.Priority.Level() + 1)
-	for _, h := range p.fleet {
-		if h.Unschedulable || !h.Total.Covers(need) || !rd.Holds(j.request.Enforced, j.spec.Team, h) {
+	zones := map[string]*zoneCapacity{}
+	for _, host := range fleet {
+		if host.Unschedulable || !host.Total.Covers(need) || !fits(host) {
 			continue
 		}
-		free := h.Free.Plus(h.Freeing, 1)
-		r := room{host: h, now: free.Fits(need, count)}
-		if h.PreemptablePriorities&lower != 0 || w.guaranteed && h.HasUnguaranteedTasks {
-			for _, e := range c.allocationsOn(h.ID) {
-				if c.preemptable(p.transactions, e, w, false) {
-					free = free.Plus(e.taskResources(), float64(e.Tasks.Len()))
-				}
-			}
+		free := host.Free.Plus(host.Freeing, 1)
+		capacity := hostCapacity{host: host, now: free.Fits(need, count)}
+		capacity.preempted = addPreemptable(host, free).Fits(need, count)
+		if capacity.preempted == 0 {
+			continue
 		}
-		if r.most = free.Fits(need, count); r.most > 0 {
-			z := ""
-			if j.spec.SingleZone {
-				z = h.Labels[placement.LabelZone]
-			}
-			rooms[z], now[z], most[z] = append(rooms[z], r), now[z]+r.now, most[z]+r.most
+		zone := ""
+		if j.spec.SingleZone {
+			zone = host.Labels[placement.LabelZone]
+		}
+		if zones[zone] == nil {
+			zones[zone] = &zoneCapacity{}
+		}
+		zones[zone].hosts = append(zones[zone].hosts, capacity)
+		zones[zone].now += capacity.now
+		zones[zone].preempted += capacity.preempted
+	}
+	return zones
+}
+
+// gatherCapacity gathers capacity for tasks that start at once or share a zone, and so cannot
+// be placed one by one. In the zone (for jobs that need a single one) that comes closest it
+// reserves what is free or being freed, so that smaller jobs do not take it bit by bit, and
+// evicts less urgent tasks if that is all it takes. It returns that zone and how many tasks
+// still lack room there.
+//
+// Capacity is gathered for one job per zone at a time, the most urgent: when several large
+// gangs each kept a part of what they need, a fifth of the machines stood idle.
+func (p *schedulingPass) gatherCapacity(pending *pendingJob, count int) (zone string, lacking int) {
+	j := pending.job
+	evaluator := p.fleet.NewEvaluator(p.jobHosts[j.id])
+	fits := func(host *placement.Host) bool { return evaluator.Holds(j.request.Enforced, j.spec.Team, host) }
+	zones := capacityByZone(j, p.fleet, count, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
+		return p.addPreemptable(pending, host, free)
+	})
+	best, gathers := p.bestGatheringZone(j, zones, count)
+	if !gathers {
+		return best, count
+	}
+	p.gatheringZones[best] = true
+	return best, p.gatherInZone(pending, zones[best], count)
+}
+
+// addPreemptable adds to the free resources of a host those of the tasks that may be evicted
+// there for a job.
+func (p *schedulingPass) addPreemptable(pending *pendingJob, host *placement.Host, free placement.Resources) placement.Resources {
+	lowerPriorities := ^uint8(0) << (pending.job.spec.Priority.Level() + 1)
+	if host.PreemptablePriorities&lowerPriorities == 0 && !(pending.guaranteed && host.HasUnguaranteedTasks) {
+		return free
+	}
+	for _, allocation := range p.c.allocationsOn(host.ID) {
+		if p.c.preemptable(p.transactions, allocation, pending, false) {
+			free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 		}
 	}
+	return free
+}
+
+// bestGatheringZone is the zone that comes closest to having room for count tasks of a job:
+// by what is free, then by what could be freed, then by the machines that the cloud may have.
+// It reports false if capacity is being gathered for other jobs in all zones.
+func (p *schedulingPass) bestGatheringZone(j *job, capacities map[string]*zoneCapacity, count int) (string, bool) {
 	zones := []string{""}
 	if j.spec.SingleZone {
-		zones = c.settings.Cluster.Zones
+		zones = p.c.settings.Cluster.Zones
 	}
-	open := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return p.gatheringZones[z] })
-	gathers := len(open) > 0
-	if gathers {
+	open := slices.DeleteFunc(slices.Clone(zones), func(zone string) bool { return p.gatheringZones[zone] })
+	if len(open) > 0 {
 		zones = open
 	}
+	capacityOf := func(zone string) zoneCapacity {
+		if capacity := capacities[zone]; capacity != nil {
+			return *capacity
+		}
+		return zoneCapacity{}
+	}
 	best := slices.MaxFunc(zones, func(a, b string) int {
-		return cmp.Or(cmp.Compare(min(now[a], count), min(now[b], count)), cmp.Compare(min(most[a], count), min(most[b], count)),
-			cmp.Compare(c.countOffers(j, a), c.countOffers(j, b)))
+		ca, cb := capacityOf(a), capacityOf(b)
+		return cmp.Or(
+			cmp.Compare(min(ca.now, count), min(cb.now, count)),
+			cmp.Compare(min(ca.preempted, count), min(cb.preempted, count)),
+			cmp.Compare(p.c.countOffers(j, a), p.c.countOffers(j, b)))
 	})
-	if !gathers {
-		return best, count
+	return best, len(open) > 0
+}
+
+// gatherInZone reserves the capacity of a zone for count tasks of a job, hosts with the most
+// free room first, and returns how many tasks still lack room. Tasks are evicted only if all
+// of the job then has room.
+func (p *schedulingPass) gatherInZone(pending *pendingJob, zone *zoneCapacity, count int) int {
+	if zone == nil {
+		return count
 	}
-	p.gatheringZones[best] = true
-	left := count
-	stops := most[best] >= count && c.schedulesJob(j)
-	slices.SortFunc(rooms[best], func(a, b room) int {
+	preempts := zone.preempted >= count && p.c.schedulesJob(pending.job)
+	slices.SortFunc(zone.hosts, func(a, b hostCapacity) int {
 		return cmp.Or(-cmp.Compare(a.now, b.now), cmp.Compare(a.host.ID, b.host.ID))
 	})
-	for _, r := range rooms[best] {
-		for n := 0; n < r.most && left > 0; n++ {
-			if n >= r.now && (!stops || !c.makeRoom(p.transactions, r.host, w, false)) {
+	left := count
+	for _, capacity := range zone.hosts {
+		for n := 0; n < capacity.preempted && left > 0; n++ {
+			if n >= capacity.now && (!preempts || !p.c.makeRoom(p.transactions, capacity.host, pending, false)) {
 				break
 			}
-			r.host.Free = r.host.Free.Plus(need, -1)
+			capacity.host.Free = capacity.host.Free.Plus(pending.job.request.Need, -1)
 			left--
 		}
 	}
-	return best, left
+	return left
 }
 
-// imagePullMargin is how much longer than reckoned an image may take to fetch.
+// imagePullMargin is how many times its estimated time an image pull may take.
 const imagePullMargin = 4.0 / 3
 
-// imagePullTime is how long a machine may take to fetch a job's image; 0 if it has it.
+// imagePullTime is how long a machine may take to pull a job's image; 0 if it has the image.
 func (c *Controller) imagePullTime(m *machine, j *job) time.Duration {
 	t := c.machineTypeNamed(m.machineType)
 	if t == nil || t.PullGBPerS <= 0 || m.images.cached[j.spec.Image] {
@@ -118,44 +184,45 @@
 	return config.Seconds(imagePullMargin * j.spec.ImageGB / t.PullGBPerS)
 }
 
-// gangImagePullTime is how long the slowest machine of a gang's attempt may take to fetch
-// the image.
+// gangImagePullTime is how long the slowest machine of a gang's attempt may take to pull the
+// image.
 func (c *Controller) gangImagePullTime(j *job, attempt wire.Attempt) time.Duration {
-	most := time.Duration(0)
-	for _, e := range c.scheduler.allocationsByJob[j.id] {
-		if m := c.fleet.machines[e.Machine]; m != nil && e.Attempt == attempt {
-			most = max(most, c.imagePullTime(m, j))
+	longest := time.Duration(0)
+	for _, allocation := range c.scheduler.allocationsByJob[j.id] {
+		if m := c.fleet.machines[allocation.Machine]; m != nil && allocation.Attempt == attempt {
+			longest = max(longest, c.imagePullTime(m, j))
 		}
 	}
-	return most
+	return longest
 }
 
-// defersGangLaunch reports whether a gang's task is not to be launched yet: others of its
-// attempt have to fetch the image for so long that it would give up waiting for
-// them. The whole gang would then be stopped, the fetches with it, and start anew,
-// over and over. Its place is kept meanwhile.
-func (c *Controller) defersGangLaunch(m *machine, e *Allocation, j *job) bool {
-	if e.Shape != wire.ShapeGang || j.spec.Tasks < 2 {
+// defersGangLaunch reports whether the launch of a gang's task is deferred: other machines of
+// its attempt have to pull the image for so long that the task would give up waiting for
+// them. The whole gang would then exit, its image pulls would be aborted, and it would start
+// anew, over and over. Its allocation is kept meanwhile.
+func (c *Controller) defersGangLaunch(m *machine, allocation *Allocation, j *job) bool {
+	if allocation.Shape != wire.ShapeGang || j.spec.Tasks < 2 {
 		return false
 	}
 	patience := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
-	most := c.gangImagePullTime(j, e.Attempt)
-	if most <= patience {
+	slowest := c.gangImagePullTime(j, allocation.Attempt)
+	if slowest <= patience {
 		return false
 	}
-	if j.launchingAttempt != e.Attempt {
-		j.launchingAttempt, j.launchStartedAt = e.Attempt, c.now
+	if j.launchingAttempt != allocation.Attempt {
+		j.launchingAttempt, j.launchStartedAt = allocation.Attempt, c.now
 	}
-	return c.now.Sub(j.launchStartedAt) < most-c.imagePullTime(m, j)-patience
+	return c.now.Sub(j.launchStartedAt) < slowest-c.imagePullTime(m, j)-patience
 }
 
-// countOffers counts the machine types that a job can use and that the cloud has
-// not refused lately in a zone.
+// countOffers counts the offers that a job can use in a zone ("" for any) and that the cloud
+// has not been short of lately.
 func (c *Controller) countOffers(j *job, zone string) int {
 	n := 0
-	for _, o := range c.offers() {
-		h := o.Host("", 1)
-		if (zone == "" || o.Zone == zone) && h.Total.Covers(j.request.Need) && (placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
+	for _, offer := range c.offers() {
+		host := offer.Host("", 1)
+		if (zone == "" || offer.Zone == zone) && host.Total.Covers(j.request.Need) &&
+			(placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) {
 			n++
 		}
 	}
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -13,15 +13,16 @@
 	"lilacrill/wire"
 )
 
-// reserveHeadroom keeps room free for tasks that must start at once, before less urgent
-// ones are placed.
+// reserveHeadroom reserves room for critical tasks that must start at once, before less
+// urgent tasks are placed.
 //
-// In its own shares a controller keeps its part of that room, and leaves it to the buyer's
-// look at the whole fleet what is lacking.
-func (c *Controller) reserveHeadroom(p *schedulingPass) {
+// In its own shards a controller reserves its part of the headroom; what is lacking is up to
+// the provisioner's pass over the whole fleet.
+func (p *schedulingPass) reserveHeadroom() {
+	c := p.c
 	if p.ownShards {
-		for _, s := range c.headroomDemands() {
-			p.fleet.Choose(s.Request, c.ownHeadroom(s), "", placement.Options{Relax: true})
+		for _, demand := range c.headroomDemands() {
+			p.fleet.Choose(demand.Request, c.ownHeadroom(demand), "", placement.Options{Relax: true})
 		}
 		return
 	}
@@ -29,76 +30,84 @@
 		m.scaling.holdsHeadroom = false
 	}
 	c.provisioner.missingHeadroom = 0
-	for _, s := range c.headroomDemands() {
-		left := s.Count
-		for _, ch := range p.fleet.Choose(s.Request, s.Count, "", placement.Options{
-			Relax: true,
-		}) {
-			left -= ch.Count
-			c.fleet.machines[ch.Machine].scaling.holdsHeadroom = true
+	for _, demand := range c.headroomDemands() {
+		missing := demand.Count
+		for _, assignment := range p.fleet.Choose(demand.Request, demand.Count, "", placement.Options{Relax: true}) {
+			missing -= assignment.Count
+			c.fleet.machines[assignment.Machine].scaling.holdsHeadroom = true
 		}
-		c.provisioner.missingHeadroom += left
+		c.provisioner.missingHeadroom += missing
 	}
 }
 
-// ownHeadroom is how much of some spare room is up to this controller. Each unit belongs to a
-// share, as machines do: so all parts together are the whole, however small it is.
-func (c *Controller) ownHeadroom(s capacity.Demand) int {
-	n := 0
-	for unit := range s.Count {
-		name := wire.MachineID(s.Request.Image + "/" + strconv.Itoa(unit))
+// ownHeadroom is how many tasks of some headroom this controller reserves room for. Each task
+// belongs to a shard, as machines do: so all parts together are the whole, however small it
+// is.
+func (c *Controller) ownHeadroom(demand capacity.Demand) int {
+	own := 0
+	for i := range demand.Count {
+		name := wire.MachineID(demand.Request.Image + "/" + strconv.Itoa(i))
 		if c.shards.table.Places(shard.ShardOf(name)) {
-			n++
+			own++
 		}
 	}
-	return n
+	return own
 }
 
-// headroomDemands is the room to be kept free: for every class that is promised a short
-// wait, for some part of the tasks it has now.
+// headroomKey groups jobs by class and image: headroom on a machine that must pull the image
+// first would not do.
+type headroomKey struct{ class, image string }
+
+// headroomClass is the jobs of one class and image.
+type headroomClass struct {
+	spec  *wire.JobSpec // of the last of them
+	tasks int           // that are not completed
+}
+
+// headroomDemands is the headroom to keep: for every critical class with an objective for its
+// wait, room for some part of the tasks that it has now. Other classes have their room made
+// by preemption.
 func (c *Controller) headroomDemands() []capacity.Demand {
-	type seen struct {
-		spec  *wire.JobSpec
-		tasks int
-	}
-	// By class and image: room on a machine that must fetch the image first
-	// would not do.
-	type key struct{ class, image string }
-	classes := map[key]*seen{}
-	for _, id := range sortedKeys(c.cache.jobs) {
-		j := c.cache.jobs[id]
-		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
-			continue
-		}
-		k := key{j.spec.Class, j.spec.Image}
-		s := classes[k]
-		if s == nil {
-			s = &seen{}
-			classes[k] = s
-		}
-		s.spec = &j.spec
-		s.tasks += j.spec.Tasks - j.completed.Len()
-	}
-	promised := map[string]bool{}
-	for _, o := range c.settings.Cluster.Objectives {
-		if o.Kind == "wait" {
-			promised[o.Class] = true
+	classes := c.headroomClasses()
+	hasWaitObjective := map[string]bool{}
+	for _, objective := range c.settings.Cluster.Objectives {
+		if objective.Kind == objectiveWait {
+			hasWaitObjective[objective.Class] = true
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(classes), func(a, b key) int {
+	keys := slices.SortedFunc(maps.Keys(classes), func(a, b headroomKey) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.image, b.image))
 	})
-	var out []capacity.Demand
-	for _, k := range keys {
-		s := classes[k]
-		// Work that is not critical has its room made by stopping others.
-		if !promised[k.class] || s.spec.Priority != wire.PriorityCritical {
+	var demands []capacity.Demand
+	for _, key := range keys {
+		class := classes[key]
+		if !hasWaitObjective[key.class] || class.spec.Priority != wire.PriorityCritical {
 			continue
 		}
-		spec := *s.spec
+		spec := *class.spec
 		spec.ID, spec.Zone, spec.SpreadZones, spec.SingleZone, spec.Shape = "", "", false, false, wire.ShapeArray
-		out = append(out, capacity.Demand{Request: placement.NewRequest(&spec),
-			Count: c.operator.values.SpareLeast + int(math.Ceil(c.operator.values.SpareShare*float64(s.tasks)))})
+		demands = append(demands, capacity.Demand{
+			Request: placement.NewRequest(&spec),
+			Count:   c.operator.values.SpareLeast + int(math.Ceil(c.operator.values.SpareShare*float64(class.tasks))),
+		})
+	}
+	return demands
+}
+
+// headroomClasses groups the jobs by class and image, without those in crash-loop backoff.
+func (c *Controller) headroomClasses() map[headroomKey]*headroomClass {
+	classes := map[headroomKey]*headroomClass{}
+	for _, id := range sortedKeys(c.cache.jobs) {
+		j := c.cache.jobs[id]
+		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
+			continue
+		}
+		key := headroomKey{j.spec.Class, j.spec.Image}
+		if classes[key] == nil {
+			classes[key] = &headroomClass{}
+		}
+		classes[key].spec = &j.spec
+		classes[key].tasks += j.spec.Tasks - j.completed.Len()
 	}
-	return out
+	return classes
 }
--- /dev/null
+++ b/internal/controller/job_placement.go
@@ -0,0 +1,178 @@
+package controller
+
+import (
+	"lilacrill/internal/config"
+	"lilacrill/internal/placement"
+	"lilacrill/internal/record"
+	"lilacrill/wire"
+)
+
+// jobPlacement is the placement of one pending job in a scheduling pass.
+type jobPlacement struct {
+	pass        *schedulingPass
+	pending     *pendingJob
+	transaction *placementTransaction
+	// stages says that allocations are staged in the transaction. Otherwise the pass only
+	// plans: the tasks take room on the hosts of its snapshot, and another controller, or a
+	// later pass, writes them.
+	stages  bool
+	attempt wire.Attempt // of all tasks that this pass places; 0 before the first
+}
+
+// placeJob places a pending job's missing tasks as far as its team's limit and the fleet have
+// room, and deals with the tasks that found none.
+func (p *schedulingPass) placeJob(pending *pendingJob) {
+	j := pending.job
+	count := p.c.limitToCanaries(j, p.tasksWithinLimit(pending))
+	if count == 0 {
+		j.pendingReason = reasonTeamAtLimit
+		if j.crashLoop.consecutiveBackoffs > 0 {
+			j.pendingReason = reasonCanariesRunning
+		}
+		return
+	}
+	if p.jobHosts[j.id] == nil {
+		p.jobHosts[j.id] = []*placement.Host{} // no host, as opposed to hosts that are not known
+	}
+	jp := p.newJobPlacement(pending)
+	options := jp.options()
+	j.pendingReason = reasonBeingPlaced
+	assignments, unplaced := p.chooseMachines(pending, count, options)
+	for _, assignment := range assignments {
+		jp.place(assignment)
+	}
+	if unplaced > 0 && !p.cachedImageOnly {
+		p.handleUnmetDemand(pending, unplaced)
+	}
+}
+
+func (p *schedulingPass) newJobPlacement(pending *pendingJob) *jobPlacement {
+	c, j := p.c, pending.job
+	transaction := p.transactions[j.spec.Team]
+	schedule := &c.cache.team(j.spec.Team).schedule
+	return &jobPlacement{
+		pass:        p,
+		pending:     pending,
+		transaction: transaction,
+		stages: transaction != nil && (!transaction.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
+			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(transaction, 0),
+	}
+}
+
+// options says which machines the job may use. After a lost placement write the machines of
+// that write are excluded and a few others are probed at random, so that two controllers do
+// not contend for the same machines again.
+func (jp *jobPlacement) options() placement.Options {
+	c, p, j := jp.pass.c, jp.pass, jp.pending.job
+	options := placement.Options{
+		Relax:        c.operator.values.Affinity == config.AffinityPreferred,
+		AllOrNothing: j.spec.Shape == wire.ShapeGang,
+		Rand:         c.rand,
+		JobHosts:     p.jobHosts[j.id],
+	}
+	avoidsAccelerators := p.avoidsAccelerators(j)
+	avoidsExpensive := c.avoidsExpensive(jp.pending)
+	if len(j.crashLoop.avoidMachines) > 0 || avoidsAccelerators || avoidsExpensive {
+		options.Usable = func(host *placement.Host) bool {
+			until, avoided := j.crashLoop.avoidMachines[host.ID]
+			return (!avoided || c.isDue(until)) &&
+				!(avoidsAccelerators && p.hasReservedAccelerators(host)) &&
+				!(avoidsExpensive && c.abovePriceLimit(c.fleet.machines[host.ID]))
+		}
+	}
+	if schedule := &c.cache.team(j.spec.Team).schedule; jp.stages && schedule.lostPlacements > 0 {
+		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeHosts, schedule.contendedMachines, false
+	}
+	return options
+}
+
+// place takes an assignment's tasks off the missing ones and stages allocations for them, in
+// as many parts as their size demands.
+func (jp *jobPlacement) place(assignment placement.Assignment) {
+	c, p, j := jp.pass.c, jp.pass, jp.pending.job
+	p.teamUsage[j.spec.Team] = p.teamUsage[j.spec.Team].Plus(j.request.Need, float64(assignment.Count))
+	m := c.fleet.machines[assignment.Machine]
+	for left := assignment.Count; left > 0; {
+		var tasks record.TaskSet
+		tasks, jp.pending.missing = jp.pending.missing.Take(min(left, c.maxTasksPerAllocation()))
+		left -= tasks.Len()
+		if jp.stages {
+			jp.stage(m, tasks)
+		}
+	}
+	if assignment.Relaxed && jp.stages {
+		c.metrics.count(countRelaxed, assignment.Count)
+		c.log.Debug("preferred rule relaxed", "job", j.id, "machine", m.id)
+	}
+}
+
+// stage stages an allocation of tasks on a machine. Once the transaction is full, the rest of
+// the job is planned for only; a gang is then unstaged, as it is placed as a whole or not at
+// all.
+func (jp *jobPlacement) stage(m *machine, tasks record.TaskSet) {
+	c, j := jp.pass.c, jp.pending.job
+	if jp.attempt == 0 {
+		jp.attempt = wire.Attempt(c.nextSerial())
+	}
+	allocation := jp.newAllocation(m, tasks)
+	if !c.hasCapacityFor(jp.transaction, 0) || !c.stageAllocation(jp.transaction, m.zone, allocation) {
+		jp.stages = false
+		if j.spec.Shape == wire.ShapeGang {
+			c.unstageAttempt(jp.transaction, jp.attempt)
+		}
+		return
+	}
+	jp.transaction.placesTasks = true
+	if c.sharded() {
+		jp.transaction.shards[m.shard] = true
+	}
+	jp.transaction.urgent = jp.transaction.urgent || j.spec.Priority == wire.PriorityCritical
+	jp.transaction.conditions[record.JobKey(j.id)] = j.version
+	jp.transaction.usedMachines[m.id] = true
+	jp.transaction.notifyMachines[m.id] = true
+	c.metrics.count(countPlaced, tasks.Len())
+	c.log.Debug("tasks placed", "job", j.id, "class", j.spec.Class, "machine", m.id, "attempt", jp.attempt, "tasks", tasks.Len(),
+		"image_cached", m.images.cached[j.spec.Image], "guaranteed", jp.pending.guaranteed)
+}
+
+func (jp *jobPlacement) newAllocation(m *machine, tasks record.TaskSet) Allocation {
+	spec := &jp.pending.job.spec
+	return Allocation{
+		AllocationHeader: record.AllocationHeader{
+			Job:          jp.pending.job.id,
+			Attempt:      jp.attempt,
+			Launcher:     jp.pass.c.membership.incarnation,
+			Cores:        spec.Cores,
+			Accelerators: spec.Accelerators,
+			MemGB:        spec.MemGB,
+			Priority:     spec.Priority.Level(),
+			Shape:        spec.Shape,
+		},
+		Machine:    m.id,
+		AgentEpoch: m.latestHeartbeat.AgentEpoch,
+		Tasks:      tasks,
+	}
+}
+
+// tasksWithinLimit is how many of a job's missing tasks its team's limit has room for. All
+// tasks that may still run on a machine count towards the limit.
+func (p *schedulingPass) tasksWithinLimit(pending *pendingJob) int {
+	spec := &pending.job.spec
+	settings := p.c.teamSettings(spec.Team)
+	if settings == nil {
+		return 0
+	}
+	cpus, gpus := settings.Limits()
+	limit := placement.Resources{Cores: cpus, Accelerators: gpus, MemGB: config.Unlimited}
+	count := limit.Plus(p.teamUsage[spec.Team], -1).Fits(pending.job.request.Need, pending.missing.Len())
+	if spec.Shape == wire.ShapeGang && count < spec.Tasks {
+		return 0
+	}
+	return count
+}
+
+// maxTasksPerAllocation bounds the tasks of one allocation, so that it fits on a placement
+// page together with others.
+func (c *Controller) maxTasksPerAllocation() int {
+	return max(1, min(maxTasksPerMachine, c.pageLimit()/pageBytesPerTask))
+}
--- /dev/null
+++ b/internal/controller/machine_search.go
@@ -0,0 +1,175 @@
+package controller
+
+import (
+	"slices"
+
+	"lilacrill/internal/placement"
+	"lilacrill/wire"
+)
+
+// searchKey is all that the outcome of a search for room depends on, apart from the needed
+// resources, if the job has plain constraints only.
+type searchKey struct {
+	team               string
+	priority           int
+	spot               bool
+	guaranteed         bool
+	preempts           bool
+	avoidsAccelerators bool
+	avoidsExpensive    bool
+}
+
+// rankingKey is all that the ranking of the candidates of a search depends on.
+type rankingKey struct {
+	searchKey
+	need            placement.Resources
+	image           string
+	oneAtATime      bool
+	cachedImageOnly bool
+}
+
+// hasPlainConstraints reports whether a search for room for the job depends on nothing but
+// its searchKey and the resources that it needs.
+func hasPlainConstraints(j *job) bool {
+	s := &j.spec
+	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.crashLoop.avoidMachines) == 0
+}
+
+// knownUnsatisfiable reports whether a job that needs no more found no room in this pass.
+func (p *schedulingPass) knownUnsatisfiable(key searchKey, j *job) bool {
+	return hasPlainConstraints(j) && slices.ContainsFunc(p.unsatisfiable[key], j.request.Need.Covers)
+}
+
+// noteUnsatisfiable notes that a job found no room.
+func (p *schedulingPass) noteUnsatisfiable(key searchKey, j *job) {
+	if hasPlainConstraints(j) {
+		p.unsatisfiable[key] = append(p.unsatisfiable[key], j.request.Need)
+	}
+}
+
+// shareRanking sets the ranking of a search to that of an earlier search with the same key,
+// or makes it.
+func (p *schedulingPass) shareRanking(key searchKey, j *job, cachedImageOnly bool, options *placement.Options) {
+	if !hasPlainConstraints(j) || options.Probes > 0 || options.AllOrNothing {
+		return
+	}
+	shared := rankingKey{key, j.request.Need, j.spec.Image, j.request.OneAtATime, cachedImageOnly}
+	if p.rankings[shared] == nil {
+		p.rankings[shared] = p.fleet.Rank(j.request, *options)
+	}
+	options.Ranking = p.rankings[shared]
+}
+
+// chooseMachines assigns up to count tasks of a job to machines and returns how many found
+// no room and are not waiting for capacity that is being freed either.
+//
+// Machines that have the job's image come first. Urgent jobs then wait for, or make, room on
+// such machines, since pulling the image takes longer than evicting less urgent tasks. All
+// other machines come last.
+func (p *schedulingPass) chooseMachines(pending *pendingJob, count int, options placement.Options) (assignments []placement.Assignment, unplaced int) {
+	c, j := p.c, pending.job
+	key := searchKey{spot: j.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(j), avoidsExpensive: c.avoidsExpensive(pending)}
+	if p.knownUnsatisfiable(key, j) {
+		return nil, count
+	}
+	usable := options.Usable
+	hasImage := func(host *placement.Host) bool { return host.Images[j.spec.Image] && (usable == nil || usable(host)) }
+	cachedOptions := options
+	cachedOptions.Usable = hasImage
+	cachedOptions.Relax = false
+	p.shareRanking(key, j, true, &cachedOptions)
+	assignments = p.fleet.Choose(j.request, count, pending.zone, cachedOptions)
+	unplaced = count - p.noteAssignments(pending, assignments)
+	if unplaced == 0 || p.cachedImageOnly {
+		return assignments, unplaced
+	}
+	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.mayPreempt() && c.imagePullIsSlow(j) {
+		rules := slices.Concat(j.request.Enforced, j.request.Preferred)
+		unplaced = p.awaitFreeingCapacity(pending, rules, unplaced, hasImage)
+	}
+	options.JobHosts = p.jobHosts[j.id]
+	p.shareRanking(key, j, false, &options)
+	others := p.fleet.Choose(j.request, unplaced, pending.zone, options)
+	unplaced -= p.noteAssignments(pending, others)
+	if unplaced > 0 && options.Probes == 0 && options.Relax {
+		p.noteUnsatisfiable(key, j)
+	}
+	return append(assignments, others...), unplaced
+}
+
+// noteAssignments notes the hosts, and the zone, of a job's new assignments and returns how
+// many tasks they hold.
+func (p *schedulingPass) noteAssignments(pending *pendingJob, assignments []placement.Assignment) int {
+	count := 0
+	for _, assignment := range assignments {
+		count += assignment.Count
+		host := p.c.fleet.machines[assignment.Machine].host
+		p.jobHosts[pending.job.id] = append(p.jobHosts[pending.job.id], host)
+		if pending.job.spec.SingleZone {
+			pending.zone = assignment.Zone
+		}
+	}
+	return count
+}
+
+// slowImagePullS is how long an image may take to pull, in seconds, before it is worth
+// evicting other tasks to avoid the pull.
+const slowImagePullS = 0.5
+
+// imagePullIsSlow reports whether pulling a job's image delays its start noticeably, even on
+// the machine type that pulls fastest.
+func (c *Controller) imagePullIsSlow(j *job) bool {
+	best := 0.0
+	for i := range c.provisioner.catalogue {
+		if t := &c.provisioner.catalogue[i]; machineResources(t).Covers(j.request.Need) {
+			best = max(best, t.PullGBPerS)
+		}
+	}
+	return best == 0 || j.spec.ImageGB/best > slowImagePullS
+}
+
+// awaitFreeingCapacity reserves capacity that is being freed for tasks of a job, or evicts
+// less urgent tasks to free some, and returns how many tasks still have no room.
+//
+// The rules have to be those of the placement itself. Where they were laxer, tasks would be
+// evicted pass after pass for room that is never taken.
+func (p *schedulingPass) awaitFreeingCapacity(pending *pendingJob, rules []placement.Node, count int, usable func(*placement.Host) bool) int {
+	j := pending.job
+	if pending.zone != "" {
+		rules = append(slices.Clip(rules), placement.InZone(pending.zone))
+	}
+	// The capacity for a gang, or for a single zone that is not chosen yet, cannot be had
+	// machine by machine: see gatherCapacity.
+	if (j.spec.SingleZone && pending.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
+		return count
+	}
+	evaluator := p.fleet.NewEvaluator(p.jobHosts[j.id])
+	for _, host := range p.fleet {
+		if count == 0 {
+			return 0
+		}
+		if host.Unschedulable || host.Freeing.Cores <= 0 {
+			continue
+		}
+		room := host.Free.Plus(host.Freeing, 1)
+		if !room.Covers(j.request.Need) || !usable(host) || !evaluator.Holds(rules, j.spec.Team, host) {
+			continue
+		}
+		tasks := room.Fits(j.request.Need, count)
+		if j.request.OneAtATime {
+			tasks = 1
+		}
+		p.reserveFreeingCapacity(evaluator, j, host, tasks)
+		count -= tasks
+	}
+	if count > 0 && p.c.schedulesJob(j) {
+		count = p.c.preempt(p, evaluator, rules, pending, count, usable)
+	}
+	return count
+}
+
+// reserveFreeingCapacity reserves room that is being freed on a host for tasks of a job.
+func (p *schedulingPass) reserveFreeingCapacity(evaluator *placement.Evaluator, j *job, host *placement.Host, tasks int) {
+	evaluator.Reserve(j.request, host, tasks)
+	p.jobHosts[j.id] = append(p.jobHosts[j.id], host)
+}
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -13,148 +13,189 @@
 // pendingJob is a job with tasks that are not placed.
 type pendingJob struct {
 	job            *job
-	missing        record.TaskSet
-	zone           string // where its tasks are, if it is to stay together
-	guaranteed     bool   // within its team's guarantee
-	deadline       int64  // the next target that it can still meet, in Unix milliseconds
-	missesDeadline bool   // not all can be in time, and this one is not among those chosen
-	overdue        bool   // it has waited so long for its first start that it is put off no more
+	missing        record.TaskSet // its tasks that are not placed
+	zone           string         // where its tasks are, if it needs a single zone
+	guaranteed     bool           // within its team's quota guarantee
+	deadline       int64          // the next target that it can still meet, in Unix milliseconds
+	missesDeadline bool           // not all jobs can meet their deadlines, and it is among those that will not
+	overdue        bool           // it has waited so long for its first start that it is not put off any more
 }
 
-// deadlineClass orders what can still be in time, what no longer can, and what nobody stated
-// a time for: a huge array without any once went ahead of all work that was late.
-func (w *pendingJob) deadlineClass() int {
+// The kinds of objectives, as settings name them.
+const (
+	objectiveWait     = "wait"     // start within a time
+	objectiveFinished = "finished" // be complete within a time
+)
+
+// The classes of deadlines, in the order in which their jobs are placed.
+const (
+	deadlineReachable = iota
+	deadlineMissed
+	deadlineNone
+)
+
+// deadlineClass orders the jobs that can still meet their deadline, those that no longer can,
+// and those without one: a huge array without a deadline once went ahead of all jobs that
+// were late.
+func (pending *pendingJob) deadlineClass() int {
 	switch {
-	case w.missesDeadline:
-		return 1
-	case w.deadline == noDeadline:
-		return 2
+	case pending.missesDeadline:
+		return deadlineMissed
+	case pending.deadline == noDeadline:
+		return deadlineNone
 	}
-	return 0
+	return deadlineReachable
 }
 
-// pendingJobs is all that waits, most urgent first.
-func (c *Controller) pendingJobs(transactions map[string]*placementTransaction, placed map[wire.JobID]record.TaskSet, zones map[wire.JobID]string, rest bool) []pendingJob {
-	if rest {
+// comparePending orders pending jobs, the most urgent first: critical ones; then overdue
+// ones; then those within their team's guarantee; then by priority, deadline and age.
+func comparePending(a, b pendingJob) int {
+	levelA, levelB := a.job.spec.Priority.Level(), b.job.spec.Priority.Level()
+	critical := wire.PriorityCritical.Level()
+	if (levelA == critical) != (levelB == critical) {
+		return cmp.Compare(levelA, levelB)
+	}
+	byAge := cmp.Or(cmp.Compare(a.job.acceptedAt, b.job.acceptedAt), cmp.Compare(a.job.id, b.job.id))
+	if a.overdue || b.overdue {
+		return cmp.Or(-cmp.Compare(boolToInt(a.overdue), boolToInt(b.overdue)), byAge)
+	}
+	return cmp.Or(
+		-cmp.Compare(boolToInt(a.guaranteed), boolToInt(b.guaranteed)),
+		cmp.Compare(levelA, levelB),
+		cmp.Compare(a.deadlineClass(), b.deadlineClass()),
+		cmp.Compare(a.deadline, b.deadline),
+		byAge)
+}
+
+// pendingJobs is the queue of the pass: all pending jobs, the most urgent first. Jobs in
+// backoff, and jobs whose records cannot be read, are left out.
+func (p *schedulingPass) pendingJobs() []pendingJob {
+	c := p.c
+	if p.includeNonCritical {
 		c.scheduler.guaranteedJobs = c.findGuaranteedJobs()
 	}
 	var queue []pendingJob
 	for _, id := range sortedKeys(c.cache.jobs) {
 		j := c.cache.jobs[id]
-		if !rest && j.spec.Priority != wire.PriorityCritical {
-			continue
-		}
-		if c.jobUnreadable(id) {
-			j.pendingReason = "its record, or a placement record of its team, cannot be read"
-			continue
-		}
-		if c.inBackoff(j) {
-			j.pendingReason = "its tasks failed; they are tried again after a pause"
-			continue
-		}
-		missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(placed[id])
-		if r := c.cache.team(j.spec.Team).schedule.inFlight; r != nil {
-			missing = missing.Without(r.completed[id])
-		} else if r := transactions[j.spec.Team]; r != nil {
-			missing = missing.Without(r.completed[id])
-		}
-		if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
-			continue
-		}
-		w := pendingJob{job: j, missing: missing, guaranteed: c.scheduler.guaranteedJobs[id]}
-		w.deadline, w.missesDeadline = c.deadlineOf(j)
-		// What fails everywhere has begun; it must not go ahead of others for ever.
-		w.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.crashLoop.consecutiveBackoffs == 0
-		if j.spec.SingleZone {
-			w.zone = zones[id]
-		}
-		queue = append(queue, w)
-	}
-	order := func(a, b pendingJob) int {
-		ra, rb := a.job.spec.Priority.Level(), b.job.spec.Priority.Level()
-		if ra == 0 || rb == 0 {
-			if d := cmp.Compare(ra, rb); d != 0 {
-				return d
+		switch {
+		case !p.includeNonCritical && j.spec.Priority != wire.PriorityCritical:
+		case c.jobUnreadable(id):
+			j.pendingReason = reasonUnreadable
+		case c.inBackoff(j):
+			j.pendingReason = reasonCrashLoopBackoff
+		default:
+			missing := p.missingTasks(j)
+			if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
+				continue // a gang starts as a whole
 			}
+			queue = append(queue, p.newPendingJob(j, missing))
 		}
-		if a.overdue || b.overdue {
-			return cmp.Or(-cmp.Compare(boolToInt(a.overdue), boolToInt(b.overdue)), cmp.Compare(a.job.acceptedAt, b.job.acceptedAt), cmp.Compare(a.job.id, b.job.id))
-		}
-		return cmp.Or(-cmp.Compare(boolToInt(a.guaranteed), boolToInt(b.guaranteed)), cmp.Compare(ra, rb),
-			cmp.Compare(a.deadlineClass(), b.deadlineClass()), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.job.acceptedAt, b.job.acceptedAt),
-			cmp.Compare(a.job.id, b.job.id))
 	}
-	slices.SortFunc(queue, order)
-	if rest && c.deferLargestLateJobs(queue) {
-		slices.SortFunc(queue, order)
+	slices.SortFunc(queue, comparePending)
+	if p.includeNonCritical && c.deferLargestLateJobs(queue) {
+		slices.SortFunc(queue, comparePending)
 	}
 	return queue
 }
 
+// missingTasks is a job's tasks that are neither completed nor placed, nor recorded as
+// completed by a transaction that is staged or in flight.
+func (p *schedulingPass) missingTasks(j *job) record.TaskSet {
+	missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(p.placed[j.id])
+	if txn := p.c.cache.team(j.spec.Team).schedule.inFlight; txn != nil {
+		return missing.Without(txn.completed[j.id])
+	}
+	if txn := p.transactions[j.spec.Team]; txn != nil {
+		return missing.Without(txn.completed[j.id])
+	}
+	return missing
+}
+
+func (p *schedulingPass) newPendingJob(j *job, missing record.TaskSet) pendingJob {
+	c := p.c
+	pending := pendingJob{job: j, missing: missing, guaranteed: c.scheduler.guaranteedJobs[j.id]}
+	pending.deadline, pending.missesDeadline = c.deadlineOf(j)
+	// A job that fails on every machine has started; it must not go ahead of others for ever.
+	pending.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.crashLoop.consecutiveBackoffs == 0
+	if j.spec.SingleZone {
+		pending.zone = p.jobZones[j.id]
+	}
+	return pending
+}
+
 // pendingFor is how long ago a job was accepted.
 func (c *Controller) pendingFor(j *job) time.Duration {
 	return time.Duration(c.wall-j.acceptedAt) * time.Millisecond
 }
 
-// overdueAfter is how long a job may wait for its first start before it goes
-// ahead of all but critical work, whatever its rank, its size and its chances
-// to be in time. Without a bound, a stream of small jobs would put the largest
-// off without end. Users expect them to begin within four minutes.
+// overdueAfter is how long a job may wait for its first start before it goes ahead of all but
+// critical jobs, whatever its priority, its size and its chances to meet its deadline.
+// Without a bound, a stream of small jobs would put the largest off without end. Users expect
+// their jobs to start within four minutes.
 const overdueAfter = 100 * time.Second
 
-// deferLargestLateJobs marks jobs late when not all can be in time: taking them as they
-// are due, whenever one would be too late, the largest so far is put off. That
-// leaves the most jobs in time. It reports whether it marked any.
+// deferLargestLateJobs marks the jobs that will miss their deadlines when not all can be met,
+// and reports whether it marked any. It takes the jobs by deadline and, whenever one would be
+// late, defers the largest so far (Moore and Hodgson's rule): that leaves the fewest late.
 func (c *Controller) deferLargestLateJobs(queue []pendingJob) bool {
+	cores := c.coresForFiniteJobs()
+	if cores <= 0 {
+		return false
+	}
+	var selected []*pendingJob
+	coreSeconds, deferred := 0.0, false
+	for i := range queue {
+		pending := &queue[i]
+		if pending.missesDeadline || pending.deadline == noDeadline || pending.job.spec.Accelerators > 0 || c.pendingFor(pending.job) > overdueAfter {
+			continue
+		}
+		selected = append(selected, pending)
+		coreSeconds += pending.coreSeconds()
+		if coreSeconds/cores <= float64(pending.deadline-c.wall)/1000 {
+			continue
+		}
+		largest := 0
+		for k := range selected {
+			if selected[k].coreSeconds() > selected[largest].coreSeconds() {
+				largest = k
+			}
+		}
+		coreSeconds -= selected[largest].coreSeconds()
+		selected[largest].missesDeadline = true
+		selected = slices.Delete(selected, largest, largest+1)
+		deferred = true
+	}
+	return deferred
+}
+
+// coreSeconds is the work of the job's missing tasks.
+func (pending *pendingJob) coreSeconds() float64 {
+	spec := &pending.job.spec
+	return float64(pending.missing.Len()) * spec.Cores * spec.RuntimeS
+}
+
+// coresForFiniteJobs is how many cores the machines that accept tasks have beside those that
+// services take.
+func (c *Controller) coresForFiniteJobs() float64 {
 	cores := 0.0
 	for _, m := range c.orderedMachines() {
 		if t := c.machineTypeNamed(m.machineType); t != nil && c.acceptsTasks(m) {
 			cores += t.Cores
 		}
 	}
-	// Summed up in a fixed order: by as little as the sum of fractions depends on it, it
-	// may decide whether a job is put off.
-	var replicas []float64
+	// Summed up in a fixed order: a sum of fractions depends on it by little, which may still
+	// decide whether a job is deferred.
+	var serviceCores []float64
 	for _, j := range c.cache.jobs {
 		if j.spec.Shape == wire.ShapeService && j.crashLoop.consecutiveBackoffs == 0 && !j.unreadable {
-			replicas = append(replicas, j.spec.Cores*float64(j.spec.Tasks))
+			serviceCores = append(serviceCores, j.spec.Cores*float64(j.spec.Tasks))
 		}
 	}
-	slices.Sort(replicas)
-	for _, taken := range replicas {
+	slices.Sort(serviceCores)
+	for _, taken := range serviceCores {
 		cores -= taken
 	}
-	if cores <= 0 {
-		return false
-	}
-	var picked []int
-	sum, any := 0.0, false
-	work := func(i int) float64 {
-		s := &queue[i].job.spec
-		return float64(queue[i].missing.Len()) * s.Cores * s.RuntimeS
-	}
-	for i := range queue {
-		w := &queue[i]
-		if w.missesDeadline || w.deadline == noDeadline || w.job.spec.Accelerators > 0 || c.pendingFor(w.job) > overdueAfter {
-			continue
-		}
-		picked = append(picked, i)
-		sum += work(i)
-		if sum/cores <= float64(w.deadline-c.wall)/1000 {
-			continue
-		}
-		k := 0
-		for n := range picked {
-			if work(picked[n]) > work(picked[k]) {
-				k = n
-			}
-		}
-		sum -= work(picked[k])
-		queue[picked[k]].missesDeadline = true
-		picked = slices.Delete(picked, k, k+1)
-		any = true
-	}
-	return any
+	return cores
 }
 
 func boolToInt(b bool) int {
@@ -164,55 +205,59 @@
 	return 0
 }
 
-// noDeadline is the due time of jobs that nobody expects to end by a certain time.
+// noDeadline is the deadline of jobs that have neither a deadline nor an objective.
 const noDeadline = int64(1) << 62
 
-// deadlineOf is when a job should be complete: by its deadline or, without one, within
-// the times that the objectives set for its class. Of several it is the first
-// that can still be met; late says that none can.
-func (c *Controller) deadlineOf(j *job) (due int64, late bool) {
-	least := c.wall + int64(j.spec.RuntimeS*1000)
+// deadlineOf is when a job should be complete, in Unix milliseconds: by its own deadline or,
+// without one, by the objectives of its class. Of several it is the first that can still be
+// met; missed says that none can.
+func (c *Controller) deadlineOf(j *job) (deadline int64, missed bool) {
+	earliestEnd := c.wall + int64(j.spec.RuntimeS*1000)
 	if j.spec.DeadlineS > 0 {
-		due = j.acceptedAt + int64(j.spec.DeadlineS*1000)
-		return due, due < least
+		deadline = j.acceptedAt + int64(j.spec.DeadlineS*1000)
+		return deadline, deadline < earliestEnd
 	}
-	due = noDeadline
-	for _, o := range c.settings.Cluster.Objectives {
-		if o.Kind != "finished" || o.Class != j.spec.Class {
+	deadline = noDeadline
+	hasObjective := false
+	for _, objective := range c.settings.Cluster.Objectives {
+		if objective.Kind != objectiveFinished || objective.Class != j.spec.Class {
 			continue
 		}
-		late = true
-		if t := j.acceptedAt + int64(o.WithinS*1000); t >= least && t < due {
-			due = t
+		hasObjective = true
+		if at := j.acceptedAt + int64(objective.WithinS*1000); at >= earliestEnd && at < deadline {
+			deadline = at
 		}
 	}
-	return due, late && due == noDeadline
+	return deadline, hasObjective && deadline == noDeadline
 }
 
-// findGuaranteedJobs finds the jobs that lie within their team's guarantee: those that fit
-// into it together with the team's earlier jobs.
+// quotaTolerance forgives rounding in sums of fractions of cores.
+const quotaTolerance = 1e-6
+
+// findGuaranteedJobs finds the jobs within their team's quota guarantee: those that fit into
+// it together with the team's earlier jobs. Jobs in crash-loop backoff take up none of it.
 func (c *Controller) findGuaranteedJobs() map[wire.JobID]bool {
-	byTeam := map[string][]*job{}
+	jobsByTeam := map[string][]*job{}
 	for _, j := range c.cache.jobs {
 		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
-			continue // it takes nothing, so it takes up no guarantee
+			continue
 		}
-		byTeam[j.spec.Team] = append(byTeam[j.spec.Team], j)
+		jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
 	}
-	out := map[wire.JobID]bool{}
-	for name, jobs := range byTeam {
-		set := c.teamSettings(name)
-		if set == nil {
+	guaranteed := map[wire.JobID]bool{}
+	for name, jobs := range jobsByTeam {
+		settings := c.teamSettings(name)
+		if settings == nil {
 			continue
 		}
 		slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(a.acceptedAt, b.acceptedAt), cmp.Compare(a.id, b.id)) })
-		var sum placement.Resources
+		var used placement.Resources
 		for _, j := range jobs {
-			sum = sum.Plus(j.request.Need, float64(j.spec.Tasks))
-			if sum.Cores <= set.CPUs+1e-6 && sum.Accelerators <= set.GPUs+1e-6 {
-				out[j.id] = true
+			used = used.Plus(j.request.Need, float64(j.spec.Tasks))
+			if used.Cores <= settings.CPUs+quotaTolerance && used.Accelerators <= settings.GPUs+quotaTolerance {
+				guaranteed[j.id] = true
 			}
 		}
 	}
-	return out
+	return guaranteed
 }
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -40,8 +40,9 @@
 		c.noteTaskFailure(broken, c.machine(id))
 	}
 	var order []wire.JobID
-	for _, w := range c.pendingJobs(map[string]*placementTransaction{}, nil, nil, true) {
-		order = append(order, w.job.id)
+	pass := &schedulingPass{c: c, includeNonCritical: true}
+	for _, pending := range pass.pendingJobs() {
+		order = append(order, pending.job.id)
 	}
 	require.Equal(t, []wire.JobID{"wk-000005", "wk-000004", "wk-000003", "wk-000002"}, order,
 		"within a guarantee, in time, late, without a time")
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -81,6 +81,11 @@
 	return nil
 }
 
+// isProvisioner reports whether this controller is the leader for scaling.
+func (c *Controller) isProvisioner() bool {
+	return c.cache.provisionerIncarnation == c.membership.incarnation
+}
+
 func (c *Controller) tickCloud() {
 	if !c.provisioner.catalogueReadInFlight && (len(c.provisioner.catalogue) == 0 || c.now.Sub(c.provisioner.catalogueReadAt) > catalogueInterval) && c.isDue(c.provisioner.catalogueReadAt) {
 		c.readCatalogue()
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -27,14 +27,6 @@
 	c.provisioner.capacityShortages[key] = r
 }
 
-// unmetDemand is a number of a job's tasks without room.
-type unmetDemand struct {
-	job        *job
-	count      int
-	guaranteed bool
-	zone       string // where they must be, or ""
-}
-
 // scaleOut rents for what waits and for the spare room.
 func (c *Controller) scaleOut() {
 	if c.provisioner.listsSinceElected == 0 || len(c.provisioner.catalogue) == 0 || c.provisioner.provisionCallsInFlight > 0 {
@@ -75,7 +67,7 @@
 	// Demands for the same go together: each is set against all that is coming.
 	alike := map[rankingKey]int{}
 	add := func(d unmetDemand, count int) {
-		key := rankingKey{searchKey: searchKey{spot: d.job.spec.Spot}, need: d.job.request.Need, single: d.job.request.OneAtATime}
+		key := rankingKey{searchKey: searchKey{spot: d.job.spec.Spot}, need: d.job.request.Need, oneAtATime: d.job.request.OneAtATime}
 		if k, known := alike[key]; known && hasPlainConstraints(d.job) && d.zone == "" {
 			out[k].Count += count
 			return
@@ -176,6 +168,11 @@
 	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+1e-9) && !c.hasCriticalTasks(m)
 }
 
+// avoidsExpensive reports whether a job leaves machines above the price limit alone.
+func (c *Controller) avoidsExpensive(pending *pendingJob) bool {
+	return !pending.guaranteed && !math.IsInf(c.provisioner.priceLimit, 1) && c.waitTolerance(pending.job) > 0
+}
+
 // capacityMargin is how much more than the work that is known of the machines that
 // are not too dear should be able to do.
 const capacityMargin = 1.25
@@ -217,9 +214,9 @@
 			continue
 		}
 		switch o.Kind {
-		case "wait":
+		case objectiveWait:
 			left = min(left, o.WithinS)
-		case "finished":
+		case objectiveFinished:
 			left = min(left, o.WithinS-2*j.spec.RuntimeS)
 		}
 	}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -9,74 +9,82 @@
 	"lilacrill/wire"
 )
 
-// scheduler decides which tasks go where.
+// scheduler is when the next scheduling passes are due, and what they work on.
+//
+// Two kinds of passes take turns: critical jobs are scheduled as soon as something changed
+// that they wait for, all others at intervals that keep within this controller's share of
+// the state store's writes.
 type scheduler struct {
-	dirty              bool
-	criticalDirty      bool // something came in that a waiting critical job needs
-	machinesLost       bool // machines are gone with what stood on them
-	criticalPending    bool
+	dirty              bool // something changed since the last pass
+	criticalDirty      bool // something changed that a pending critical job may wait for
+	machinesLost       bool // machines were lost with the tasks on them
+	criticalPending    bool // the last pass left a critical job in the queue
 	nextPass           Time
 	nextNonCritical    Time
-	nextCriticalOnly   Time // no round for critical work alone before, while many submissions wait
+	nextCriticalOnly   Time // no pass over critical jobs alone before, while submissions are crowded
 	nextDemandEstimate Time
 	nextFleetReview    Time
 	lastTokenRaise     Time
 	lastTick           Time
-	lag                float64 // how late ticks come of late, in ticks
+	lag                float64 // how late ticks have come lately, in ticks
 	lagging            bool
 	nextCleanup        Time
 	cleaning           bool
 
-	// The index of the records: real ones for commands, and with the rounds
-	// that are being written for planning.
+	// The index of the placement records: of committed allocations for commands, and with
+	// those of transactions in flight for scheduling.
 	allocationsByJob    map[wire.JobID][]*Allocation
-	criticalAllocations map[wire.MachineID]int // entries of critical tasks
-	teamOwners          map[string]string      // team to controller, as far as asked since the living changed
-	guaranteedJobs      map[wire.JobID]bool    // the jobs within their teams' guarantees
+	criticalAllocations map[wire.MachineID]int // allocations of critical tasks
+	teamOwners          map[string]string      // team to controller; computed on demand, dropped when the live controllers change
+	guaranteedJobs      map[wire.JobID]bool    // the jobs within their teams' quota guarantees
 }
 
-// teamSchedule is what the planner keeps of a team.
+// teamSchedule is the scheduler's state of a team.
 type teamSchedule struct {
 	inFlight           *placementTransaction
-	nextTransaction    Time // no round before
-	nextExitCollection Time // when proofs may be written here though another is the owner
+	nextTransaction    Time // no transaction before
+	nextExitCollection Time // when task exits may be recorded here though another controller owns the team
 	lastTurn           Time
-	nextPlacement      Time                    // no placements before: after lost writes
-	lostPlacements     int                     // lost writes in a row
+	nextPlacement      Time                    // no placements before: a pause after lost writes
+	lostPlacements     int                     // consecutive lost placement writes
 	firstLostAt        Time                    // when the first of them was sent
-	contendedMachines  map[wire.MachineID]bool // machines of the lost writes
+	contendedMachines  map[wire.MachineID]bool // the machines of the lost writes
 }
 
-func (p *scheduler) init() {
-	p.allocationsByJob = map[wire.JobID][]*Allocation{}
-	p.criticalAllocations = map[wire.MachineID]int{}
-	p.teamOwners = map[string]string{}
+func (s *scheduler) init() {
+	s.allocationsByJob = map[wire.JobID][]*Allocation{}
+	s.criticalAllocations = map[wire.MachineID]int{}
+	s.teamOwners = map[string]string{}
 }
 
 const (
-	// passInterval and passIntervalPerMachine bound what planning costs.
+	// passInterval and passIntervalPerMachine bound the processor time of passes.
 	passInterval           = 30 * time.Millisecond
 	passIntervalPerMachine = 60 * time.Microsecond
-	// demandEstimateInterval is how often the buyer looks at what waits at least.
+	// demandEstimateInterval is how often the provisioner estimates the unmet demand at least.
 	demandEstimateInterval = time.Second
 	idlePassInterval       = 500 * time.Millisecond
 	maxIdlePassInterval    = 2 * time.Second
 	// acceptorPriorityPeriod is how long the placement of a new job is left to the controller
 	// that accepted it.
 	acceptorPriorityPeriod = 500 * time.Millisecond
-	// exitCollectionDelay is how long the writing down of proofs is left to the owner:
-	// one writer per team spares lost writes.
+	// exitCollectionDelay is how long the recording of task exits is left to the team's
+	// owner: a single writer per team avoids lost writes.
 	exitCollectionDelay = time.Second
 	commitRetryDelay    = 200 * time.Millisecond
 	heartbeatSlack      = 2 * time.Second
 	maxTasksPerMachine  = 300
-	maxTxnBytes         = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
-	// crowdedWriteFraction is the part of the writes that rounds may take meanwhile.
+	// pageBytesPerTask bounds the tasks of an allocation by the size of a placement page.
+	pageBytesPerTask = 32
+	maxTxnBytes      = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
+	// crowdedWriteFraction is the part of the writes that critical placements may take while
+	// submissions are crowded.
 	crowdedWriteFraction = 0.4
-	// nonCriticalInterval is how often what can wait is planned at most.
+	// nonCriticalInterval is how often non-critical jobs are scheduled at most.
 	nonCriticalInterval = 250 * time.Millisecond
 )
 
+// teamSettings is a team's settings; nil if it has none.
 func (c *Controller) teamSettings(name string) *config.Team {
 	for i := range c.settings.Cluster.Teams {
 		if c.settings.Cluster.Teams[i].Name == name {
@@ -86,118 +94,110 @@
 	return nil
 }
 
-// runScheduler runs one pass over all that waits, if there is reason to. What can wait
-// gathers until this controller's share of the writes allows another round.
+// runScheduler runs one scheduling pass and commits what it placed, if there is reason to.
+// Non-critical jobs gather until this controller's write budget allows another transaction.
 func (c *Controller) runScheduler() {
 	if !c.membership.ready || !c.cacheComplete() || !c.storeReachable() || !c.isDue(c.scheduler.nextPass) {
 		return
 	}
-	// What stood on machines that are gone is not made to wait.
-	rest := c.scheduler.machinesLost || c.isDue(c.scheduler.nextNonCritical) && c.canAffordWrite()
-	if !rest && c.cache.provisionerIncarnation == c.membership.incarnation && c.isDue(c.scheduler.nextDemandEstimate) {
-		// What waits must be bought for even while nothing can be written.
-		c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
-		c.scheduler.nextPass = c.now.Add(c.passPause())
-		if c.sharded() {
-			c.estimateFleetDemand()
-		} else {
-			c.schedule(map[string]*placementTransaction{}, true)
-		}
+	// Tasks of lost machines are placed again without delay.
+	includeNonCritical := c.scheduler.machinesLost || c.isDue(c.scheduler.nextNonCritical) && c.canAffordWrite()
+	if !includeNonCritical && c.isProvisioner() && c.isDue(c.scheduler.nextDemandEstimate) {
+		c.estimateDemand()
 		return
 	}
-	if !rest && !c.scheduler.criticalDirty || !c.scheduler.dirty && !c.isDue(c.scheduler.nextPass.Add(c.stretchPause(idlePassInterval, maxIdlePassInterval))) {
+	if !c.scheduler.hasReason(includeNonCritical) && !c.idlePassDue(includeNonCritical) {
 		return
 	}
-	c.scheduler.dirty = !rest // what could not be looked at now is looked at later
+	c.scheduler.dirty = !includeNonCritical // a later pass considers what this one does not
 	c.scheduler.criticalDirty = false
-	c.scheduler.nextPass = c.now.Add(c.passPause())
-	if rest {
-		c.scheduler.nextNonCritical = c.now.Add(max(c.stretchPause(nonCriticalInterval, maxPassPause), 2*c.passPause()))
-		c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
-	}
-	paced := c.submissionsCrowded() && !c.isDue(c.scheduler.nextCriticalOnly)
-	if paced {
+	c.scheduleNextPasses(includeNonCritical)
+	criticalPaced := c.submissionsCrowded() && !c.isDue(c.scheduler.nextCriticalOnly)
+	if criticalPaced {
 		c.scheduler.criticalDirty = true
-		if !rest {
+		if !includeNonCritical {
 			return
 		}
 	}
 	for _, name := range sortedKeys(c.cache.teams) {
 		c.expirePlacementRetries(c.cache.teams[name])
 	}
-	transactions := c.startTransactions(rest)
-	if rest {
+	transactions := map[string]*placementTransaction{}
+	if includeNonCritical {
+		transactions = c.startTransactions()
 		c.completeJobs(transactions)
 		c.evictBrokenGangs(transactions)
 		c.evictFromPreemptedMachines(transactions)
 	}
-	// Critical work waits for no turn.
-	for _, name := range sortedKeys(c.cache.teams) {
-		if t := c.cache.teams[name]; !paced && transactions[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
-			transactions[name] = c.newPlacementTransaction(t)
-			transactions[name].criticalOnly = true
-		}
+	if !criticalPaced {
+		c.startCriticalTransactions(transactions)
 	}
-	c.schedule(transactions, rest)
-	wrote, ops := false, 0
-	for _, name := range sortedKeys(transactions) {
-		if r := transactions[name]; !r.empty() {
-			c.commitPlacements(r)
-			wrote = true
-			ops += r.operations
-		}
+	c.schedule(transactions, includeNonCritical)
+	c.commitTransactions(transactions)
+}
+
+// hasReason reports whether something changed that a pass may act on.
+func (s *scheduler) hasReason(includeNonCritical bool) bool {
+	return s.dirty && (includeNonCritical || s.criticalDirty)
+}
+
+// idlePassDue reports whether a pass is due though nothing is known to have changed.
+func (c *Controller) idlePassDue(includeNonCritical bool) bool {
+	pause := c.stretchPause(idlePassInterval, maxIdlePassInterval)
+	return (includeNonCritical || c.scheduler.criticalDirty) && c.isDue(c.scheduler.nextPass.Add(pause))
+}
+
+// estimateDemand runs a pass that writes nothing: machines have to be provisioned for pending
+// jobs even while no placement can be written.
+func (c *Controller) estimateDemand() {
+	c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
+	c.scheduler.nextPass = c.now.Add(c.passPause())
+	if c.sharded() {
+		c.estimateFleetDemand()
+	} else {
+		c.schedule(map[string]*placementTransaction{}, true)
 	}
-	c.scheduler.nextCriticalOnly = c.now.Add(config.Seconds(float64(ops) / (c.writeRate() * crowdedWriteFraction)))
-	if !wrote {
-		c.scheduler.nextNonCritical = c.scheduler.nextPass
+}
+
+// scheduleNextPasses sets when the passes after this one are due.
+func (c *Controller) scheduleNextPasses(includeNonCritical bool) {
+	pause := c.passPause()
+	c.scheduler.nextPass = c.now.Add(pause)
+	if includeNonCritical {
+		c.scheduler.nextNonCritical = c.now.Add(max(c.stretchPause(nonCriticalInterval, maxPassPause), 2*pause))
+		c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
 	}
 }
 
-// submissionsCrowded reports whether so many submissions wait to be written that rounds for
-// critical work are to leave writes to them. Such rounds go first, and each team
-// could write one after the other, with a job or two in each: hundreds of jobs
-// that came at once were then accepted at a few a second, and what they need was
-// rented as late. The more jobs there are in a round, the fewer writes each takes.
+// submissionsCrowded reports whether so many submissions wait to be written that placements
+// of critical jobs have to leave writes to them. Such placements go first, and each team
+// could write one after the other, with a job or two in each: of hundreds of jobs that came
+// at once only a few a second were then accepted, and the machines for them were provisioned
+// as late. The more jobs there are in a transaction, the fewer writes each takes.
 func (c *Controller) submissionsCrowded() bool {
 	return c.cache.submissionsInFlight >= minAdmissionQueue
 }
 
-// startTransactions starts rounds for the teams whose turn it is. A round is made when it
-// can be written at once: one that waits in line for its tokens is based on
-// what is no longer so, and is lost. So teams take turns, unless machines are
-// gone with what stood on them.
-func (c *Controller) startTransactions(rest bool) map[string]*placementTransaction {
+// startTransactions starts transactions for the teams whose turn it is, and collects the
+// task exits to record in them. A transaction is made when it can be written at once: one
+// that waits for write tokens is based on an outdated state, and is lost. So teams take
+// turns, unless machines were lost with the tasks on them.
+func (c *Controller) startTransactions() map[string]*placementTransaction {
 	transactions := map[string]*placementTransaction{}
-	if !rest {
-		return transactions
-	}
-	names := sortedKeys(c.cache.teams)
-	slices.SortStableFunc(names, func(a, b string) int {
-		return cmp.Compare(c.cache.teams[a].schedule.lastTurn, c.cache.teams[b].schedule.lastTurn)
-	})
-	for _, name := range names {
+	for _, name := range c.teamsByTurn() {
 		t := c.cache.teams[name]
 		if t.schedule.inFlight != nil || !c.isDue(t.schedule.nextTransaction) {
 			continue
 		}
-		r := c.newPlacementTransaction(t)
-		c.collectTaskExits(r)
-		switch {
-		case r.empty() || c.ownsTeam(name):
-			t.schedule.nextExitCollection = 0
-		case t.schedule.nextExitCollection == 0:
-			t.schedule.nextExitCollection = c.now.Add(exitCollectionDelay)
-			continue
-		case !c.isDue(t.schedule.nextExitCollection):
-			continue
-		}
-		if r.empty() && !c.teamNeedsWork(name) {
+		txn := c.newPlacementTransaction(t)
+		c.collectTaskExits(txn)
+		if !c.mayRecordExits(txn) || txn.empty() && !c.teamNeedsWork(name) {
 			continue
 		}
-		transactions[name] = r
+		transactions[name] = txn
 		t.schedule.lastTurn = c.now
 		if !c.scheduler.machinesLost {
-			c.scheduler.dirty = true // others may wait for their turn
+			c.scheduler.dirty = true // other teams may wait for their turn
 			break
 		}
 	}
@@ -205,65 +205,152 @@
 	return transactions
 }
 
-// teamNeedsWork reports whether a team has something that is this controller's to do:
-// tasks without a machine, or whatever else its owner looks after.
+// teamsByTurn is the names of the teams, those first whose last turn is the longest ago.
+func (c *Controller) teamsByTurn() []string {
+	names := sortedKeys(c.cache.teams)
+	slices.SortStableFunc(names, func(a, b string) int {
+		return cmp.Compare(c.cache.teams[a].schedule.lastTurn, c.cache.teams[b].schedule.lastTurn)
+	})
+	return names
+}
+
+// mayRecordExits reports whether this controller may write the task exits that a transaction
+// collected: the team's owner at once, others only if the owner has not done so for
+// exitCollectionDelay.
+func (c *Controller) mayRecordExits(txn *placementTransaction) bool {
+	schedule := &txn.team.schedule
+	switch {
+	case txn.empty() || c.ownsTeam(txn.team.name):
+		schedule.nextExitCollection = 0
+		return true
+	case schedule.nextExitCollection == 0:
+		schedule.nextExitCollection = c.now.Add(exitCollectionDelay)
+		return false
+	}
+	return c.isDue(schedule.nextExitCollection)
+}
+
+// startCriticalTransactions starts transactions for critical jobs alone for the teams whose
+// turn it is not: critical jobs wait for no turn.
+func (c *Controller) startCriticalTransactions(transactions map[string]*placementTransaction) {
+	for _, name := range sortedKeys(c.cache.teams) {
+		t := c.cache.teams[name]
+		if transactions[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
+			transactions[name] = c.newPlacementTransaction(t)
+			transactions[name].criticalOnly = true
+		}
+	}
+}
+
+// commitTransactions commits the transactions that are not empty, and paces the next pass
+// over critical jobs by their size.
+func (c *Controller) commitTransactions(transactions map[string]*placementTransaction) {
+	committed, operations := false, 0
+	for _, name := range sortedKeys(transactions) {
+		if txn := transactions[name]; !txn.empty() {
+			c.commitPlacements(txn)
+			committed = true
+			operations += txn.operations
+		}
+	}
+	c.scheduler.nextCriticalOnly = c.now.Add(config.Seconds(float64(operations) / (c.writeRate() * crowdedWriteFraction)))
+	if !committed {
+		c.scheduler.nextNonCritical = c.scheduler.nextPass
+	}
+}
+
+// teamNeedsWork reports whether a team has something for this controller to do: to place
+// tasks, to complete a job, or to evict tasks from machines with a preemption notice.
 func (c *Controller) teamNeedsWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
 	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.scaling.preemptionAt != 0 }) {
 		return true
 	}
-	for id, j := range c.cache.jobs {
+	for _, j := range c.cache.jobs {
 		if j.spec.Team != team {
 			continue
 		}
-		if done := j.completed.Len(); ownsTeam && done >= j.spec.Tasks || !c.inBackoff(j) && done+c.placedTasks(id) < j.spec.Tasks && c.schedulesJob(j) {
+		if ownsTeam && j.completed.Len() >= j.spec.Tasks || c.hasTasksToPlace(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// passPause is the least time between passes, which cost in proportion to the
-// fleet.
+// hasTasksToPlace reports whether a job has tasks that this controller is to place now.
+func (c *Controller) hasTasksToPlace(j *job) bool {
+	return !c.inBackoff(j) && j.completed.Len()+c.placedTasks(j.id) < j.spec.Tasks && c.schedulesJob(j)
+}
+
+// needsSchedulingPass reports whether this controller has jobs to schedule. The provisioner
+// also has to know the demand of all other jobs, and whether there is enough headroom.
+func (c *Controller) needsSchedulingPass(includeNonCritical bool) bool {
+	return includeNonCritical && c.isProvisioner() || c.hasPendingJobs(includeNonCritical)
+}
+
+// hasPendingJobs reports whether there are pending jobs that this controller schedules.
+func (c *Controller) hasPendingJobs(includeNonCritical bool) bool {
+	for _, j := range c.cache.jobs {
+		if (includeNonCritical || j.spec.Priority == wire.PriorityCritical) && c.hasTasksToPlace(j) {
+			return true
+		}
+	}
+	return false
+}
+
+// schedulesJob reports whether this controller is responsible for a job's placement: for a
+// new job's first placement the controller that accepted it, for everything else the owner
+// of its team. While sharding is in use, a job may have been forwarded to another.
+func (c *Controller) schedulesJob(j *job) bool {
+	if to, forwarded := c.forwardedTo(j.id); forwarded && c.sharded() {
+		return to == c.settings.Label
+	}
+	if c.now.Sub(j.firstSeen) < acceptorPriorityPeriod && c.isAlive(j.acceptedBy) {
+		return j.acceptedBy == c.membership.incarnation && !c.isolated()
+	}
+	return c.ownsTeam(j.spec.Team)
+}
+
+// passPause is the least time between passes, whose cost is in proportion to the fleet.
 func (c *Controller) passPause() time.Duration {
 	return c.stretchPause(passInterval+time.Duration(len(c.fleet.machines))*passIntervalPerMachine, maxPassPause)
 }
 
-// stretchPause is a pause of what can be put off, stretched where this process has a small
-// share of a processor, and further while it falls behind: leases, answers and what
-// waits for them come first. It is not stretched beyond most.
-func (c *Controller) stretchPause(pause, most time.Duration) time.Duration {
+// stretchPause stretches the pause before work that can be deferred, where this process has a
+// small share of a processor, and further while it lags: leases, responses and what waits
+// for them come first. The pause is not stretched beyond longest.
+func (c *Controller) stretchPause(pause, longest time.Duration) time.Duration {
 	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag)
-	return max(pause, min(most, time.Duration(float64(pause)*stretch)))
+	return max(pause, min(longest, time.Duration(float64(pause)*stretch)))
 }
 
-// measureLag is called at every tick: how late ticks come shows whether this process
-// keeps up.
+// measureLag measures, at every tick, how late ticks come: this shows whether the process has
+// enough of the processor.
 func (c *Controller) measureLag() {
 	late := min(c.now.Sub(c.scheduler.lastTick)-TickEvery, stallThreshold)
 	c.scheduler.lag += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - c.scheduler.lag)
 	c.scheduler.lastTick = c.now
-	if late := c.scheduler.lag > lagThreshold; late != c.scheduler.lagging && (late || c.scheduler.lag < lagRecovered) {
-		c.scheduler.lagging = late
-		if late {
-			c.metrics.count(countLagging, 1)
-			c.log.Info("this process falls behind: what can wait is put off; cluster.quota.core_share may be too small",
-				"late", time.Duration(c.scheduler.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
-		} else {
-			c.log.Info("this process keeps up again")
-		}
+	switch {
+	case !c.scheduler.lagging && c.scheduler.lag > lagThreshold:
+		c.scheduler.lagging = true
+		c.metrics.count(countLagging, 1)
+		c.log.Info("controller lags, deferrable work is slowed down; cluster.quota.core_share may be too small",
+			"tick_delay", time.Duration(c.scheduler.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
+	case c.scheduler.lagging && c.scheduler.lag < lagRecovered:
+		c.scheduler.lagging = false
+		c.log.Info("controller lag recovered")
 	}
 }
 
 const (
-	// TickEvery is how often the core is to be given a Tick.
+	// TickEvery is how often the controller is to be given a Tick.
 	TickEvery = 50 * time.Millisecond
-	// referenceCoreShare is the share of a processor that pauses are meant for.
+	// referenceCoreShare is the share of a processor that the pauses are dimensioned for.
 	referenceCoreShare = 0.18
 	maxPassPause       = time.Second
-	lagSmoothing       = 0.1 // of the last tick, in the mean
-	// lagThreshold and lagRecovered are how late ticks come, in ticks, when a process is said to
-	// fall behind, and to keep up again.
+	lagSmoothing       = 0.1 // the weight of the last tick in the moving average
+	// lagThreshold and lagRecovered are the lags, in ticks, above which a process counts as
+	// lagging, and below which it has recovered.
 	lagThreshold, lagRecovered = 3.0, 0.5
 )
 
@@ -275,19 +362,3 @@
 	slices.Sort(keys)
 	return keys
 }
-
-// needsSchedulingPass reports whether anything waits that this controller answers for. The
-// buyer also has to know what else does, and whether enough room is kept free.
-func (c *Controller) needsSchedulingPass(rest bool) bool {
-	return rest && c.cache.provisionerIncarnation == c.membership.incarnation || c.hasPendingJobs(rest)
-}
-
-// hasPendingJobs reports whether anything waits that this controller answers for.
-func (c *Controller) hasPendingJobs(rest bool) bool {
-	for id, j := range c.cache.jobs {
-		if (rest || j.spec.Priority == wire.PriorityCritical) && !c.inBackoff(j) && j.completed.Len()+c.placedTasks(id) < j.spec.Tasks && c.schedulesJob(j) {
-			return true
-		}
-	}
-	return false
-}
--- /dev/null
+++ b/internal/controller/unmet_demand.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"slices"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/placement"
+	"lilacrill/wire"
+)
+
+// The reasons why tasks of a job are pending. Users see them as wire.AdminJob's Reason.
+const (
+	reasonUnreadable       = "its record, or a placement record of its team, cannot be read"
+	reasonCrashLoopBackoff = "its tasks failed; they are tried again after a pause"
+	reasonCanariesRunning  = "its tasks fail on every machine; some are tried now"
+	reasonCrashLoopIdle    = "its tasks fail on every machine; tried again when something is free"
+	reasonTeamAtLimit      = "the team is at its limit"
+	reasonBeingPlaced      = "being placed"
+	reasonForwarded        = "no machine in this controller's shares has room: handed on"
+	reasonNoGangCapacity   = "not enough machines that fit have room at once"
+	reasonNoCapacity       = "no machine that fits has room"
+)
+
+// unmetDemand is a number of a job's tasks without room.
+type unmetDemand struct {
+	job        *job
+	count      int
+	guaranteed bool   // within its team's quota guarantee
+	zone       string // where they have to run; "" if anywhere
+}
+
+// handleUnmetDemand deals with tasks that found no room: the job is forwarded, or capacity
+// that is being freed is reserved for them, or less urgent tasks are evicted. What is left is
+// demand for the provisioner.
+func (p *schedulingPass) handleUnmetDemand(pending *pendingJob, count int) {
+	j := pending.job
+	if !j.mayPreempt() {
+		j.pendingReason = reasonCrashLoopIdle
+		return
+	}
+	if p.ownShards && p.c.forwardJob(pending, true) {
+		j.pendingReason = reasonForwarded
+		return
+	}
+	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone && pending.zone == "") {
+		zone, lacking := p.gatherCapacity(pending, count)
+		j.pendingReason = reasonNoGangCapacity
+		p.addUnmetDemand(pending, lacking, zone)
+		return
+	}
+	if lacking := p.freeCapacity(pending, count); lacking > 0 {
+		j.pendingReason = reasonNoCapacity
+		p.addUnmetDemand(pending, lacking, "")
+	}
+}
+
+// freeCapacity reserves or frees capacity for single tasks and returns how many still have
+// none.
+func (p *schedulingPass) freeCapacity(pending *pendingJob, count int) int {
+	j := pending.job
+	key := searchKey{
+		team:       j.spec.Team,
+		priority:   j.spec.Priority.Level(),
+		spot:       j.spec.Spot,
+		guaranteed: pending.guaranteed,
+		preempts:   true,
+	}
+	if p.knownUnsatisfiable(key, j) {
+		return count
+	}
+	usable := func(*placement.Host) bool { return true }
+	if p.avoidsAccelerators(j) {
+		usable = func(host *placement.Host) bool { return !p.hasReservedAccelerators(host) }
+	}
+	rules := j.request.Enforced
+	if p.c.operator.values.Affinity == config.AffinityEnforced {
+		rules = slices.Concat(rules, j.request.Preferred)
+	}
+	count = p.awaitFreeingCapacity(pending, rules, count, usable)
+	if count > 0 {
+		p.noteUnsatisfiable(key, j)
+	}
+	return count
+}
+
+// addUnmetDemand has tasks without room provisioned for; a pass over this controller's shards
+// also forwards their job, to a controller that could evict less urgent tasks for it.
+func (p *schedulingPass) addUnmetDemand(pending *pendingJob, count int, zone string) {
+	if count <= 0 {
+		return
+	}
+	if p.ownShards {
+		p.c.forwardJob(pending, false)
+	}
+	p.c.provisioner.unmetDemands = append(p.c.provisioner.unmetDemands,
+		unmetDemand{job: pending.job, count: count, guaranteed: pending.guaranteed, zone: zone})
+}
