--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"slices"
 	"time"
 
@@ -12,84 +13,127 @@
 	"lilacrill/wire"
 )
 
-// How a job ended is first written into its own record, in the place of what it
-// was: one write, where a final state under a key of its own and the drop of the
-// record take two. Where hundreds of small jobs end every minute this decides how
-// many can be served. In quiet moments, and only once there are many, the oldest are
-// moved to keys of their own, which need not be read when a controller starts.
+// A completion is first written into the job's own record, in the place of its specification:
+// one write, where a completion under a key of its own and the deletion of the record take two.
+// Where hundreds of small jobs complete every minute this decides how many can be served. When
+// there are many, the oldest are archived while there are writes to spare: moved to keys of their
+// own, which need not be loaded when a controller starts.
 //
-// At any moment one of the two keys stands, and a move is one transaction: so a late
-// copy of a submission fails on one of them, whenever it comes.
+// At any moment one of the two keys exists, since a completion is moved by one transaction: a
+// delayed copy of a submission, which demands that neither exists, fails whenever it arrives.
 
 const (
-	// maxCompletedInPlace is how many ended jobs may stand in their own records before the
-	// oldest are moved, and twice as many before that goes ahead of submissions.
+	// maxCompletedInPlace is how many completions may be in their jobs' records before the oldest
+	// are archived. From twice as many on, archiving goes ahead of submissions.
 	maxCompletedInPlace = 2000
 	archiveInterval     = time.Second
 )
 
-// completion finds how a job ended, if that is known here.
+var errNotTerminal = errors.New("completion without a final status")
+
+// archive is the state of the moves of completions.
+type archive struct {
+	inFlight bool
+	next     Time
+}
+
+// completedRecord is a job's record that holds its completion.
+type completedRecord struct {
+	id      wire.JobID
+	version wire.Revision
+}
+
+// completion is how a job was completed, if that is known here.
 func (c *Controller) completion(id wire.JobID) (record.Completion, bool) {
-	if f, ok := c.cache.completedJobs[id]; ok {
-		return f, true
+	if completion, ok := c.cache.completedJobs[id]; ok {
+		return completion, true
 	}
-	f, ok := c.cache.archivedJobs[id]
-	return f, ok
+	completion, ok := c.cache.archivedJobs[id]
+	return completion, ok
 }
 
-// applyArchivedJob takes a final state under a key of its own into the cache.
+// applyArchivedJob takes an archived completion into the cache.
 func (c *Controller) applyArchivedJob(id wire.JobID, value json.RawMessage) error {
-	var f record.Completion
-	if err := fastjson.Unmarshal(value, &f); err != nil {
+	var completion record.Completion
+	if err := fastjson.Unmarshal(value, &completion); err != nil {
 		return err
 	}
-	if !f.Status.IsTerminal() {
+	if !completion.Status.IsTerminal() {
 		return errNotTerminal
 	}
-	c.cacheArchivedJob(id, f)
+	c.cache.addArchived(id, completion)
 	return nil
 }
 
-func (c *Controller) cacheArchivedJob(id wire.JobID, f record.Completion) {
-	if len(c.cache.archivedJobs) >= maxArchivedJobs {
-		for old := range c.cache.archivedJobs {
-			delete(c.cache.archivedJobs, old)
+// addArchived caches an archived completion; if there are too many, any other one is dropped.
+func (s *stateCache) addArchived(id wire.JobID, completion record.Completion) {
+	if len(s.archivedJobs) >= maxArchivedJobs {
+		for other := range s.archivedJobs {
+			delete(s.archivedJobs, other)
 			break
 		}
 	}
-	c.cache.archivedJobs[id] = f
+	s.archivedJobs[id] = completion
 }
 
-// archiveCompletedJobs moves the final states of some jobs that ended long ago to keys of their
-// own. Each controller moves its part of them.
+// archiveDue reports whether completions are to be archived now.
+func (c *Controller) archiveDue() bool {
+	completed := len(c.cache.completedJobs)
+	if completed <= maxCompletedInPlace || c.archive.inFlight || !c.isDue(c.archive.next) || !c.canAffordWrite() {
+		return false
+	}
+	return !c.submissionsCrowded() || completed > 2*maxCompletedInPlace
+}
+
+// archiveCompletedJobs archives some of the oldest completions. Each controller archives its part
+// of them.
 func (c *Controller) archiveCompletedJobs() {
-	if len(c.cache.completedJobs) <= maxCompletedInPlace || c.cache.archiving || !c.isDue(c.cache.nextArchive) || !c.canAffordWrite() || c.submissionsCrowded() && len(c.cache.completedJobs) <= 2*maxCompletedInPlace {
+	if !c.archiveDue() {
 		return
 	}
-	c.cache.nextArchive = c.now.Add(archiveInterval)
-	type old struct {
-		id      wire.JobID
-		version wire.Revision
-	}
-	oldest := make([]old, 0, len(c.cache.completedJobs))
-	for id := range c.cache.completedJobs {
-		oldest = append(oldest, old{id, c.cache.keyVersions[record.JobKey(id)]})
+	c.archive.next = c.now.Add(archiveInterval)
+	txn := c.archiveTransaction()
+	if len(txn.Then) == 0 {
+		return
 	}
-	slices.SortFunc(oldest, func(a, b old) int { return cmp.Or(cmp.Compare(a.version, b.version), cmp.Compare(a.id, b.id)) })
+	c.archive.inFlight = true
+	c.commit(PriorityBackground, txn, func(CommitResult) { c.archive.inFlight = false })
+}
+
+// archiveTransaction moves as many of the oldest completions as a small transaction holds.
+func (c *Controller) archiveTransaction() wire.Transaction {
+	const operationsPerJob = 2
+	limit := min(c.settings.Cluster.State.TxnOps, typicalTransactionWrites)
+	oldest := c.cache.completedRecords()
 	var txn wire.Transaction
-	for _, o := range oldest[:len(oldest)-maxCompletedInPlace] {
-		if len(txn.Then)+2 > min(c.settings.Cluster.State.TxnOps, typicalTransactionWrites) {
+	for _, old := range oldest[:len(oldest)-maxCompletedInPlace] {
+		if len(txn.Then)+operationsPerJob > limit {
 			break
 		}
-		if len(c.membership.eligibleControllers) > 0 && rendezvous.Highest(c.membership.eligibleControllers, string(o.id)) != c.settings.Label {
+		if !c.archives(old.id) {
 			continue
 		}
-		txn.If = append(txn.If, wire.Condition{Key: record.JobKey(o.id), Version: o.version}, wire.Condition{Key: record.CompletionKey(o.id)})
-		txn.Then = append(txn.Then, c.putChange(record.CompletionKey(o.id), c.cache.completedJobs[o.id]), wire.Change{Delete: record.JobKey(o.id)})
+		jobKey, archiveKey := record.JobKey(old.id), record.CompletionKey(old.id)
+		txn.If = append(txn.If, wire.Condition{Key: jobKey, Version: old.version}, wire.Condition{Key: archiveKey})
+		txn.Then = append(txn.Then, c.putChange(archiveKey, c.cache.completedJobs[old.id]), wire.Change{Delete: jobKey})
 	}
-	if len(txn.Then) == 0 {
-		return
+	return txn
+}
+
+// completedRecords lists the records that hold completions, the oldest first.
+func (s *stateCache) completedRecords() []completedRecord {
+	records := make([]completedRecord, 0, len(s.completedJobs))
+	for id := range s.completedJobs {
+		records = append(records, completedRecord{id, s.keyVersions[record.JobKey(id)]})
 	}
-	c.cache.archiving = true
-	c.commit(PriorityBackground, txn, func(CommitResult) { c.cache.archiving = false })
+	slices.SortFunc(records, func(a, b completedRecord) int {
+		return cmp.Or(cmp.Compare(a.version, b.version), cmp.Compare(a.id, b.id))
+	})
+	return records
+}
+
+// archives reports whether this controller, rather than a sibling, archives a job.
+func (c *Controller) archives(id wire.JobID) bool {
+	eligible := c.membership.eligibleControllers
+	return len(eligible) == 0 || rendezvous.Highest(eligible, string(id)) == c.settings.Label
 }
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -7,45 +7,65 @@
 	"lilacrill/wire"
 )
 
-// tickCleanup rewrites placement records that nothing stands on but what was
-// done of jobs that are over; others lose that when they are next written.
+const cleanupInterval = 2 * time.Second
+
+// cleanup is the state of the cleaning up of placement records.
+type cleanup struct {
+	inFlight bool
+	next     Time
+}
+
+// tickCleanup archives completions and cleans up placement records.
 func (c *Controller) tickCleanup() {
 	if !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
 	c.archiveCompletedJobs()
-	if c.scheduler.cleaning || !c.isDue(c.scheduler.nextCleanup) || !c.canAffordWrite() {
+	if c.cleanup.inFlight || !c.isDue(c.cleanup.next) || !c.canAffordWrite() {
 		return
 	}
-	c.scheduler.nextCleanup = c.now.Add(2 * time.Second)
+	c.cleanup.next = c.now.Add(cleanupInterval)
+	if page := c.pageToCleanUp(); page != nil {
+		c.cleanUpPage(page)
+	}
+}
+
+// pageToCleanUp finds a page without allocations that still has completed tasks of completed
+// jobs; nil if there is none. Pages with allocations lose these tasks when they are next written.
+func (c *Controller) pageToCleanUp() *page {
 	for _, name := range sortedKeys(c.cache.teams) {
-		t := c.cache.teams[name]
-		if t.schedule.inFlight != nil || !c.ownsTeam(name) {
+		team := c.cache.teams[name]
+		if team.schedule.inFlight != nil || !c.ownsTeam(name) {
 			continue
 		}
-		for _, key := range sortedKeys(t.pages) {
-			p := t.pages[key]
-			if len(p.allocations) > 0 || len(p.completed) == 0 || len(c.uncompletedOnly(p.completed)) == len(p.completed) {
-				continue
+		for _, key := range sortedKeys(team.pages) {
+			page := team.pages[key]
+			if len(page.allocations) == 0 && len(c.uncompletedOnly(page.completed)) < len(page.completed) {
+				return page
 			}
-			d := page{completed: c.uncompletedOnly(p.completed)}
-			c.scheduler.cleaning = true
-			c.commit(PriorityBackground, wire.Transaction{
-				If:   []wire.Condition{{Key: key, Version: p.version}},
-				Then: []wire.Change{c.putChange(key, d.value())},
-			}, func(CommitResult) { c.scheduler.cleaning = false })
-			return
 		}
 	}
+	return nil
+}
+
+// cleanUpPage writes a page without the completed tasks of completed jobs.
+func (c *Controller) cleanUpPage(stale *page) {
+	cleaned := page{completed: c.uncompletedOnly(stale.completed)}
+	c.cleanup.inFlight = true
+	c.commit(PriorityBackground, wire.Transaction{
+		If:   []wire.Condition{{Key: stale.key, Version: stale.version}},
+		Then: []wire.Change{c.putChange(stale.key, cleaned.value())},
+	}, func(CommitResult) { c.cleanup.inFlight = false })
 }
 
-// uncompletedOnly is what of the done sets belongs to jobs that are not over.
-func (c *Controller) uncompletedOnly(done map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
-	out := map[wire.JobID]record.TaskSet{}
-	for id, set := range done {
+// uncompletedOnly is the part of some completed tasks that belongs to jobs which are not
+// completed.
+func (c *Controller) uncompletedOnly(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
+	remaining := map[wire.JobID]record.TaskSet{}
+	for id, tasks := range completed {
 		if c.cache.jobs[id] != nil {
-			out[id] = set
+			remaining[id] = tasks
 		}
 	}
-	return out
+	return remaining
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,6 +54,8 @@
 	cancellations  cancellationWatermark
 	completedTasks completedTasks
 	writeBudget    writeBudget
+	archive        archive
+	cleanup        cleanup
 	gossip         gossip
 
 	lastStep  Time
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -186,7 +186,7 @@
 	for _, key := range sortedKeys(r.pages) {
 		d := r.pages[key]
 		d.sortAllocations()
-		for encodedSize(d) > c.pageLimit() {
+		for d.encodedSize() > c.pageLimit() {
 			e := d.allocations[len(d.allocations)-1]
 			d.allocations = d.allocations[:len(d.allocations)-1]
 			if len(d.allocations) == 0 || !c.stageAllocationExcept(r, d.zone, e, key) {
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, zone := range sortedKeys(r.zonesWithAdditions) {
-		c.stagePage(r, c.headPage(t, zone))
+		c.stagePage(r, t.headPage(zone))
 	}
 	var keys []string
 	for _, key := range sortedKeys(r.pages) {
@@ -211,17 +211,8 @@
 	return keys
 }
 
-// encodedSize is how many bytes a page's plain value takes: it fits whether or not it is
-// compressed.
-func encodedSize(p *page) int {
-	if p.size <= 0 {
-		p.updateSize()
-	}
-	return len(encodePlain(p.value()))
-}
-
 func equalPages(a, b *page) bool {
-	return len(a.completed) == len(b.completed) && slices.EqualFunc(a.allocations, b.allocations, equalAllocations) &&
+	return len(a.completed) == len(b.completed) && slices.EqualFunc(a.allocations, b.allocations, func(x, y Allocation) bool { return x.equal(&y) }) &&
 		maps.EqualFunc(a.completed, b.completed, record.TaskSet.Equal)
 }
 
@@ -276,25 +267,10 @@
 	c.log.Debug("placement busy", "team", t.name)
 }
 
-func equalAllocations(a, b Allocation) bool {
-	return a.AllocationHeader == b.AllocationHeader && a.Machine == b.Machine && a.AgentEpoch == b.AgentEpoch && a.Tasks.Equal(b.Tasks)
-}
-
-func (c *Controller) pageLimit() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
-
 // newAllocationFraction is the part of a page that new entries may fill: the rest is for
 // stops and fences that set entries apart.
 const newAllocationFraction = 0.8
 
-// headPage is the head of a team's pages in a zone, empty if there is none yet.
-func (c *Controller) headPage(t *team, zone string) *page {
-	key := record.PlacementKey(t.name, zone, 0)
-	if p := t.pages[key]; p != nil {
-		return p
-	}
-	return &page{key: key, team: t.name, zone: zone, size: record.PageOverhead}
-}
-
 // stageAllocation puts a new entry on a page of its zone that has room, or on a new one.
 // It reports whether the round could take it.
 func (c *Controller) stageAllocation(r *placementTransaction, zone string, e Allocation) bool {
@@ -316,7 +292,7 @@
 			if n > 1 && n < t.pageCount[zone] {
 				return false // a page that we have not read
 			}
-			p = &page{key: key, team: t.name, zone: zone, number: n, size: record.PageOverhead}
+			p = newPage(t.name, zone, n)
 		}
 		cur := r.stagedOrCurrent(p)
 		size := e.encodedSizeAfter(cur.allocations)
@@ -327,7 +303,7 @@
 			continue
 		}
 		// The head is written too.
-		head := c.headPage(t, zone)
+		head := t.headPage(zone)
 		if (r.pages[key] == nil || r.pages[head.key] == nil) && !c.hasCapacityFor(r, 2) {
 			return false
 		}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -28,8 +28,6 @@
 	lastTick           Time
 	lag                float64 // how late ticks have come lately, in ticks
 	lagging            bool
-	nextCleanup        Time
-	cleaning           bool
 
 	// The index of the placement records: of committed allocations for commands, and with
 	// those of transactions in flight for scheduling.
