--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -3,207 +3,124 @@
 import (
 	"slices"
 
-	"lilacrill/internal/config"
-	"lilacrill/internal/placement"
-	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// index adds a page's entries to the index of the records, unindex takes them
-// out again.
-func (c *Controller) index(p *page) {
-	p.needsReview = true
-	for i := range p.allocations {
-		e := &p.allocations[i]
-		e.page, e.host = p, c.machine(e.Machine)
-		e.host.reconciliation.reconciledHeartbeat = nil
-		e.host.allocations = append(e.host.allocations, e)
-		c.scheduler.allocationsByJob[e.Job] = append(c.scheduler.allocationsByJob[e.Job], e)
-		if c.cache.jobs[e.Job] == nil {
-			c.noteCompletedTasksOn(e.Machine)
-		}
-		if e.Priority == wire.PriorityCritical.Level() {
-			c.scheduler.criticalAllocations[e.Machine]++
+// index adds a page's allocations to the indexes: by machine, by job, and the count of critical
+// ones by machine. unindex removes them again.
+func (c *Controller) index(page *page) {
+	page.needsReview = true
+	for i := range page.allocations {
+		allocation := &page.allocations[i]
+		host := c.machine(allocation.Machine)
+		allocation.page, allocation.host = page, host
+		host.reconciliation.reconciledHeartbeat = nil
+		host.allocations = append(host.allocations, allocation)
+		c.scheduler.allocationsByJob[allocation.Job] = append(c.scheduler.allocationsByJob[allocation.Job], allocation)
+		if c.cache.jobs[allocation.Job] == nil {
+			c.noteCompletedTasksOn(allocation.Machine)
+		}
+		if allocation.isCritical() {
+			c.scheduler.criticalAllocations[allocation.Machine]++
 		}
 	}
 }
 
-func (c *Controller) unindex(p *page) {
-	here := func(e *Allocation) bool { return e.page == p }
-	for i := range p.allocations {
-		e := &p.allocations[i]
-		e.host.reconciliation.reconciledHeartbeat = nil
-		e.host.allocations = slices.DeleteFunc(e.host.allocations, here)
-		deleteWhere(c.scheduler.allocationsByJob, e.Job, here)
-		if e.Priority == wire.PriorityCritical.Level() {
-			if c.scheduler.criticalAllocations[e.Machine]--; c.scheduler.criticalAllocations[e.Machine] == 0 {
-				delete(c.scheduler.criticalAllocations, e.Machine)
-			}
+func (c *Controller) unindex(page *page) {
+	onPage := func(a *Allocation) bool { return a.page == page }
+	for i := range page.allocations {
+		allocation := &page.allocations[i]
+		host := allocation.host
+		host.reconciliation.reconciledHeartbeat = nil
+		host.allocations = slices.DeleteFunc(host.allocations, onPage)
+		deleteWhere(c.scheduler.allocationsByJob, allocation.Job, onPage)
+		if allocation.isCritical() {
+			decrement(c.scheduler.criticalAllocations, allocation.Machine)
 		}
 	}
 }
 
-func deleteWhere[K comparable](m map[K][]*Allocation, k K, drop func(*Allocation) bool) {
-	if left := slices.DeleteFunc(m[k], drop); len(left) > 0 {
-		m[k] = left
+func (a *Allocation) isCritical() bool { return a.Priority == wire.PriorityCritical.Level() }
+
+// deleteWhere drops elements of a key's list, and the key with the last one.
+func deleteWhere[K comparable](lists map[K][]*Allocation, key K, drop func(*Allocation) bool) {
+	if left := slices.DeleteFunc(lists[key], drop); len(left) > 0 {
+		lists[key] = left
 	} else {
-		delete(m, k)
+		delete(lists, key)
+	}
+}
+
+// decrement lowers a key's count, and drops the key at 0.
+func decrement[K comparable](counts map[K]int, key K) {
+	if counts[key]--; counts[key] == 0 {
+		delete(counts, key)
 	}
 }
 
-// locatedAllocation is an entry with the page it stands on.
+// locatedAllocation is an allocation with the page in the cache that it is on. The allocation may
+// be a staged one.
 type locatedAllocation struct {
 	page       *page
 	allocation *Allocation
 }
 
-// jobAllocations finds a job's entries, as its team's round would leave them.
-func (c *Controller) jobAllocations(r *placementTransaction, id wire.JobID) []locatedAllocation {
-	var out []locatedAllocation
+// jobAllocations finds a job's allocations as a transaction of its team would leave them, on the
+// pages that are stored already.
+func (c *Controller) jobAllocations(txn *placementTransaction, id wire.JobID) []locatedAllocation {
+	var found []locatedAllocation
 	seen := map[string]bool{}
-	look := func(p *page) {
-		if p == nil || seen[p.key] {
+	search := func(stored *page) {
+		if stored == nil || seen[stored.key] {
 			return
 		}
-		seen[p.key] = true
-		d := r.stagedOrCurrent(p)
-		for i := range d.allocations {
-			if d.allocations[i].Job == id {
-				out = append(out, locatedAllocation{p, &d.allocations[i]})
+		seen[stored.key] = true
+		staged := txn.stagedOrCurrent(stored)
+		for i := range staged.allocations {
+			if staged.allocations[i].Job == id {
+				found = append(found, locatedAllocation{stored, &staged.allocations[i]})
 			}
 		}
 	}
-	for _, e := range c.scheduler.allocationsByJob[id] {
-		look(e.page)
+	for _, allocation := range c.scheduler.allocationsByJob[id] {
+		search(allocation.page)
 	}
-	for _, key := range sortedKeys(r.pages) {
-		look(r.team.pages[key])
+	for _, key := range sortedKeys(txn.pages) {
+		search(txn.team.pages[key])
 	}
-	return out
-}
-
-// buildHosts builds the fleet as placement sees it: what is on the machines by the
-// records, with the rounds that are being written. With ownShards it holds the machines in
-// this controller's shares and, closed, those with tasks of jobs that it places, since
-// rules read them; visit gets no host of others.
-func (c *Controller) buildHosts(rounds map[string]*placementTransaction, ownShares bool, visit func(*page, *Allocation, *placement.Host)) placement.Fleet {
-	room := make([]placement.Host, len(c.fleet.machines))
-	fleet := make(placement.Fleet, 0, len(c.fleet.machines))
-	for i, m := range c.orderedMachines() {
-		m.host = nil
-		t := c.machineTypeNamed(m.machineType)
-		if t == nil || m.latestHeartbeat == nil || m.scaling.terminated || ownShares && !c.shards.table.Places(m.shard) {
-			continue
-		}
-		h := &room[i]
-		*h = placement.Host{ID: m.id, Labels: c.labelsOf(m), Total: machineResources(t), Unschedulable: !c.acceptsTasks(m),
-			Free: machineResources(t), TaskSlots: maxTasksPerMachine, Images: m.images.cached, Price: t.OnDemandPrice, PullingImages: m.images.pulling}
-		if m.spot {
-			h.Price = t.SpotPrice
-		}
-		if !c.isDue(m.quarantine.faultyUntil) {
-			h.Penalty = 1
-		}
-		fleet = append(fleet, h)
-		m.host = h
-	}
-	// Entries of one job mostly stand together.
-	var last wire.JobID
-	var j *job
-	var tags placement.Tags
-	within := false
-	c.visitStagedAllocations(rounds, func(p *page, e *Allocation) {
-		m := e.host
-		if m == nil {
-			m = c.machine(e.Machine) // it is of a round that is being made
-		}
-		h := m.host
-		if h == nil && ownShares && !c.shards.table.Places(m.shard) {
-			if j := c.cache.jobs[e.Job]; j == nil || !c.schedulesJob(j) {
-				visit(p, e, nil)
-				return
-			}
-		}
-		if h == nil {
-			// Rules with within read the zone of an unknown machine too.
-			h = &placement.Host{ID: e.Machine, Labels: placement.Tags{placement.LabelZone: p.zone}, Unschedulable: true}
-			m.host = h
-			fleet = append(fleet, h)
-		}
-		if e.Job != last {
-			last, j, within = e.Job, c.cache.jobs[e.Job], c.scheduler.guaranteedJobs[e.Job]
-			if j != nil {
-				tags = j.request.Tags
-			} else {
-				tags = e.tags()
-			}
-		}
-		n := e.Tasks.Len()
-		h.Free = h.Free.Plus(e.taskResources(), -float64(n))
-		h.TaskSlots -= n
-		g := placement.Group{Team: p.team, Tags: tags, Count: n}
-		if e.Eviction != record.EvictionNone || j == nil {
-			h.Freeing = h.Freeing.Plus(e.taskResources(), float64(n))
-			g.Stopping = true
-		} else {
-			h.PreemptablePriorities |= 1 << e.Priority
-			h.HasUnguaranteedTasks = h.HasUnguaranteedTasks || e.Priority >= wire.PriorityNormal.Level() && !within
-		}
-		h.Groups = append(h.Groups, g)
-		visit(p, e, h)
-	})
-	return fleet
+	return found
 }
 
-// visitStagedAllocations visits all entries as the rounds under way will leave them.
-func (c *Controller) visitStagedAllocations(rounds map[string]*placementTransaction, visit func(*page, *Allocation)) {
+// visitStagedAllocations visits all allocations as the transactions in flight, or else the given
+// ones by team, will leave them.
+func (c *Controller) visitStagedAllocations(transactions map[string]*placementTransaction, visit func(*page, *Allocation)) {
 	for _, name := range sortedKeys(c.cache.teams) {
-		t := c.cache.teams[name]
-		r := t.schedule.inFlight
-		if r == nil {
-			r = rounds[name]
-		}
-		for _, p := range t.stagedPages(r) {
-			for i := range p.allocations {
-				visit(p, &p.allocations[i])
+		team := c.cache.teams[name]
+		txn := team.schedule.inFlight
+		if txn == nil {
+			txn = transactions[name]
+		}
+		for _, page := range team.stagedPages(txn) {
+			for i := range page.allocations {
+				visit(page, &page.allocations[i])
 			}
 		}
 	}
 }
 
-// stagedPages are the team's pages as a round leaves them.
-func (t *team) stagedPages(r *placementTransaction) []*page {
-	out := t.orderedPages()
-	if r != nil {
-		for i, p := range out {
-			out[i] = r.stagedOrCurrent(p)
-		}
+// stagedPages are the team's pages as a transaction, which may be nil, would leave them.
+func (t *team) stagedPages(txn *placementTransaction) []*page {
+	pages := t.orderedPages()
+	if txn == nil {
+		return pages
 	}
-	if r != nil {
-		for _, key := range sortedKeys(r.pages) {
-			if t.pages[key] == nil {
-				out = append(out, r.pages[key])
-			}
-		}
+	for i, stored := range pages {
+		pages[i] = txn.stagedOrCurrent(stored)
 	}
-	return out
-}
-
-// acceptsTasks reports whether a machine may take new tasks now.
-func (c *Controller) acceptsTasks(m *machine) bool {
-	if m == nil || m.latestHeartbeat == nil || m.isTerminated() || m.scaling.preemptionAt != 0 || m.scaling.status == wire.MachineFailed {
-		return false
-	}
-	if _, going := c.cache.terminating[m.id]; going {
-		return false
-	}
-	if m.unreachable() && !c.fleet.outboundSuspect {
-		return false
+	for _, key := range sortedKeys(txn.pages) {
+		if t.pages[key] == nil {
+			pages = append(pages, txn.pages[key])
+		}
 	}
-	return c.heartbeatsOnTime(m) && slices.Contains(c.settings.Cluster.Zones, m.zone)
-}
-
-// heartbeatsOnTime reports whether a machine was heard within its reporting interval.
-func (c *Controller) heartbeatsOnTime(m *machine) bool {
-	return c.now.Sub(m.liveness.lastHeartbeatAt) < config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+	return pages
 }
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -9,317 +9,408 @@
 	"lilacrill/wire"
 )
 
-// placementTransaction is one conditional write to a team's records.
+// placementTransaction is one compare-and-swap write to a team's placement records. Decisions are
+// staged on copies of the pages; commitPlacements writes the pages that changed.
+//
+// No task may run twice, though every controller places from a cache that may be behind. That
+// rests on what the transaction demands of the state store, never on who made it:
+//
+//   - the versions of the pages that it writes: what others wrote meanwhile is not overwritten;
+//   - if it places tasks, the versions of the head pages of all zones (one that does not exist
+//     must still not). An allocation is never added without its zone's head page being written,
+//     so the tasks that had no allocation when the decision was made still have none, and what
+//     else the decision read of the team's allocations holds;
+//   - if it places tasks, the version of the list of terminations: none of its machines was put
+//     on that list or confirmed to be gone meanwhile. Switching sharding rewrites this list as
+//     well, so placements of controllers with and without shards never mix;
+//   - the records of the shards that it places in: a controller that was replaced as the owner of
+//     a shard loses the write, however late it is executed;
+//   - the versions of the records of the jobs that it places or completes: none of them was
+//     cancelled or completed meanwhile;
+//   - if it raises the fencing token, the token's version.
+//
+// A launch is sent only once the transaction has succeeded.
 type placementTransaction struct {
 	team               *team
-	pages              map[string]*page // drafts of the pages it changes
-	completed          map[wire.JobID]record.TaskSet
-	completedJobs      map[wire.JobID]bool // the jobs that it ends
-	zonesWithAdditions map[string]bool     // zones in which it adds entries
-	writtenPages       map[string]bool     // pages that the transaction changes
-	conditions         map[string]wire.Revision
-	placesTasks        bool
-	shards             map[wire.ShardID]bool // in which it places
-	urgent             bool                  // it places critical tasks
-	// criticalOnly says that it is not this team's turn for anything else.
-	criticalOnly   bool
-	raisesToken    bool
-	usedMachines   map[wire.MachineID]bool
-	notifyMachines map[wire.MachineID]bool // machines with new orders afterwards
-	operations     int
-	bytes          int
+	pages              map[string]*page              // staged pages by key
+	completed          map[wire.JobID]record.TaskSet // tasks that it notes as completed
+	completedJobs      map[wire.JobID]bool           // jobs that it completes
+	zonesWithAdditions map[string]bool               // zones in which it adds allocations
+	writtenPages       map[string]bool               // keys of the staged pages that it writes
+	conditions         map[string]wire.Revision      // versions that it demands, by key
+	placesTasks        bool                          // it adds allocations
+	shards             map[wire.ShardID]bool         // shards that it places in
+	urgent             bool                          // it places critical tasks
+	criticalOnly       bool                          // it is not this team's turn for other tasks
+	raisesToken        bool
+	usedMachines       map[wire.MachineID]bool // machines that it places on
+	notifyMachines     map[wire.MachineID]bool // machines with new commands afterwards
+	operations         int                     // writes so far
+	bytes              int                     // size of the values so far
 }
 
-func (c *Controller) newPlacementTransaction(t *team) *placementTransaction {
-	return &placementTransaction{team: t, pages: map[string]*page{}, completed: map[wire.JobID]record.TaskSet{}, completedJobs: map[wire.JobID]bool{},
-		zonesWithAdditions: map[string]bool{}, writtenPages: map[string]bool{}, conditions: map[string]wire.Revision{}, usedMachines: map[wire.MachineID]bool{}, notifyMachines: map[wire.MachineID]bool{},
-		shards: map[wire.ShardID]bool{}}
+const (
+	// newAllocationFraction is the part of a page that new allocations may fill: the rest is for
+	// evictions and fences, which divide allocations.
+	newAllocationFraction = 0.8
+	// reservedConditions is for the token, the list of terminations, and a job and a shard more.
+	reservedConditions = 4
+	// conditionsPerWrite bounds the conditions of a transaction, in proportion to its writes.
+	conditionsPerWrite = 4
+)
+
+func (c *Controller) newPlacementTransaction(team *team) *placementTransaction {
+	return &placementTransaction{
+		team:               team,
+		pages:              map[string]*page{},
+		completed:          map[wire.JobID]record.TaskSet{},
+		completedJobs:      map[wire.JobID]bool{},
+		zonesWithAdditions: map[string]bool{},
+		writtenPages:       map[string]bool{},
+		conditions:         map[string]wire.Revision{},
+		shards:             map[wire.ShardID]bool{},
+		usedMachines:       map[wire.MachineID]bool{},
+		notifyMachines:     map[wire.MachineID]bool{},
+	}
 }
 
-// stagePage is the page to change in this round. What it holds of jobs that are
-// over goes with the change.
-func (c *Controller) stagePage(r *placementTransaction, p *page) *page {
-	d := r.pages[p.key]
-	if d == nil {
-		d = &page{key: p.key, team: p.team, zone: p.zone, number: p.number, version: p.version, size: p.size,
-			allocations: slices.Clone(p.allocations), completed: c.uncompletedOnly(p.completed)}
-		r.pages[p.key] = d
-		r.operations++
-		r.bytes += p.size
+func (txn *placementTransaction) empty() bool { return len(txn.pages) == 0 && len(txn.completed) == 0 }
+
+// stagedOrCurrent is a page as the transaction would leave it.
+func (txn *placementTransaction) stagedOrCurrent(current *page) *page {
+	if staged := txn.pages[current.key]; staged != nil {
+		return staged
 	}
-	return d
+	return current
 }
 
-// stagedOrCurrent is a page as the round would leave it.
-func (r *placementTransaction) stagedOrCurrent(p *page) *page {
-	if d := r.pages[p.key]; d != nil {
-		return d
+// stagePage is the copy of a page that the transaction may change. Completed tasks of completed
+// jobs are left out of it.
+func (c *Controller) stagePage(txn *placementTransaction, current *page) *page {
+	staged := txn.pages[current.key]
+	if staged == nil {
+		staged = c.copyPage(current)
+		txn.pages[current.key] = staged
+		txn.operations++
+		txn.bytes += current.size
 	}
-	return p
+	return staged
 }
 
-func (r *placementTransaction) empty() bool { return len(r.pages) == 0 && len(r.completed) == 0 }
+func (c *Controller) copyPage(current *page) *page {
+	return &page{key: current.key, team: current.team, zone: current.zone, number: current.number,
+		version: current.version, size: current.size,
+		allocations: slices.Clone(current.allocations), completed: c.uncompletedOnly(current.completed)}
+}
 
-// hasCapacityFor reports whether the round may still take on more changes. What a round
-// demands does not grow with its team: the heads of its zones (those of zones in which it
-// adds entries are among its pages), the pages that it writes, its jobs, the shares that it
-// places in, the token and the list of machines to be returned.
-func (c *Controller) hasCapacityFor(r *placementTransaction, ops int) bool {
+// hasCapacityFor reports whether the transaction may still take on more writes. What it demands
+// does not grow with its team: the head pages of its zones (those of zones in which it adds
+// allocations are among its pages), the pages that it writes, its jobs, the shards that it places
+// in, the token and the list of terminations.
+func (c *Controller) hasCapacityFor(txn *placementTransaction, operations int) bool {
 	limits := &c.settings.Cluster.State
-	conds := len(r.conditions) + len(r.pages) + len(r.shards) + len(c.settings.Cluster.Zones) - len(r.zonesWithAdditions) + reservedConditions
-	return r.operations+ops < limits.TxnOps && conds <= 4*limits.TxnOps && r.bytes < maxTxnBytes
+	heads := len(c.settings.Cluster.Zones) - len(txn.zonesWithAdditions)
+	conditions := len(txn.conditions) + len(txn.pages) + len(txn.shards) + heads + reservedConditions
+	return txn.operations+operations < limits.TxnOps && conditions <= conditionsPerWrite*limits.TxnOps && txn.bytes < maxTxnBytes
 }
 
-// reservedConditions is the token, the list of machines to be returned, and a job and a share
-// more.
-const reservedConditions = 4
+// completeJob stages the completion of a job.
+func (c *Controller) completeJob(txn *placementTransaction, job *job) {
+	txn.completedJobs[job.id] = true
+	txn.operations++
+	txn.conditions[record.JobKey(job.id)] = job.version
+}
 
-// completeJob has a round end a job.
-func (c *Controller) completeJob(r *placementTransaction, j *job) {
-	r.completedJobs[j.id] = true
-	r.operations++
-	r.conditions[record.JobKey(j.id)] = j.version
+// stageAllocation adds an allocation to a page of its zone that has space, or to a new one. It
+// reports whether the transaction could take it.
+func (c *Controller) stageAllocation(txn *placementTransaction, zone string, added Allocation) bool {
+	return c.stageAllocationExcept(txn, zone, added, "")
 }
 
-// commitPlacements commits a round and, once it stands, tells the machines.
-func (c *Controller) commitPlacements(r *placementTransaction) {
-	t := r.team
-	for id := range r.completedJobs {
-		for _, d := range r.pages {
-			delete(d.completed, id)
-		}
+// stageAllocationExcept is stageAllocation on any page but one.
+func (c *Controller) stageAllocationExcept(txn *placementTransaction, zone string, added Allocation, exceptKey string) bool {
+	team := txn.team
+	limit := int(newAllocationFraction * float64(c.pageLimit()))
+	number := 0
+	if added.Shape == wire.ShapeService {
+		// Replicas run for long. On pages of their own they are not rewritten again and again
+		// with tasks that come and go within seconds.
+		number = 1
 	}
-	txn := wire.Transaction{}
-	for _, key := range c.finalizePages(r) {
-		d := r.pages[key]
-		r.conditions[key] = d.version
-		r.writtenPages[key] = true
-		txn.Then = append(txn.Then, c.putChange(key, d.value()))
+	for ; ; number++ {
+		current := team.pages[record.PlacementKey(team.name, zone, number)]
+		if current == nil {
+			if number > 1 && number < team.pageCount[zone] {
+				return false // the page exists, but is not in the cache
+			}
+			current = newPage(team.name, zone, number)
+		}
+		target := txn.stagedOrCurrent(current)
+		size := added.encodedSizeAfter(target.allocations)
+		if current.key != exceptKey && target.size+size <= limit {
+			return c.stageOnPage(txn, current, added, size)
+		}
+		if number >= team.pageCount[zone] && len(target.allocations) == 0 {
+			return false // it would fit on no page
+		}
 	}
-	for _, id := range sortedKeys(r.completedJobs) {
-		txn.Then = append(txn.Then, c.putChange(record.JobKey(id), record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: c.cache.jobs[id].spec.Tasks}}))
+}
+
+// stageOnPage adds an allocation of a size to a page, and stages the head page of the zone, which
+// is written with every addition. It reports whether the transaction could take that.
+func (c *Controller) stageOnPage(txn *placementTransaction, current *page, added Allocation, size int) bool {
+	head := txn.team.headPage(current.zone)
+	if (txn.pages[current.key] == nil || txn.pages[head.key] == nil) && !c.hasCapacityFor(txn, 2) {
+		return false
 	}
-	if r.raisesToken {
-		txn.Then = append(txn.Then, c.putChange(record.TokenKey, c.cache.token+1))
+	c.stagePage(txn, head)
+	staged := c.stagePage(txn, current)
+	staged.allocations = append(staged.allocations, added)
+	staged.size += size
+	txn.bytes += size
+	txn.zonesWithAdditions[current.zone] = true
+	return true
+}
+
+// unstageAttempt takes the new allocations of an attempt out of the transaction again.
+func (c *Controller) unstageAttempt(txn *placementTransaction, attempt wire.Attempt) {
+	for _, staged := range txn.pages {
+		staged.allocations = slices.DeleteFunc(staged.allocations, func(a Allocation) bool { return a.Attempt == attempt })
 	}
-	if len(txn.Then) == 0 {
+}
+
+// commitPlacements writes a transaction and, once it has succeeded, commands the machines.
+func (c *Controller) commitPlacements(placements *placementTransaction) {
+	placements.dropCompletedJobs()
+	changes := c.placementChanges(placements)
+	if len(changes) == 0 {
 		return
 	}
-	class := PriorityBackground
-	if r.urgent {
-		class = PriorityUrgent
+	if placements.placesTasks {
+		c.demandPlacementConditions(placements)
 	}
-	if r.placesTasks {
-		// The heads of all the team's zones stand for every record that the
-		// decision read; one that does not exist yet must still not.
-		for _, zone := range c.settings.Cluster.Zones {
-			key := record.PlacementKey(t.name, zone, 0)
-			if p := t.pages[key]; p != nil {
-				r.conditions[key] = p.version
-			} else {
-				r.conditions[key] = 0
-			}
-		}
-		r.conditions[record.TerminationsKey] = c.cache.keyVersions[record.TerminationsKey]
-		// Whoever was replaced as the owner of a share loses the write, however late it
-		// is carried out.
-		for id := range r.shards {
-			demand := c.shards.table.Demand(id)
-			r.conditions[demand.Key] = demand.Version
-		}
+	txn := wire.Transaction{Then: changes}
+	for _, key := range sortedKeys(placements.conditions) {
+		txn.If = append(txn.If, wire.Condition{Key: key, Version: placements.conditions[key]})
 	}
-	for _, key := range sortedKeys(r.conditions) {
-		txn.If = append(txn.If, wire.Condition{Key: key, Version: r.conditions[key]})
+	priority := PriorityBackground
+	if placements.urgent {
+		priority = PriorityUrgent
 	}
-	t.schedule.inFlight = r
+	placements.team.schedule.inFlight = placements
 	sent := c.now
-	c.commitExceptPrefix(class, txn, record.PlacementPrefix, func(res CommitResult) {
-		c.scheduler.dirty = true
-		c.scheduler.criticalDirty = c.scheduler.criticalDirty || c.scheduler.criticalPending
-		if res.Outcome == Succeeded {
-			t.schedule.inFlight = nil
-			c.applyCommittedPages(r, res.Revision)
-			for id := range r.completedJobs {
-				if c.cache.jobs[id] == nil {
-					c.metrics.count(countCompleted, 1)
-				}
-			}
-			if r.placesTasks {
-				t.schedule.lostPlacements, t.schedule.contendedMachines = 0, nil
-			}
-			for _, id := range sortedKeys(r.notifyMachines) {
-				if m := c.fleet.machines[id]; m != nil {
-					c.sendCommandsNow(m)
-				}
-			}
-			if r.raisesToken {
-				c.readBarrier(func(bool) {})
-			}
-			return
+	c.commitExceptPrefix(priority, txn, record.PlacementPrefix, func(result CommitResult) {
+		c.handlePlacementResult(placements, sent, result)
+	})
+}
+
+// dropCompletedJobs removes the completed tasks of the jobs that the transaction completes.
+func (txn *placementTransaction) dropCompletedJobs() {
+	for id := range txn.completedJobs {
+		for _, staged := range txn.pages {
+			delete(staged.completed, id)
 		}
-		if res.Outcome == Conflict && r.placesTasks {
-			c.noteLostPlacement(t, r, sent)
+	}
+}
+
+// placementChanges are the writes of a transaction: pages, completions and the token. The
+// versions of the pages become conditions.
+func (c *Controller) placementChanges(txn *placementTransaction) []wire.Change {
+	var changes []wire.Change
+	for _, key := range c.finalizePages(txn) {
+		staged := txn.pages[key]
+		txn.conditions[key] = staged.version
+		txn.writtenPages[key] = true
+		changes = append(changes, c.putChange(key, staged.value()))
+	}
+	for _, id := range sortedKeys(txn.completedJobs) {
+		completion := record.Completion{Status: wire.StatusDone, Done: c.cache.jobs[id].spec.Tasks}
+		changes = append(changes, c.putChange(record.JobKey(id), record.CompletedJob{Completion: completion}))
+	}
+	if txn.raisesToken {
+		changes = append(changes, c.putChange(record.TokenKey, c.cache.token+1))
+	}
+	return changes
+}
+
+// demandPlacementConditions adds what a transaction demands that places tasks (see
+// placementTransaction).
+func (c *Controller) demandPlacementConditions(txn *placementTransaction) {
+	for _, zone := range c.settings.Cluster.Zones {
+		head := txn.team.headPage(zone)
+		txn.conditions[head.key] = head.version // 0 if it must not exist
+	}
+	txn.conditions[record.TerminationsKey] = c.cache.keyVersions[record.TerminationsKey]
+	for id := range txn.shards {
+		owned := c.shards.table.Demand(id)
+		txn.conditions[owned.Key] = owned.Version
+	}
+}
+
+// handlePlacementResult handles the result of a transaction that was sent at a time.
+func (c *Controller) handlePlacementResult(txn *placementTransaction, sent Time, result CommitResult) {
+	schedule := &txn.team.schedule
+	c.scheduler.dirty = true
+	c.scheduler.criticalDirty = c.scheduler.criticalDirty || c.scheduler.criticalPending
+	switch result.Outcome {
+	case Succeeded:
+		schedule.inFlight = nil
+		c.handleCommittedPlacements(txn, result.Revision)
+		return
+	case NotExecuted:
+		schedule.inFlight = nil
+		schedule.nextTransaction = c.now.Add(commitRetryDelay)
+		return
+	case Conflict:
+		if txn.placesTasks {
+			c.noteLostPlacement(txn, sent)
 		}
-		if res.Outcome == NotExecuted {
-			t.schedule.inFlight = nil
-			t.schedule.nextTransaction = c.now.Add(commitRetryDelay)
-			return
+	}
+	// The cache has to be current before the team's next transaction: a conflict means that
+	// others wrote what is not known here, and a transaction without an answer may have been
+	// executed.
+	c.readBarrier(func(ok bool) {
+		schedule.inFlight = nil
+		c.scheduler.dirty = true
+		if !ok {
+			schedule.nextTransaction = c.now.Add(commitRetryDelay)
 		}
-		// Reread before the next round: a lost write means that others know more,
-		// and an unanswered one may have gone through.
-		c.readBarrier(func(ok bool) {
-			t.schedule.inFlight = nil
-			c.scheduler.dirty = true
-			if !ok {
-				t.schedule.nextTransaction = c.now.Add(commitRetryDelay)
-			}
-		})
 	})
 }
 
-// finalizePages readies the pages that a round writes: those that differ, and the head
-// of every zone in which it adds entries. A page that has come to take more than
-// a value may, as stops and fences set its entries apart, hands some on to
-// another page; if there is none, it is left as it was until there is room.
-func (c *Controller) finalizePages(r *placementTransaction) []string {
-	t := r.team
-	for _, key := range sortedKeys(r.pages) {
-		d := r.pages[key]
-		d.sortAllocations()
-		for d.encodedSize() > c.pageLimit() {
-			e := d.allocations[len(d.allocations)-1]
-			d.allocations = d.allocations[:len(d.allocations)-1]
-			if len(d.allocations) == 0 || !c.stageAllocationExcept(r, d.zone, e, key) {
-				c.log.Warn("placement record is full", "key", key)
-				r.pages[key] = c.stagePage(&placementTransaction{pages: map[string]*page{}}, t.pages[key])
-				break
-			}
+// handleCommittedPlacements takes a transaction that succeeded into the cache and commands the
+// machines that it concerns.
+func (c *Controller) handleCommittedPlacements(txn *placementTransaction, revision wire.Revision) {
+	c.applyCommittedPages(txn, revision)
+	for id := range txn.completedJobs {
+		if c.cache.jobs[id] == nil {
+			c.metrics.count(countCompleted, 1)
 		}
 	}
-	for _, zone := range sortedKeys(r.zonesWithAdditions) {
-		c.stagePage(r, t.headPage(zone))
+	if txn.placesTasks {
+		txn.team.schedule.resetLostPlacements()
 	}
-	var keys []string
-	for _, key := range sortedKeys(r.pages) {
-		d := r.pages[key]
-		d.sortAllocations()
-		if p := t.pages[key]; p != nil && !(d.number == 0 && r.zonesWithAdditions[d.zone]) && equalPages(p, d) {
-			continue
+	for _, id := range sortedKeys(txn.notifyMachines) {
+		if machine := c.fleet.machines[id]; machine != nil {
+			c.sendCommandsNow(machine)
 		}
-		keys = append(keys, key)
 	}
-	return keys
-}
-
-func equalPages(a, b *page) bool {
-	return len(a.completed) == len(b.completed) && slices.EqualFunc(a.allocations, b.allocations, func(x, y Allocation) bool { return x.equal(&y) }) &&
-		maps.EqualFunc(a.completed, b.completed, record.TaskSet.Equal)
+	if txn.raisesToken {
+		c.readBarrier(func(bool) {}) // the new token is known only from the watch
+	}
 }
 
-// applyCommittedPages takes a round's pages into the cache as they were written.
-func (c *Controller) applyCommittedPages(r *placementTransaction, version wire.Revision) {
-	for _, key := range sortedKeys(r.pages) {
-		d := r.pages[key]
-		// A draft that came out as it was is not written, though its version may
-		// be demanded: taking it for written would demand a version that never was.
-		if !r.writtenPages[key] || version <= c.cache.keyVersions[key] {
+// applyCommittedPages takes the pages that a transaction wrote into the cache.
+func (c *Controller) applyCommittedPages(txn *placementTransaction, version wire.Revision) {
+	for _, key := range sortedKeys(txn.pages) {
+		// A staged page that came out as it was is not written, though its version may be
+		// demanded: taking it for written would demand a version that never existed the next
+		// time.
+		if !txn.writtenPages[key] || version <= c.cache.keyVersions[key] {
 			continue
 		}
+		written := txn.pages[key]
 		c.cache.keyVersions[key] = version
-		d.version = version
-		d.updateSize()
-		c.replacePage(d)
+		written.version = version
+		written.updateSize()
+		c.replacePage(written)
 	}
 }
 
-// noteLostPlacement notes a lost placement write: its machines count as locked, and the
-// next tries probe others at random, within bounds.
-func (c *Controller) noteLostPlacement(t *team, r *placementTransaction, sent Time) {
-	if t.schedule.lostPlacements == 0 {
-		t.schedule.firstLostAt = sent
-		t.schedule.contendedMachines = map[wire.MachineID]bool{}
+// finalizePages readies the pages that a transaction writes and returns their keys: those that
+// changed, and the head page of every zone in which it adds allocations.
+func (c *Controller) finalizePages(txn *placementTransaction) []string {
+	for _, key := range sortedKeys(txn.pages) {
+		c.fitPage(txn, key)
 	}
-	t.schedule.lostPlacements++
-	for m := range r.usedMachines {
-		t.schedule.contendedMachines[m] = true
+	for _, zone := range sortedKeys(txn.zonesWithAdditions) {
+		c.stagePage(txn, txn.team.headPage(zone))
 	}
-	if t.schedule.lostPlacements >= c.operator.values.ProbeTries {
-		c.backOffPlacement(t)
-	} else {
-		c.expirePlacementRetries(t)
+	var keys []string
+	for _, key := range sortedKeys(txn.pages) {
+		staged := txn.pages[key]
+		staged.sortAllocations()
+		if txn.mustWrite(staged) {
+			keys = append(keys, key)
+		}
 	}
+	return keys
 }
 
-// expirePlacementRetries ends the tries of a team when their time is over. Where all that has room
-// was locked there is no further write to lose or win, and without this bound the
-// machines would stay locked, and the tasks wait, for ever.
-func (c *Controller) expirePlacementRetries(t *team) {
-	if t.schedule.lostPlacements > 0 && c.now.Sub(t.schedule.firstLostAt) > c.operator.values.Probe() {
-		c.backOffPlacement(t)
+// fitPage moves allocations of a staged page to other pages until its value fits: evictions and
+// fences, which divide allocations, may have made it too large. If no page takes them, the page
+// is left as it was until there is space.
+func (c *Controller) fitPage(txn *placementTransaction, key string) {
+	staged := txn.pages[key]
+	staged.sortAllocations()
+	for staged.encodedSize() > c.pageLimit() {
+		last := len(staged.allocations) - 1
+		moved := staged.allocations[last]
+		staged.allocations = staged.allocations[:last]
+		if last == 0 || !c.stageAllocationExcept(txn, staged.zone, moved, key) {
+			c.log.Warn("placement page full", "key", key)
+			txn.pages[key] = c.copyPage(txn.team.pages[key])
+			return
+		}
 	}
 }
 
-// backOffPlacement has a team's placements pause after lost writes.
-func (c *Controller) backOffPlacement(t *team) {
-	t.schedule.lostPlacements, t.schedule.contendedMachines = 0, nil
-	t.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.BusyS))
-	c.metrics.count(countPlacementBackoffs, 1)
-	c.log.Debug("placement busy", "team", t.name)
+// mustWrite reports whether a staged page is written: it changed, or it is the head page of a
+// zone with additions.
+func (txn *placementTransaction) mustWrite(staged *page) bool {
+	stored := txn.team.pages[staged.key]
+	isHeadOfAddition := staged.number == 0 && txn.zonesWithAdditions[staged.zone]
+	return stored == nil || isHeadOfAddition || !stored.sameContent(staged)
 }
 
-// newAllocationFraction is the part of a page that new entries may fill: the rest is for
-// stops and fences that set entries apart.
-const newAllocationFraction = 0.8
-
-// stageAllocation puts a new entry on a page of its zone that has room, or on a new one.
-// It reports whether the round could take it.
-func (c *Controller) stageAllocation(r *placementTransaction, zone string, e Allocation) bool {
-	return c.stageAllocationExcept(r, zone, e, "")
+// sameContent reports whether two pages are stored alike.
+func (p *page) sameContent(other *page) bool {
+	return len(p.completed) == len(other.completed) &&
+		slices.EqualFunc(p.allocations, other.allocations, func(a, b Allocation) bool { return a.equal(&b) }) &&
+		maps.EqualFunc(p.completed, other.completed, record.TaskSet.Equal)
 }
 
-func (c *Controller) stageAllocationExcept(r *placementTransaction, zone string, e Allocation, not string) bool {
-	t := r.team
-	first := 0
-	if e.Shape == wire.ShapeService {
-		// Replicas stay for long. On pages of their own they are not written over
-		// and over with what comes and goes by the second.
-		first = 1
+// noteLostPlacement notes that a transaction that places tasks was lost to another controller's:
+// its machines count as contended, and the next attempts probe others at random, for a bounded
+// number of times.
+func (c *Controller) noteLostPlacement(txn *placementTransaction, sent Time) {
+	team := txn.team
+	team.schedule.noteLostPlacement(sent, txn.usedMachines)
+	if team.schedule.lostPlacements >= c.operator.values.ProbeTries {
+		c.backOffPlacement(team)
+	} else {
+		c.expirePlacementRetries(team)
 	}
-	for n := first; ; n++ {
-		key := record.PlacementKey(t.name, zone, n)
-		p := t.pages[key]
-		if p == nil {
-			if n > 1 && n < t.pageCount[zone] {
-				return false // a page that we have not read
-			}
-			p = newPage(t.name, zone, n)
-		}
-		cur := r.stagedOrCurrent(p)
-		size := e.encodedSizeAfter(cur.allocations)
-		if key == not || cur.size+size > int(newAllocationFraction*float64(c.pageLimit())) {
-			if n >= t.pageCount[zone] && len(cur.allocations) == 0 {
-				return false // it would fit on no page
-			}
-			continue
-		}
-		// The head is written too.
-		head := t.headPage(zone)
-		if (r.pages[key] == nil || r.pages[head.key] == nil) && !c.hasCapacityFor(r, 2) {
-			return false
-		}
-		c.stagePage(r, head)
-		d := c.stagePage(r, p)
-		d.allocations = append(d.allocations, e)
-		d.size += size
-		r.bytes += size
-		r.zonesWithAdditions[zone] = true
-		return true
+}
+
+// expirePlacementRetries ends a team's retries once they have taken too long. Where every machine
+// with free capacity is contended there is no further write to lose or win, and without this
+// bound the machines would stay contended, and the tasks pending, for ever.
+func (c *Controller) expirePlacementRetries(team *team) {
+	if team.schedule.lostPlacements > 0 && c.now.Sub(team.schedule.firstLostAt) > c.operator.values.Probe() {
+		c.backOffPlacement(team)
 	}
 }
 
-// unstageAttempt takes an attempt's new entries out of the round again.
-func (c *Controller) unstageAttempt(r *placementTransaction, attempt wire.Attempt) {
-	for _, d := range r.pages {
-		d.allocations = slices.DeleteFunc(d.allocations, func(e Allocation) bool { return e.Attempt == attempt })
+// backOffPlacement pauses a team's placements after lost transactions.
+func (c *Controller) backOffPlacement(team *team) {
+	team.schedule.resetLostPlacements()
+	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.BusyS))
+	c.metrics.count(countPlacementBackoffs, 1)
+	c.log.Debug("placement backed off", "team", team.name)
+}
+
+// noteLostPlacement counts a lost transaction, sent at a time, and the machines that it used.
+func (s *teamSchedule) noteLostPlacement(sent Time, machines map[wire.MachineID]bool) {
+	if s.lostPlacements == 0 {
+		s.firstLostAt = sent
+		s.contendedMachines = map[wire.MachineID]bool{}
+	}
+	s.lostPlacements++
+	for id := range machines {
+		s.contendedMachines[id] = true
 	}
 }
+
+// resetLostPlacements forgets the lost transactions and their machines.
+func (s *teamSchedule) resetLostPlacements() { s.lostPlacements, s.contendedMachines = 0, nil }
