--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -30,8 +30,9 @@
 
 // buildHosts builds the fleet as the placement rules see it: the machines with what the records
 // and the transactions that are being written put on them. With ownShards it has the machines in
-// this controller's shards and, as unschedulable, those with tasks of jobs that it schedules, since rules
-// read these. Every allocation is passed to visit, with a nil host if its machine is left out.
+// this controller's shards and, as unschedulable, those with tasks of jobs that it schedules,
+// since rules read these. Every allocation is passed to visit, with a nil host if its machine is
+// left out.
 func (c *Controller) buildHosts(transactions map[string]*placementTransaction, ownShards bool, visit func(*page, *Allocation, *placement.Host)) placement.Fleet {
 	builder := &hostBuilder{controller: c, ownShards: ownShards}
 	builder.addMachines()
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -108,8 +108,8 @@
 }
 
 // key identifies the allocation's attempt of the job's task with an index.
-func (e *Allocation) key(index int) attemptKey {
-	return attemptKey{wire.TaskID{Job: e.Job, Index: index}, e.Attempt}
+func (a *Allocation) key(index int) attemptKey {
+	return attemptKey{wire.TaskID{Job: a.Job, Index: index}, a.Attempt}
 }
 
 func newMachine(id wire.MachineID, now Time) *machine {
