--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -52,6 +52,11 @@
 	f.labelSets = map[machineKind]placement.Tags{}
 }
 
+// addTimer has run called at the first tick at or after a moment.
+func (f *fleet) addTimer(at Time, run func()) {
+	f.timers = append(f.timers, timer{at, run})
+}
+
 // runTimers runs the timers that are due.
 func (f *fleet) runTimers(now Time) {
 	kept := f.timers[:0]
