--- /dev/null
+++ b/internal/controller/admission.go
@@ -0,0 +1,189 @@
+package controller
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/placement"
+	"lilacrill/internal/record"
+	"lilacrill/wire"
+)
+
+const (
+	// submitTimeout is how long a submission may wait for the state store before its user
+	// is told to come back.
+	submitTimeout = 1500 * time.Millisecond
+	// admissionQueueTime is how much of this controller's writes submissions may have
+	// queued, and minAdmissionQueue how many of them in any case.
+	admissionQueueTime = 800 * time.Millisecond
+	minAdmissionQueue  = 4
+	// admissionOversubscription is how many submissions users are told to come back with,
+	// relative to the writes: some more than can be taken, since the others' part of the
+	// writes is not always used. maxRetryDelay is the longest time that a user is told:
+	// they give up after a minute.
+	admissionOversubscription = 1.3
+	maxRetryDelay             = 10 * time.Second
+	// limitTolerance absorbs the rounding of sums of fractions of cores.
+	limitTolerance = 1e-6
+)
+
+// Why a job can never run, as users are told.
+var (
+	errUnknownTeam       = errors.New("unknown team")
+	errAboveTeamLimit    = errors.New("needs more than the team's limit")
+	errSingleAndSpread   = errors.New("together and apart at once")
+	errSpreadInZone      = errors.New("apart in a single zone")
+	errNoMachineType     = errors.New("a task fits no allowed machine type")
+	errSpreadOverOneZone = errors.New("apart, but only one zone has machines that a task fits")
+)
+
+// submit answers a submission. Submissions are idempotent: one that repeats an earlier one
+// is answered with the job's status.
+func (c *Controller) submit(in JobSubmitted) {
+	id := in.Spec.ID
+	if completion, ok := c.completion(id); ok {
+		c.reply(in.Request, http.StatusOK, completionStatus(id, completion))
+		return
+	}
+	if !c.ensureServing(in.Request) {
+		return
+	}
+	if c.cache.jobs[id] != nil {
+		c.replyToKnownJob(in.Request, id)
+		return
+	}
+	if len(c.provisioner.catalogue) == 0 {
+		c.unavailable(in.Request, "machine types not known yet")
+		return
+	}
+	if err := c.checkFeasible(&in.Spec); err != nil {
+		// What was accepted once is not refused now, even if the catalogue has changed
+		// since: so first make sure that it is new.
+		c.replyWithStatus(in.Request, id, func() {
+			c.refuse(in.Request, http.StatusUnprocessableEntity, err.Error(), 0)
+		})
+		return
+	}
+	c.accept(in)
+}
+
+// replyToKnownJob answers a submission of a job that has a record.
+func (c *Controller) replyToKnownJob(request RequestID, id wire.JobID) {
+	c.replyWithStatus(request, id, func() { c.unavailable(request, reasonStateChanged) })
+}
+
+// submission is a submission that is being written.
+type submission struct {
+	request   RequestID
+	spec      wire.JobSpec
+	startedAt Time
+	answered  bool
+}
+
+// accept writes the job's record before its user is told. Should the response of the state
+// store be lost, the user's retry finds the job or writes it again.
+func (c *Controller) accept(in JobSubmitted) {
+	if float64(c.cache.submissionsInFlight) >= max(minAdmissionQueue, c.writeRate()*admissionQueueTime.Seconds()) {
+		// More would only be queued until their users ask again.
+		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
+		return
+	}
+	c.cache.submissionsInFlight++
+	pending := &submission{request: in.Request, spec: in.Spec, startedAt: c.now}
+	c.fleet.addTimer(c.now.Add(submitTimeout), func() {
+		if !pending.answered {
+			pending.answered = true
+			c.unavailable(pending.request, "state service slow")
+		}
+	})
+	id := in.Spec.ID
+	c.commit(PriorityAdmission, wire.Transaction{
+		If:   []wire.Condition{{Key: record.JobKey(id)}, {Key: record.CompletionKey(id)}},
+		Then: []wire.Change{c.putChange(record.JobKey(id), record.Job{Spec: in.Spec, AcceptedAt: c.wall, AcceptedBy: c.membership.incarnation})},
+	}, func(result CommitResult) { c.completeSubmission(pending, result.Outcome) })
+}
+
+func (c *Controller) completeSubmission(pending *submission, outcome Outcome) {
+	spec := &pending.spec
+	c.cache.submissionsInFlight--
+	if outcome == Succeeded {
+		c.metrics.count(countAccepted, 1)
+		c.metrics.observe(latencyAdmission, c.now.Sub(pending.startedAt))
+		c.log.Debug("job accepted", "job_id", spec.ID, "team", spec.Team, "tasks", spec.Tasks)
+	}
+	if pending.answered {
+		return
+	}
+	pending.answered = true
+	switch outcome {
+	case Succeeded:
+		c.reply(pending.request, http.StatusCreated, wire.JobStatus{ID: spec.ID, Status: wire.StatusPending})
+	case Conflict:
+		c.replyToKnownJob(pending.request, spec.ID)
+	default:
+		c.unavailable(pending.request, reasonStoreUnavailable)
+	}
+}
+
+// nextRetryDelay is when a user whose submission cannot be taken now should come back: each
+// is given a time of its own, as far apart as submissions can be written. Told the same, all
+// would come back at once, and most of them in vain.
+func (c *Controller) nextRetryDelay() time.Duration {
+	c.cache.lastAdvisedRetry = max(c.cache.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	delay := c.cache.lastAdvisedRetry.Sub(c.now)
+	if delay > maxRetryDelay {
+		delay = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
+	}
+	return delay
+}
+
+// checkFeasible says why a job can never run; nil if it can.
+func (c *Controller) checkFeasible(spec *wire.JobSpec) error {
+	team := c.teamSettings(spec.Team)
+	if team == nil {
+		return errUnknownTeam
+	}
+	together := float64(spec.Tasks) // tasks that run at the same time at least
+	if spec.Shape == wire.ShapeArray {
+		together = 1
+	}
+	cpus, gpus := team.Limits()
+	if together*spec.Cores > cpus+limitTolerance || together*spec.Accelerators > gpus+limitTolerance {
+		return errAboveTeamLimit
+	}
+	spreads := spec.SpreadZones && spec.Tasks > 1 && spec.Shape != wire.ShapeArray
+	if spreads && spec.SingleZone {
+		return errSingleAndSpread
+	}
+	if spreads && spec.Zone != "" {
+		return errSpreadInZone
+	}
+	switch zones := c.feasibleZones(spec); {
+	case len(zones) == 0:
+		return errNoMachineType
+	case len(zones) == 1 && spreads:
+		return errSpreadOverOneZone
+	}
+	return nil
+}
+
+// feasibleZones is the zones in which the cloud offers machines that a task fits.
+func (c *Controller) feasibleZones(spec *wire.JobSpec) map[string]bool {
+	request := placement.NewRequest(spec)
+	zones := map[string]bool{}
+	for i := range c.provisioner.catalogue {
+		machineType := &c.provisioner.catalogue[i]
+		if !machineResources(machineType).Covers(request.Need) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			host := &placement.Host{Labels: machineLabels(machineType.Name, zone, false)}
+			if (placement.Fleet{host}).Holds(request.Enforced, spec.Team, host) {
+				zones[zone] = true
+			}
+		}
+	}
+	return zones
+}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -17,10 +17,10 @@
 	// shutdownCause is why this process must not serve; nil while it may.
 	shutdownCause  error
 	activating     bool
-	nextActivation Time // when the next automatic activation is thought of
+	nextActivation Time // when the next automatic activation is considered
 }
 
-// activationInterval is how often an automatic activation is thought of.
+// activationInterval is how often an automatic activation is considered.
 const activationInterval = time.Second
 
 func (s *rolloutState) init(settings *config.Settings) {
@@ -31,19 +31,19 @@
 	s.tracker = rollout.New(settings.Label, siblings, settings.Features.Rollout.Formats(), release.Version)
 }
 
-// applyRollout takes the format in force. It comes before any record of that format:
-// the feed is in order, and a controller that reads everything anew reads it first and
-// acts on nothing before it has caught up.
+// applyRollout takes the format in force. It comes before any record of that format: watch
+// results are in the order of revisions, and a controller that loads its cache loads this
+// record first and acts on nothing before it has caught up.
 func (c *Controller) applyRollout(value []byte, version wire.Revision) {
 	before := c.rollout.tracker.Format()
 	c.rollout.tracker.ApplyState(value, version)
 	c.shards.table.ApplyFormat(c.rollout.tracker.Format())
 	if c.rollout.shutdownCause = c.rollout.tracker.Readable(); c.rollout.shutdownCause != nil {
-		c.log.Error("this process must not serve", "err", c.rollout.shutdownCause)
+		c.log.Error("format in force not readable, shutting down", "err", c.rollout.shutdownCause)
 		return
 	}
-	if f := c.rollout.tracker.Format(); f != before {
-		c.log.Info("format in force", "format", f, "before", before, "revision", version)
+	if format := c.rollout.tracker.Format(); format != before {
+		c.log.Info("format in force", "format", format, "previous_format", before, "revision", version)
 		c.rolloutEvent(RolloutInForce)
 	}
 }
@@ -53,41 +53,41 @@
 	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
 
-// emitShutdown takes back what this step wanted to do, since it may rest on records that
-// were misread, and says that the process must end.
+// emitShutdown drops the outputs of this step, since they may rest on records that were
+// misread, refuses the requests that it answered, and says that the process must end.
 func (c *Controller) emitShutdown() {
 	var refused []Output
-	for _, o := range c.outputs {
-		if r, ok := o.(Reply); ok {
-			refused = append(refused, c.shutdownReply(r.Request))
+	for _, output := range c.outputs {
+		if reply, ok := output.(Reply); ok {
+			refused = append(refused, c.shutdownReply(reply.Request))
 		}
 	}
 	c.outputs = append(refused, Shutdown{c.rollout.shutdownCause})
 	c.rolloutEvent(RolloutRetired)
 }
 
-// refuseWhileShuttingDown answers what still comes to a process that is about to end.
+// refuseWhileShuttingDown refuses requests to a process that is about to end.
 func (c *Controller) refuseWhileShuttingDown(in Input) {
-	if r, waits := in.(requestInput); waits {
-		c.emit(c.shutdownReply(r.requestID()))
+	if request, ok := in.(requestInput); ok {
+		c.emit(c.shutdownReply(request.requestID()))
 	}
 }
 
-func (c *Controller) shutdownReply(r RequestID) Reply {
-	return Reply{Request: r, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.rollout.shutdownCause.Error()}, RetryAfter: longRetryDelay}
+func (c *Controller) shutdownReply(request RequestID) Reply {
+	return Reply{Request: request, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.rollout.shutdownCause.Error()}, RetryAfter: longRetryDelay}
 }
 
-// tickRollout activates a format that all controllers are ready for, where the
-// deployment wants that. One controller tries, so that writes are not lost; whether it
-// may is up to the transaction.
+// tickRollout activates a format that all controllers are ready for, where the deployment
+// wants that. One controller tries, the provisioner, so that transactions are not lost to
+// one another; whether it may is decided by the conditions of the transaction.
 func (c *Controller) tickRollout() {
-	set := &c.settings.Features.Rollout
-	if set.Activation != config.ActivationAutomatic || c.rollout.activating || c.cache.provisionerIncarnation != c.membership.incarnation || !c.isDue(c.rollout.nextActivation) ||
+	settings := &c.settings.Features.Rollout
+	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || c.cache.provisionerIncarnation != c.membership.incarnation || !c.isDue(c.rollout.nextActivation) ||
 		!c.cacheComplete() || !c.storeReachable() {
 		return
 	}
 	c.rollout.nextActivation = c.now.Add(activationInterval)
-	next, due := c.rollout.tracker.Automatic(rollout.Time(c.now), set.Settle())
+	next, due := c.rollout.tracker.Automatic(rollout.Time(c.now), settings.Settle())
 	if !due {
 		return
 	}
@@ -96,37 +96,21 @@
 		return
 	}
 	c.rollout.activating = true
-	c.commit(PriorityBackground, txn, func(r CommitResult) {
+	c.commit(PriorityBackground, txn, func(result CommitResult) {
 		c.readBarrier(func(bool) { c.rollout.activating = false })
-		if r.Outcome == Succeeded {
+		if result.Outcome == Succeeded {
 			c.rolloutEvent(RolloutActivated)
-			c.log.Info("format activated: all controllers have been ready for it", "format", next)
+			c.log.Info("format activated", "format", next)
 		}
 	})
 }
 
 // viewRollout answers with the rollout as of now or later.
-func (c *Controller) viewRollout(r RequestID) {
-	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.rollout.tracker.View()) })
+func (c *Controller) viewRollout(request RequestID) {
+	c.afterBarrier(request, func() { c.reply(request, http.StatusOK, c.rollout.tracker.View()) })
 }
 
-// afterBarrier goes on once the cache holds all that was written before now; if that
-// cannot be had it answers the request itself.
-func (c *Controller) afterBarrier(r RequestID, then func()) {
-	if !c.storeReachable() {
-		c.unavailable(r, "state service unavailable")
-		return
-	}
-	c.readBarrier(func(ok bool) {
-		if !ok {
-			c.unavailable(r, "state service unavailable")
-			return
-		}
-		then()
-	})
-}
-
-// changeRollout carries out what an operator asks of the rollout.
+// changeRollout carries out an operator's change of the rollout.
 func (c *Controller) changeRollout(in RolloutChangeRequested) {
 	if !c.ensureServing(in.Request) {
 		return
@@ -158,19 +142,3 @@
 	}
 	return http.StatusConflict
 }
-
-// valueBound is the most that a record may expand to: what a value may take or, where
-// that limit was lowered since, what a transaction may.
-func (c *Controller) valueBound() int { return max(c.pageLimit(), maxTxnBytes) }
-
-// noteReadable notes whether a record could be understood. One that could not, damaged
-// or of a shape that is not known here, takes nothing else down: what is known of the
-// job or the team from before stands, and nothing new is done on that ground.
-func (c *Controller) noteReadable(key string, err error) {
-	if err == nil {
-		delete(c.cache.unreadable, key)
-		return
-	}
-	c.log.Error("record in the state service not understood", "key", key, "err", err)
-	c.cache.unreadable[key] = err
-}
