--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -227,11 +227,11 @@
 	case controller.TerminateMachines:
 		e.cloud.Terminate(o.Machines, back[controller.TerminateResult](e, o.Call))
 	case controller.SendCommands:
-		e.workers.Do(o.Addr, o.Body, back[controller.WorkerResponse](e, o.Call))
+		e.workers.SendCommands(o.Addr, o.Body, back[controller.WorkerResponse](e, o.Call))
 	case controller.RequestHeartbeat:
-		e.workers.Show(o.Addr, back[controller.WorkerResponse](e, o.Call))
+		e.workers.RequestHeartbeat(o.Addr, back[controller.WorkerResponse](e, o.Call))
 	case controller.Broadcast:
-		e.mesh.Tell(o.Message)
+		e.mesh.Broadcast(o.Message)
 	case controller.RolloutEvent:
 		e.tracer.Rollout(o)
 	case controller.Shutdown:
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,5 @@
-// Package httpcall makes single JSON calls over HTTP to one address. It never
-// repeats a call by itself: whether that is safe is for the caller to know.
+// Package httpcall makes single JSON calls over HTTP to one address. It never retries a call by
+// itself: whether that is safe is for the caller to know.
 package httpcall
 
 import (
@@ -14,7 +14,7 @@
 	"lilacrill/internal/fastjson"
 )
 
-// ErrNotSent says that a call certainly did not reach its address.
+// ErrNotSent is wrapped by the errors of calls that certainly did not reach their address.
 var ErrNotSent = errors.New("not sent")
 
 // Client calls one address, over connections that it keeps.
@@ -27,72 +27,87 @@
 // dialTimeout bounds how long a connection may take to open.
 const dialTimeout = time.Second
 
-// New makes a client that holds at most conns connections, and closes those
-// that have been idle for as long as idle says.
-func New(addr string, conns int, idle time.Duration) *Client {
+// New makes a client that holds at most maxConnections connections, and closes those that have
+// been idle for idleTimeout.
+func New(addr string, maxConnections int, idleTimeout time.Duration) *Client {
 	return &Client{
 		host: &fasthttp.HostClient{
 			Addr:                      addr,
-			MaxConns:                  conns,
-			MaxIdleConnDuration:       idle,
+			MaxConns:                  maxConnections,
+			MaxIdleConnDuration:       idleTimeout,
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			NoDefaultUserAgentHeader:  true,
-			DialTimeout: func(addr string, timeout time.Duration) (net.Conn, error) {
-				if timeout <= 0 || timeout > dialTimeout {
-					timeout = dialTimeout
-				}
-				conn, err := net.DialTimeout("tcp4", addr, timeout)
-				if err != nil {
-					return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
-				}
-				return conn, nil
-			},
+			DialTimeout:               dial,
 		},
 		base: "http://" + addr,
 	}
 }
 
-// Bearer is the same client with a token in every call.
+func dial(addr string, timeout time.Duration) (net.Conn, error) {
+	if timeout <= 0 || timeout > dialTimeout {
+		timeout = dialTimeout
+	}
+	conn, err := net.DialTimeout("tcp4", addr, timeout)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	return conn, nil
+}
+
+// Bearer is the same client, over the same connections, with a bearer token in every call.
 func (c *Client) Bearer(token string) *Client {
-	d := *c
-	d.bearer = token
-	return &d
+	authorized := *c
+	authorized.bearer = token
+	return &authorized
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
 
-// Call sends body (nil: none) and decodes an answer with one of the statuses
-// named in into; other answers are only reported by their status.
-func (c *Client) Call(method, path string, body any, timeout time.Duration, into map[int]any) (int, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI(c.base + path)
-	if c.bearer != "" {
-		req.Header.Set("Authorization", "Bearer "+c.bearer)
-	}
-	if body != nil {
-		b, err := json.Marshal(body)
-		if err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
-		}
-		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(b)
+// Destinations maps the statuses whose responses are decoded to where they are decoded into,
+// a pointer each.
+type Destinations map[int]any
+
+// Call sends body as JSON (nil: none) and returns the status of the response, which it decodes
+// if into has a destination for that status. An error that wraps [ErrNotSent] says that the
+// call certainly did not reach the address; after any other error it may have been executed.
+func (c *Client) Call(method, path string, body any, timeout time.Duration, into Destinations) (int, error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	if err := c.build(request, method, path, body); err != nil {
+		return 0, fmt.Errorf("%s %s: %w: %w", method, path, ErrNotSent, err)
 	}
-	if err := c.host.DoTimeout(req, resp, timeout); err != nil {
+	if err := c.host.DoTimeout(request, response, timeout); err != nil {
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			err = fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		return 0, fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	status := resp.StatusCode()
-	if v := into[status]; v != nil {
-		if err := fastjson.Unmarshal(resp.Body(), v); err != nil {
-			return status, fmt.Errorf("%s %s: answer not understood: %w", method, path, err)
+	status := response.StatusCode()
+	if destination := into[status]; destination != nil {
+		if err := fastjson.Unmarshal(response.Body(), destination); err != nil {
+			return status, fmt.Errorf("%s %s: decode response with status %d: %w", method, path, status, err)
 		}
 	}
 	return status, nil
 }
+
+func (c *Client) build(request *fasthttp.Request, method, path string, body any) error {
+	request.Header.SetMethod(method)
+	request.SetRequestURI(c.base + path)
+	if c.bearer != "" {
+		request.Header.Set("Authorization", "Bearer "+c.bearer)
+	}
+	if body == nil {
+		return nil
+	}
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		return fmt.Errorf("encode body: %w", err)
+	}
+	request.Header.SetContentType("application/json")
+	request.SetBodyRaw(encoded)
+	return nil
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer carries JSON lines between controllers. Lines are hints: they
-// may be lost, and nothing waits for them.
+// Package peer carries messages between controllers, as lines of JSON over TCP. They are
+// hints: they may be lost, and nothing waits for them. Each controller sends over connections
+// that it opened and receives over those that its siblings opened.
 package peer
 
 import (
@@ -17,151 +18,165 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	redialPause  = 500 * time.Millisecond
-	writeTimeout = time.Second
-	readTimeout  = 20 * time.Second
-	backlog      = 512
-	maxLine      = 4 << 20
-	linesPart    = 64 // the lines that wait may take one part in so many of the memory
-	megabyte     = 1 << 20
+	dialTimeout   = time.Second
+	redialDelay   = 500 * time.Millisecond
+	writeTimeout  = time.Second
+	readTimeout   = 20 * time.Second
+	maxQueued     = 512     // messages that may wait for one sibling
+	maxLineBytes  = 4 << 20 // of a message received
+	readBuffer    = 4096    // bytes at first
+	memoryDivisor = 64      // the messages that wait for one sibling may take one part in so many of the memory
+	megabyte      = 1 << 20
 )
 
-// Mesh is the connections to the siblings.
+// Mesh is the connections to and from the siblings.
 type Mesh struct {
-	log      *slog.Logger
-	links    []*link
-	mostWait int64         // bytes that may wait for one sibling
-	inbound  chan struct{} // holds one element for every connection from a sibling
+	log            *slog.Logger
+	links          []*link
+	maxQueuedBytes int64         // that may wait for one sibling
+	inbound        chan struct{} // holds one element for every connection from a sibling
 }
 
+// link is the connection to one sibling and the messages that wait for it.
 type link struct {
-	addr    string
-	lines   chan []byte
-	waiting atomic.Int64 // bytes
+	addr        string
+	queue       chan []byte
+	queuedBytes atomic.Int64
 }
 
-// take waits for the next line; ok is false once ctx ends.
-func (k *link) take(ctx context.Context) (line []byte, ok bool) {
+// next waits for the next message; ok is false once ctx ends.
+func (l *link) next(ctx context.Context) (line []byte, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, false
-	case line = <-k.lines:
-		k.waiting.Add(-int64(len(line)))
+	case line = <-l.queue:
+		l.queuedBytes.Add(-int64(len(line)))
 		return line, true
 	}
 }
 
-// New makes a mesh; Serve must run for it to do anything.
-func New(set *config.Settings, log *slog.Logger) *Mesh {
-	m := &Mesh{log: log, mostWait: int64(set.Cluster.Quota.MemMB * megabyte / linesPart),
-		inbound: make(chan struct{}, max(1, sockets.Share(set).Peers))}
-	for _, s := range set.Siblings {
-		m.links = append(m.links, &link{addr: s.Endpoint, lines: make(chan []byte, backlog)})
+// enqueue adds a message unless too much waits already: it is lost then.
+func (l *link) enqueue(line []byte, maxBytes int64) {
+	size := int64(len(line))
+	if l.queuedBytes.Load()+size > maxBytes {
+		return
+	}
+	select {
+	case l.queue <- line:
+		l.queuedBytes.Add(size)
+	default:
+	}
+}
+
+// discardQueued drops the messages that wait.
+func (l *link) discardQueued() {
+	for {
+		select {
+		case line := <-l.queue:
+			l.queuedBytes.Add(-int64(len(line)))
+		default:
+			return
+		}
+	}
+}
+
+// New makes a mesh. Send must run for messages to leave, Serve for them to arrive.
+func New(settings *config.Settings, log *slog.Logger) *Mesh {
+	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / memoryDivisor),
+		inbound: make(chan struct{}, max(1, sockets.Share(settings).Peers))}
+	for _, sibling := range settings.Siblings {
+		m.links = append(m.links, &link{addr: sibling.Endpoint, queue: make(chan []byte, maxQueued)})
 	}
 	return m
 }
 
-// Tell sends a line to all siblings; to one that does not keep up it is lost.
-func (m *Mesh) Tell(l *wire.PeerMessage) {
-	b, err := record.EncodePeerMessage(l)
+// Broadcast sends a message to all siblings; to one that does not keep up it is lost.
+func (m *Mesh) Broadcast(message *wire.PeerMessage) {
+	line, err := record.EncodePeerMessage(message)
 	if err != nil {
-		m.log.Error("line not written", "err", err)
+		m.log.Error("peer message not encoded", "err", err)
 		return
 	}
-	b = append(b, '\n')
-	size := int64(len(b))
-	for _, k := range m.links {
-		if k.waiting.Load()+size > m.mostWait {
-			continue
-		}
-		select {
-		case k.lines <- b:
-			k.waiting.Add(size)
-		default:
-		}
+	line = append(line, '\n')
+	for _, link := range m.links {
+		link.enqueue(line, m.maxQueuedBytes)
 	}
 }
 
 // Send keeps the connections to the siblings until ctx ends.
 func (m *Mesh) Send(ctx context.Context) {
-	for _, k := range m.links {
-		go k.run(ctx)
+	for _, link := range m.links {
+		go link.run(ctx)
 	}
 	<-ctx.Done()
 }
 
-func (k *link) run(ctx context.Context) {
+func (l *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp4", k.addr, dialTimeout)
+		conn, err := net.DialTimeout("tcp4", l.addr, dialTimeout)
 		if err == nil {
-			k.write(ctx, conn)
-			conn.Close()
+			l.write(ctx, conn)
+			_ = conn.Close()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialPause):
-		}
-		// What gathered meanwhile is old news.
-		for drained := false; !drained; {
-			select {
-			case line := <-k.lines:
-				k.waiting.Add(-int64(len(line)))
-			default:
-				drained = true
-			}
+		case <-time.After(redialDelay):
 		}
+		l.discardQueued() // what was queued meanwhile is out of date
 	}
 }
 
-func (k *link) write(ctx context.Context, conn net.Conn) {
-	w := bufio.NewWriter(conn)
+// write sends messages until ctx ends or the connection fails.
+func (l *link) write(ctx context.Context, conn net.Conn) {
+	writer := bufio.NewWriter(conn)
 	for {
-		line, ok := k.take(ctx)
+		line, ok := l.next(ctx)
 		if !ok || conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 			return
 		}
-		if _, err := w.Write(line); err != nil {
+		if _, err := writer.Write(line); err != nil {
 			return
 		}
-		if len(k.lines) == 0 && w.Flush() != nil {
+		if len(l.queue) == 0 && writer.Flush() != nil {
 			return
 		}
 	}
 }
 
-// Serve takes lines from siblings until the listener is closed.
-func (m *Mesh) Serve(ln net.Listener, said func(*wire.PeerMessage)) error {
+// Serve receives messages from siblings until the listener is closed, and calls receive with
+// each, from several goroutines. Connections beyond the socket share are closed at once.
+func (m *Mesh) Serve(listener net.Listener, receive func(*wire.PeerMessage)) error {
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
 		select {
 		case m.inbound <- struct{}{}:
 			go func() {
-				m.read(conn, said)
+				m.read(conn, receive)
 				<-m.inbound
 			}()
 		default:
-			conn.Close()
+			_ = conn.Close()
 		}
 	}
 }
 
-func (m *Mesh) read(conn net.Conn, said func(*wire.PeerMessage)) {
-	defer conn.Close()
+// read receives messages until the connection fails or falls silent.
+func (m *Mesh) read(conn net.Conn, receive func(*wire.PeerMessage)) {
+	defer func() { _ = conn.Close() }()
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, 4096), maxLine)
+	lines.Buffer(make([]byte, 0, readBuffer), maxLineBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(readTimeout)) != nil || !lines.Scan() {
 			return
 		}
-		l, err := record.DecodePeerMessage(lines.Bytes())
+		message, err := record.DecodePeerMessage(lines.Bytes())
 		if err != nil {
-			m.log.Warn("peer's line dropped", "from", conn.RemoteAddr(), "err", err)
+			m.log.Warn("peer message dropped", "addr", conn.RemoteAddr(), "err", err)
 			continue
 		}
-		said(l)
+		receive(message)
 	}
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,5 @@
-// Package worker sends commands directly to workers.
+// Package worker makes the controller's direct calls to workers: commands, and requests for
+// a heartbeat. A worker's own heartbeats arrive at the server of requests instead.
 package worker
 
 import (
@@ -13,100 +14,115 @@
 	"lilacrill/wire"
 )
 
-// Client carries out the core's calls to workers.
+const (
+	commandPath    = "/do"
+	commandTimeout = 2 * time.Second
+	probePath      = "/show"
+	probeTimeout   = 800 * time.Millisecond
+
+	idleTimeout             = 20 * time.Second // of a connection
+	maxConnectionsPerWorker = 2
+)
+
+// Client makes calls to workers, over connections that it keeps for a while.
 type Client struct {
-	log   *slog.Logger
-	bound int // connections that may be open, idle ones among them
+	log            *slog.Logger
+	maxConnections int // that may be open, idle ones among them
 
-	mu      sync.Mutex
-	workers map[string]*list.Element // of *entry
-	recent  list.List                // the one used last first
-	open    int                      // calls under way
+	mu       sync.Mutex
+	workers  map[string]*list.Element // by address, of *connection
+	recent   list.List                // the same; the one used last first
+	inFlight int                      // calls under way
 }
 
-type entry struct {
-	addr   string
-	client *httpcall.Client
-	calls  int // under way
+// connection is the HTTP client of one worker.
+type connection struct {
+	addr     string
+	client   *httpcall.Client
+	inFlight int // calls under way
 }
 
-const (
-	doTimeout   = 2 * time.Second
-	showTimeout = 800 * time.Millisecond
-	idleTime    = 20 * time.Second
-	maxConns    = 2
-)
-
-// New makes a client that holds at most about so many connections. The core
-// bounds how many calls are under way; what is left of the connections is for
-// idle ones, of which those that were used longest ago are closed.
-func New(log *slog.Logger, bound int) *Client {
-	return &Client{log: log, bound: bound, workers: map[string]*list.Element{}}
+// New makes a client that holds about maxConnections connections at most. The controller
+// bounds how many calls are under way; what is left of the connections is for idle ones, of
+// which those that were used longest ago are closed.
+func New(log *slog.Logger, maxConnections int) *Client {
+	return &Client{log: log, maxConnections: maxConnections, workers: map[string]*list.Element{}}
 }
 
-// acquire is the client of a worker for one call; release ends that.
-func (c *Client) acquire(addr string) *entry {
+// acquire is the connection to a worker for one call; release ends that.
+func (c *Client) acquire(addr string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := c.workers[addr]
-	if at == nil {
-		at = c.recent.PushFront(&entry{addr: addr, client: httpcall.New(addr, maxConns, idleTime)})
-		c.workers[addr] = at
+	element := c.workers[addr]
+	if element == nil {
+		element = c.recent.PushFront(&connection{addr: addr, client: httpcall.New(addr, maxConnectionsPerWorker, idleTimeout)})
+		c.workers[addr] = element
 	} else {
-		c.recent.MoveToFront(at)
+		c.recent.MoveToFront(element)
 	}
-	e := at.Value.(*entry)
-	e.calls++
-	c.open++
-	// Each worker that was called lately may hold a connection.
-	for old := c.recent.Back(); old != nil && len(c.workers) > c.bound-c.open; {
-		o, next := old.Value.(*entry), old.Prev()
-		if o.calls == 0 {
-			o.client.Close()
-			c.recent.Remove(old)
-			delete(c.workers, o.addr)
+	conn := element.Value.(*connection)
+	conn.inFlight++
+	c.inFlight++
+	c.closeLeastRecent()
+	return conn
+}
+
+// closeLeastRecent closes idle connections, those used longest ago first, until there is room
+// for the calls under way: each worker that was called lately may hold a connection.
+func (c *Client) closeLeastRecent() {
+	for element := c.recent.Back(); element != nil && len(c.workers) > c.maxConnections-c.inFlight; {
+		conn, next := element.Value.(*connection), element.Prev()
+		if conn.inFlight == 0 {
+			conn.client.Close()
+			c.recent.Remove(element)
+			delete(c.workers, conn.addr)
 		}
-		old = next
+		element = next
 	}
-	return e
 }
 
-func (c *Client) release(e *entry) {
+func (c *Client) release(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.calls--
-	c.open--
+	conn.inFlight--
+	c.inFlight--
 }
 
-// Do sends orders.
-func (c *Client) Do(addr string, body wire.CommandRequest, then func(controller.WorkerResponse)) {
-	go func() { then(c.call(addr, http.MethodPost, "/do", body, doTimeout)) }()
+// SendCommands sends commands to a worker, and calls then from another goroutine with the
+// response.
+func (c *Client) SendCommands(addr string, request wire.CommandRequest, then func(controller.WorkerResponse)) {
+	go func() { then(c.call(addr, http.MethodPost, commandPath, request, commandTimeout)) }()
 }
 
-// Show asks for a report.
-func (c *Client) Show(addr string, then func(controller.WorkerResponse)) {
-	go func() { then(c.call(addr, http.MethodGet, "/show", nil, showTimeout)) }()
+// RequestHeartbeat asks a worker for a heartbeat, and calls then from another goroutine with
+// the response.
+func (c *Client) RequestHeartbeat(addr string, then func(controller.WorkerResponse)) {
+	go func() { then(c.call(addr, http.MethodGet, probePath, nil, probeTimeout)) }()
 }
 
+// call makes one call. A worker answers with a heartbeat, whether it obeyed (200) or refused
+// since it knows a higher token or has another agent epoch (409).
 func (c *Client) call(addr, method, path string, body any, timeout time.Duration) controller.WorkerResponse {
-	e := c.acquire(addr)
-	defer c.release(e)
-	var r wire.Heartbeat
-	status, err := e.client.Call(method, path, body, timeout, map[int]any{200: &r, 409: &r})
+	conn := c.acquire(addr)
+	defer c.release(conn)
+	var heartbeat wire.Heartbeat
+	status, err := conn.client.Call(method, path, body, timeout, httpcall.Destinations{http.StatusOK: &heartbeat, http.StatusConflict: &heartbeat})
 	if err != nil {
-		c.log.Debug("worker gave no answer", "addr", addr, "call", path, "err", err)
+		c.log.Debug("worker call failed", "addr", addr, "path", path, "err", err)
 		return controller.WorkerResponse{Outcome: controller.Unknown}
 	}
-	a := controller.WorkerResponse{Outcome: controller.NotExecuted}
-	if status == http.StatusOK {
-		a.Outcome, a.Executed = controller.Succeeded, true
+	response := controller.WorkerResponse{Outcome: controller.NotExecuted}
+	switch status {
+	case http.StatusOK:
+		response.Outcome, response.Executed = controller.Succeeded, true
+	case http.StatusConflict:
+	default:
+		return response
 	}
-	if status == http.StatusOK || status == http.StatusConflict {
-		if err := r.Check(); err != nil {
-			c.log.Warn("worker's report dropped", "addr", addr, "err", err)
-		} else {
-			a.Heartbeat = &r
-		}
+	if err := heartbeat.Check(); err != nil {
+		c.log.Warn("invalid heartbeat dropped", "addr", addr, "err", err)
+		return response
 	}
-	return a
+	response.Heartbeat = &heartbeat
+	return response
 }
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -15,13 +15,14 @@
 	"lilacrill/wire"
 )
 
-// TestGoldenRequests holds what is sent to workers, and reads an answer with all fields set.
+// TestGoldenRequests compares what is sent to workers with the golden file, and reads a response
+// with all fields set.
 func TestGoldenRequests(t *testing.T) {
-	var report wire.Heartbeat
-	golden.NewFiller(2).Fill(&report)
-	answer, err := json.Marshal(&report)
+	var heartbeat wire.Heartbeat
+	golden.NewFiller(2).Fill(&heartbeat)
+	response, err := json.Marshal(&heartbeat)
 	require.NoError(t, err)
-	recorder := &golden.Recorder{Answers: map[string]string{"POST /do": string(answer), "GET /show": string(answer)}}
+	recorder := &golden.Recorder{Answers: map[string]string{"POST /do": string(response), "GET /show": string(response)}}
 	server := httptest.NewServer(recorder)
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
@@ -29,11 +30,11 @@
 
 	var request wire.CommandRequest
 	golden.NewFiller(2).Fill(&request)
-	want := controller.WorkerResponse{Outcome: controller.Succeeded, Executed: true, Heartbeat: &report}
-	answered := make(chan controller.WorkerResponse, 1)
-	client.Do(addr, request, func(a controller.WorkerResponse) { answered <- a })
-	require.Equal(t, want, <-answered)
-	client.Show(addr, func(a controller.WorkerResponse) { answered <- a })
-	require.Equal(t, want, <-answered)
+	want := controller.WorkerResponse{Outcome: controller.Succeeded, Executed: true, Heartbeat: &heartbeat}
+	responses := make(chan controller.WorkerResponse, 1)
+	client.SendCommands(addr, request, func(response controller.WorkerResponse) { responses <- response })
+	require.Equal(t, want, <-responses)
+	client.RequestHeartbeat(addr, func(response controller.WorkerResponse) { responses <- response })
+	require.Equal(t, want, <-responses)
 	golden.Compare(t, "requests.txt", recorder.Requests())
 }
