--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -28,7 +28,7 @@
 		if !sameAllocation(candidate, &target) || candidate.Eviction >= eviction {
 			continue
 		}
-		stopped := candidate.Tasks.And(tasks)
+		stopped := candidate.Tasks.Intersect(tasks)
 		if stopped.Empty() {
 			continue
 		}
--- a/internal/record/taskset.go
+++ b/internal/record/taskset.go
@@ -9,68 +9,78 @@
 	"lilacrill/wire"
 )
 
-// TaskSet is a set of task numbers, kept as sorted ranges [low, high].
+// errInvalidTaskSet is the cause for which the JSON of a task set is refused.
+var errInvalidTaskSet = errors.New("task set: not ordered ranges of task numbers")
+
+// TaskSet is a set of task numbers. The zero value is the empty set. Sets are values: no
+// operation changes its operands.
 type TaskSet struct {
-	ranges [][2]int
+	ranges []taskRange // in order, none overlaps another
 }
 
+// taskRange is the numbers from low to high, both included.
+type taskRange struct{ low, high int }
+
+func (r taskRange) len() int { return r.high - r.low + 1 }
+
 // Span is the set of the numbers from low up to but not including end.
 func Span(low, end int) TaskSet {
 	if low >= end {
 		return TaskSet{}
 	}
-	return TaskSet{[][2]int{{low, end - 1}}}
+	return TaskSet{[]taskRange{{low, end - 1}}}
 }
 
 // Len counts the members.
 func (s TaskSet) Len() int {
-	n := 0
+	count := 0
 	for _, r := range s.ranges {
-		n += r[1] - r[0] + 1
+		count += r.len()
 	}
-	return n
+	return count
 }
 
 // EncodedSize is how many bytes the set's JSON takes, give or take a comma.
 func (s TaskSet) EncodedSize() int {
-	n := len(`[]`)
+	size := len(`[]`)
 	for _, r := range s.ranges {
-		n += digits(r[0]) + len(`,`)
-		if r[0] != r[1] {
-			n += digits(r[1]) + len(`[,]`)
+		size += digits(r.low) + len(`,`)
+		if r.low != r.high {
+			size += digits(r.high) + len(`[,]`)
 		}
 	}
-	return n
+	return size
 }
 
-func digits(n int) int {
-	k := 1
-	for ; n > 9; n /= 10 {
-		k++
+// digits is how many decimal digits a number has.
+func digits(number int) int {
+	count := 1
+	for ; number > 9; number /= 10 {
+		count++
 	}
-	return k
+	return count
 }
 
 // Equal reports whether both sets have the same members.
-func (s TaskSet) Equal(o TaskSet) bool { return slices.Equal(s.ranges, o.ranges) }
+func (s TaskSet) Equal(other TaskSet) bool { return slices.Equal(s.ranges, other.ranges) }
 
-// First is the lowest member of a set that is not empty.
-func (s TaskSet) First() int { return s.ranges[0][0] }
+// First is the lowest member of a set, which must not be empty.
+func (s TaskSet) First() int { return s.ranges[0].low }
 
 // Empty reports whether the set has no members.
 func (s TaskSet) Empty() bool { return len(s.ranges) == 0 }
 
-// Has reports whether i is a member.
-func (s TaskSet) Has(i int) bool {
-	k := sort.Search(len(s.ranges), func(k int) bool { return s.ranges[k][1] >= i })
-	return k < len(s.ranges) && s.ranges[k][0] <= i
+// Has reports whether a number is a member.
+func (s TaskSet) Has(number int) bool {
+	i := sort.Search(len(s.ranges), func(i int) bool { return s.ranges[i].high >= number })
+	return i < len(s.ranges) && s.ranges[i].low <= number
 }
 
 // All yields the members in order.
 func (s TaskSet) All(yield func(int) bool) {
 	for _, r := range s.ranges {
-		for i := r[0]; i <= r[1]; i++ {
-			if !yield(i) {
+		for number := r.low; number <= r.high; number++ {
+			if !yield(number) {
 				return
 			}
 		}
@@ -78,153 +88,186 @@
 }
 
 // With is the union of both sets.
-func (s TaskSet) With(o TaskSet) TaskSet {
-	if o.Empty() {
+func (s TaskSet) With(other TaskSet) TaskSet {
+	if other.Empty() {
 		return s
 	}
 	if s.Empty() {
-		return o
-	}
-	all := slices.Concat(s.ranges, o.ranges)
-	slices.SortFunc(all, func(a, b [2]int) int { return a[0] - b[0] })
-	out := all[:1:1]
-	for _, r := range all[1:] {
-		last := &out[len(out)-1]
-		if r[0] <= last[1]+1 {
-			last[1] = max(last[1], r[1])
+		return other
+	}
+	ranges := slices.Concat(s.ranges, other.ranges)
+	slices.SortFunc(ranges, func(a, b taskRange) int { return a.low - b.low })
+	merged := ranges[:1:1]
+	for _, r := range ranges[1:] {
+		last := &merged[len(merged)-1]
+		if r.low <= last.high+1 {
+			last.high = max(last.high, r.high)
 		} else {
-			out = append(out, r)
+			merged = append(merged, r)
 		}
 	}
-	return TaskSet{out}
+	return TaskSet{merged}
 }
 
-// Add is the set with i.
-func (s TaskSet) Add(i int) TaskSet { return s.With(Span(i, i+1)) }
+// Add is the set with a number.
+func (s TaskSet) Add(number int) TaskSet { return s.With(Span(number, number+1)) }
 
-// Without is the set less the members of o.
-func (s TaskSet) Without(o TaskSet) TaskSet {
-	var out [][2]int
-	k := 0
+// Without is the set less the members of another one.
+func (s TaskSet) Without(other TaskSet) TaskSet {
+	var left []taskRange
+	first := 0 // the first range of other that may overlap the present one
 	for _, r := range s.ranges {
-		low := r[0]
-		for k > 0 && o.ranges[k-1][1] >= low {
-			k--
+		for first < len(other.ranges) && other.ranges[first].high < r.low {
+			first++
 		}
-		for k < len(o.ranges) && o.ranges[k][1] < low {
-			k++
-		}
-		for m := k; m < len(o.ranges) && o.ranges[m][0] <= r[1]; m++ {
-			if o.ranges[m][0] > low {
-				out = append(out, [2]int{low, o.ranges[m][0] - 1})
+		low := r.low
+		for i := first; i < len(other.ranges) && other.ranges[i].low <= r.high; i++ {
+			removed := other.ranges[i]
+			if removed.low > low {
+				left = append(left, taskRange{low, removed.low - 1})
 			}
-			low = o.ranges[m][1] + 1
+			low = removed.high + 1
 		}
-		if low <= r[1] {
-			out = append(out, [2]int{low, r[1]})
+		if low <= r.high {
+			left = append(left, taskRange{low, r.high})
 		}
 	}
-	return TaskSet{out}
+	return TaskSet{left}
 }
 
-// And is the set of the members of both.
-func (s TaskSet) And(o TaskSet) TaskSet { return s.Without(s.Without(o)) }
+// Intersect is the set of the members of both.
+func (s TaskSet) Intersect(other TaskSet) TaskSet { return s.Without(s.Without(other)) }
 
-// Take splits off the first n members.
-func (s TaskSet) Take(n int) (first, rest TaskSet) {
+// Take splits off the first members, up to a count.
+func (s TaskSet) Take(count int) (first, rest TaskSet) {
 	for i, r := range s.ranges {
-		if size := r[1] - r[0] + 1; size <= n {
-			n -= size
+		if r.len() <= count {
+			count -= r.len()
 			continue
 		}
-		if n > 0 {
-			cut := r[0] + n
-			first = TaskSet{append(slices.Clone(s.ranges[:i]), [2]int{r[0], cut - 1})}
-			rest = TaskSet{append([][2]int{{cut, r[1]}}, s.ranges[i+1:]...)}
-			return first, rest
+		if count <= 0 {
+			return TaskSet{slices.Clone(s.ranges[:i])}, TaskSet{slices.Clone(s.ranges[i:])}
 		}
-		return TaskSet{slices.Clone(s.ranges[:i])}, TaskSet{slices.Clone(s.ranges[i:])}
+		split := r.low + count
+		first = TaskSet{append(slices.Clone(s.ranges[:i]), taskRange{r.low, split - 1})}
+		rest = TaskSet{append([]taskRange{{split, r.high}}, s.ranges[i+1:]...)}
+		return first, rest
 	}
 	return s, TaskSet{}
 }
 
-// MarshalJSON writes the ranges; a single number stands for itself.
+// MarshalJSON writes a list of the ranges, each as [low, high] or, for a single number, as the
+// number.
 func (s TaskSet) MarshalJSON() ([]byte, error) {
-	flat := make([]any, len(s.ranges))
+	list := make([]any, len(s.ranges))
 	for i, r := range s.ranges {
-		if r[0] == r[1] {
-			flat[i] = r[0]
+		if r.low == r.high {
+			list[i] = r.low
 		} else {
-			flat[i] = r
+			list[i] = [2]int{r.low, r.high}
 		}
 	}
-	return json.Marshal(flat)
+	return json.Marshal(list)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes and refuses anything unordered.
-// Records are read very often, so it reads the digits itself.
-func (s *TaskSet) UnmarshalJSON(b []byte) error {
+// UnmarshalJSON reads what MarshalJSON writes and refuses ranges that are out of order.
+func (s *TaskSet) UnmarshalJSON(text []byte) error {
 	s.ranges = nil
-	depth, n, digits := 0, 0, 0
-	var pair []int
-	number := func() error {
-		if digits == 0 {
-			return nil
+	var parser taskSetParser
+	for _, char := range text {
+		if err := parser.next(char); err != nil {
+			return err
 		}
-		pair = append(pair, n)
-		n, digits = 0, 0
-		if depth == 1 {
-			pair = append(pair, pair[0])
-			return s.push(&pair)
+	}
+	if parser.depth != 0 || parser.elements != 0 {
+		return errInvalidTaskSet
+	}
+	s.ranges = parser.ranges
+	return nil
+}
+
+// taskSetParser reads the JSON of a task set, a character at a time: records are read so often
+// that this shows.
+type taskSetParser struct {
+	ranges   []taskRange
+	depth    int // of the brackets that are open
+	number   int // the number being read, of so many digits
+	digits   int
+	pair     [2]int // the range being read, of so many elements
+	elements int
+}
+
+// maxDigits is how many digits the largest task number has.
+var maxDigits = digits(wire.MaxTasks - 1)
+
+func (p *taskSetParser) next(char byte) error {
+	switch {
+	case char >= '0' && char <= '9' && p.depth > 0:
+		p.number = p.number*10 + int(char-'0')
+		if p.digits++; p.digits > maxDigits {
+			return errInvalidTaskSet
 		}
 		return nil
+	case char == '[' && p.depth < 2 && p.digits == 0:
+		p.depth++
+		return nil
+	case char == ']' && p.depth > 0:
+		return p.closeBracket()
+	case char == ',':
+		return p.endNumber()
+	case char == ' ' || char == '\n' || char == '\t' || char == '\r':
+		return nil
 	}
-	for _, ch := range b {
-		switch {
-		case ch >= '0' && ch <= '9' && depth > 0:
-			n = n*10 + int(ch-'0')
-			if digits++; digits > len("99999") {
-				return errTaskSet
-			}
-		case ch == '[' && depth < 2 && digits == 0:
-			depth++
-		case ch == ']' && depth > 0:
-			if err := number(); err != nil {
-				return err
-			}
-			if depth == 2 {
-				if err := s.push(&pair); err != nil {
-					return err
-				}
-			}
-			depth--
-		case ch == ',':
-			if err := number(); err != nil {
-				return err
-			}
-		case ch == ' ' || ch == '\n' || ch == '\t' || ch == '\r':
-		default:
-			return errTaskSet
-		}
+	return errInvalidTaskSet
+}
+
+// closeBracket ends the list, or the range that is written as a pair.
+func (p *taskSetParser) closeBracket() error {
+	if err := p.endNumber(); err != nil {
+		return err
 	}
-	if depth != 0 || len(pair) != 0 {
-		return errTaskSet
+	p.depth--
+	if p.depth == 1 {
+		return p.endRange()
 	}
 	return nil
 }
 
-var errTaskSet = errors.New("task set: not ordered ranges of task numbers")
+// endNumber adds the number that was read, if any, to the present range. Outside a pair it is a
+// range by itself.
+func (p *taskSetParser) endNumber() error {
+	if p.digits == 0 {
+		return nil
+	}
+	number := p.number
+	p.number, p.digits = 0, 0
+	p.addElement(number)
+	if p.depth != 1 {
+		return nil
+	}
+	p.addElement(number)
+	return p.endRange()
+}
+
+// addElement adds a bound to the present range; one that has too many is refused at its end.
+func (p *taskSetParser) addElement(number int) {
+	if p.elements < len(p.pair) {
+		p.pair[p.elements] = number
+	}
+	p.elements++
+}
 
-// push appends a range that was read.
-func (s *TaskSet) push(pair *[]int) error {
-	p := *pair
-	*pair = p[:0]
-	if len(p) != 2 || p[1] < p[0] || p[1] >= wire.MaxTasks {
-		return errTaskSet
+// endRange adds the present range to the set.
+func (p *taskSetParser) endRange() error {
+	r := taskRange{p.pair[0], p.pair[1]}
+	complete := p.elements == len(p.pair)
+	p.elements = 0
+	if !complete || r.high < r.low || r.high >= wire.MaxTasks {
+		return errInvalidTaskSet
 	}
-	if k := len(s.ranges); k > 0 && s.ranges[k-1][1] >= p[0] {
-		return errTaskSet
+	if last := len(p.ranges) - 1; last >= 0 && p.ranges[last].high >= r.low {
+		return errInvalidTaskSet
 	}
-	s.ranges = append(s.ranges, [2]int{p[0], p[1]})
+	p.ranges = append(p.ranges, r)
 	return nil
 }
--- a/internal/record/taskset_test.go
+++ b/internal/record/taskset_test.go
@@ -32,7 +32,7 @@
 			require.Equal(t, pa[i], a.Has(i))
 			require.Equal(t, pa[i] || pb[i], a.With(b).Has(i))
 			require.Equal(t, pa[i] && !pb[i], a.Without(b).Has(i))
-			require.Equal(t, pa[i] && pb[i], a.And(b).Has(i))
+			require.Equal(t, pa[i] && pb[i], a.Intersect(b).Has(i))
 			require.False(t, first.Has(i) && rest.Has(i))
 		}
 		text, err := json.Marshal(a)
