--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -13,18 +13,18 @@
 	"lilacrill/wire"
 )
 
-// The formats. A build reads every format from Oldest to Newest, whichever is in force;
-// it writes the one in force.
+// The formats of the stored records. A build reads every format from Oldest to Newest, whichever
+// is in force; it writes the one in force.
 const (
 	// FormatPlain writes every record as plain JSON.
 	FormatPlain wire.Format = 1
-	// FormatCompressed writes large job and placement records as a JSON string that
-	// holds their plain JSON compressed with zstd, in base64. A build that does not
-	// know it finds a string where it wants an object and refuses the record: it
-	// never takes it for an empty one.
+	// FormatCompressed writes large job and placement records as a JSON string that holds their
+	// plain JSON, compressed with zstd, in base64. A build that does not know this format finds a
+	// string where it expects an object and refuses the record: it never takes it for an empty
+	// one.
 	FormatCompressed wire.Format = 2
-	// FormatSharding adds the records of shares, which placements demand, and what lines
-	// between controllers say of room and of jobs handed on.
+	// FormatSharding adds the records of shards, whose versions placement transactions demand,
+	// and capacity offers and forwarded jobs in the messages between controllers.
 	FormatSharding wire.Format = 3
 
 	// Oldest and Newest bound what this build reads and writes.
@@ -32,28 +32,27 @@
 	Newest = FormatSharding
 )
 
-// compressFrom is the size of a plain value from which on compressing pays.
-const compressFrom = 512
+// minCompressedSize is the size in bytes of a plain value from which on compression pays.
+const minCompressedSize = 512
 
-// The causes for which a compressed value is refused.
+// The causes for which Decode refuses a compressed value; its errors wrap one of them.
 var (
 	ErrDamaged  = errors.New("damaged compressed value")
 	ErrTooLarge = errors.New("compressed value expands beyond the bound")
 )
 
-// Encode writes a record in a format. A compressed value is used only where it is
-// the smaller one, so no value takes more than its plain JSON.
-func Encode(format wire.Format, key string, v any) json.RawMessage {
-	value := encodePlain(v)
-	if format < FormatCompressed || len(value) < compressFrom || !compressible(key) {
-		return value
+// Encode encodes a record, to be stored under a key, in a format. A compressed value is used only
+// where it is the smaller one, so no value takes more bytes than its plain JSON.
+func Encode(format wire.Format, key string, record any) json.RawMessage {
+	plain := encodePlain(record)
+	if format < FormatCompressed || len(plain) < minCompressedSize || !compressible(key) {
+		return plain
 	}
-	packed := compressor().EncodeAll(value, nil)
-	text := encodePlain(packed) // bytes become a JSON string in base64
-	if len(text) >= len(value) {
-		return value
+	compressed := encodePlain(compressor().EncodeAll(plain, nil)) // bytes become a base64 string
+	if len(compressed) >= len(plain) {
+		return plain
 	}
-	return text
+	return compressed
 }
 
 // compressible reports whether records under a key grow large.
@@ -61,23 +60,25 @@
 	return strings.HasPrefix(key, JobPrefix) || strings.HasPrefix(key, PlacementPrefix)
 }
 
-// Decode reads a record of any format into v. A compressed value may expand to at
-// most limit bytes.
-func Decode(value json.RawMessage, limit int, v any) error {
+// Decode decodes a value of any format into the record that a pointer is given to. A compressed
+// value that expands to more than limit bytes is refused with ErrTooLarge, one that is damaged
+// with ErrDamaged.
+func Decode(value json.RawMessage, limit int, record any) error {
 	if !isString(value) {
-		return fastjson.Unmarshal(value, v)
+		return fastjson.Unmarshal(value, record)
 	}
-	var packed []byte
-	if err := json.Unmarshal(value, &packed); err != nil {
-		return fmt.Errorf("%w: %v", ErrDamaged, err)
+	var compressed []byte
+	if err := json.Unmarshal(value, &compressed); err != nil {
+		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	text, err := expand(packed, limit)
+	plain, err := expand(compressed, limit)
 	if err != nil {
 		return err
 	}
-	return fastjson.Unmarshal(text, v)
+	return fastjson.Unmarshal(plain, record)
 }
 
+// isString reports whether a JSON value is a string.
 func isString(value json.RawMessage) bool {
 	for _, b := range value {
 		switch b {
@@ -89,12 +90,12 @@
 	return false
 }
 
-// expand undoes the compression. A frame states its size before its content, so one
-// that is too large is refused before anything is written.
-func expand(packed []byte, limit int) ([]byte, error) {
+// expand decompresses a frame. It states the size of its content first, so one that is too large
+// is refused before memory is taken for it.
+func expand(compressed []byte, limit int) ([]byte, error) {
 	var header zstd.Header
-	if err := header.Decode(packed); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+	if err := header.Decode(compressed); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if !header.HasFCS {
 		return nil, fmt.Errorf("%w: no size stated", ErrDamaged)
@@ -102,17 +103,17 @@
 	if header.FrameContentSize > uint64(limit) {
 		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, header.FrameContentSize, limit)
 	}
-	text, err := decompressor().DecodeAll(packed, make([]byte, 0, header.FrameContentSize))
+	plain, err := decompressor().DecodeAll(compressed, make([]byte, 0, header.FrameContentSize))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if uint64(len(text)) != header.FrameContentSize {
-		return nil, fmt.Errorf("%w: %d bytes, %d stated", ErrDamaged, len(text), header.FrameContentSize)
+	if uint64(len(plain)) != header.FrameContentSize {
+		return nil, fmt.Errorf("%w: %d bytes, %d stated", ErrDamaged, len(plain), header.FrameContentSize)
 	}
-	return text, nil
+	return plain, nil
 }
 
-// Both are made when they are first needed, and for one user at a time: controllers
+// Both are made when they are first needed, and without concurrency of their own: controllers
 // have little memory, and one goroutine that works on records.
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
@@ -126,15 +127,15 @@
 )
 
 const (
-	// encoderWindow covers any value of the state service.
+	// encoderWindow, in bytes, covers any value in the state store.
 	encoderWindow = 64 << 10
-	// maxDecoded is the most that any value may expand to, whatever the caller allows.
+	// maxDecoded is the most bytes that any value may expand to, whatever the caller allows.
 	maxDecoded = 16 << 20
 )
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants and fit one another
+		panic(err) // the options above are constants and valid together
 	}
 	return v
 }
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -1,6 +1,7 @@
 package record
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -8,72 +9,81 @@
 	"lilacrill/wire"
 )
 
-// Keys in the state service. Everything lives under one root, so that one feed
-// carries all of it.
+// ErrInvalidKey is the cause for which ParsePlacementKey refuses a key.
+var ErrInvalidKey = errors.New("invalid placement key")
+
+// Keys in the state store. All are under one root, so that one watch covers all of them.
 const (
 	RootKey          = "l/"
 	TokenKey         = "l/baton"
 	ProvisionerKey   = "l/buyer"
 	SettingsKey      = "l/settings"
-	LivenessPrefix   = "l/n/" // + label: the controllers that are alive
-	JobPrefix        = "l/j/" // + job: jobs that are not over, and how the latest ended
-	CompletionPrefix = "l/f/" // + job: how older ones ended, for ever
+	LivenessPrefix   = "l/n/" // + label: live controllers, by their leases
+	JobPrefix        = "l/j/" // + job: open jobs, and the latest completions
+	CompletionPrefix = "l/f/" // + job: archived completions, kept for ever
 	PlacementPrefix  = "l/p/" // + team/zone/page: placement records
-	TerminationsKey  = "l/m"  // the machines about to be returned
-	ImagePrefix      = "l/i/" // + number: images that machines were seen to have
-	// RolloutKey is the format in force; RegistrationPrefix + label is what the latest
-	// process of each controller reads and writes.
+	TerminationsKey  = "l/m"  // terminations of machines
+	ImagePrefix      = "l/i/" // + bucket: images that machines were seen to have
+	// RolloutKey is the format in force; RegistrationPrefix + label is what the latest process of
+	// a controller reads and writes.
 	RolloutKey         = "l/rollout"
 	RegistrationPrefix = "l/r/"
-	// ShardPolicyKey is whether shares are in use; ShardPrefix + number is who owns a share.
+	// ShardPolicyKey is whether sharding is enabled; ShardPrefix + number is who owns a shard.
 	ShardPolicyKey = "l/shares"
 	ShardPrefix    = "l/share/"
 )
 
-// LoadPrefixes are read when a controller starts. Final states under keys of their
-// own are not: they are kept for ever, and read when somebody asks.
+// LoadPrefixes are the keys that are read when a controller starts, in this order. Archived
+// completions are not among them: they are kept for ever, and each is read when a user asks.
 //
-// The format in force is read first, since it says how to read the rest, and jobs are
-// read before placement records, which speak of them.
+// The format in force comes first, since it says how to read the rest, and jobs come before
+// placement records, which refer to them.
 var LoadPrefixes = []string{"l/r", "l/b", "l/i/", "l/j/", "l/m", "l/n/", "l/p/", "l/s"}
 
-// JobKey is where a job's record stands.
+// JobKey is the key of a job's record.
 func JobKey(id wire.JobID) string { return JobPrefix + string(id) }
 
-// CompletionKey is where the final state of a job that ended long ago stands.
+// CompletionKey is the key of a job's archived completion.
 func CompletionKey(id wire.JobID) string { return CompletionPrefix + string(id) }
 
-// LivenessKey is where a living controller's record stands.
+// LivenessKey is the key of a live controller's record.
 func LivenessKey(label string) string { return LivenessPrefix + label }
 
-// RegistrationKey is where the record of what a controller's latest process reads stands.
+// RegistrationKey is the key of the registration of a controller's latest process.
 func RegistrationKey(label string) string { return RegistrationPrefix + label }
 
-// ImageKey is where the images of a shard of machines stand.
-func ImageKey(shard int) string { return ImagePrefix + strconv.Itoa(shard) }
+// ImageKey is the key of the images of a bucket of machines.
+func ImageKey(bucket int) string { return ImagePrefix + strconv.Itoa(bucket) }
 
-// ShardKey is where the record of a share's owner stands.
+// ShardKey is the key of a shard's record.
 func ShardKey(id wire.ShardID) string { return ShardPrefix + strconv.Itoa(int(id)) }
 
-// PlacementKey is where a page of a team's placement records in a zone stands.
+// PlacementKey is the key of a page of a team's placement records in a zone.
 func PlacementKey(team, zone string, page int) string {
 	return PlacementPrefix + team + "/" + zone + "/" + strconv.Itoa(page)
 }
 
-// ParsePlacementKey takes a placement record's key apart.
+// ParsePlacementKey splits the key of a placement record. The name of a team may contain slashes,
+// that of a zone may not. Its errors wrap ErrInvalidKey.
 func ParsePlacementKey(key string) (team, zone string, page int, err error) {
-	rest := strings.TrimPrefix(key, PlacementPrefix)
-	i := strings.LastIndexByte(rest, '/')
-	if i < 0 {
-		return "", "", 0, fmt.Errorf("placement record %q: bad key", key)
+	path, number, ok := cutLast(strings.TrimPrefix(key, PlacementPrefix))
+	if !ok {
+		return "", "", 0, fmt.Errorf("%w %q: no page", ErrInvalidKey, key)
+	}
+	if page, err = strconv.Atoi(number); err != nil {
+		return "", "", 0, fmt.Errorf("%w %q: %w", ErrInvalidKey, key, err)
 	}
-	if page, err = strconv.Atoi(rest[i+1:]); err != nil {
-		return "", "", 0, fmt.Errorf("placement record %q: bad page", key)
+	if team, zone, ok = cutLast(path); !ok {
+		return "", "", 0, fmt.Errorf("%w %q: no zone", ErrInvalidKey, key)
 	}
-	rest = rest[:i]
-	i = strings.LastIndexByte(rest, '/')
+	return team, zone, page, nil
+}
+
+// cutLast splits a path at its last slash.
+func cutLast(path string) (before, last string, ok bool) {
+	i := strings.LastIndexByte(path, '/')
 	if i < 0 {
-		return "", "", 0, fmt.Errorf("placement record %q: bad key", key)
+		return "", "", false
 	}
-	return rest[:i], rest[i+1:], page, nil
+	return path[:i], path[i+1:], true
 }
--- a/internal/record/peer_message.go
+++ b/internal/record/peer_message.go
@@ -9,33 +9,36 @@
 	"lilacrill/wire"
 )
 
-// ErrPeerMessageFormat is the cause for which a line of a format that this build does not
-// read is refused.
-var ErrPeerMessageFormat = errors.New("line of a format that this build does not read")
+// The causes for which DecodePeerMessage refuses a message; its errors wrap one of them, or are
+// those of the decoder and of wire.Heartbeat.Check.
+var (
+	ErrPeerMessageFormat  = errors.New("peer message in a format that this build does not read")
+	ErrInvalidPeerMessage = errors.New("invalid peer message")
+)
 
-// EncodePeerMessage writes a line between controllers, without its end, in the line's format.
-// The formats so far differ in that later ones name themselves.
-func EncodePeerMessage(line *wire.PeerMessage) ([]byte, error) { return json.Marshal(line) }
+// EncodePeerMessage encodes a message between controllers, without its line end, in the message's
+// format. The formats so far differ only in that later ones name themselves.
+func EncodePeerMessage(message *wire.PeerMessage) ([]byte, error) { return json.Marshal(message) }
 
-// DecodePeerMessage reads and checks a line of any format.
-func DecodePeerMessage(b []byte) (*wire.PeerMessage, error) {
-	var line wire.PeerMessage
-	if err := fastjson.Unmarshal(b, &line); err != nil {
+// DecodePeerMessage decodes and checks a message of any format.
+func DecodePeerMessage(text []byte) (*wire.PeerMessage, error) {
+	var message wire.PeerMessage
+	if err := fastjson.Unmarshal(text, &message); err != nil {
 		return nil, err
 	}
-	if line.From == "" {
-		return nil, errors.New("line without a sender")
+	if message.From == "" {
+		return nil, fmt.Errorf("%w: no sender", ErrInvalidPeerMessage)
 	}
-	if line.Format < 0 || line.Format > Newest {
-		return nil, fmt.Errorf("%w: %d", ErrPeerMessageFormat, line.Format)
+	if message.Format < 0 || message.Format > Newest {
+		return nil, fmt.Errorf("%w: %d", ErrPeerMessageFormat, message.Format)
 	}
-	for _, r := range line.Heartbeats {
-		if r == nil {
-			return nil, errors.New("line with an empty report")
+	for _, heartbeat := range message.Heartbeats {
+		if heartbeat == nil {
+			return nil, fmt.Errorf("%w: empty heartbeat", ErrInvalidPeerMessage)
 		}
-		if err := r.Check(); err != nil {
+		if err := heartbeat.Check(); err != nil {
 			return nil, err
 		}
 	}
-	return &line, nil
+	return &message, nil
 }
