--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -107,7 +107,7 @@
 
 // restart ends a controller and has it back after a while.
 func (c *Cluster) restart(i int, after time.Duration) {
-	c.Observed["restart"]++
+	c.Observed[controllerRestarted]++
 	c.Stop(i)
 	c.At(after, func() { c.Start(i) })
 }
--- a/internal/simulation/format_bench_test.go
+++ b/internal/simulation/format_bench_test.go
@@ -55,8 +55,8 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(cluster.Observed["bytes written"])/60, "bytes/s")
-	b.ReportMetric(float64(cluster.Observed["values written"])/60, "values/s")
+	b.ReportMetric(float64(cluster.Observed[bytesWritten])/60, "bytes/s")
+	b.ReportMetric(float64(cluster.Observed[valuesWritten])/60, "values/s")
 	b.ReportMetric(float64(entries)/float64(max(1, pages)), "entries/page")
 	require.Empty(b, cluster.Violations)
 }
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -77,7 +77,7 @@
 	placed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := runGeneratedScheduleWith(t, (*Cluster).startWithShards)
-		placed += cluster.Observed["placed in a share"]
+		placed += cluster.Observed[placedInShard]
 		require.Empty(t, cluster.Violations)
 		require.Empty(t, cluster.Unfinished(), "jobs that never ended: %v", cluster.Records())
 	})
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -24,7 +24,7 @@
 func TestLargeFleetWithShards(t *testing.T) {
 	t.Parallel()
 	cluster := runLargeFleet(t, (*Cluster).startWithShards)
-	require.Greater(t, cluster.Observed["placed in a share"], largeFleet/2)
+	require.Greater(t, cluster.Observed[placedInShard], largeFleet/2)
 	require.Zero(t, cluster.unownedShards())
 }
 
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"time"
 
 	"lilacrill/internal/controller"
@@ -65,7 +64,7 @@
 	d := c.latency()
 	if c.rng.Float64() < c.MessageLoss {
 		d = time.Duration(c.rng.IntN(30_000)) * time.Millisecond
-		c.Observed[fmt.Sprint("call held up, rig-", process.index)]++
+		c.Observed[delayedDirectCall(process.index)]++
 	}
 	c.after(d, deliver)
 	if c.rng.Float64() < c.MessageLoss/2 {
@@ -99,7 +98,7 @@
 			return
 		}
 		if message.Format < c.ActiveFormat() && c.ActiveFormat() > 1 {
-			c.Observed["line of an earlier format"]++
+			c.Observed[peerMessageOfEarlierFormat]++
 		}
 		c.step(receiver, controller.PeerMessageReceived{Message: &message})
 	})
@@ -156,9 +155,9 @@
 						continue
 					}
 					if process == began && process.controller.Healthy() {
-						c.Observed["kept report at a new controller"]++
+						c.Observed[replayToNewController]++
 						if machine := c.machinesByID[recorded.heartbeat.Machine]; machine != nil && recorded.heartbeat.AgentEpoch < machine.agentEpoch {
-							c.Observed["report of an earlier session"]++
+							c.Observed[replayOfEarlierEpoch]++
 						}
 					}
 					process.lastRequest++
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -89,8 +89,8 @@
 		cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
 		cluster.Run(20 * time.Second)
 		require.Len(t, cluster.Shutdowns, 1, "seed %d", seed)
-		unanswered += cluster.Observed["unanswered write"]
-		heldUp += cluster.Observed["call held up, rig-2"]
+		unanswered += cluster.Observed[unansweredCommit]
+		heldUp += cluster.Observed[delayedDirectCall(2)]
 		cluster.startNewer(2)
 		requireAllFinished(t, cluster)
 	}
@@ -251,7 +251,7 @@
 	cluster.At(5*time.Second, func() { cluster.restart(1, 2*time.Second) })
 	cluster.Run(70 * time.Second)
 	cluster.DuplicatedPeerMessages = 0
-	require.Greater(t, cluster.Observed["line of an earlier format"], 20)
+	require.Greater(t, cluster.Observed[peerMessageOfEarlierFormat], 20)
 	requireAllFinished(t, cluster)
 }
 
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -57,7 +57,7 @@
 		c.violation("wrong_place: %v on %s (%s, %s, spot %v)", task.id, machine.id, machine.machineType.Name, machine.zone, machine.spot)
 	}
 	if job.lastStatus == wire.StatusCancelled {
-		c.Observed["start after a withdrawal was told"]++
+		c.Observed[startAfterCancellation]++
 		if c.now.Sub(job.terminalAt) > c.CancelTimeout {
 			c.violation("ran_cancelled: start of %v", task.id)
 		}
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -137,10 +137,10 @@
 			}
 		}
 		require.Zero(t, cluster.shardsByOwner()[controllerLabel(frozen)], "seed %d", seed)
-		takenOver += cluster.Observed["share taken over"]
+		takenOver += cluster.Observed[shardFailedOver]
 		cluster.Run(50 * time.Second)
-		refused += cluster.Observed["placement refused for its share"]
-		heldUp += cluster.Observed[fmt.Sprint("call held up, rig-", frozen)]
+		refused += cluster.Observed[placementConflictedOnShard]
+		heldUp += cluster.Observed[delayedDirectCall(frozen)]
 		finishSharded(t, cluster)
 	}
 	require.Greater(t, takenOver, 50)
@@ -152,7 +152,7 @@
 // users cancel, and machines are rented, returned, hang and come back in a new session.
 func TestContinuousShardMoves(t *testing.T) {
 	t.Parallel()
-	seen := map[string]int{}
+	seen := map[Observation]int{}
 	for seed := range uint64(6) {
 		settings := testSettings()
 		settings.Cluster.State.ValueKB = 8
@@ -175,7 +175,7 @@
 				cluster.eachBusyMachine(2, func(machine *fakeMachine) {
 					if !machine.hung {
 						machine.hung = true
-						cluster.countIfShardMoves("machine hangs in a share that moves", machine.id)
+						cluster.countIfShardMoves(machineHungInMovingShard, machine.id)
 						cluster.At(time.Duration(1+n%2*15)*time.Second, machine.resume)
 					}
 				})
@@ -184,7 +184,7 @@
 		cluster.Run(65 * time.Second)
 		for _, machine := range cluster.machines {
 			if machine.agentEpoch > 1 {
-				cluster.Observed["back in a new session"]++
+				cluster.Observed[machineInNewEpoch]++
 			}
 		}
 		finishSharded(t, cluster)
@@ -193,9 +193,8 @@
 		}
 	}
 	t.Log(seen)
-	for name, least := range map[string]int{"share adopted": 1000, "withdrawn": 30, "at a limit": 3, "placed in a share": 300,
-		"machine rented into a share that moves": 5, "machine returned out of a share that moves": 5,
-		"machine hangs in a share that moves": 5, "back in a new session": 3} {
+	for name, least := range map[Observation]int{shardAdopted: 1000, jobCancelled: 30, teamAtLimit: 3, placedInShard: 300,
+		machineProvisionedInMovingShard: 5, machineTerminatedInMovingShard: 5, machineHungInMovingShard: 5, machineInNewEpoch: 3} {
 		require.Greater(t, seen[name], least, name)
 	}
 }
@@ -208,11 +207,11 @@
 		submitMixedJobs(cluster, 60, 6)
 		cluster.Run(8 * time.Second)
 		_, target := cluster.startMove(t, 7, record.MoveReleased)
-		before := cluster.Observed["unanswered write"]
+		before := cluster.Observed[unansweredCommit]
 		cluster.DelayCommitsOf[target], cluster.LoseAnswersOnly = true, true
 		cluster.Run(2 * time.Second)
 		cluster.DelayCommitsOf[target] = false
-		require.Greater(t, cluster.Observed["unanswered write"], before)
+		require.Greater(t, cluster.Observed[unansweredCommit], before)
 		require.Equal(t, controllerLabel(target), cluster.Shard(7).Owner.Label)
 		finishSharded(t, cluster)
 	}
@@ -227,11 +226,11 @@
 		submitMixedJobs(cluster, 60, 6)
 		cluster.Run(8 * time.Second)
 		_, target := cluster.startMove(t, 9, step)
-		before := cluster.Observed["share taken over"]
+		before := cluster.Observed[shardFailedOver]
 		cluster.storeOutage(9 * time.Second)
 		cluster.Run(15 * time.Second)
 		require.Equal(t, controllerLabel(target), cluster.Shard(9).Owner.Label)
-		require.Equal(t, before, cluster.Observed["share taken over"])
+		require.Equal(t, before, cluster.Observed[shardFailedOver])
 		finishSharded(t, cluster)
 	}
 }
--- a/internal/simulation/shard_schedule_test.go
+++ b/internal/simulation/shard_schedule_test.go
@@ -49,7 +49,7 @@
 // in the end.
 func TestInvariantsHoldWhileShardsMove(t *testing.T) {
 	t.Parallel()
-	seen := map[string]int{}
+	seen := map[Observation]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newShardedCluster(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "controllers"))
 		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
@@ -75,7 +75,7 @@
 			seen[kind] += n
 		}
 	})
-	require.Greater(t, seen["placed in a share"], 2000)
-	require.Greater(t, seen["share adopted"], 100)
-	require.Greater(t, seen["share taken over"], 100)
+	require.Greater(t, seen[placedInShard], 2000)
+	require.Greater(t, seen[shardAdopted], 100)
+	require.Greater(t, seen[shardFailedOver], 100)
 }
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -92,7 +92,7 @@
 	for i := range 3 {
 		require.InDelta(t, shard.Count/3, cluster.shardsByOwner()[controllerLabel(i)], shard.Tolerance)
 	}
-	require.Greater(t, cluster.Observed["placed in a share"], 50)
+	require.Greater(t, cluster.Observed[placedInShard], 50)
 	requireAllFinished(t, cluster)
 	led, machines := 0, 0
 	for _, machine := range cluster.machines {
@@ -152,7 +152,7 @@
 	cluster.Run(15 * time.Second)
 	require.Equal(t, record.FormatSharding, cluster.ActiveFormat())
 	require.False(t, cluster.shardPolicy().Enabled)
-	require.Zero(t, cluster.Observed["placed in a share"])
+	require.Zero(t, cluster.Observed[placedInShard])
 	cluster.startWithShards(2)
 	cluster.Run(15 * time.Second)
 	require.True(t, cluster.shardPolicy().Enabled)
@@ -173,9 +173,9 @@
 	require.Equal(t, 200, reply.Status)
 	require.Zero(t, cluster.shardsByOwner()["rig-1"])
 	cluster.Stop(1)
-	before := cluster.Observed["share taken over"]
+	before := cluster.Observed[shardFailedOver]
 	cluster.Run(10 * time.Second)
-	require.Equal(t, before, cluster.Observed["share taken over"])
+	require.Equal(t, before, cluster.Observed[shardFailedOver])
 	cluster.startWithShards(1)
 	cluster.Run(10 * time.Second)
 	require.Zero(t, cluster.shardsByOwner()["rig-1"], "it is drained still")
@@ -233,7 +233,7 @@
 		cluster.DelayPlacements = false
 		cluster.Run(10 * time.Second)
 		cluster.Capacity = 3
-		refused += cluster.Observed["placement refused for a machine to be returned"]
+		refused += cluster.Observed[placementConflictedOnTermination]
 		requireAllFinished(t, cluster)
 	}
 	require.Greater(t, refused, 5)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -56,7 +56,7 @@
 		}, func(reply controller.Reply, ok bool) {
 			switch {
 			case ok && reply.Status == 422:
-				c.Observed["refused for good"]++
+				c.Observed[unschedulableJobRejected]++
 			case ok && reply.Status < 300:
 				c.violation("accepted though it can never run: %s", spec.ID)
 			default:
@@ -74,10 +74,10 @@
 		job := c.jobs[id]
 		switch {
 		case job.lastStatus == wire.StatusDone:
-			c.Observed["cancelled when done"]++
+			c.Observed[cancelledAfterCompletion]++
 			c.CancelJob(id)
 		case job.accepted && !job.lastStatus.IsTerminal():
-			c.Observed["submitted again"]++
+			c.Observed[submissionRepeated]++
 			sentAt := c.now
 			c.request(func(r controller.RequestID) controller.Input {
 				return controller.JobSubmitted{Request: r, Spec: job.spec}
@@ -109,7 +109,7 @@
 	if len(job.completed) < job.spec.Tasks || job.lastStatus.IsTerminal() || c.rng.Float64() >= c.CancelOnCompletion {
 		return
 	}
-	c.Observed["cancelled at its end"]++
+	c.Observed[cancelledOnCompletion]++
 	c.CancelJob(job.spec.ID)
 	c.burstOfRequests(job)
 }
@@ -123,7 +123,7 @@
 	for i, d := range []time.Duration{1, 2, 4, 7, 12, 30, 80, 200} {
 		c.after(d*time.Millisecond, func() {
 			for _, process := range c.controllers {
-				c.Observed["close look"]++
+				c.Observed[requestBurst]++
 				sentAt := c.now
 				if (i+process.index)%3 == 0 {
 					c.requestFrom(process, func(id controller.RequestID) controller.Input {
@@ -187,7 +187,7 @@
 	if status.IsTerminal() && !job.lastStatus.IsTerminal() {
 		job.terminalAt = c.now
 		if status == wire.StatusCancelled {
-			c.Observed["withdrawn"]++
+			c.Observed[jobCancelled]++
 		}
 		c.burstOfRequests(job)
 	} else if job.lastStatus == "" {
@@ -245,7 +245,7 @@
 		if c.HangOnCancel > 0 && !job.cancelRequested {
 			for _, placed := range job.active()[:min(1, len(job.active()))] {
 				if !placed.machine.hung {
-					c.Observed["machine hung at a cancellation"]++
+					c.Observed[machineHungOnCancellation]++
 					placed.machine.hung = true
 					c.after(c.HangOnCancel, placed.machine.resume)
 				}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -58,7 +58,7 @@
 	// and repeat the submission, after a job was accepted, ended or withdrawn.
 	RequestBursts bool
 	// Observed counts what took place, by name, for a test to show that it did.
-	Observed map[string]int
+	Observed map[Observation]int
 	// DuplicatedPeerMessages is the part of the lines between controllers of which a copy comes late,
 	// from seconds to a minute, to whatever process has the label then.
 	DuplicatedPeerMessages float64
@@ -172,7 +172,7 @@
 		GangWaitTimeout: config.Seconds(settings.Cluster.Workers.GangWaitS), GangPeerTimeout: config.Seconds(settings.Cluster.Workers.GangPeerS),
 		CancelTimeout: config.Seconds(settings.Cluster.Workers.CancelS),
 		Capacity:      3,
-		Observed:      map[string]int{}, StorePartitioned: map[int]bool{}, WorkersPartitioned: map[int]bool{}, PeersPartitioned: map[int]bool{}, DelayCommitsOf: map[int]bool{}, Features: map[int]config.Features{},
+		Observed:      map[Observation]int{}, StorePartitioned: map[int]bool{}, WorkersPartitioned: map[int]bool{}, PeersPartitioned: map[int]bool{}, DelayCommitsOf: map[int]bool{}, Features: map[int]config.Features{},
 		rng: rand.New(rand.NewPCG(seed, 7)), store: NewStore(),
 		machinesByID: map[wire.MachineID]*fakeMachine{}, provisioned: map[string][]wire.MachineID{}, machineTypes: types,
 		jobs: map[wire.JobID]*submittedJob{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -370,7 +370,7 @@
 				c.checkShardChanges(o.Txn, owners)
 				c.checkLivenessFormat(o.Txn, reads)
 			} else if result.Outcome == controller.Conflict {
-				c.Observed["lost write"]++
+				c.Observed[conflictingCommit]++
 				c.countRejectedPlacement(o.Txn, before, result.Failed)
 			}
 			return result
@@ -383,7 +383,7 @@
 			}
 			c.after(d, func() {
 				if exec().Outcome == controller.Succeeded {
-					c.Observed["unanswered write"]++
+					c.Observed[unansweredCommit]++
 				}
 			})
 			return
@@ -401,7 +401,7 @@
 			return controller.LeaseResult{LeaseID: o.LeaseID}
 		})
 	case controller.RolloutEvent:
-		c.Observed[string(o.Kind)]++
+		c.Observed[Observation(o.Kind)]++
 	case controller.Shutdown:
 		c.Shutdowns = append(c.Shutdowns, ShutdownEvent{Controller: process.index, Cause: o.Cause})
 		c.after(0, func() {
@@ -424,7 +424,7 @@
 		c.callCloud(process, o.Call, controller.TerminateResult{Outcome: controller.Unknown}, func() controller.Result {
 			for _, id := range o.Machines {
 				if machine := c.machinesByID[id]; machine != nil {
-					c.countIfShardMoves("machine returned out of a share that moves", id)
+					c.countIfShardMoves(machineTerminatedInMovingShard, id)
 					machine.terminate()
 					machine.up = false
 				}
--- a/internal/simulation/world_cloud.go
+++ b/internal/simulation/world_cloud.go
@@ -48,7 +48,7 @@
 			boot = c.ProvisioningDelay(request.Type, request.Zone)
 		}
 		names = append(names, c.AddMachine(c.machineTypes[i], request.Zone, request.Spot, boot).id)
-		c.countIfShardMoves("machine rented into a share that moves", names[len(names)-1])
+		c.countIfShardMoves(machineProvisionedInMovingShard, names[len(names)-1])
 	}
 	c.provisioned[request.Name] = names
 	return controller.ProvisionResult{Machines: names}
--- a/internal/simulation/world_shares.go
+++ b/internal/simulation/world_shares.go
@@ -43,7 +43,7 @@
 		if !shares.Enabled {
 			continue
 		}
-		c.Observed["placed in a share"]++
+		c.Observed[placedInShard]++
 		s := c.Shard(shard.ShardOf(id))
 		if s.Owner.Label != controllerLabel(process.index) || s.Move != nil {
 			c.violation("%s placed on %s of share %d: %+v", controllerLabel(process.index), id, shard.ShardOf(id), s)
@@ -125,11 +125,11 @@
 		released := old.Move != nil && old.Move.Phase == record.MoveReleased && old.Move.To == now.Owner
 		switch {
 		case released:
-			c.Observed["share adopted"]++
+			c.Observed[shardAdopted]++
 		case old.Epoch > 0 && c.isLive(old.Owner):
 			c.violation("%s taken from %s, which lives, by %s", key, old.Owner.Label, now.Owner.Label)
 		case old.Epoch > 0:
-			c.Observed["share taken over"]++
+			c.Observed[shardFailedOver]++
 		}
 	}
 }
@@ -142,7 +142,7 @@
 }
 
 // countIfShardMoves counts what happens to a machine whose share is on the move.
-func (c *Cluster) countIfShardMoves(what string, id wire.MachineID) {
+func (c *Cluster) countIfShardMoves(what Observation, id wire.MachineID) {
 	if c.Shard(shard.ShardOf(id)).Move != nil {
 		c.Observed[what]++
 	}
@@ -155,9 +155,9 @@
 		return
 	}
 	if slices.ContainsFunc(failed, func(key string) bool { return strings.HasPrefix(key, record.ShardPrefix) }) {
-		c.Observed["placement refused for its share"]++
+		c.Observed[placementConflictedOnShard]++
 	}
 	if slices.Equal(failed, []string{record.TerminationsKey}) {
-		c.Observed["placement refused for a machine to be returned"]++
+		c.Observed[placementConflictedOnTermination]++
 	}
 }
--- a/internal/simulation/world_state.go
+++ b/internal/simulation/world_state.go
@@ -33,8 +33,8 @@
 		c.violation("transaction with %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	for _, change := range txn.Then {
-		c.Observed["values written"]++
-		c.Observed["bytes written"] += len(change.Value)
+		c.Observed[valuesWritten]++
+		c.Observed[bytesWritten] += len(change.Value)
 		for _, records := range []string{"l/p/", "l/j/", "l/f/", "l/m"} {
 			if strings.HasPrefix(change.Put, records) && !slices.ContainsFunc(txn.If, func(condition wire.Condition) bool { return condition.Key == change.Put }) {
 				c.violation("%s written without a condition on it", change.Put)
