--- a/wire/admin.go
+++ b/wire/admin.go
@@ -4,12 +4,13 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"strings"
+
+	"lilacrill/internal/apierror"
 )
 
-// The administration API, under /admin/v1. Each view is answered by whatever
-// controller is asked, as it sees things.
+// The administration API, under /admin/v1. Each controller answers a view from what it
+// knows itself.
 
 // AdminView names a view of the administration API.
 type AdminView string
@@ -37,21 +38,21 @@
 	Provisioner    bool         `json:"buyer"`
 	Self           bool         `json:"self"`
 	StoreReachable bool         `json:"state_fresh"`
-	// HeardFrom says that the controller that was asked hears it, Hears that it hears
-	// that one, and Isolated that it reaches no workers, by its own word.
+	// HeardFrom says that the answering controller receives its messages, HearsUs that it
+	// receives the answering one's, and Isolated that it reports to reach no workers.
 	HeardFrom bool         `json:"heard"`
 	HearsUs   bool         `json:"hears"`
 	Isolated  bool         `json:"deaf,omitempty"`
 	Revision  Revision     `json:"ledger,omitempty"`
 	Token     FencingToken `json:"baton,omitempty"`
-	// Of the controller that was asked: for how long it has not been in step with
-	// the state service, the age of what it knows of withdrawals, by the service or
-	// by its siblings' word, and whether it answers workers on that ground.
+	// Only of the answering controller: for how long its cache has not been current, the
+	// age of what it knows of cancellations, from the state store or its siblings'
+	// watermarks, and whether that is recent enough to renew workers' leases.
 	StoreLagS        float64 `json:"in_step_s,omitempty"`
 	CancellationLagS float64 `json:"withdrawals_known_s,omitempty"`
 	RenewsLeases     bool    `json:"answers_workers,omitempty"`
-	// TimerLagS is how late its timers fire of late: its share is too small, or it stood
-	// still.
+	// TimerLagS is how late its timers fire: its share of a processor is too small, or it
+	// stalled.
 	TimerLagS float64 `json:"late_s,omitempty"`
 }
 
@@ -82,12 +83,12 @@
 	Tasks             int           `json:"tasks"`
 	TerminationReason string        `json:"doomed,omitempty"`
 	Faulty            bool          `json:"faulty,omitempty"`
-	ProvisioningLate  bool          `json:"late,omitempty"` // it should be up by now
+	ProvisioningLate  bool          `json:"late,omitempty"` // it should have joined by now
 	Reserved          bool          `json:"reserved,omitempty"`
 	PreemptionNotice  bool          `json:"recalled,omitempty"`
 }
 
-// AdminJob is one job that is not over, with the reason why tasks wait.
+// AdminJob is one job that is not over, with the reason why tasks are pending.
 type AdminJob struct {
 	ID       JobID    `json:"id"`
 	Class    string   `json:"jobclass"`
@@ -98,8 +99,8 @@
 	Placed   int      `json:"placed"`
 	Waiting  int      `json:"waiting"`
 	Reason   string   `json:"reason,omitempty"`
-	// FailedOn is on how many machines its tasks failed since one went well, and
-	// BackoffS for how long it is not tried again.
+	// FailedOn is on how many machines its tasks failed since one succeeded, and
+	// BackoffS for how long none is started.
 	FailedOn int     `json:"failed_on,omitempty"`
 	BackoffS float64 `json:"paused_s,omitempty"`
 }
@@ -110,8 +111,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// AdminMetrics is counts since the controller started, and the distribution of
-// times in milliseconds.
+// AdminMetrics has counts since the controller started, and distributions of times in
+// milliseconds.
 type AdminMetrics struct {
 	Counts map[string]uint64       `json:"counts"`
 	Times  map[string]AdminLatency `json:"times_ms"`
@@ -126,22 +127,22 @@
 	Max   int64 `json:"max"`
 }
 
-// AdminRollout is which format is in force, and what the next one waits for.
+// AdminRollout is the format in force, and what blocks the next one.
 type AdminRollout struct {
 	Version Revision `json:"version"`
 	Format  Format   `json:"format"`
-	// Oldest and Newest are what the controller that was asked reads.
+	// Oldest and Newest are the formats that the answering controller reads.
 	Oldest Format `json:"oldest"`
 	Newest Format `json:"newest"`
-	// Next is the format that could come next, if there is one, and Ready says that
-	// nobody holds it up.
+	// Next is the format that could come next, if there is one, and Ready says that no
+	// controller blocks it.
 	Next        Format                   `json:"next,omitempty"`
 	Ready       bool                     `json:"ready"`
 	Controllers []AdminRolloutController `json:"controllers"`
 }
 
-// AdminRolloutController is one controller in a rollout. Its formats are those that
-// its latest process registered, if any did.
+// AdminRolloutController is one controller in a rollout. Its formats are those of its
+// latest process that registered, if any did.
 type AdminRolloutController struct {
 	Label       string       `json:"label"`
 	Alive       bool         `json:"alive"`
@@ -149,7 +150,7 @@
 	Oldest      Format       `json:"oldest,omitempty"`
 	Newest      Format       `json:"newest,omitempty"`
 	Release     string       `json:"release,omitempty"`
-	Blocks      string       `json:"blocks,omitempty"` // why the next format waits for it
+	Blocks      string       `json:"blocks,omitempty"` // why it blocks the next format
 	Excluded    string       `json:"excluded,omitempty"`
 }
 
@@ -163,43 +164,49 @@
 	Include  string   `json:"include,omitempty"`
 }
 
-// ParseAdminRolloutChange reads and checks a change. Its error names the field.
+// ParseAdminRolloutChange decodes and checks a change. Its error is a *apierror.FieldError.
 func ParseAdminRolloutChange(body []byte) (AdminRolloutChange, error) {
-	var c AdminRolloutChange
-	if err := decodeStrict(body, &c); err != nil {
-		return c, err
-	}
-	asked := 0
-	for _, is := range []bool{c.Activate != nil, c.Exclude != "", c.Include != ""} {
-		if is {
-			asked++
-		}
+	var change AdminRolloutChange
+	if err := decodeStrict(body, &change); err != nil {
+		return change, err
 	}
 	switch {
-	case asked != 1:
-		return c, errors.New("activate, exclude, include: want exactly one of them")
-	case c.Reason != "" && c.Exclude == "":
-		return c, errors.New("reason: goes with exclude only")
+	case countTrue(change.Activate != nil, change.Exclude != "", change.Include != "") != 1:
+		return change, apierror.Field("activate, exclude, include", "want exactly one of them")
+	case change.Reason != "" && change.Exclude == "":
+		return change, apierror.Field("reason", "goes with exclude only")
+	}
+	return change, nil
+}
+
+func countTrue(values ...bool) int {
+	count := 0
+	for _, value := range values {
+		if value {
+			count++
+		}
 	}
-	return c, nil
+	return count
 }
 
-// decodeStrict reads a JSON object and refuses fields that v does not have.
-func decodeStrict(body []byte, v any) error {
+// decodeStrict decodes a JSON object and refuses fields that the target does not have: the
+// senders are operators, who want to be told of a misspelt one.
+func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(v)
+	err := decoder.Decode(target)
 	var typeErr *json.UnmarshalTypeError
 	switch {
 	case err == nil && decoder.More():
-		return errors.New("body: want one JSON object")
+		return apierror.Field("body", "want one JSON object")
 	case err == nil:
 		return nil
 	case errors.As(err, &typeErr) && typeErr.Field != "":
-		return fmt.Errorf("%s: wrong type", typeErr.Field)
+		return apierror.Field(typeErr.Field, "wrong type")
 	}
+	// encoding/json has no type for this error.
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		return fmt.Errorf("%s: no such field", strings.Trim(name, `"`))
+		return apierror.Field(strings.Trim(name, `"`), "no such field")
 	}
-	return errors.New("body: want a JSON object")
+	return apierror.Field("body", "want a JSON object")
 }
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -1,5 +1,6 @@
-// Package wire holds the message formats lilacrill speaks with users, workers,
-// the cloud, the state service and its own siblings. Clients may import it.
+// Package wire has the messages that lilacrill exchanges with users, workers, the cloud, the
+// state store and its siblings. Clients may import it. The JSON names are the protocol's,
+// the Go names those of docs/glossary.md. Fields that end in S are seconds.
 package wire
 
 import (
@@ -14,7 +15,7 @@
 // maxJobDigits bounds the number in a job id so that ids stay short keys.
 const maxJobDigits = 18
 
-// Valid reports whether the id has the one form the protocol allows.
+// Valid reports whether the id has the form that the protocol allows: wk-NUMBER.
 func (id JobID) Valid() bool {
 	digits, ok := strings.CutPrefix(string(id), "wk-")
 	if !ok || len(digits) == 0 || len(digits) > maxJobDigits {
@@ -28,7 +29,7 @@
 	return true
 }
 
-// MachineID names a rented machine.
+// MachineID names a machine.
 type MachineID string
 
 // TaskID names one task of a job, as in "wk-000412/3".
@@ -60,26 +61,28 @@
 // Attempt tells one start of a task from another.
 type Attempt uint64
 
-// FencingToken says who may command workers: the higher one wins.
+// FencingToken orders the controllers that command workers: a worker refuses commands with a
+// lower token than it has seen.
 type FencingToken uint64
 
-// AgentEpoch counts a worker's sessions.
+// AgentEpoch counts the starts of a worker's agent. What an earlier one reported no longer
+// holds.
 type AgentEpoch uint64
 
-// Sequence orders a worker's messages within a session.
+// Sequence orders the heartbeats of a worker within one agent epoch.
 type Sequence uint64
 
-// Revision is a revision of the state service.
+// Revision is a revision of the state store, or the one at which a key was last written.
 type Revision uint64
 
-// LeaseID names a lease of the state service.
+// LeaseID names a lease of the state store.
 type LeaseID uint64
 
-// Format numbers a way of writing records and the lines between controllers.
+// Format numbers a way of encoding records and peer messages.
 type Format int
 
-// ShardID numbers a share of the machines.
+// ShardID numbers a shard of the machines.
 type ShardID int
 
-// ShardEpoch counts how often a share has changed hands.
+// ShardEpoch counts the changes of a shard's owner.
 type ShardEpoch uint64
--- /dev/null
+++ b/wire/job.go
@@ -0,0 +1,201 @@
+package wire
+
+import (
+	"encoding/json"
+	"errors"
+	"math"
+	"slices"
+
+	"lilacrill/internal/apierror"
+)
+
+// jobSubmission mirrors JobSpec with pointers, so that a missing field is told
+// from a zero one.
+type jobSubmission struct {
+	ID                  *JobID    `json:"id"`
+	Class               *string   `json:"jobclass"`
+	Team                *string   `json:"crew"`
+	Shape               *Shape    `json:"shape"`
+	Priority            *Priority `json:"rank"`
+	Tasks               *int      `json:"loads"`
+	Cores               *float64  `json:"cores"`
+	Accelerators        *float64  `json:"accelerators"`
+	MemGB               *float64  `json:"mem_gb"`
+	Image               *string   `json:"kit"`
+	ImageGB             *float64  `json:"size_gb"`
+	Types               *[]string `json:"rigtypes"`
+	Zone                *string   `json:"yard"`
+	SingleZone          *bool     `json:"together"`
+	SpreadZones         *bool     `json:"apart"`
+	Spot                *bool     `json:"loaners"`
+	RuntimeS            *float64  `json:"runtime_s"`
+	CheckpointIntervalS *float64  `json:"savepoint_s"`
+	CheckpointSaveS     *float64  `json:"stash_s"`
+	DeadlineS           *float64  `json:"due_s"`
+}
+
+// Bounds of what a submission may say; beyond them it is a mistake.
+const (
+	maxAmount = 1e9
+	maxName   = 100
+	maxTypes  = 64
+)
+
+// ParseJob decodes and checks a submission. Its error is a *apierror.FieldError for the first
+// field that is wrong, in the order of the fields of JobSpec.
+func ParseJob(body []byte) (JobSpec, error) {
+	submission, err := decodeSubmission(body)
+	if err != nil {
+		return JobSpec{}, err
+	}
+	var check submissionCheck
+	spec := JobSpec{
+		ID:                  check.jobID("id", submission.ID),
+		Class:               check.text("jobclass", submission.Class),
+		Team:                check.text("crew", submission.Team),
+		Shape:               oneOf(&check, "shape", submission.Shape, shapes, "want batch, group or daemon"),
+		Priority:            oneOf(&check, "rank", submission.Priority, priorities, "want critical, high, normal or best_effort"),
+		Tasks:               check.taskCount("loads", submission.Tasks),
+		Cores:               check.amount("cores", submission.Cores),
+		Accelerators:        check.amount("accelerators", submission.Accelerators),
+		MemGB:               check.amount("mem_gb", submission.MemGB),
+		Image:               check.text("kit", submission.Image),
+		ImageGB:             check.amount("size_gb", submission.ImageGB),
+		Types:               check.machineTypes("rigtypes", submission.Types),
+		Zone:                check.optionalText("yard", submission.Zone),
+		SingleZone:          check.flag("together", submission.SingleZone),
+		SpreadZones:         check.flag("apart", submission.SpreadZones),
+		Spot:                check.flag("loaners", submission.Spot),
+		RuntimeS:            check.amount("runtime_s", submission.RuntimeS),
+		CheckpointIntervalS: check.amount("savepoint_s", submission.CheckpointIntervalS),
+		CheckpointSaveS:     check.amount("stash_s", submission.CheckpointSaveS),
+		DeadlineS:           check.optionalAmount("due_s", submission.DeadlineS),
+	}
+	if check.fault != nil {
+		return JobSpec{}, check.fault
+	}
+	return spec, nil
+}
+
+// decodeSubmission decodes a JSON object. encoding/json ignores fields that it does not
+// know, so that newer clients may send more.
+func decodeSubmission(body []byte) (*jobSubmission, error) {
+	if firstByte(body) != '{' {
+		return nil, apierror.Field("body", "want a JSON object")
+	}
+	var submission jobSubmission
+	if err := json.Unmarshal(body, &submission); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, apierror.Field(typeErr.Field, "wrong type or out of range")
+		}
+		return nil, apierror.Field("body", "not JSON")
+	}
+	return &submission, nil
+}
+
+// submissionCheck checks fields one by one and keeps the first fault. Its methods return
+// the checked value, or anything if there is a fault.
+type submissionCheck struct {
+	fault error
+}
+
+func (c *submissionCheck) fail(field, format string, args ...any) {
+	if c.fault == nil {
+		c.fault = apierror.Field(field, format, args...)
+	}
+}
+
+// required returns a field's value, or the zero value if the field is missing.
+func required[T any](c *submissionCheck, field string, value *T) (_ T, given bool) {
+	if value == nil {
+		c.fail(field, "missing")
+		var zero T
+		return zero, false
+	}
+	return *value, true
+}
+
+// oneOf checks a field that allows only some values.
+func oneOf[T comparable](c *submissionCheck, field string, value *T, allowed []T, reason string) T {
+	v, given := required(c, field, value)
+	if given && !slices.Contains(allowed, v) {
+		c.fail(field, "%s", reason)
+	}
+	return v
+}
+
+func (c *submissionCheck) jobID(field string, value *JobID) JobID {
+	id, given := required(c, field, value)
+	if given && !id.Valid() {
+		c.fail(field, "want wk-NUMBER")
+	}
+	return id
+}
+
+func (c *submissionCheck) taskCount(field string, value *int) int {
+	count, given := required(c, field, value)
+	if given && (count < 1 || count > MaxTasks) {
+		c.fail(field, "want 1 to %d", MaxTasks)
+	}
+	return count
+}
+
+func (c *submissionCheck) text(field string, value *string) string {
+	text, given := required(c, field, value)
+	if given && (text == "" || len(text) > maxName) {
+		c.fail(field, "want 1 to %d bytes", maxName)
+	}
+	return text
+}
+
+func (c *submissionCheck) optionalText(field string, value *string) string {
+	if value == nil {
+		return ""
+	}
+	return c.text(field, value)
+}
+
+func (c *submissionCheck) amount(field string, value *float64) float64 {
+	amount, given := required(c, field, value)
+	if given && (math.IsNaN(amount) || amount < 0 || amount > maxAmount) {
+		c.fail(field, "out of range")
+	}
+	return amount
+}
+
+func (c *submissionCheck) optionalAmount(field string, value *float64) float64 {
+	if value == nil {
+		return 0
+	}
+	return c.amount(field, value)
+}
+
+func (c *submissionCheck) flag(field string, value *bool) bool {
+	flag, _ := required(c, field, value)
+	return flag
+}
+
+// machineTypes checks an optional list.
+func (c *submissionCheck) machineTypes(field string, value *[]string) []string {
+	if value == nil {
+		return nil
+	}
+	if len(*value) == 0 || len(*value) > maxTypes {
+		c.fail(field, "want null or 1 to %d names", maxTypes)
+	}
+	for i := range *value {
+		c.text(field, &(*value)[i])
+	}
+	return *value
+}
+
+// firstByte is the first byte that is not white space, 0 if there is none.
+func firstByte(text []byte) byte {
+	for _, c := range text {
+		if c != ' ' && c != '\t' && c != '\n' && c != '\r' {
+			return c
+		}
+	}
+	return 0
+}
--- a/wire/services.go
+++ b/wire/services.go
@@ -21,7 +21,8 @@
 	Types []MachineType `json:"rigtypes"`
 }
 
-// ProvisionRequest is the body of POST /hosts. Its name is never used twice.
+// ProvisionRequest is the body of POST /hosts. Its name makes repeating it safe, and is never
+// used for another request.
 type ProvisionRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"rigtype"`
@@ -30,7 +31,7 @@
 	Count int    `json:"number"`
 }
 
-// MachineNames is a list of machine names, in hires' answers and in returns.
+// MachineNames answers POST /hosts, and is the body of POST /hosts/return.
 type MachineNames struct {
 	Names []MachineID `json:"rigs"`
 }
@@ -69,7 +70,7 @@
 	MaxMachinesPerPage = 500
 )
 
-// Entry is one key with its value in the state service.
+// Entry is one key with its value in the state store.
 type Entry struct {
 	Key     string          `json:"key"`
 	Value   json.RawMessage `json:"v"`
@@ -83,13 +84,13 @@
 	Revision Revision `json:"ledger"`
 }
 
-// Condition demands a key's version; 0 means that the key does not exist.
+// Condition requires a key to have a version; 0 requires that it does not exist.
 type Condition struct {
 	Key     string   `json:"key"`
 	Version Revision `json:"stamp"`
 }
 
-// Change puts or drops one key.
+// Change puts or deletes one key. A key with a lease is deleted when the lease expires.
 type Change struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
@@ -103,13 +104,14 @@
 	Then []Change    `json:"then"`
 }
 
-// TransactionResponse answers /multi with 200 or 409.
+// TransactionResponse answers /multi: 200 if the changes were made, or 409 with the keys whose
+// conditions failed.
 type TransactionResponse struct {
 	Revision Revision `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
-// ChangeEvent is one change in the feed.
+// ChangeEvent is one change of a watch.
 type ChangeEvent struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
@@ -123,60 +125,60 @@
 	Events   []ChangeEvent `json:"log"`
 }
 
-// PeerMessage is one line between controllers. A line with nothing else only says
-// that its sender is alive.
+// PeerMessage is one message between controllers. One with nothing else only says that its
+// sender is alive.
 type PeerMessage struct {
 	From string `json:"from"`
-	// Format is the format of the line; lines of the first format leave it out.
+	// Format is the format of the message; messages of the first format leave it out.
 	Format Format `json:"format,omitempty"`
-	// StoreReachable says that the sender has heard from the state service lately.
+	// StoreReachable says that the state store has answered the sender recently.
 	StoreReachable bool `json:"state_fresh,omitempty"`
-	// Watermark is the sender's word on withdrawn jobs, on some lines.
+	// Watermark, on some messages, bounds which cancellations the receiver may not know.
 	Watermark *CancellationWatermark `json:"vouch,omitempty"`
-	// Heartbeats are workers' reports as the sender got them, of machines of which
-	// more has changed than the time.
+	// Heartbeats are those that the sender received and in which more than the sequence
+	// has changed.
 	Heartbeats []*Heartbeat `json:"reports,omitempty"`
-	// UnchangedHeartbeats are the machines that reported what they had reported before.
+	// UnchangedHeartbeats are of the machines that reported the same as before.
 	UnchangedHeartbeats []UnchangedHeartbeat `json:"heard,omitempty"`
-	// CloudMachines is what is new in the machine list as the sender read it.
+	// CloudMachines is what is new in the cloud's machine list as the sender read it.
 	CloudMachines []CloudMachine `json:"cloud,omitempty"`
-	// Capacity, if set, is the room that is free in the sender's shares.
+	// Capacity, if set, is the free capacity of the sender's shards.
 	Capacity *[]CapacityOffer `json:"room,omitempty"`
-	// ForwardedJobs are the jobs that the sender hands on.
+	// ForwardedJobs are the jobs that the sender forwards.
 	ForwardedJobs []ForwardedJob `json:"hand_offs,omitempty"`
 }
 
-// CancellationWatermark is a controller's word for every withdrawal that it may have told a user
-// of until it sent the line: those that are not in the state service's feed up to
-// From are listed.
+// CancellationWatermark covers every cancellation that its sender may have confirmed to a user
+// until it sent the message: those that are not among the state store's changes up to Since
+// are listed.
 type CancellationWatermark struct {
-	// Process tells the sender's process from earlier ones of its label, and Number
-	// counts that process's attestations.
+	// Process tells the sender's process from earlier ones of its label, and Sequence
+	// counts that process's watermarks.
 	Process  uint64 `json:"p"`
 	Sequence uint64 `json:"n"`
 	// Revision is the revision up to which the sender knows all changes.
 	Revision Revision `json:"l"`
 	Since    Revision `json:"f"`
-	// Acks is the newest attestation of each sibling that the sender has had, which
+	// Acks names the newest watermark that the sender received of each sibling, which
 	// bounds the age of this one by the sibling's own clock.
 	Acks          map[string]WatermarkAck `json:"h,omitempty"`
 	Cancellations []Cancellation          `json:"w,omitempty"`
 }
 
-// WatermarkAck names an attestation that was received.
+// WatermarkAck names a watermark that was received.
 type WatermarkAck struct {
 	Process  uint64 `json:"p"`
 	Sequence uint64 `json:"n"`
 }
 
-// Cancellation is a job that was withdrawn at a revision, with so many tasks done.
+// Cancellation is a job that was cancelled at a revision, with so many tasks done.
 type Cancellation struct {
 	Job     JobID    `json:"j"`
 	Version Revision `json:"s"`
 	Done    int      `json:"d,omitempty"`
 }
 
-// UnchangedHeartbeat says that a machine reported, with nothing new but this.
+// UnchangedHeartbeat is a heartbeat with nothing new but these fields.
 type UnchangedHeartbeat struct {
 	Machine    MachineID    `json:"m"`
 	AgentEpoch AgentEpoch   `json:"s"`
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -35,7 +35,7 @@
 	CauseUnknown     Cause = "unknown"
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
 	Task         TaskID    `json:"load"`
 	Attempt      Attempt   `json:"try"`
@@ -44,7 +44,7 @@
 	Checkpointed bool      `json:"stored,omitempty"`
 }
 
-// Heartbeat is what a worker says of itself, in /hello, /do and /show.
+// Heartbeat is what a worker reports: in POST /hello, and in its answers to /do and /show.
 type Heartbeat struct {
 	Machine           MachineID    `json:"rig"`
 	Addr              string       `json:"addr"`
@@ -58,62 +58,63 @@
 	Tasks             []TaskStatus `json:"loads"`
 }
 
-// Newer reports whether r was made after o.
-func (r *Heartbeat) Newer(o *Heartbeat) bool {
-	return r.AgentEpoch > o.AgentEpoch || r.AgentEpoch == o.AgentEpoch && r.Sequence > o.Sequence
+// Newer reports whether the worker made h after other.
+func (h *Heartbeat) Newer(other *Heartbeat) bool {
+	return h.AgentEpoch > other.AgentEpoch || h.AgentEpoch == other.AgentEpoch && h.Sequence > other.Sequence
 }
 
-// ParseHeartbeat reads and checks a worker's report.
+// ParseHeartbeat decodes and checks a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := fastjson.Unmarshal(body, &r); err != nil {
+	var heartbeat Heartbeat
+	if err := fastjson.Unmarshal(body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if err := r.Check(); err != nil {
+	if err := heartbeat.Check(); err != nil {
 		return nil, err
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
 
-// Check reports what makes the report unusable, or nil.
-func (r *Heartbeat) Check() error {
+// Check returns what makes the heartbeat unusable, or nil.
+func (h *Heartbeat) Check() error {
 	switch {
-	case r.Machine == "" || len(r.Machine) > maxName:
+	case h.Machine == "" || len(h.Machine) > maxName:
 		return errors.New("report: bad rig")
-	case r.Addr == "" || len(r.Addr) > maxName:
+	case h.Addr == "" || len(h.Addr) > maxName:
 		return errors.New("report: bad addr")
-	case r.Type == "" || r.Zone == "":
+	case h.Type == "" || h.Zone == "":
 		return errors.New("report: no rigtype or yard")
-	case r.AgentEpoch == 0:
+	case h.AgentEpoch == 0:
 		return errors.New("report: no shift")
-	case r.PreemptionNoticeS != nil && (math.IsNaN(*r.PreemptionNoticeS) || *r.PreemptionNoticeS < -maxAmount || *r.PreemptionNoticeS > maxAmount):
+	case h.PreemptionNoticeS != nil && (math.IsNaN(*h.PreemptionNoticeS) || *h.PreemptionNoticeS < -maxAmount || *h.PreemptionNoticeS > maxAmount):
 		return errors.New("report: bad recall_s")
 	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		switch t.State {
+	for i := range h.Tasks {
+		task := &h.Tasks[i]
+		switch task.State {
 		case TaskPulling, TaskWaiting, TaskRunning, TaskCheckpointing, TaskExited:
 		default:
-			return fmt.Errorf("report: task state %q", t.State)
+			return fmt.Errorf("report: task state %q", task.State)
 		}
-		if t.Task.Job == "" {
+		if task.Task.Job == "" {
 			return errors.New("report: task without a name")
 		}
 	}
 	return nil
 }
 
-// Verb is what an order tells a worker to do.
+// Verb is what a command tells a worker to do.
 type Verb string
 
-// The verbs of orders.
+// The verbs of commands. Clear has the worker clean up an exited task.
 const (
 	VerbLaunch Verb = "launch"
 	VerbStop   Verb = "stop"
 	VerbClear  Verb = "clear"
 )
 
-// Command is one command to a worker.
+// Command is one command to a worker. The grace period is how long a task that is stopped
+// may take to exit.
 type Command struct {
 	Verb         Verb     `json:"verb"`
 	Task         TaskID   `json:"load"`
@@ -127,7 +128,7 @@
 	Commands []Command    `json:"orders"`
 }
 
-// Redirect answers /hello with 421; Foreman may be empty.
+// Redirect answers /hello with 421: the controller named, if any, is to get the heartbeats.
 type Redirect struct {
 	Controller string `json:"foreman,omitempty"`
 }
