--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -9,83 +9,106 @@
 	"lilacrill/wire"
 )
 
-// A job that finds no room in the shares of the controller that answers for it is handed
-// on to another, which places it for a while. Each controller that finds no room either
-// hands it on in turn, to one that has not tried; at last it comes back to the owner of
-// its team, which waits a moment before the next turn. Siblings say what room they have.
-// All of it is hints: what is placed is decided by the conditions of the write.
+// A job that finds no room in the shards of the controller that is responsible for it is
+// forwarded to another controller, which places it for a while. A controller that finds no
+// room either forwards it in turn, to one that has not tried; at last it returns to the owner
+// of its team, which waits a moment before it forwards the job again. Peers gossip capacity
+// offers. All of these are hints: the conditions of the transaction decide what is placed.
 
 // forwardedJob is a job that a controller is to place until some time.
 type forwardedJob struct {
-	to    string
+	to    string // the controller's label
 	until Time
-	tried []string
+	tried []string // the labels of the controllers that found no room for it
 }
 
-// jobForwarding is what this controller knows of jobs handed on and of siblings' room.
+// jobForwarding is what this controller knows of forwarded jobs and of its peers' capacity.
 type jobForwarding struct {
 	forwarded         map[wire.JobID]forwardedJob
-	siblingCapacity   map[string][]wire.CapacityOffer // by sibling
-	outgoing          []wire.ForwardedJob             // to be told once no write of the team is under way
+	peerCapacity      map[string][]wire.CapacityOffer // by controller
+	outgoing          []wire.ForwardedJob             // to be sent once no transaction of the job's team is in flight
 	nextCapacityOffer Time
 }
 
 const (
-	// forwardLifetime is how long a job is left to the controller that it was handed to.
+	// forwardLifetime is how long a job is left to the controller that it was forwarded to.
 	forwardLifetime = 2 * time.Second
-	// forwardBackoff and criticalForwardBackoff are the pauses after all have tried.
+	// forwardBackoff and criticalForwardBackoff are the pauses after all controllers have
+	// tried a job.
 	forwardBackoff         = time.Second
 	criticalForwardBackoff = 300 * time.Millisecond
-	// maxForwardsPerMessage bounds how many jobs are handed on at once.
+	// maxForwardsPerMessage bounds how many jobs one peer message forwards.
 	maxForwardsPerMessage = 64
-	// capacityOfferInterval is how often siblings are told of room.
+	// capacityOfferInterval is how often capacity offers are sent to peers.
 	capacityOfferInterval = 500 * time.Millisecond
 )
 
-func (s *jobForwarding) init() {
-	s.forwarded = map[wire.JobID]forwardedJob{}
-	s.siblingCapacity = map[string][]wire.CapacityOffer{}
+func (f *jobForwarding) init() {
+	f.forwarded = map[wire.JobID]forwardedJob{}
+	f.peerCapacity = map[string][]wire.CapacityOffer{}
 }
 
-// forwardedTo is the controller that a job was handed to, if that still holds.
+// current is a job's last forwarding, if it still holds.
+func (f *jobForwarding) current(id wire.JobID, now Time) (forwardedJob, bool) {
+	forwarded, ok := f.forwarded[id]
+	return forwarded, ok && now < forwarded.until
+}
+
+// forward notes that a job is forwarded as of now.
+func (f *jobForwarding) forward(id wire.JobID, to string, tried []string, now Time) {
+	f.forwarded[id] = forwardedJob{to, now.Add(forwardLifetime), tried}
+}
+
+// expire drops the forwardings that no longer hold.
+func (f *jobForwarding) expire(now Time) {
+	for id, forwarded := range f.forwarded {
+		if now >= forwarded.until {
+			delete(f.forwarded, id)
+		}
+	}
+}
+
+// forwardedTo is the controller that a job was forwarded to, if that still holds.
 func (c *Controller) forwardedTo(id wire.JobID) (string, bool) {
-	h, ok := c.forwarding.forwarded[id]
-	return h.to, ok && !c.isDue(h.until)
+	forwarded, ok := c.forwarding.current(id, c.now)
+	return forwarded.to, ok
 }
 
-// forwardJob hands on a job that found no room here: to a controller that says it has room or,
-// without roomOnly, urgent work also to one that could stop others for it. It reports
+// forwardJob forwards a job that found no room here: to a controller that offers capacity for
+// it or, without offeredOnly, to one that could evict less urgent tasks for it. It reports
 // whether it did.
-func (c *Controller) forwardJob(w *pendingJob, roomOnly bool) bool {
-	j := w.job
+func (c *Controller) forwardJob(pending *pendingJob, offeredOnly bool) bool {
+	j := pending.job
 	if !c.schedulesJob(j) || !c.isDue(j.nextForward) || len(c.forwarding.outgoing) >= maxForwardsPerMessage {
 		return false
 	}
 	tried := []string{c.settings.Label}
-	if h, ok := c.forwarding.forwarded[j.id]; ok && !c.isDue(h.until) {
-		tried = append(slices.Clone(h.tried), c.settings.Label)
+	if forwarded, ok := c.forwarding.current(j.id, c.now); ok {
+		tried = append(slices.Clone(forwarded.tried), c.settings.Label)
 	}
-	next := c.nextForwardTarget(w, tried, roomOnly)
+	target := c.nextForwardTarget(pending, tried, offeredOnly)
 	owner := c.teamOwner(j.spec.Team)
 	switch {
-	case next != "":
-	case roomOnly:
+	case target != "":
+	case offeredOnly:
 		return false
 	case owner == c.settings.Label:
 		c.jobReturned(j)
 		return false
 	default:
-		next = owner
-		tried = append(tried, owner) // it comes back
+		target = owner
+		tried = append(tried, owner) // this marks it as returned
 	}
 	j.nextForward = c.now.Add(criticalForwardBackoff)
-	c.forwarding.forwarded[j.id] = forwardedJob{next, c.now.Add(forwardLifetime), tried}
-	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: j.id, To: next, Tried: tried})
+	c.forwarding.forward(j.id, target, tried, c.now)
+	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: j.id, To: target, Tried: tried})
 	c.metrics.count(countJobsForwarded, 1)
 	return true
 }
 
-// jobReturned is called when all controllers have tried a job of a team of ours.
+// jobReturned handles a job of a team that this controller owns, once all controllers have
+// tried it. If it needs the capacity of several controllers at once, their shards are
+// acquired.
 func (c *Controller) jobReturned(j *job) {
 	pause := forwardBackoff
 	if j.spec.Priority == wire.PriorityCritical {
@@ -98,79 +121,80 @@
 	}
 }
 
-// nextForwardTarget is a controller that has not tried a job and may have room for it; if none
-// has, and roomOnly is not set, one that could stop less urgent work for it.
-func (c *Controller) nextForwardTarget(w *pendingJob, tried []string, roomOnly bool) string {
-	makesRoom := w.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || w.guaranteed
-	other := ""
+// nextForwardTarget is a controller that has not tried a job and offers capacity for it; if
+// none does, and offeredOnly is not set, one that could evict less urgent tasks for it. It is
+// "" if there is none.
+func (c *Controller) nextForwardTarget(pending *pendingJob, tried []string, offeredOnly bool) string {
+	mayPreempt := pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || pending.guaranteed
+	preempting := ""
 	for _, label := range c.membership.eligibleControllers {
-		p := c.gossip.peers[label]
-		if label == c.settings.Label || slices.Contains(tried, label) || p == nil || c.now.Sub(p.lastHeardAt) > peerTimeout || c.shards.table.Owned(label) == 0 {
+		peer := c.gossip.peers[label]
+		if label == c.settings.Label || slices.Contains(tried, label) || peer == nil || !peer.isHeard(c.now) || c.shards.table.Owned(label) == 0 {
 			continue
 		}
-		if c.offersCapacity(label, w.job) {
+		if c.offersCapacity(label, pending.job) {
 			return label
 		}
-		if makesRoom && !roomOnly {
-			other = label
+		if mayPreempt && !offeredOnly {
+			preempting = label
 		}
 	}
-	return other
+	return preempting
 }
 
-// offersCapacity reports whether a sibling says that it has room for a task of a job.
+// offersCapacity reports whether a peer offers capacity for a task of a job.
 func (c *Controller) offersCapacity(label string, j *job) bool {
-	for i := range c.forwarding.siblingCapacity[label] {
-		o := &c.forwarding.siblingCapacity[label][i]
-		free := placement.Resources{Cores: o.Cores, Accelerators: o.Accelerators, MemGB: o.MemGB}
+	for _, offer := range c.forwarding.peerCapacity[label] {
+		free := placement.Resources{Cores: offer.Cores, Accelerators: offer.Accelerators, MemGB: offer.MemGB}
 		if !free.Covers(j.request.Need) {
 			continue
 		}
-		h := &placement.Host{Labels: c.kindLabels(machineKind{o.Type, o.Zone, o.Spot}), Free: free}
-		if (placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
+		host := &placement.Host{Labels: c.kindLabels(machineKind{offer.Type, offer.Zone, offer.Spot}), Free: free}
+		if (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendForwardedJobs tells the siblings of jobs that are handed on. Those of a team of which a
-// write is under way wait: whoever gets them would lose its own write to it.
+// sendForwardedJobs sends the forwarded jobs to all peers. A job waits while a transaction of
+// its team is in flight: the controller that it is forwarded to would lose its own
+// transaction to that one.
 func (c *Controller) sendForwardedJobs() {
 	if len(c.forwarding.outgoing) == 0 {
 		return
 	}
-	line := c.newPeerMessage()
+	message := c.newPeerMessage()
 	kept := c.forwarding.outgoing[:0]
-	for _, h := range c.forwarding.outgoing {
-		j := c.cache.jobs[h.Job]
+	for _, forwarded := range c.forwarding.outgoing {
+		j := c.cache.jobs[forwarded.Job]
 		switch {
 		case j == nil:
 		case c.cache.team(j.spec.Team).schedule.inFlight != nil:
-			kept = append(kept, h)
+			kept = append(kept, forwarded)
 		default:
-			line.ForwardedJobs = append(line.ForwardedJobs, h)
+			message.ForwardedJobs = append(message.ForwardedJobs, forwarded)
 		}
 	}
 	c.forwarding.outgoing = kept
-	if len(line.ForwardedJobs) > 0 {
-		c.broadcast(line)
+	if len(message.ForwardedJobs) > 0 {
+		c.broadcast(message)
 	}
 }
 
-// applyForwardedJobs takes a sibling's word on jobs that it hands on.
-func (c *Controller) applyForwardedJobs(handOffs []wire.ForwardedJob) {
-	for _, h := range handOffs {
-		j := c.cache.jobs[h.Job]
-		if slices.Contains(h.Tried, h.To) { // it comes back to its team's owner
-			delete(c.forwarding.forwarded, h.Job)
-			if j != nil && h.To == c.settings.Label {
+// applyForwardedJobs applies a peer's message about the jobs that it forwards.
+func (c *Controller) applyForwardedJobs(jobs []wire.ForwardedJob) {
+	for _, forwarded := range jobs {
+		j := c.cache.jobs[forwarded.Job]
+		if slices.Contains(forwarded.Tried, forwarded.To) { // it returns to its team's owner
+			delete(c.forwarding.forwarded, forwarded.Job)
+			if j != nil && forwarded.To == c.settings.Label {
 				c.jobReturned(j)
 			}
 			continue
 		}
-		c.forwarding.forwarded[h.Job] = forwardedJob{h.To, c.now.Add(forwardLifetime), h.Tried}
-		if h.To == c.settings.Label {
+		c.forwarding.forward(forwarded.Job, forwarded.To, forwarded.Tried, c.now)
+		if forwarded.To == c.settings.Label {
 			c.scheduler.dirty = true
 			c.scheduler.criticalDirty = c.scheduler.criticalDirty || j != nil && j.spec.Priority == wire.PriorityCritical
 			if j != nil {
@@ -180,28 +204,22 @@
 	}
 }
 
-// expireForwardedJobs drops what no longer holds.
-func (c *Controller) expireForwardedJobs() {
-	for id, h := range c.forwarding.forwarded {
-		if c.isDue(h.until) {
-			delete(c.forwarding.forwarded, id)
-		}
-	}
-}
-
-// addCapacityOffer adds the room in this controller's shares to a line, from time to time.
-func (c *Controller) addCapacityOffer(line *wire.PeerMessage) {
+// addCapacityOffer adds the capacity of this controller's shards to a peer message, at
+// intervals.
+func (c *Controller) addCapacityOffer(message *wire.PeerMessage) {
 	if !c.sharded() || !c.isDue(c.forwarding.nextCapacityOffer) {
 		return
 	}
 	c.forwarding.nextCapacityOffer = c.now.Add(capacityOfferInterval)
-	c.expireForwardedJobs()
-	room := c.capacityOffers()
-	line.Capacity = &room
+	c.forwarding.expire(c.now)
+	offers := c.capacityOffers()
+	message.Capacity = &offers
 }
 
+// capacityOffers is, for each kind of machine in this controller's shards, the most that is
+// free on one of them of each resource.
 func (c *Controller) capacityOffers() []wire.CapacityOffer {
-	best := map[machineKind]placement.Resources{}
+	mostFree := map[machineKind]placement.Resources{}
 	var kinds []machineKind
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
@@ -209,27 +227,31 @@
 			continue
 		}
 		free := machineResources(t)
-		for _, e := range m.allocations {
-			free = free.Plus(e.taskResources(), -float64(e.Tasks.Len()))
+		for _, allocation := range m.allocations {
+			free = free.Plus(allocation.taskResources(), -float64(allocation.Tasks.Len()))
 		}
-		key := machineKind{m.machineType, m.zone, m.spot}
-		most, known := best[key]
+		kind := machineKind{m.machineType, m.zone, m.spot}
+		most, known := mostFree[kind]
 		if !known {
-			kinds = append(kinds, key)
+			kinds = append(kinds, kind)
+		}
+		mostFree[kind] = placement.Resources{
+			Cores:        max(most.Cores, free.Cores),
+			Accelerators: max(most.Accelerators, free.Accelerators),
+			MemGB:        max(most.MemGB, free.MemGB),
 		}
-		best[key] = placement.Resources{Cores: max(most.Cores, free.Cores), Accelerators: max(most.Accelerators, free.Accelerators),
-			MemGB: max(most.MemGB, free.MemGB)}
 	}
 	offers := make([]wire.CapacityOffer, 0, len(kinds))
 	for _, k := range kinds {
-		a := best[k]
-		offers = append(offers, wire.CapacityOffer{Type: k.kind, Zone: k.zone, Spot: k.spot, Cores: a.Cores, Accelerators: a.Accelerators, MemGB: a.MemGB})
+		free := mostFree[k]
+		offers = append(offers, wire.CapacityOffer{Type: k.kind, Zone: k.zone, Spot: k.spot, Cores: free.Cores, Accelerators: free.Accelerators, MemGB: free.MemGB})
 	}
 	return offers
 }
 
-// acquireShards asks for the shares whose machines, together with those of this controller, have
-// room for a job that needs it at once and that no controller alone can place.
+// acquireShards is the action that acquires the shards whose machines, together with those of
+// this controller, have room for a job that needs it at once and that no controller can place
+// alone. It reports whether there is one to commit.
 func (c *Controller) acquireShards() (shard.Action, bool) {
 	j := c.cache.jobs[c.shards.acquireFor]
 	c.shards.acquireFor = ""
@@ -240,70 +262,64 @@
 	if len(ids) == 0 {
 		return shard.Action{}, false
 	}
-	a, due := c.shards.planner.Acquire(ids, c.wall)
+	action, due := c.shards.planner.Acquire(ids, c.wall)
 	if due {
 		c.shards.acquiredAt = c.now
-		c.log.Debug("shares asked for", "job", j.id, "shares", a.Shards)
+		c.log.Debug("acquiring shards", "job", j.id, "shards", action.Shards)
 	}
-	return a, due
+	return action, due
 }
 
-// shardsForJob finds the shares of others whose machines a job needs, in the zone that comes
-// closest if it is to stay in one.
+// shardsForJob finds the other controllers' shards whose machines a job needs beside those of
+// this controller's shards, in the zone that comes closest if it needs a single one.
 func (c *Controller) shardsForJob(j *job) []wire.ShardID {
-	type candidate struct {
-		share     wire.ShardID
-		now, most int // tasks that there is room for, and if less urgent work is stopped
-	}
-	need := j.request.Need
-	byZone, now, most := map[string][]candidate{}, map[string]int{}, map[string]int{}
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
-	for _, h := range fleet {
-		if h.Unschedulable || !h.Total.Covers(need) || !(placement.Fleet{h}).Holds(j.request.Enforced, j.spec.Team, h) {
-			continue
-		}
-		m := c.fleet.machines[h.ID]
-		free := h.Free.Plus(h.Freeing, 1)
-		cand := candidate{share: m.shard, now: free.Fits(need, j.spec.Tasks)}
-		for _, e := range m.allocations {
-			if e.Priority > j.spec.Priority.Level() {
-				free = free.Plus(e.taskResources(), float64(e.Tasks.Len()))
+	fits := func(host *placement.Host) bool { return (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) }
+	best := largestZone(capacityByZone(j, fleet, j.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
+		for _, allocation := range c.allocationsOn(host.ID) {
+			if allocation.Priority > j.spec.Priority.Level() {
+				free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 			}
 		}
-		cand.most = free.Fits(need, j.spec.Tasks)
-		zone := ""
-		if j.spec.SingleZone {
-			zone = m.zone
-		}
-		byZone[zone], now[zone], most[zone] = append(byZone[zone], cand), now[zone]+cand.now, most[zone]+cand.most
-	}
-	best, any := "", false
-	for _, zone := range sortedKeys(byZone) {
-		if most[zone] >= j.spec.Tasks && (!any || now[zone] > now[best] || now[zone] == now[best] && most[zone] > most[best]) {
-			best, any = zone, true
-		}
-	}
-	if !any {
+		return free
+	}), j.spec.Tasks)
+	if best == nil {
 		return nil
 	}
-	slices.SortStableFunc(byZone[best], func(a, b candidate) int { return b.now - a.now })
-	have := 0
-	for _, cand := range byZone[best] {
-		if c.shards.table.Places(cand.share) {
-			have += max(cand.now, cand.most)
+	slices.SortStableFunc(best.hosts, func(a, b hostCapacity) int { return b.now - a.now })
+	shardOf := func(capacity hostCapacity) wire.ShardID { return c.fleet.machines[capacity.host.ID].shard }
+	room := 0
+	for _, capacity := range best.hosts {
+		if c.shards.table.Places(shardOf(capacity)) {
+			room += capacity.preempted
 		}
 	}
 	var ids []wire.ShardID
-	for _, cand := range byZone[best] {
-		if have >= j.spec.Tasks {
+	for _, capacity := range best.hosts {
+		if room >= j.spec.Tasks {
 			break
 		}
-		if cand.most > 0 && !c.shards.table.Places(cand.share) && !slices.Contains(ids, cand.share) {
-			ids = append(ids, cand.share)
+		id := shardOf(capacity)
+		if c.shards.table.Places(id) {
+			continue
 		}
-		if slices.Contains(ids, cand.share) {
-			have += cand.most
+		if !slices.Contains(ids, id) {
+			ids = append(ids, id)
 		}
+		room += capacity.preempted
 	}
 	return ids
 }
+
+// largestZone is the zone with the most free room of those that have room for count tasks if
+// less urgent ones are evicted; nil if there is none.
+func largestZone(zones map[string]*zoneCapacity, count int) *zoneCapacity {
+	var best *zoneCapacity
+	for _, name := range sortedKeys(zones) {
+		zone := zones[name]
+		if zone.preempted >= count && (best == nil || zone.now > best.now || zone.now == best.now && zone.preempted > best.preempted) {
+			best = zone
+		}
+	}
+	return best
+}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -212,7 +212,7 @@
 		c.applyMachineList(message.CloudMachines)
 	}
 	if message.Capacity != nil {
-		c.forwarding.siblingCapacity[message.From] = *message.Capacity
+		c.forwarding.peerCapacity[message.From] = *message.Capacity
 	}
 	c.applyForwardedJobs(message.ForwardedJobs)
 	if !peer.isHeard(c.now) {
