--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -274,7 +274,9 @@
 // this controller's shards, in the zone that comes closest if it needs a single one.
 func (c *Controller) shardsForJob(j *job) []wire.ShardID {
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
-	fits := func(host *placement.Host) bool { return (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) }
+	fits := func(host *placement.Host) bool {
+		return (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host)
+	}
 	best := largestZone(capacityByZone(j, fleet, j.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
 		for _, allocation := range c.allocationsOn(host.ID) {
 			if allocation.Priority > j.spec.Priority.Level() {
