--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -274,7 +274,7 @@
 // the command line; whatever is wrong is refused with its cause and changes nothing.
 func TestSharesAdministration(t *testing.T) {
 	features := config.DefaultFeatures()
-	features.Shares.Enabled = true
+	features.Sharding.Enabled = true
 	c := startClusterWith(t, "secret", features)
 	path, auth := admin.Prefix+"/shares", []string{"Authorization", "Bearer secret"}
 	require.Contains(t, c.until(t, 0, "GET", path, "", 200, auth...), "dormant")
--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -106,7 +106,7 @@
 		replies:      map[controller.RequestID]chan controller.Reply{},
 		state:        statestore.New(settings, log),
 		cloud:        cloud.New(settings, log),
-		workers:      worker.New(log, sockets.Share(settings).Direct),
+		workers:      worker.New(log, sockets.NewBudget(settings).Workers),
 		peers:        peer.New(settings, log),
 		tracer:       tracer,
 	}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -40,7 +40,7 @@
 	limit := set.Cluster.Cloud.RPS * rateLimitFraction
 	return &Client{
 		log:    log,
-		calls:  httpcall.New(set.Services.Cloud, sockets.Share(set).Cloud, idleTime),
+		calls:  httpcall.New(set.Services.Cloud, sockets.NewBudget(set).Cloud, idleTime),
 		tokens: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -114,8 +114,8 @@
 	o, err := d.With([]byte(`{"spare_share":0.5,"affinity":"enforced"}`))
 	require.NoError(t, err)
 	require.Equal(t, AffinityEnforced, o.Affinity)
-	require.Equal(t, 0.5, o.SpareShare)
-	require.Equal(t, d.ProbeHosts, o.ProbeHosts)
+	require.Equal(t, 0.5, o.HeadroomFraction)
+	require.Equal(t, d.ProbeMachines, o.ProbeMachines)
 	for text, field := range map[string]string{`{"probe_hosts":0}`: "probe_hosts", `{"probe_s":"x"}`: "probe_s", `{"idle_s":null}`: "idle_s",
 		`{"colour":1}`: "colour", `{"affinity":"maybe"}`: "affinity", `{"silence_s":1e9}`: "silence_s", `[]`: "settings", `null`: "settings", `{`: "settings"} {
 		_, err := d.With([]byte(text))
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -16,13 +16,13 @@
 // Features is the features file: what is enabled beyond the ordinary. Without one,
 // DefaultFeatures holds.
 type Features struct {
-	Rollout Rollout `toml:"rollout"`
-	Tracing Tracing `toml:"tracing"`
-	Shares  Shares  `toml:"shares"`
+	Rollout  Rollout  `toml:"rollout"`
+	Tracing  Tracing  `toml:"tracing"`
+	Sharding Sharding `toml:"shares"`
 }
 
-// Shares says whether the machines are divided among the controllers.
-type Shares struct {
+// Sharding says whether the machines are divided among the controllers.
+type Sharding struct {
 	// Enabled has shares used once all living controllers enable them.
 	Enabled bool `toml:"enabled"`
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -24,20 +24,20 @@
 // Operator is what operators choose at run time, through the administration
 // API. It is kept in the state service and is the same for all controllers.
 type Operator struct {
-	// ProbeHosts, ProbeTries and ProbeS bound placement under contention.
-	ProbeHosts int     `json:"probe_hosts"`
-	ProbeTries int     `json:"probe_tries"`
-	ProbeS     float64 `json:"probe_s"`
-	// BusyS is the pause before a task is placed again after all tries.
-	BusyS float64 `json:"busy_s"`
+	// ProbeMachines, ProbeTries and ProbeS bound placement under contention.
+	ProbeMachines int     `json:"probe_hosts"`
+	ProbeTries    int     `json:"probe_tries"`
+	ProbeS        float64 `json:"probe_s"`
+	// PlacementRetryS is the pause before a task is placed again after all tries.
+	PlacementRetryS float64 `json:"busy_s"`
 	// Affinity decides on preferred rules that cannot be met.
 	Affinity Affinity `json:"affinity"`
-	// SpareShare is the part of the running tasks of classes that are promised a
+	// HeadroomFraction is the part of the running tasks of classes that are promised a
 	// short wait for which more room is kept free; SpareLeast is the least.
-	SpareShare float64 `json:"spare_share"`
-	SpareLeast int     `json:"spare_least"`
-	// SilenceS is how long a machine may be silent before it is returned.
-	SilenceS float64 `json:"silence_s"`
+	HeadroomFraction float64 `json:"spare_share"`
+	MinHeadroom      int     `json:"spare_least"`
+	// UnresponsiveS is how long a machine may be silent before it is returned.
+	UnresponsiveS float64 `json:"silence_s"`
 	// IdleS is how long a machine may be idle before it is returned.
 	IdleS float64 `json:"idle_s"`
 }
@@ -45,10 +45,10 @@
 // DefaultOperator is what holds until operators choose otherwise.
 func DefaultOperator() Operator {
 	return Operator{
-		ProbeHosts: 16, ProbeTries: 3, ProbeS: 0.4, BusyS: 1,
-		Affinity:   AffinityPreferred,
-		SpareShare: 0.1, SpareLeast: 1,
-		SilenceS: 3.5, IdleS: 40,
+		ProbeMachines: 16, ProbeTries: 3, ProbeS: 0.4, PlacementRetryS: 1,
+		Affinity:         AffinityPreferred,
+		HeadroomFraction: 0.1, MinHeadroom: 1,
+		UnresponsiveS: 3.5, IdleS: 40,
 	}
 }
 
@@ -129,13 +129,13 @@
 		v         float64
 		low, high float64
 	}{
-		{"probe_hosts", float64(o.ProbeHosts), 1, 1000},
+		{"probe_hosts", float64(o.ProbeMachines), 1, 1000},
 		{"probe_tries", float64(o.ProbeTries), 1, 100},
 		{"probe_s", o.ProbeS, 0.01, 60},
-		{"busy_s", o.BusyS, 0.01, 60},
-		{"spare_share", o.SpareShare, 0, 10},
-		{"spare_least", float64(o.SpareLeast), 0, 10000},
-		{"silence_s", o.SilenceS, 3, 3600},
+		{"busy_s", o.PlacementRetryS, 0.01, 60},
+		{"spare_share", o.HeadroomFraction, 0, 10},
+		{"spare_least", float64(o.MinHeadroom), 0, 10000},
+		{"silence_s", o.UnresponsiveS, 3, 3600},
 		{"idle_s", o.IdleS, 1, 86400},
 	} {
 		if math.IsNaN(f.v) || f.v < f.low || f.v > f.high {
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -162,8 +162,8 @@
 		return c.applyTerminations(value, version)
 	}
 	if label, ok := strings.CutPrefix(key, record.RegistrationPrefix); ok {
-		c.shards.table.ApplyMember(label, value, version)
-		return c.rollout.tracker.ApplyMember(label, value, version)
+		c.shards.table.ApplyRegistration(label, value, version)
+		return c.rollout.tracker.ApplyRegistration(label, value, version)
 	}
 	if label, ok := strings.CutPrefix(key, record.LivenessPrefix); ok {
 		return c.applyLiveness(label, value, version)
@@ -200,8 +200,8 @@
 	if value == nil {
 		delete(c.cache.liveControllers, label)
 		delete(c.cache.isolatedControllers, label)
-		c.rollout.tracker.ApplyNode(label, 0, version)
-		c.shards.table.ApplyController(label, record.Liveness{}, version, shard.Time(c.now))
+		c.rollout.tracker.ApplyLiveness(label, 0, version)
+		c.shards.table.ApplyLiveness(label, record.Liveness{}, version, shard.Time(c.now))
 		return nil
 	}
 	var liveness record.Liveness
@@ -210,8 +210,8 @@
 	}
 	c.cache.liveControllers[label] = liveness.Incarnation
 	c.cache.isolatedControllers[label] = liveness.Isolated
-	c.rollout.tracker.ApplyNode(label, liveness.Incarnation, version)
-	c.shards.table.ApplyController(label, liveness, version, shard.Time(c.now))
+	c.rollout.tracker.ApplyLiveness(label, liveness.Incarnation, version)
+	c.shards.table.ApplyLiveness(label, liveness, version, shard.Time(c.now))
 	return nil
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,7 +73,7 @@
 	}
 	c.cache.init()
 	c.gossip.init()
-	c.fleet.init(sockets.Share(settings).Direct)
+	c.fleet.init(sockets.NewBudget(settings).Workers)
 	c.provisioner.init()
 	c.scheduler.init()
 	c.metrics.init()
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -129,7 +129,7 @@
 	preempting := ""
 	for _, label := range c.membership.eligibleControllers {
 		peer := c.gossip.peers[label]
-		if label == c.settings.Label || slices.Contains(tried, label) || peer == nil || !peer.isHeard(c.now) || c.shards.table.Owned(label) == 0 {
+		if label == c.settings.Label || slices.Contains(tried, label) || peer == nil || !peer.isHeard(c.now) || c.shards.table.OwnedCount(label) == 0 {
 			continue
 		}
 		if c.offersCapacity(label, pending.job) {
@@ -223,7 +223,7 @@
 	var kinds []machineKind
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
-		if t == nil || !c.shards.table.Places(m.shard) || !c.acceptsTasks(m) {
+		if t == nil || !c.shards.table.MaySchedule(m.shard) || !c.acceptsTasks(m) {
 			continue
 		}
 		free := machineResources(t)
@@ -292,7 +292,7 @@
 	shardOf := func(capacity hostCapacity) wire.ShardID { return c.fleet.machines[capacity.host.ID].shard }
 	room := 0
 	for _, capacity := range best.hosts {
-		if c.shards.table.Places(shardOf(capacity)) {
+		if c.shards.table.MaySchedule(shardOf(capacity)) {
 			room += capacity.preempted
 		}
 	}
@@ -302,7 +302,7 @@
 			break
 		}
 		id := shardOf(capacity)
-		if c.shards.table.Places(id) {
+		if c.shards.table.MaySchedule(id) {
 			continue
 		}
 		if !slices.Contains(ids, id) {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -47,7 +47,7 @@
 	own := 0
 	for i := range demand.Count {
 		name := wire.MachineID(demand.Request.Image + "/" + strconv.Itoa(i))
-		if c.shards.table.Places(shard.ShardOf(name)) {
+		if c.shards.table.MaySchedule(shard.Of(name)) {
 			own++
 		}
 	}
@@ -88,7 +88,7 @@
 		spec.ID, spec.Zone, spec.SpreadZones, spec.SingleZone, spec.Shape = "", "", false, false, wire.ShapeArray
 		demands = append(demands, capacity.Demand{
 			Request: placement.NewRequest(&spec),
-			Count:   c.operator.values.SpareLeast + int(math.Ceil(c.operator.values.SpareShare*float64(class.tasks))),
+			Count:   c.operator.values.MinHeadroom + int(math.Ceil(c.operator.values.HeadroomFraction*float64(class.tasks))),
 		})
 	}
 	return demands
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -61,7 +61,7 @@
 
 // isForeign reports whether a machine is left out as another controller's.
 func (b *hostBuilder) isForeign(machine *machine) bool {
-	return b.ownShards && !b.controller.shards.table.Places(machine.shard)
+	return b.ownShards && !b.controller.shards.table.MaySchedule(machine.shard)
 }
 
 // emptyHost is a machine without any tasks, as the placement rules see it.
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -81,7 +81,7 @@
 		}
 	}
 	if schedule := &c.cache.team(j.spec.Team).schedule; jp.stages && schedule.lostPlacements > 0 {
-		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeHosts, schedule.contendedMachines, false
+		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -115,7 +115,7 @@
 func newMachine(id wire.MachineID, now Time) *machine {
 	return &machine{
 		id:           id,
-		shard:        shard.ShardOf(id),
+		shard:        shard.Of(id),
 		firstKnownAt: now,
 		reconciliation: reconciliation{
 			pendingCleanup: map[attemptKey]wire.Revision{},
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -129,7 +129,7 @@
 // joinTransaction is conditional on the format in force that this process knows: one that
 // cannot read a newer format is neither listed before it learns of that nor after.
 func (c *Controller) joinTransaction(incarnation wire.FencingToken) wire.Transaction {
-	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Demand()}}
+	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Condition()}}
 	if c.membership.incarnation == 0 {
 		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]})
 		txn.Then = []wire.Change{c.putChange(record.TokenKey, incarnation),
@@ -146,7 +146,7 @@
 	case Succeeded:
 		if c.membership.incarnation == 0 {
 			c.membership.incarnation = incarnation
-			c.shards.table.Joined(incarnation)
+			c.shards.table.SetIncarnation(incarnation)
 			c.rolloutEvent(RolloutRegistered)
 		}
 		c.membership.enrolled = c.membership.leaseID == leaseID
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -242,7 +242,7 @@
 	}
 	txn.conditions[record.TerminationsKey] = c.cache.keyVersions[record.TerminationsKey]
 	for id := range txn.shards {
-		owned := c.shards.table.Demand(id)
+		owned := c.shards.table.Condition(id)
 		txn.conditions[owned.Key] = owned.Version
 	}
 }
@@ -395,7 +395,7 @@
 // backOffPlacement pauses a team's placements after lost transactions.
 func (c *Controller) backOffPlacement(team *team) {
 	team.schedule.resetLostPlacements()
-	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.BusyS))
+	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.PlacementRetryS))
 	c.metrics.count(countPlacementBackoffs, 1)
 	c.log.Debug("placement backed off", "team", team.name)
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -38,7 +38,7 @@
 	before := c.rollout.tracker.Format()
 	c.rollout.tracker.ApplyState(value, version)
 	c.shards.table.ApplyFormat(c.rollout.tracker.Format())
-	if c.rollout.shutdownCause = c.rollout.tracker.Readable(); c.rollout.shutdownCause != nil {
+	if c.rollout.shutdownCause = c.rollout.tracker.CheckReadable(); c.rollout.shutdownCause != nil {
 		c.log.Error("format in force not readable, shutting down", "err", c.rollout.shutdownCause)
 		return
 	}
@@ -87,11 +87,11 @@
 		return
 	}
 	c.rollout.nextActivation = c.now.Add(activationInterval)
-	next, due := c.rollout.tracker.Automatic(rollout.Time(c.now), settings.Settle())
+	next, due := c.rollout.tracker.AutomaticActivation(rollout.Time(c.now), settings.Settle())
 	if !due {
 		return
 	}
-	txn, err := c.rollout.tracker.Activate(next, c.rollout.tracker.Demand().Version)
+	txn, err := c.rollout.tracker.Activate(next, c.rollout.tracker.Condition().Version)
 	if err != nil {
 		return
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -32,7 +32,7 @@
 
 // reviewMachines finds machines that should go: dead, silent, never up, or idle.
 func (c *Controller) reviewMachines() {
-	silence, idle := config.Seconds(c.operator.values.SilenceS), config.Seconds(c.operator.values.IdleS)
+	silence, idle := config.Seconds(c.operator.values.UnresponsiveS), config.Seconds(c.operator.values.IdleS)
 	silent, reporting := 0, 0
 	bySilent, byHeard, lastHeard := map[string]int{}, map[string]int{}, map[string]Time{}
 	for id, m := range c.fleet.machines {
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -54,7 +54,7 @@
 // shardingEnabled reports whether this process may take part in shares: its features say so,
 // and a placement in all of them fits a transaction.
 func (c *Controller) shardingEnabled() bool {
-	if !c.settings.Features.Shares.Enabled {
+	if !c.settings.Features.Sharding.Enabled {
 		return false
 	}
 	need := shard.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
@@ -101,7 +101,7 @@
 	a, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// Moves wait for their part of the writes: when operators moved all shares at once,
 	// what that took was paid back for a minute without a placement (TestContinuousShardMoves).
-	if overdrawn := c.writesOverdrawn(); due && (a.Kind == shard.TakeOver || !overdrawn) {
+	if overdrawn := c.writesOverdrawn(); due && (a.Kind == shard.Failover || !overdrawn) {
 		c.commitShardAction(a)
 	}
 }
@@ -124,7 +124,7 @@
 func (c *Controller) commitShardAction(a shard.Action) {
 	c.shards.writing = true
 	class := PriorityBackground
-	if a.Kind == shard.TakeOver || a.Kind == shard.Adopt {
+	if a.Kind == shard.Failover || a.Kind == shard.Adopt {
 		class = PriorityUrgent // nobody places there meanwhile
 	}
 	c.commit(class, a.Txn, func(r CommitResult) {
@@ -143,7 +143,7 @@
 func (c *Controller) applyShardRecord(key string, value []byte, version wire.Revision) error {
 	c.scheduler.dirty, c.scheduler.criticalDirty = true, c.scheduler.criticalDirty || c.scheduler.criticalPending
 	if key != record.ShardPolicyKey {
-		return c.shards.table.ApplyShare(key, value, version)
+		return c.shards.table.ApplyShard(key, value, version)
 	}
 	before := c.sharded()
 	err := c.shards.table.ApplyPolicy(value, version)
@@ -164,7 +164,7 @@
 	owner := c.shards.table.Owner(m.shard)
 	p := c.gossip.peers[owner.Label]
 	switch {
-	case owner.Label == c.settings.Label || !c.shards.table.Live(owner) || c.cache.isolatedControllers[owner.Label]:
+	case owner.Label == c.settings.Label || !c.shards.table.Alive(owner) || c.cache.isolatedControllers[owner.Label]:
 		return false
 	case p == nil || !p.storeReachable || c.now.Sub(p.lastHeardAt) > 2*peerHeartbeatInterval:
 		return false
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -83,7 +83,7 @@
 // New makes a mesh. Send must run for messages to leave, Serve for them to arrive.
 func New(settings *config.Settings, log *slog.Logger) *Mesh {
 	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / memoryDivisor),
-		inbound: make(chan struct{}, max(1, sockets.Share(settings).Peers))}
+		inbound: make(chan struct{}, max(1, sockets.NewBudget(settings).Peers))}
 	for _, sibling := range settings.Siblings {
 		m.links = append(m.links, &link{addr: sibling.Endpoint, queue: make(chan []byte, maxQueued)})
 	}
--- a/internal/rollout/automatic.go
+++ b/internal/rollout/automatic.go
@@ -9,10 +9,10 @@
 // Time is a moment on the steady clock of the process.
 type Time time.Duration
 
-// Automatic returns the format to activate without an operator's word: the newest that
+// AutomaticActivation returns the format to activate without an operator's word: the newest that
 // all controllers have been ready for, without a break, for as long as settle.
-func (t *Tracker) Automatic(now Time, settle time.Duration) (wire.Format, bool) {
-	next, ready := t.Next()
+func (t *Tracker) AutomaticActivation(now Time, settle time.Duration) (wire.Format, bool) {
+	next, ready := t.NextFormat()
 	if !ready {
 		t.candidate = 0
 		return 0, false
@@ -23,9 +23,9 @@
 	return next, time.Duration(now-t.since) >= settle
 }
 
-// Next is the newest format that all controllers read, if it is later than the one in
+// NextFormat is the newest format that all controllers read, if it is later than the one in
 // force and nobody holds it up. Otherwise it is the one that is waited for.
-func (t *Tracker) Next() (next wire.Format, ready bool) {
+func (t *Tracker) NextFormat() (next wire.Format, ready bool) {
 	for f := t.formats.Newest; f > t.state.Format; f-- {
 		if len(t.Blockers(f)) == 0 {
 			return f, true
--- a/internal/rollout/errors.go
+++ b/internal/rollout/errors.go
@@ -30,7 +30,7 @@
 	b.WriteString(e.Why)
 	for i, blocker := range e.Blockers {
 		b.WriteString([]string{": ", "; "}[min(i, 1)])
-		b.WriteString(blocker.Label + " " + blocker.Why)
+		b.WriteString(blocker.Label + " " + blocker.Reason)
 	}
 	return b.String()
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -26,24 +26,24 @@
 	formats record.FormatRange
 	release string
 
-	state        record.Rollout
-	stateVersion wire.Revision
-	damaged      error // why the record of the format in force cannot be understood
-	members      map[string]member
-	nodes        map[string]node
+	state         record.Rollout
+	stateVersion  wire.Revision
+	damaged       error // why the record of the format in force cannot be understood
+	registrations map[string]registration
+	live          map[string]liveness
 
 	candidate wire.Format // the format that all have been ready for
 	since     Time        // when they became so
 }
 
-type member struct {
+type registration struct {
 	record.Registration
 	version wire.Revision
 }
 
-type node struct {
-	boot    wire.FencingToken
-	version wire.Revision
+type liveness struct {
+	incarnation wire.FencingToken
+	version     wire.Revision
 }
 
 // New makes a tracker for the controller label of a service that consists of it and
@@ -59,7 +59,7 @@
 // Reset forgets what was read, before everything is read anew.
 func (t *Tracker) Reset() {
 	t.state, t.stateVersion, t.damaged = record.Rollout{Format: record.FormatPlain}, 0, nil
-	t.members, t.nodes = map[string]member{}, map[string]node{}
+	t.registrations, t.live = map[string]registration{}, map[string]liveness{}
 }
 
 // ApplyState takes the record of the format in force; a nil value says that there is
@@ -77,14 +77,14 @@
 	}
 }
 
-// ApplyMember takes the record of what a controller's latest process reads. One that
+// ApplyRegistration takes the record of what a controller's latest process reads. One that
 // cannot be understood counts as none, so it holds an activation up.
-func (t *Tracker) ApplyMember(label string, value []byte, version wire.Revision) error {
-	delete(t.members, label)
+func (t *Tracker) ApplyRegistration(label string, value []byte, version wire.Revision) error {
+	delete(t.registrations, label)
 	if value == nil {
 		return nil
 	}
-	m := member{version: version}
+	m := registration{version: version}
 	err := fastjson.Unmarshal(value, &m.Registration)
 	if err == nil {
 		err = m.Formats.Check()
@@ -92,17 +92,17 @@
 	if err != nil {
 		m.Registration = record.Registration{}
 	}
-	t.members[label] = m
+	t.registrations[label] = m
 	return err
 }
 
-// ApplyNode takes a living controller's record; boot is 0 if it has none.
-func (t *Tracker) ApplyNode(label string, boot wire.FencingToken, version wire.Revision) {
+// ApplyLiveness takes a living controller's record; boot is 0 if it has none.
+func (t *Tracker) ApplyLiveness(label string, boot wire.FencingToken, version wire.Revision) {
 	if boot == 0 {
-		delete(t.nodes, label)
+		delete(t.live, label)
 		return
 	}
-	t.nodes[label] = node{boot, version}
+	t.live[label] = liveness{boot, version}
 }
 
 // Format is the format in force.
@@ -128,17 +128,17 @@
 // Unwrap gives the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Readable reports why this process must not serve, or nil.
-func (t *Tracker) Readable() error {
+// CheckReadable reports why this process must not serve, or nil.
+func (t *Tracker) CheckReadable() error {
 	if t.damaged != nil || !t.formats.Reads(t.state.Format) {
 		return &UnreadableError{Format: t.state.Format, Formats: t.formats, Cause: t.damaged}
 	}
 	return nil
 }
 
-// Demand is the condition under which this process may register, or list itself among
+// Condition is the condition under which this process may register, or list itself among
 // the living: the format in force is still the one that it knows.
-func (t *Tracker) Demand() wire.Condition {
+func (t *Tracker) Condition() wire.Condition {
 	return wire.Condition{Key: record.RolloutKey, Version: t.stateVersion}
 }
 
@@ -149,26 +149,26 @@
 
 // Blocker is a controller that an activation has to wait for, and why.
 type Blocker struct {
-	Label string
-	Why   string
+	Label  string
+	Reason string
 }
 
 // Blockers lists the controllers that hold a format up: all that may be running, or may
 // run later without anybody's word, a process that does not read it.
 func (t *Tracker) Blockers(f wire.Format) []Blocker {
 	var out []Blocker
-	for _, label := range t.known() {
-		if why := t.blocks(label, f); why != "" {
+	for _, label := range t.knownLabels() {
+		if why := t.blockReason(label, f); why != "" {
 			out = append(out, Blocker{label, why})
 		}
 	}
 	return out
 }
 
-// known is the controllers of the settings and whatever else lives.
-func (t *Tracker) known() []string {
+// knownLabels is the controllers of the settings and whatever else lives.
+func (t *Tracker) knownLabels() []string {
 	labels := slices.Clone(t.labels)
-	for label := range t.nodes {
+	for label := range t.live {
 		if !slices.Contains(labels, label) {
 			labels = append(labels, label)
 		}
@@ -177,14 +177,14 @@
 	return labels
 }
 
-// blocks says why a controller holds a format up, or "".
+// blockReason says why a controller holds a format up, or "".
 //
 // A record of a process that is down proves nothing: a build from before such records
 // may have run since, and leaves none. So a controller that is down has to come back,
 // or an operator has to exclude it.
-func (t *Tracker) blocks(label string, f wire.Format) string {
-	n, alive := t.nodes[label]
-	m, registered := t.members[label]
+func (t *Tracker) blockReason(label string, f wire.Format) string {
+	n, alive := t.live[label]
+	m, registered := t.registrations[label]
 	switch {
 	case !alive && t.excluded(label):
 		return ""
@@ -192,7 +192,7 @@
 		return "is down and has never registered"
 	case !alive:
 		return "is down"
-	case !registered || m.Incarnation != n.boot:
+	case !registered || m.Incarnation != n.incarnation:
 		return "runs a build that does not register what it reads"
 	case !m.Formats.Reads(f):
 		return fmt.Sprintf("reads formats %d to %d only", m.Formats.Oldest, m.Formats.Newest)
@@ -205,7 +205,7 @@
 // excluded reports whether a controller that is down need not be waited for.
 func (t *Tracker) excluded(label string) bool {
 	e, ok := t.state.Excluded[label]
-	return ok && t.members[label].Incarnation <= e.Incarnation
+	return ok && t.registrations[label].Incarnation <= e.Incarnation
 }
 
 // Activate is the transaction that brings a format into force, made from a version of
@@ -227,11 +227,11 @@
 	if blockers := t.Blockers(f); len(blockers) > 0 {
 		return wire.Transaction{}, &ConflictError{Why: "not all controllers are ready for it", Blockers: blockers}
 	}
-	txn := t.change(record.Rollout{Format: f})
-	for _, label := range t.known() {
+	txn := t.putState(record.Rollout{Format: f})
+	for _, label := range t.knownLabels() {
 		txn.If = append(txn.If,
-			wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version},
-			wire.Condition{Key: record.LivenessKey(label), Version: t.nodes[label].version})
+			wire.Condition{Key: record.RegistrationKey(label), Version: t.registrations[label].version},
+			wire.Condition{Key: record.LivenessKey(label), Version: t.live[label].version})
 	}
 	return txn, nil
 }
@@ -239,30 +239,30 @@
 // Exclude is the transaction by which a controller that is down is no longer waited
 // for.
 func (t *Tracker) Exclude(label, reason string, version wire.Revision) (wire.Transaction, error) {
-	n, alive := t.nodes[label]
+	n, alive := t.live[label]
 	switch {
 	case !slices.Contains(t.labels, label):
 		return wire.Transaction{}, &FieldError{"exclude", fmt.Sprintf("%q is no controller of the settings", label)}
 	case strings.TrimSpace(reason) == "":
 		return wire.Transaction{}, &FieldError{"reason", "missing"}
-	case len(reason) > mostReason:
-		return wire.Transaction{}, &FieldError{"reason", fmt.Sprintf("longer than %d bytes", mostReason)}
+	case len(reason) > maxReasonLength:
+		return wire.Transaction{}, &FieldError{"reason", fmt.Sprintf("longer than %d bytes", maxReasonLength)}
 	case version != t.stateVersion:
 		return wire.Transaction{}, ErrStale
 	case alive:
-		return wire.Transaction{}, &ConflictError{Why: fmt.Sprintf("%s is alive (boot %d): stop it first", label, n.boot)}
+		return wire.Transaction{}, &ConflictError{Why: fmt.Sprintf("%s is alive (boot %d): stop it first", label, n.incarnation)}
 	}
 	next := t.copyState()
-	next.Excluded[label] = record.Exclusion{Incarnation: t.members[label].Incarnation, Reason: reason}
-	txn := t.change(next)
+	next.Excluded[label] = record.Exclusion{Incarnation: t.registrations[label].Incarnation, Reason: reason}
+	txn := t.putState(next)
 	txn.If = append(txn.If,
-		wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version},
+		wire.Condition{Key: record.RegistrationKey(label), Version: t.registrations[label].version},
 		wire.Condition{Key: record.LivenessKey(label)})
 	return txn, nil
 }
 
-// mostReason bounds what an operator may say, so that the record stays small.
-const mostReason = 200
+// maxReasonLength bounds what an operator may say, so that the record stays small.
+const maxReasonLength = 200
 
 // Include is the transaction that takes an exclusion back.
 func (t *Tracker) Include(label string, version wire.Revision) (wire.Transaction, error) {
@@ -274,7 +274,7 @@
 	}
 	next := t.copyState()
 	delete(next.Excluded, label)
-	return t.change(next), nil
+	return t.putState(next), nil
 }
 
 func (t *Tracker) copyState() record.Rollout {
@@ -285,11 +285,11 @@
 	return next
 }
 
-// change writes the record of the format in force on the condition that it is as it
+// putState writes the record of the format in force on the condition that it is as it
 // was read.
-func (t *Tracker) change(next record.Rollout) wire.Transaction {
+func (t *Tracker) putState(next record.Rollout) wire.Transaction {
 	return wire.Transaction{
-		If:   []wire.Condition{t.Demand()},
+		If:   []wire.Condition{t.Condition()},
 		Then: []wire.Change{{Put: record.RolloutKey, Value: record.Encode(record.FormatPlain, record.RolloutKey, next)}},
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -28,10 +28,10 @@
 	if err != nil {
 		panic(err)
 	}
-	if err := t.ApplyMember(label, value, version); err != nil {
+	if err := t.ApplyRegistration(label, value, version); err != nil {
 		panic(err)
 	}
-	t.ApplyNode(label, boot, version)
+	t.ApplyLiveness(label, boot, version)
 }
 
 // TestBadRequests names the field of what is wrong and the conflict of what cannot be;
@@ -81,14 +81,14 @@
 		`{"format":0}`: false, `{"format":-2}`: false, `{"format":"2"}`: false, `{"fo`: false, `[]`: false, `{}`: true} {
 		tr := newTracker()
 		tr.ApplyState([]byte(value), 3)
-		require.Equal(t, serves, tr.Readable() == nil, value)
+		require.Equal(t, serves, tr.CheckReadable() == nil, value)
 	}
 	tr := newTracker()
-	require.NoError(t, tr.Readable(), "no record is the first format")
+	require.NoError(t, tr.CheckReadable(), "no record is the first format")
 	for _, bad := range []string{`{"boot":1,"formats":{"oldest":0,"newest":2}}`, `{"boot":1,"formats":{"oldest":2,"newest":1}}`, `7`} {
-		require.Error(t, tr.ApplyMember("b", []byte(bad), 3), bad)
-		tr.ApplyNode("b", 1, 3)
-		require.NotEmpty(t, tr.blocks("b", 2), bad)
+		require.Error(t, tr.ApplyRegistration("b", []byte(bad), 3), bad)
+		tr.ApplyLiveness("b", 1, 3)
+		require.NotEmpty(t, tr.blockReason("b", 2), bad)
 	}
 }
 
@@ -98,12 +98,12 @@
 	for _, label := range []string{"a", "b", "c"} {
 		tr.alive(label, 5, both, 4)
 	}
-	due := func(at time.Duration) bool { _, ok := tr.Automatic(Time(at), time.Minute); return ok }
+	due := func(at time.Duration) bool { _, ok := tr.AutomaticActivation(Time(at), time.Minute); return ok }
 	require.False(t, due(0))
 	require.False(t, due(59*time.Second))
-	tr.ApplyNode("b", 0, 0)
+	tr.ApplyLiveness("b", 0, 0)
 	require.False(t, due(61*time.Second))
-	tr.ApplyNode("b", 5, 6)
+	tr.ApplyLiveness("b", 5, 6)
 	require.False(t, due(62*time.Second))
 	require.False(t, due(121*time.Second))
 	require.True(t, due(122*time.Second))
@@ -150,12 +150,12 @@
 	p.tracker.ApplyState(s.values[record.RolloutKey], s.versions[record.RolloutKey])
 	for key, value := range s.values {
 		if label, ok := strings.CutPrefix(key, record.RegistrationPrefix); ok {
-			_ = p.tracker.ApplyMember(label, value, s.versions[key])
+			_ = p.tracker.ApplyRegistration(label, value, s.versions[key])
 		}
 		if label, ok := strings.CutPrefix(key, record.LivenessPrefix); ok {
 			var n record.Liveness
 			if json.Unmarshal(value, &n) == nil {
-				p.tracker.ApplyNode(label, n.Incarnation, s.versions[key])
+				p.tracker.ApplyLiveness(label, n.Incarnation, s.versions[key])
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 // enrolled is what a process sends to register and to list itself among the living.
 func (p *process) enrolled() wire.Transaction {
 	put := func(key string, v any) wire.Change { return wire.Change{Put: key, Value: record.Encode(1, key, v)} }
-	return wire.Transaction{If: []wire.Condition{p.tracker.Demand()}, Then: []wire.Change{
+	return wire.Transaction{If: []wire.Condition{p.tracker.Condition()}, Then: []wire.Change{
 		put(record.RegistrationKey(p.label), p.tracker.Registration(p.boot)), put(record.LivenessKey(p.label), record.Liveness{Incarnation: p.boot})}}
 }
 
@@ -226,7 +226,7 @@
 	if rapid.Bool().Draw(h.t, "sees") {
 		p.see(h.service)
 	}
-	if p.tracker.Readable() != nil {
+	if p.tracker.CheckReadable() != nil {
 		h.start(label)
 		return
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -63,7 +63,7 @@
 		backend:         backend,
 		log:             log,
 		maxUserRequests: int64(max(minUserRequests, settings.Cluster.Quota.Sockets/socketsPerUserRequest)),
-		budget:          sockets.Share(settings),
+		budget:          sockets.NewBudget(settings),
 	}
 	s.app = fiber.New(fiber.Config{
 		AppName:                 "lilacrill",
@@ -119,12 +119,12 @@
 // opens another, perhaps to a controller that has more room.
 func (s *Server) limitUsers(c fiber.Ctx) error {
 	connections := int(s.app.Server().GetOpenConnectionsCount())
-	if connections > s.budget.Crowded {
+	if connections > s.budget.CloseAfterReply {
 		c.RequestCtx().SetConnectionClose()
 	}
 	inProgress := s.userRequests.Add(1)
 	defer s.userRequests.Add(-1)
-	if inProgress > s.maxUserRequests || connections > s.budget.Full {
+	if inProgress > s.maxUserRequests || connections > s.budget.RefuseUsers {
 		return sendUnavailable(c, "too many requests at once")
 	}
 	return c.Next()
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -11,30 +11,30 @@
 // they are known here, so of two changes that meet one fails, and one that is carried out
 // late fails too.
 
-// change writes a share's record on the condition that it is as it is known here.
-func (t *Table) change(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
-	txn.If = append(txn.If, t.Demand(id))
+// put writes a share's record on the condition that it is as it is known here.
+func (t *Table) put(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
+	txn.If = append(txn.If, t.Condition(id))
 	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatSharding, record.ShardKey(id), next)})
 }
 
-// demandOnce adds a condition unless it is there.
-func demandOnce(txn *wire.Transaction, condition wire.Condition) {
+// requireOnce adds a condition unless it is there.
+func requireOnce(txn *wire.Transaction, condition wire.Condition) {
 	if !slices.Contains(txn.If, condition) {
 		txn.If = append(txn.If, condition)
 	}
 }
 
-// takeOver makes this process the owner of shares that nobody owns, or whose owner has
+// failOver makes this process the owner of shares that nobody owns, or whose owner has
 // ended. That is demanded: an owner's record in the state service hangs on its lease, so
 // a share is never taken from one that may still be alive.
-func (t *Table) takeOver(ids []wire.ShardID) wire.Transaction {
+func (t *Table) failOver(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		s := &t.shares[id]
+		s := &t.shards[id]
 		if s.Owner.Label != "" {
-			demandOnce(&txn, t.controllerDemand(s.Owner.Label))
+			requireOnce(&txn, t.livenessCondition(s.Owner.Label))
 		}
-		t.change(&txn, id, record.Shard{Owner: t.self, Epoch: s.Epoch + 1})
+		t.put(&txn, id, record.Shard{Owner: t.self, Epoch: s.Epoch + 1})
 	}
 	return txn
 }
@@ -49,11 +49,11 @@
 func (t *Table) propose(proposals []proposal, why string, wall int64) wire.Transaction {
 	var txn wire.Transaction
 	for _, p := range proposals {
-		demandOnce(&txn, t.controllerDemand(p.to))
-		next := t.shares[p.id].Shard
-		next.Move = &record.ShardMove{To: record.ShardOwner{Label: p.to, Incarnation: t.controllers[p.to].Boot},
+		requireOnce(&txn, t.livenessCondition(p.to))
+		next := t.shards[p.id].Shard
+		next.Move = &record.ShardMove{To: record.ShardOwner{Label: p.to, Incarnation: t.controllers[p.to].Incarnation},
 			Phase: record.MoveProposed, Since: wall, Reason: why}
-		t.change(&txn, p.id, next)
+		t.put(&txn, p.id, next)
 	}
 	return txn
 }
@@ -63,11 +63,11 @@
 func (t *Table) release(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		next := t.shares[id].Shard
+		next := t.shards[id].Shard
 		move := *next.Move
 		move.Phase = record.MoveReleased
 		next.Move = &move
-		t.change(&txn, id, next)
+		t.put(&txn, id, next)
 	}
 	return txn
 }
@@ -76,7 +76,7 @@
 func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		t.change(&txn, id, record.Shard{Owner: t.self, Epoch: t.shares[id].Epoch + 1})
+		t.put(&txn, id, record.Shard{Owner: t.self, Epoch: t.shards[id].Epoch + 1})
 	}
 	return txn
 }
@@ -86,18 +86,18 @@
 func (t *Table) undo(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		next := t.shares[id].Shard
-		demandOnce(&txn, t.controllerDemand(next.Move.To.Label))
+		next := t.shards[id].Shard
+		requireOnce(&txn, t.livenessCondition(next.Move.To.Label))
 		next.Move = nil
-		t.change(&txn, id, next)
+		t.put(&txn, id, next)
 	}
 	return txn
 }
 
-// changePolicy writes whether shares are in use, and who is drained.
-func (t *Table) changePolicy(next record.ShardPolicy) wire.Transaction {
+// putPolicy writes whether shares are in use, and who is drained.
+func (t *Table) putPolicy(next record.ShardPolicy) wire.Transaction {
 	return wire.Transaction{
-		If:   []wire.Condition{t.policyDemand()},
+		If:   []wire.Condition{t.policyCondition()},
 		Then: []wire.Change{{Put: record.ShardPolicyKey, Value: record.Encode(record.FormatSharding, record.ShardPolicyKey, next)}},
 	}
 }
--- a/internal/shard/operate.go
+++ b/internal/shard/operate.go
@@ -13,8 +13,8 @@
 // maxReasonLength bounds what an operator may say, so that the record stays small.
 const maxReasonLength = 200
 
-// InUse reports why nothing can be changed, or nil.
-func (t *Table) InUse() error {
+// CheckInUse reports why nothing can be changed, or nil.
+func (t *Table) CheckInUse() error {
 	switch {
 	case t.format < record.FormatSharding:
 		return conflict("shares are dormant: format %d is in force, and they need format %d", t.format, record.FormatSharding)
@@ -27,14 +27,14 @@
 // Move is the transaction by which an operator has a share moved to a controller. epoch is
 // the one that the operator saw.
 func (t *Table) Move(id wire.ShardID, to string, epoch wire.ShardEpoch, wall int64) (wire.Transaction, error) {
-	if err := t.InUse(); err != nil {
+	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
 	}
 	if !Valid(id) {
 		return wire.Transaction{}, &NotFoundError{fmt.Sprintf("share: %d", id)}
 	}
-	s := &t.shares[id]
-	_, known := t.members[to]
+	s := &t.shards[id]
+	_, known := t.registrations[to]
 	_, alive := t.controllers[to]
 	_, drained := t.policy.Drained[to]
 	switch {
@@ -44,7 +44,7 @@
 		return wire.Transaction{}, conflict("%s is down", to)
 	case drained:
 		return wire.Transaction{}, conflict("%s is drained: %s", to, t.policy.Drained[to])
-	case !t.Live(s.Owner):
+	case !t.Alive(s.Owner):
 		return wire.Transaction{}, conflict("share %d is being taken over from %s, which is gone", id, s.Owner.Label)
 	case s.Move != nil:
 		return wire.Transaction{}, conflict("share %d is on its way from %s to %s already (%s)", id, s.Owner.Label, s.Move.To.Label, s.Move.Phase)
@@ -59,10 +59,10 @@
 // Drain is the transaction after which a controller hands over all its shares and gets
 // none.
 func (t *Table) Drain(label, reason string) (wire.Transaction, error) {
-	if err := t.InUse(); err != nil {
+	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
 	}
-	_, known := t.members[label]
+	_, known := t.registrations[label]
 	_, alive := t.controllers[label]
 	_, drained := t.policy.Drained[label]
 	switch {
@@ -82,12 +82,12 @@
 		next.Drained = map[string]string{}
 	}
 	next.Drained[label] = reason
-	return t.changePolicy(next), nil
+	return t.putPolicy(next), nil
 }
 
 // EndDrain is the transaction that takes a drain back.
 func (t *Table) EndDrain(label string) (wire.Transaction, error) {
-	if err := t.InUse(); err != nil {
+	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
 	}
 	if _, drained := t.policy.Drained[label]; !drained {
@@ -95,22 +95,22 @@
 	}
 	next := record.ShardPolicy{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
 	delete(next.Drained, label)
-	return t.changePolicy(next), nil
+	return t.putPolicy(next), nil
 }
 
 // View is the shares as operators see them; wall is in Unix milliseconds.
 func (t *Table) View(wall int64) wire.AdminShards {
 	v := wire.AdminShards{State: "in use", Drained: t.policy.Drained, Owned: map[string]int{}, Shards: []wire.AdminShard{}}
-	if err := t.InUse(); err != nil {
+	if err := t.CheckInUse(); err != nil {
 		v.State = err.Error()
 		return v
 	}
 	for label := range t.controllers {
-		v.Owned[label] = t.Owned(label)
+		v.Owned[label] = t.OwnedCount(label)
 	}
 	for id := range wire.ShardID(Count) {
-		s := &t.shares[id]
-		share := wire.AdminShard{Shard: id, Owner: s.Owner.Label, Incarnation: s.Owner.Incarnation, Epoch: s.Epoch, Alive: t.Live(s.Owner)}
+		s := &t.shards[id]
+		share := wire.AdminShard{Shard: id, Owner: s.Owner.Label, Incarnation: s.Owner.Incarnation, Epoch: s.Epoch, Alive: t.Alive(s.Owner)}
 		if !share.Alive {
 			share.WaitsFor = "its owner is gone: it is about to be taken over"
 		}
@@ -127,9 +127,9 @@
 // moveWaitsFor says what a move waits for.
 func (t *Table) moveWaitsFor(s *shardState) string {
 	switch {
-	case !t.Live(s.Owner):
+	case !t.Alive(s.Owner):
 		return "its owner is gone: it is about to be taken over"
-	case !t.Live(s.Move.To):
+	case !t.Alive(s.Move.To):
 		return s.Move.To.Label + " is gone: " + s.Owner.Label + " is about to undo the move"
 	case s.Move.Phase == record.MoveProposed:
 		return "for the placements under way at " + s.Owner.Label
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -20,16 +20,16 @@
 	// Tolerance is how many shares more than another a controller may own before it
 	// hands some on: with less, moves would go to and fro.
 	Tolerance = 2
-	// settle is how long a controller must have lived before shares are moved to it.
-	settle = 4 * time.Second
+	// minLifetime is how long a controller must have lived before shares are moved to it.
+	minLifetime = 4 * time.Second
 )
 
 // The reasons for moves that controllers make by themselves.
 const (
-	WhyBalance  = "to even out the shares"
-	WhyDrain    = "its owner is drained"
-	WhyIsolated = "its owner reaches no workers"
-	WhyGang     = "a job needs the room of several controllers at once"
+	ReasonBalance  = "to even out the shares"
+	ReasonDrain    = "its owner is drained"
+	ReasonIsolated = "its owner reaches no workers"
+	ReasonGang     = "a job needs the room of several controllers at once"
 )
 
 // ActionKind says what an action does.
@@ -37,7 +37,7 @@
 
 // The kinds of actions.
 const (
-	TakeOver ActionKind = "taken over"
+	Failover ActionKind = "taken over"
 	Adopt    ActionKind = "adopted"
 	Undo     ActionKind = "move undone"
 	Release  ActionKind = "released"
@@ -71,23 +71,23 @@
 // moment; wall is in Unix milliseconds.
 func (p *Planner) Next(now Time, wall int64, placing func(wire.ShardID) bool, hold bool) (Action, bool) {
 	t := p.table
-	if !t.Enabled() || !t.Live(t.self) {
+	if !t.Enabled() || !t.Alive(t.self) {
 		return Action{}, false
 	}
 	var orphans, adopt, undo, release []wire.ShardID
 	heirs := t.successors()
 	for id := range wire.ShardID(Count) {
-		s := &t.shares[id]
+		s := &t.shards[id]
 		switch {
 		case s.unreadable:
-		case !t.Live(s.Owner):
+		case !t.Alive(s.Owner):
 			if heirs[id] == t.self.Label {
 				orphans = append(orphans, id)
 			}
 		case s.Move == nil:
 		case s.Move.Phase == record.MoveReleased && s.Move.To == t.self:
 			adopt = append(adopt, id)
-		case s.Owner == t.self && !t.Live(s.Move.To):
+		case s.Owner == t.self && !t.Alive(s.Move.To):
 			undo = append(undo, id)
 		case s.Owner == t.self && s.Move.Phase == record.MoveProposed && !placing(id):
 			release = append(release, id)
@@ -97,35 +97,35 @@
 		kind ActionKind
 		ids  []wire.ShardID
 		txn  func([]wire.ShardID) wire.Transaction
-	}{{TakeOver, orphans, t.takeOver}, {Adopt, adopt, t.adopt}, {Undo, undo, t.undo}, {Release, release, t.release}} {
+	}{{Failover, orphans, t.failOver}, {Adopt, adopt, t.adopt}, {Undo, undo, t.undo}, {Release, release, t.release}} {
 		if len(a.ids) > 0 {
 			ids := a.ids[:min(p.maxRecords, len(a.ids))]
 			return Action{Kind: a.kind, Shards: ids, Txn: a.txn(ids)}, true
 		}
 	}
-	return p.handOver(now, wall, hold)
+	return p.proposeMoves(now, wall, hold)
 }
 
-// handOver proposes moves of this controller's own shares: all of them if it is drained
+// proposeMoves proposes moves of this controller's own shares: all of them if it is drained
 // or reaches no workers, else one at a time to a controller that owns far fewer.
-func (p *Planner) handOver(now Time, wall int64, hold bool) (Action, bool) {
+func (p *Planner) proposeMoves(now Time, wall int64, hold bool) (Action, bool) {
 	t := p.table
 	why := ""
 	if _, drained := t.policy.Drained[t.self.Label]; drained {
-		why = WhyDrain
+		why = ReasonDrain
 	} else if t.controllers[t.self.Label].Isolated {
-		why = WhyIsolated
+		why = ReasonIsolated
 	}
 	if why == "" && hold {
 		return Action{}, false
 	}
 	targets := slices.DeleteFunc(t.eligible(), func(label string) bool {
-		return label == t.self.Label || now-t.controllers[label].Since < Time(settle)
+		return label == t.self.Label || now-t.controllers[label].Since < Time(minLifetime)
 	})
 	if len(targets) == 0 {
 		return Action{}, false
 	}
-	load := t.load()
+	load := t.ownedCounts()
 	var proposals []proposal
 	for len(proposals) < p.maxRecords {
 		target := slices.MinFunc(targets, func(a, b string) int { return cmp.Or(cmp.Compare(load[a], load[b]), cmp.Compare(a, b)) })
@@ -145,12 +145,12 @@
 		return Action{}, false
 	}
 	if why == "" {
-		why = WhyBalance
+		why = ReasonBalance
 	}
-	return proposed(t.propose(proposals, why, wall), proposals, why), true
+	return proposalAction(t.propose(proposals, why, wall), proposals, why), true
 }
 
-func proposed(txn wire.Transaction, proposals []proposal, why string) Action {
+func proposalAction(txn wire.Transaction, proposals []proposal, why string) Action {
 	a := Action{Kind: Propose, Reason: why, Txn: txn}
 	for _, p := range proposals {
 		a.Shards = append(a.Shards, p.id)
@@ -162,7 +162,7 @@
 // not to hand over already.
 func (t *Table) nextToMove(target string, proposals []proposal) (best wire.ShardID, any bool) {
 	for id := range wire.ShardID(Count) {
-		if !t.Places(id) || slices.ContainsFunc(proposals, func(p proposal) bool { return p.id == id }) {
+		if !t.MaySchedule(id) || slices.ContainsFunc(proposals, func(p proposal) bool { return p.id == id }) {
 			continue
 		}
 		if !any || affinity(target, id) > affinity(target, best) {
@@ -186,14 +186,14 @@
 	return labels
 }
 
-// load is how many shares each living controller owns, once all moves are over.
-func (t *Table) load() map[string]int {
+// ownedCounts is how many shares each living controller owns, once all moves are over.
+func (t *Table) ownedCounts() map[string]int {
 	load := map[string]int{}
-	for i := range t.shares {
-		s := &t.shares[i]
+	for i := range t.shards {
+		s := &t.shards[i]
 		switch {
-		case !t.Live(s.Owner):
-		case s.Move != nil && t.Live(s.Move.To):
+		case !t.Alive(s.Owner):
+		case s.Move != nil && t.Alive(s.Move.To):
 			load[s.Move.To.Label]++
 		default:
 			load[s.Owner.Label]++
@@ -207,14 +207,14 @@
 // process of the controller that owned the share; else whoever owns fewest.
 func (t *Table) successors() map[wire.ShardID]string {
 	eligible := t.eligible()
-	load := t.load()
+	load := t.ownedCounts()
 	heirs := map[wire.ShardID]string{}
 	var rest []wire.ShardID
 	for id := range wire.ShardID(Count) {
-		s := &t.shares[id]
+		s := &t.shards[id]
 		switch {
-		case t.Live(s.Owner):
-		case s.Move != nil && t.Live(s.Move.To) && slices.Contains(eligible, s.Move.To.Label):
+		case t.Alive(s.Owner):
+		case s.Move != nil && t.Alive(s.Move.To) && slices.Contains(eligible, s.Move.To.Label):
 			heirs[id] = s.Move.To.Label
 		case slices.Contains(eligible, s.Owner.Label):
 			heirs[id] = s.Owner.Label
@@ -244,14 +244,14 @@
 	t := p.table
 	var proposals []proposal
 	for _, id := range ids {
-		if s := &t.shares[id]; len(proposals) < p.maxRecords && s.Move == nil && s.Owner != t.self && t.Live(s.Owner) && t.Live(t.self) {
+		if s := &t.shards[id]; len(proposals) < p.maxRecords && s.Move == nil && s.Owner != t.self && t.Alive(s.Owner) && t.Alive(t.self) {
 			proposals = append(proposals, proposal{id, t.self.Label})
 		}
 	}
 	if len(proposals) == 0 {
 		return Action{}, false
 	}
-	return proposed(t.propose(proposals, WhyGang, wall), proposals, WhyGang), true
+	return proposalAction(t.propose(proposals, ReasonGang, wall), proposals, ReasonGang), true
 }
 
 // SwitchPolicy is the transaction that switches shares on, once the latest processes of all
@@ -267,15 +267,15 @@
 	}
 	want := true
 	for label, c := range t.controllers {
-		m := t.members[label]
-		want = want && m.Incarnation == c.Boot && m.Sharding
+		m := t.registrations[label]
+		want = want && m.Incarnation == c.Incarnation && m.Sharding
 	}
 	if want == t.policy.Enabled {
 		return Action{}, false
 	}
-	txn := t.changePolicy(record.ShardPolicy{Enabled: want, Drained: t.policy.Drained})
+	txn := t.putPolicy(record.ShardPolicy{Enabled: want, Drained: t.policy.Drained})
 	for _, label := range slices.Sorted(maps.Keys(t.controllers)) {
-		txn.If = append(txn.If, t.controllerDemand(label), wire.Condition{Key: record.RegistrationKey(label), Version: t.members[label].version})
+		txn.If = append(txn.If, t.livenessCondition(label), wire.Condition{Key: record.RegistrationKey(label), Version: t.registrations[label].version})
 	}
 	return Action{Kind: Switch, Txn: txn}, true
 }
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -22,8 +22,8 @@
 // Time is a moment on the steady clock of the process.
 type Time time.Duration
 
-// ShardOf is the share that a machine belongs to.
-func ShardOf(machine wire.MachineID) wire.ShardID {
+// Of is the share that a machine belongs to.
+func Of(machine wire.MachineID) wire.ShardID {
 	return wire.ShardID(xxhash.Sum64String(string(machine)) % Count)
 }
 
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -77,7 +77,7 @@
 	n.table, n.read, n.running, n.placing = shard.New(n.label), 0, true, map[wire.ShardID]bool{}
 	n.planner = shard.NewPlanner(n.table, 6)
 	n.table.ApplyFormat(record.FormatSharding)
-	n.table.Joined(c.boot)
+	n.table.SetIncarnation(c.boot)
 	c.put(record.RegistrationKey(n.label), record.Registration{Incarnation: c.boot, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Sharding: true})
 	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.boot})
 }
@@ -110,15 +110,15 @@
 	case key == record.ShardPolicyKey:
 		require.NoError(c.t, t.ApplyPolicy(l.Value, l.Version))
 	case strings.HasPrefix(key, record.ShardPrefix):
-		require.NoError(c.t, t.ApplyShare(key, l.Value, l.Version))
+		require.NoError(c.t, t.ApplyShard(key, l.Value, l.Version))
 	case strings.HasPrefix(key, record.RegistrationPrefix):
-		t.ApplyMember(label, l.Value, l.Version)
+		t.ApplyRegistration(label, l.Value, l.Version)
 	default:
 		var n record.Liveness
 		if l.Put != "" {
 			require.NoError(c.t, json.Unmarshal(l.Value, &n))
 		}
-		t.ApplyController(label, n, l.Version, c.now)
+		t.ApplyLiveness(label, n, l.Version, c.now)
 	}
 }
 
@@ -234,7 +234,7 @@
 			case "expire":
 				c.expire()
 			case "place":
-				n.placing[id] = !n.placing[id] && n.running && n.table.Places(id)
+				n.placing[id] = !n.placing[id] && n.running && n.table.MaySchedule(id)
 			case "move":
 				if txn, err := n.table.Move(id, c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "to")].label, n.table.Epoch(id), 0); err == nil && n.running {
 					c.run(txn)
@@ -305,11 +305,11 @@
 // TestMachinesSpread: a share follows from a machine's name alone, for ever, and shares of
 // any fleet are of about one size.
 func TestMachinesSpread(t *testing.T) {
-	require.Equal(t, []wire.ShardID{shard.ShardOf("m-000000"), shard.ShardOf("m-000231"), shard.ShardOf("m-123456")}, []wire.ShardID{20, 30, 15})
+	require.Equal(t, []wire.ShardID{shard.Of("m-000000"), shard.Of("m-000231"), shard.Of("m-123456")}, []wire.ShardID{20, 30, 15})
 	for _, fleet := range []int{1000, 4000, 40000} {
 		var sizes [shard.Count]int
 		for i := range fleet {
-			sizes[shard.ShardOf(wire.MachineID(fmt.Sprintf("m-%06d", i)))]++
+			sizes[shard.Of(wire.MachineID(fmt.Sprintf("m-%06d", i)))]++
 		}
 		for id, n := range sizes {
 			require.InEpsilon(t, float64(fleet)/shard.Count, n, 0.55, "share %d of %d machines", id, fleet)
@@ -323,11 +323,11 @@
 	c := newCluster(t, 1)
 	c.calm()
 	table := c.nodes[0].table
-	require.True(t, table.Places(3))
-	require.Error(t, table.ApplyShare(record.ShardKey(3), []byte(`{"owner":7}`), 999))
-	require.False(t, table.Places(3))
-	require.Error(t, table.ApplyShare(record.ShardPrefix+"99", []byte(`{}`), 999))
-	require.Error(t, table.ApplyShare(record.ShardPrefix+"x", []byte(`{}`), 999))
+	require.True(t, table.MaySchedule(3))
+	require.Error(t, table.ApplyShard(record.ShardKey(3), []byte(`{"owner":7}`), 999))
+	require.False(t, table.MaySchedule(3))
+	require.Error(t, table.ApplyShard(record.ShardPrefix+"99", []byte(`{}`), 999))
+	require.Error(t, table.ApplyShard(record.ShardPrefix+"x", []byte(`{}`), 999))
 	_, due := c.act(0, false)
 	require.False(t, due)
 }
--- a/internal/simulation/direct_calls_test.go
+++ b/internal/simulation/direct_calls_test.go
@@ -62,7 +62,7 @@
 	require.Equal(t, 8, running, "seed %d: replicas on machines that answer", seed)
 	cluster.Run(150 * time.Second)
 	for _, n := range cluster.controllers {
-		require.LessOrEqual(t, n.maxDirectCalls, sockets.Share(&settings).Direct, fmt.Sprint("rig-", n.index))
+		require.LessOrEqual(t, n.maxDirectCalls, sockets.NewBudget(&settings).Workers, fmt.Sprint("rig-", n.index))
 		require.Greater(t, n.maxDirectCalls, 4, "the test does not come near the bound")
 	}
 	require.Empty(t, cluster.Violations)
--- a/internal/simulation/http_history.go
+++ b/internal/simulation/http_history.go
@@ -67,7 +67,7 @@
 // machine's share: a later one than it may know of is not its own.
 func (l *placementLog) recordPlacements(s *Store, group *record.AllocationGroup, sharded bool) {
 	for i, machine := range group.Machines {
-		id := shard.ShardOf(machine)
+		id := shard.Of(machine)
 		var epoch wire.ShardEpoch
 		if sharded {
 			var owner record.Shard
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -20,7 +20,7 @@
 func (c *Cluster) startWithShards(i int) {
 	features, settle := config.DefaultFeatures(), 0.0
 	features.Rollout.Activation, features.Rollout.SettleS = config.ActivationAutomatic, &settle
-	features.Shares.Enabled = true
+	features.Sharding.Enabled = true
 	c.Features[i] = features
 	c.Start(i)
 }
@@ -99,7 +99,7 @@
 		if machine.up && !machine.terminated {
 			machines++
 			require.EqualValues(t, 1, machine.agentEpoch)
-			if controllerLabel(machine.controller) == cluster.Shard(shard.ShardOf(machine.id)).Owner.Label {
+			if controllerLabel(machine.controller) == cluster.Shard(shard.Of(machine.id)).Owner.Label {
 				led++
 			}
 		}
--- a/internal/simulation/world_shares.go
+++ b/internal/simulation/world_shares.go
@@ -44,9 +44,9 @@
 			continue
 		}
 		c.Observed[placedInShard]++
-		s := c.Shard(shard.ShardOf(id))
+		s := c.Shard(shard.Of(id))
 		if s.Owner.Label != controllerLabel(process.index) || s.Move != nil {
-			c.violation("%s placed on %s of share %d: %+v", controllerLabel(process.index), id, shard.ShardOf(id), s)
+			c.violation("%s placed on %s of share %d: %+v", controllerLabel(process.index), id, shard.Of(id), s)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 
 // countIfShardMoves counts what happens to a machine whose share is on the move.
 func (c *Cluster) countIfShardMoves(what Observation, id wire.MachineID) {
-	if c.Shard(shard.ShardOf(id)).Move != nil {
+	if c.Shard(shard.Of(id)).Move != nil {
 		c.Observed[what]++
 	}
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -16,12 +16,12 @@
 type Budget struct {
 	// Inbound is for users, workers and health checks.
 	Inbound int
-	// Crowded is how many of them there may be before users' connections are
+	// CloseAfterReply is how many of them there may be before users' connections are
 	// closed once they are answered, and Full before users are told at once to
 	// come back later: the rest is for workers and health checks.
-	Crowded, Full int
-	// Direct is for calls to workers.
-	Direct int
+	CloseAfterReply, RefuseUsers int
+	// Workers is for calls to workers.
+	Workers int
 	// Peers is for connections from siblings.
 	Peers int
 	// State and Cloud are for calls to these services.
@@ -39,18 +39,18 @@
 	fullPart    = 0.85
 )
 
-// Share makes a budget of a controller's settings.
-func Share(set *config.Settings) Budget {
+// NewBudget makes a budget of a controller's settings.
+func NewBudget(set *config.Settings) Budget {
 	total, peers := set.Cluster.Quota.Sockets, len(set.Siblings)
 	b := Budget{
-		Direct: max(4, total/directPart),
-		Peers:  perPeer * peers,
-		State:  max(leastState, min(mostState, total/servicePart)),
-		Cloud:  4,
+		Workers: max(4, total/directPart),
+		Peers:   perPeer * peers,
+		State:   max(leastState, min(mostState, total/servicePart)),
+		Cloud:   4,
 	}
-	b.Inbound = max(8, total-b.Direct-b.Peers-peers-b.State-b.Cloud-own)
-	b.Crowded = int(crowdedPart * float64(b.Inbound))
-	b.Full = int(fullPart * float64(b.Inbound))
+	b.Inbound = max(8, total-b.Workers-b.Peers-peers-b.State-b.Cloud-own)
+	b.CloseAfterReply = int(crowdedPart * float64(b.Inbound))
+	b.RefuseUsers = int(fullPart * float64(b.Inbound))
 	return b
 }
 
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -24,10 +24,10 @@
 		var set config.Settings
 		set.Cluster.Quota.Sockets = rapid.IntRange(64, 100_000).Draw(t, "sockets")
 		set.Siblings = make([]config.Sibling, rapid.IntRange(0, 6).Draw(t, "siblings"))
-		b := Share(&set)
-		require.LessOrEqual(t, b.Inbound+b.Direct+b.Peers+len(set.Siblings)+b.State+b.Cloud, set.Cluster.Quota.Sockets)
-		require.Less(t, b.Crowded, b.Full)
-		require.Less(t, b.Full, b.Inbound)
+		b := NewBudget(&set)
+		require.LessOrEqual(t, b.Inbound+b.Workers+b.Peers+len(set.Siblings)+b.State+b.Cloud, set.Cluster.Quota.Sockets)
+		require.Less(t, b.CloseAfterReply, b.RefuseUsers)
+		require.Less(t, b.RefuseUsers, b.Inbound)
 	})
 }
 
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -36,7 +36,7 @@
 
 // New makes a client; Serve must run for it to do anything.
 func New(set *config.Settings, log *slog.Logger) *Client {
-	conns := sockets.Share(set).State
+	conns := sockets.NewBudget(set).State
 	return &Client{
 		set:   set,
 		log:   log,
