--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -244,19 +244,19 @@
 // sendCommands sends a machine the commands that it needs, directly, and reports whether
 // there were any.
 func (c *Controller) sendCommands(m *machine) bool {
-	if m.reconciliation.sending || m.latestHeartbeat == nil || m.scaling.terminated || !c.isDue(m.reconciliation.nextSend) || !c.membership.ready {
+	if m.reconciliation.callInFlight || m.latestHeartbeat == nil || m.scaling.terminated || !c.isDue(m.reconciliation.nextSend) || !c.membership.ready {
 		return false
 	}
 	request := c.commandRequest(m)
 	if request == nil || !c.admitCommands(m) {
 		return false
 	}
-	m.reconciliation.sending = true
+	m.reconciliation.callInFlight = true
 	c.fleet.commandCallsInFlight++
 	m.reconciliation.nextSend = c.now.Add(commandRetryInterval)
 	calledAt := c.now
 	c.emit(SendCommands{call(c, func(response WorkerResponse) {
-		m.reconciliation.sending = false
+		m.reconciliation.callInFlight = false
 		c.fleet.commandCallsInFlight--
 		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
 		c.applyWorkerResponse(m, response)
@@ -318,7 +318,7 @@
 
 // sendCommandsNow sends what has just been decided, without the pause after earlier commands.
 func (c *Controller) sendCommandsNow(m *machine) {
-	if m.reconciliation.sending {
+	if m.reconciliation.callInFlight {
 		m.reconciliation.resend = true
 		return
 	}
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -71,7 +71,7 @@
 func (c *Controller) completedTasksOn(id wire.MachineID) completedTaskState {
 	var state completedTaskState
 	machine := c.fleet.machines[id]
-	for _, allocation := range c.allocationsOn(id) {
+	for _, allocation := range c.fleet.allocationsOn(id) {
 		if c.cache.jobs[allocation.Job] != nil {
 			continue
 		}
@@ -140,10 +140,10 @@
 // stopCompletedTasks sends a machine its commands if this is due. One without a heartbeat is
 // probed first, since commands need its agent epoch.
 func (c *Controller) stopCompletedTasks(machine *machine) {
-	if c.isDue(machine.reconciliation.nextSend) && !machine.reconciliation.sending && (!c.storeReachable() || c.isResponsibleFor(machine)) {
+	if c.isDue(machine.reconciliation.nextSend) && !machine.reconciliation.callInFlight && (!c.storeReachable() || c.isResponsibleFor(machine)) {
 		c.sendCommands(machine)
 	}
-	if machine.latestHeartbeat == nil && machine.addr != "" && !machine.liveness.requesting && c.isDue(machine.liveness.nextRequest) && c.canProbe() {
+	if machine.latestHeartbeat == nil && machine.addr != "" && !machine.liveness.probing && c.isDue(machine.liveness.nextProbe) && c.canProbe() {
 		c.probeMachine(machine)
 	}
 }
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -32,8 +32,8 @@
 	criticalProbeAfter = 1500 * time.Millisecond
 	// provisionerProbeDelay is how much later the provisioner probes on its own account.
 	provisionerProbeDelay = 500 * time.Millisecond
-	// heartbeatRequestInterval is how long a machine is left alone after a probe.
-	heartbeatRequestInterval = 900 * time.Millisecond
+	// probeInterval is how long a machine is left alone after a probe.
+	probeInterval = 900 * time.Millisecond
 	// unreachableThreshold is how many direct calls in a row a machine may leave
 	// unanswered before it counts as unreachable.
 	unreachableThreshold = 2
@@ -42,7 +42,7 @@
 	probeCallDivisor, urgentCallDivisor = 4, 4
 
 	reachabilityProbeAfter      = 500 * time.Millisecond
-	reachabilityProbeEvery      = 300 * time.Millisecond
+	reachabilityProbeInterval   = 300 * time.Millisecond
 	reachabilityProbeCandidates = 4 // machines heard last, of which one is probed
 	isolationSuspectedAfter     = 1500 * time.Millisecond
 	isolatedAfter               = 3 * time.Second
@@ -83,7 +83,7 @@
 
 // noteHeartbeat notes a heartbeat that is newer than all before.
 func (l *liveness) noteHeartbeat(now Time) {
-	l.lastHeartbeatAt, l.unansweredRequests = now, 0
+	l.lastHeartbeatAt, l.unansweredProbes = now, 0
 }
 
 // resetUnansweredAfterSilence is called when a heartbeat arrives. Calls that a machine left
@@ -133,7 +133,7 @@
 // confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
 // controller, as the team's owner, should write down: hints prove nothing.
 func (c *Controller) confirmDirectly(m *machine) {
-	if m.liveness.requesting || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.liveness.nextRequest) || !c.canProbe() {
+	if m.liveness.probing || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.liveness.nextProbe) || !c.canProbe() {
 		return
 	}
 	for _, allocation := range m.allocations {
@@ -162,7 +162,7 @@
 // canProbe reports whether another machine may be probed now. When hundreds hang, calls
 // to them would pile up otherwise, with a socket each.
 func (c *Controller) canProbe() bool {
-	return c.fleet.heartbeatRequestsInFlight < max(1, c.fleet.maxWorkerCalls/probeCallDivisor)
+	return c.fleet.probesInFlight < max(1, c.fleet.maxWorkerCalls/probeCallDivisor)
 }
 
 // probeMachines probes machines, as many as may be at a time: those with critical tasks
@@ -180,7 +180,7 @@
 			}
 			return 1
 		}
-		return cmp.Compare(a.liveness.nextRequest, b.liveness.nextRequest)
+		return cmp.Compare(a.liveness.nextProbe, b.liveness.nextProbe)
 	})
 	for _, m := range due {
 		if !c.canProbe() {
@@ -192,16 +192,16 @@
 
 // probeMachine requests a heartbeat from a worker.
 func (c *Controller) probeMachine(m *machine) {
-	m.liveness.requesting = true
-	m.liveness.nextRequest = c.now.Add(heartbeatRequestInterval)
-	c.fleet.heartbeatRequestsInFlight++
+	m.liveness.probing = true
+	m.liveness.nextProbe = c.now.Add(probeInterval)
+	c.fleet.probesInFlight++
 	c.metrics.count(countProbes, 1)
 	calledAt := c.now
 	c.emit(RequestHeartbeat{call(c, func(response WorkerResponse) {
-		m.liveness.requesting = false
-		c.fleet.heartbeatRequestsInFlight--
+		m.liveness.probing = false
+		c.fleet.probesInFlight--
 		if response.Heartbeat == nil {
-			m.liveness.unansweredRequests++
+			m.liveness.unansweredProbes++
 		}
 		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
 		c.applyWorkerResponse(m, response)
@@ -226,16 +226,16 @@
 // sinceDirectHeartbeat is for how long no worker has reached this controller, while it was
 // ready and not stalled.
 func (c *Controller) sinceDirectHeartbeat() time.Duration {
-	return c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt, c.resumedAt))
+	return c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt, c.resumedAt))
 }
 
 // probeOwnReachability probes some worker when none has reached this controller for a
 // while: they may all report to others, or this controller may be isolated.
 func (c *Controller) probeOwnReachability() {
-	if c.now.Sub(max(c.fleet.lastDirectHeartbeat, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
+	if c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
 		return
 	}
-	c.fleet.nextReachabilityProbe = c.now.Add(reachabilityProbeEvery)
+	c.fleet.nextReachabilityProbe = c.now.Add(reachabilityProbeInterval)
 	if candidates := c.reachabilityCandidates(); len(candidates) > 0 {
 		c.probeMachine(candidates[c.rand.IntN(len(candidates))])
 	}
@@ -246,7 +246,7 @@
 func (c *Controller) reachabilityCandidates() []*machine {
 	var candidates []*machine
 	for _, m := range c.orderedMachines() {
-		if m.addr == "" || m.scaling.terminated || m.liveness.requesting || m.latestHeartbeat == nil || c.now.Sub(m.liveness.lastHeartbeatAt) >= forgetMachineAfter {
+		if m.addr == "" || m.scaling.terminated || m.liveness.probing || m.latestHeartbeat == nil || c.now.Sub(m.liveness.lastHeartbeatAt) >= forgetMachineAfter {
 			continue
 		}
 		// One that answers is as good as any other; one that did not may be dead.
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -24,14 +24,14 @@
 	recordingImages bool
 	nextImageRecord Time
 
-	maxWorkerCalls            int        // direct calls to workers that may be under way at once
-	heartbeatRequestsInFlight int        // probes under way
-	commandCallsInFlight      int        // calls with commands under way
-	queuedUrgentCommands      []*machine // have commands, but too many calls are under way
-	queuedCommands            []*machine // the same, without critical tasks
+	maxWorkerCalls       int        // direct calls to workers that may be under way at once
+	probesInFlight       int        // probes under way
+	commandCallsInFlight int        // calls with commands under way
+	queuedUrgentCommands []*machine // have commands, but too many calls are under way
+	queuedCommands       []*machine // the same, without critical tasks
 
 	outboundSuspect       bool // most machines leave our calls unanswered: our outbound path is at fault
-	lastDirectHeartbeat   Time // when a worker last reached this controller
+	lastDirectHeartbeatAt Time // when a worker last reached this controller
 	reachableSince        Time // since when workers do, after a while in which none did
 	nextReachabilityProbe Time
 
@@ -120,16 +120,11 @@
 // orderedMachines is the machines in the order of their IDs. It must not be changed.
 func (c *Controller) orderedMachines() []*machine { return c.fleet.ordered() }
 
-// allocationsOn is the allocations that the records have on a machine.
-func (c *Controller) allocationsOn(id wire.MachineID) []*Allocation { return c.fleet.allocationsOn(id) }
-
 // labelsOf is a machine's labels; all of a kind share them.
 func (c *Controller) labelsOf(m *machine) placement.Tags {
 	return c.fleet.kindLabels(machineKind{m.machineType, m.zone, m.spot})
 }
 
-func (c *Controller) kindLabels(kind machineKind) placement.Tags { return c.fleet.kindLabels(kind) }
-
 const (
 	// fleetReviewInterval is how often all machines are reviewed.
 	fleetReviewInterval = 200 * time.Millisecond
@@ -244,7 +239,7 @@
 // have lost its way to this controller. One that left a call unanswered is probed though
 // its heartbeats go on.
 func (c *Controller) probeDue(m *machine, quiet time.Duration) bool {
-	if m.addr == "" || m.scaling.status == wire.MachineBooting || m.liveness.requesting || !c.isDue(m.liveness.nextRequest) {
+	if m.addr == "" || m.scaling.status == wire.MachineBooting || m.liveness.probing || !c.isDue(m.liveness.nextProbe) {
 		return false
 	}
 	return m.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -149,7 +149,7 @@
 		if !free.Covers(j.request.Need) {
 			continue
 		}
-		host := &placement.Host{Labels: c.kindLabels(machineKind{offer.Type, offer.Zone, offer.Spot}), Free: free}
+		host := &placement.Host{Labels: c.fleet.kindLabels(machineKind{offer.Type, offer.Zone, offer.Spot}), Free: free}
 		if (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) {
 			return true
 		}
@@ -278,7 +278,7 @@
 		return (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host)
 	}
 	best := largestZone(capacityByZone(j, fleet, j.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
-		for _, allocation := range c.allocationsOn(host.ID) {
+		for _, allocation := range c.fleet.allocationsOn(host.ID) {
 			if allocation.Priority > j.spec.Priority.Level() {
 				free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 			}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -112,7 +112,7 @@
 	if host.PreemptablePriorities&lowerPriorities == 0 && !(pending.guaranteed && host.HasUnguaranteedTasks) {
 		return free
 	}
-	for _, allocation := range p.c.allocationsOn(host.ID) {
+	for _, allocation := range p.c.fleet.allocationsOn(host.ID) {
 		if p.c.preemptable(p.transactions, allocation, pending, false) {
 			free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 		}
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -124,7 +124,7 @@
 	m := c.machine(in.Heartbeat.Machine)
 	returned := m.directHeartbeat == nil || c.now.Sub(m.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
-	if returned && !m.liveness.requesting && !m.scaling.terminated && c.canProbe() {
+	if returned && !m.liveness.probing && !m.scaling.terminated && c.canProbe() {
 		// It may have come because no call reaches it, or this may be a late copy of a
 		// heartbeat that it sent long ago.
 		c.probeMachine(m)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -69,7 +69,7 @@
 	if c.isolationSuspected() {
 		c.fleet.reachableSince = c.now
 	}
-	c.fleet.lastDirectHeartbeat = c.now
+	c.fleet.lastDirectHeartbeatAt = c.now
 	c.gossip.pendingMachines[m.id] = true
 	if m.directHeartbeat != nil && !heartbeat.Newer(m.directHeartbeat) {
 		return
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -50,9 +50,9 @@
 	unansweredCalls  int  // direct calls without a response since the last that had one, whatever it reports
 	unreachableSince Time // when the first of them was made
 
-	requesting         bool // a probe is under way
-	nextRequest        Time // no probe before
-	unansweredRequests int  // probes in a row that were not answered
+	probing          bool // a probe is under way
+	nextProbe        Time // no probe before
+	unansweredProbes int  // probes in a row that were not answered
 
 	gossipedHeartbeat   *wire.Heartbeat // the last heartbeat that the siblings were sent
 	redirectedToPeerAt  Time            // when it was told to try another controller
@@ -62,7 +62,7 @@
 // reconciliation compares what a machine runs with what the records say, and tracks
 // the commands that follow from it.
 type reconciliation struct {
-	sending        bool
+	callInFlight   bool
 	queued         bool // waits for other calls to end
 	launchDeferred bool // a launch is deferred until the rest of its gang is nearer
 	resend         bool // something new came up while sending
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		room := host.Free.Plus(host.Freeing, 1)
-		for _, allocation := range c.allocationsOn(host.ID) {
+		for _, allocation := range c.fleet.allocationsOn(host.ID) {
 			if c.preemptable(search.pass.transactions, allocation, search.pending, search.ofGuaranteed) {
 				room = room.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 			}
@@ -156,7 +156,7 @@
 // and newest first, and those within their team's guarantee last.
 func (c *Controller) preemptableOn(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, ofGuaranteed bool) []*Allocation {
 	var allocations []*Allocation
-	for _, allocation := range c.allocationsOn(host.ID) {
+	for _, allocation := range c.fleet.allocationsOn(host.ID) {
 		if c.preemptable(transactions, allocation, pending, ofGuaranteed) {
 			allocations = append(allocations, allocation)
 		}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -47,7 +47,7 @@
 			switch quiet := c.now.Sub(c.lastSeen(m)); {
 			case quiet <= silence/2:
 				byHeard[m.zone]++
-			case m.liveness.unansweredRequests > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
+			case m.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
 				bySilent[m.zone]++
 				silent++
 			}
@@ -97,7 +97,7 @@
 			// Tasks of jobs that are over must be gone in time, and it cannot be
 			// told: whatever the bounds, it goes.
 			c.markForTermination(m, reasonHoldsCompletedWork)
-		case quiet > c.silenceTolerance(m, silence) && (m.liveness.unansweredRequests >= 2 || c.hadTimeToReport(m, quiet)) && !cutOff &&
+		case quiet > c.silenceTolerance(m, silence) && (m.liveness.unansweredProbes >= 2 || c.hadTimeToReport(m, quiet)) && !cutOff &&
 			!c.maybePartitioned(m, lastHeard[m.zone], quiet-c.silenceTolerance(m, silence)) && (busy || c.now.Sub(m.scaling.lastListedAt) < forgetMachineAfter):
 			if c.admitSilentTermination(m, reporting) {
 				c.markForTermination(m, "silent")
