--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -13,16 +13,16 @@
 
 const (
 	// submitTimeout is how long a submission may wait for the state store before its user
-	// is told to come back.
+	// is advised to retry.
 	submitTimeout = 1500 * time.Millisecond
 	// admissionQueueTime is how much of this controller's writes submissions may have
 	// queued, and minAdmissionQueue how many of them in any case.
 	admissionQueueTime = 800 * time.Millisecond
 	minAdmissionQueue  = 4
-	// admissionOversubscription is how many submissions users are told to come back with,
+	// admissionOversubscription is how many submissions users are advised to retry with,
 	// relative to the writes: some more than can be taken, since the others' part of the
-	// writes is not always used. maxRetryDelay is the longest time that a user is told:
-	// they give up after a minute.
+	// writes is not always used. maxRetryDelay is the longest delay that a user is
+	// advised: they give up after a minute.
 	admissionOversubscription = 1.3
 	maxRetryDelay             = 10 * time.Second
 	// limitTolerance absorbs the rounding of sums of fractions of cores.
@@ -86,7 +86,7 @@
 // store be lost, the user's retry finds the job or writes it again.
 func (c *Controller) accept(in JobSubmitted) {
 	if float64(c.cache.submissionsInFlight) >= max(minAdmissionQueue, c.writeRate()*admissionQueueTime.Seconds()) {
-		// More would only be queued until their users ask again.
+		// More would only be queued until their users retry.
 		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
 		return
 	}
@@ -127,9 +127,9 @@
 	}
 }
 
-// nextRetryDelay is when a user whose submission cannot be taken now should come back: each
-// is given a time of its own, as far apart as submissions can be written. Told the same, all
-// would come back at once, and most of them in vain.
+// nextRetryDelay is when a user whose submission cannot be taken now should retry: each is
+// given a time of its own, as far apart as submissions can be written. Given the same time,
+// all would retry at once, and most of them in vain.
 func (c *Controller) nextRetryDelay() time.Duration {
 	c.cache.lastAdvisedRetry = max(c.cache.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
 	delay := c.cache.lastAdvisedRetry.Sub(c.now)
@@ -145,12 +145,12 @@
 	if team == nil {
 		return errUnknownTeam
 	}
-	together := float64(spec.Tasks) // tasks that run at the same time at least
+	simultaneous := float64(spec.Tasks) // tasks that must run at the same time
 	if spec.Shape == wire.ShapeArray {
-		together = 1
+		simultaneous = 1
 	}
 	cpus, gpus := team.Limits()
-	if together*spec.Cores > cpus+limitTolerance || together*spec.Accelerators > gpus+limitTolerance {
+	if simultaneous*spec.Cores > cpus+limitTolerance || simultaneous*spec.Accelerators > gpus+limitTolerance {
 		return errAboveTeamLimit
 	}
 	spreads := spec.SpreadZones && spec.Tasks > 1 && spec.Shape != wire.ShapeArray
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -22,8 +22,8 @@
 	// checkpointMarginS is granted on top of the time that a job says it needs to save a
 	// checkpoint, in seconds.
 	checkpointMarginS = 3.0
-	// orphanGracePeriod is how long a task without an allocation may be reported before
-	// it is stopped: the record may be on its way to this controller.
+	// orphanGracePeriod is how long a task without an allocation may run before it is
+	// stopped: the record may be on its way to this controller.
 	orphanGracePeriod = 5 * time.Second
 	// tokenRaiseInterval is the least time between two raises for the sake of cleanup.
 	tokenRaiseInterval = 10 * time.Second
@@ -32,7 +32,7 @@
 )
 
 // admitCommands reports whether a machine may be sent its commands now; if not, they are
-// sent once other calls are over.
+// sent once other calls have completed.
 func (c *Controller) admitCommands(m *machine) bool {
 	limit := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
 	urgent := c.hasCriticalTasks(m)
@@ -46,7 +46,7 @@
 	return false
 }
 
-// queueCommands has a machine wait, once, until other calls are over.
+// queueCommands has a machine wait, once, until other calls have completed.
 func (f *fleet) queueCommands(m *machine, urgent bool) {
 	if m.reconciliation.queued {
 		return
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -43,7 +43,7 @@
 
 	reachabilityProbeAfter      = 500 * time.Millisecond
 	reachabilityProbeInterval   = 300 * time.Millisecond
-	reachabilityProbeCandidates = 4 // machines heard last, of which one is probed
+	reachabilityProbeCandidates = 4 // machines with the latest heartbeats, of which one is probed
 	isolationSuspectedAfter     = 1500 * time.Millisecond
 	isolatedAfter               = 3 * time.Second
 )
@@ -230,7 +230,7 @@
 }
 
 // probeOwnReachability probes some worker when none has reached this controller for a
-// while: they may all report to others, or this controller may be isolated.
+// while: they may all send their heartbeats to others, or this controller may be isolated.
 func (c *Controller) probeOwnReachability() {
 	if c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
 		return
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -166,7 +166,7 @@
 	c.reviewFleet()
 }
 
-// reviewFleet forgets machines that are gone, sends launches again that have not shown,
+// reviewFleet forgets machines that are gone, retries launches that have had no effect,
 // probes silent machines, and raises the token where exited tasks wait for their cleanup.
 func (c *Controller) reviewFleet() {
 	var review fleetReview
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -21,12 +21,13 @@
 	// before it counts as lost: our watermark, and its own with the acknowledgement, take
 	// an interval each.
 	ackTimeout = peerTimeout + watermarkInterval
-	// peerStoreTimeout is how long it counts that a sibling said it reaches the state store.
+	// peerStoreTimeout is for how long a sibling's message that it reaches the state store is
+	// relied upon.
 	peerStoreTimeout = 2*peerHeartbeatInterval + peerHeartbeatInterval/2
 )
 
-// gossip is what controllers tell one another of the workers' heartbeats and of themselves.
-// It is hints only: messages may be lost, late or out of order, and prove nothing. What a
+// gossip is the controllers' messages about the workers' heartbeats and about themselves. It
+// is hints only: messages may be lost, late or out of order, and prove nothing. What a
 // controller writes down on account of a hint it first confirms, by a direct heartbeat or
 // the conditions of its transaction.
 type gossip struct {
@@ -38,7 +39,7 @@
 	pendingMachines map[wire.MachineID]bool // machines heard since the last message
 }
 
-// peerState is what a sibling last said of itself. It is a hint only.
+// peerState is a sibling's state by its last messages. It is a hint only.
 type peerState struct {
 	lastHeardAt    Time
 	storeReachable bool
@@ -48,7 +49,7 @@
 	firstHeardAt         Time          // when the first of them came
 	revision             wire.Revision // up to which it knows all changes
 	ackedAt              Time          // when the newest of our watermarks that it received was sent
-	cancellationsKnownAt Time          // up to when all is known that it may have told users
+	cancellationsKnownAt Time          // up to when every cancellation is known that it may have confirmed to users
 }
 
 func (g *gossip) init() {
@@ -84,7 +85,7 @@
 	return count
 }
 
-// withStore names a sibling that reaches the state store, as it last said; "" if none does.
+// withStore names a sibling that reaches the state store by its last message; "" if none does.
 func (g *gossip) withStore(siblings []config.Sibling, now Time) string {
 	for _, sibling := range siblings {
 		if peer := g.peers[sibling.Label]; peer != nil && peer.storeReachable && now.Sub(peer.lastHeardAt) < peerStoreTimeout {
@@ -118,7 +119,7 @@
 }
 
 // sendGossip sends the siblings the heartbeats received since the last time; if there were
-// none, it says from time to time only that this controller lives.
+// none, it sends an empty message from time to time to show that this controller is alive.
 func (c *Controller) sendGossip() {
 	if !c.isDue(c.gossip.nextMessage) {
 		return
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -93,7 +93,8 @@
 	m.addr, m.machineType, m.zone, m.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 }
 
-// notePreemptionNotice keeps when the cloud will take the machine; nil: no notice stands.
+// notePreemptionNotice notes in how many seconds the cloud will take the machine; nil: no
+// notice is in force.
 func (s *scaling) notePreemptionNotice(seconds *float64, now Time) {
 	s.preemptionAt = 0
 	if seconds != nil {
@@ -104,7 +105,7 @@
 // applyTaskStatuses draws the conclusions from the tasks in a machine's latest heartbeat;
 // before is the tasks of the heartbeat before it.
 //
-// The order is fixed: what one exit says of a job decides what the next says of the
+// The order is fixed: what one exit shows of a job decides what the next shows of the
 // machine, so in the order of the map the same heartbeat quarantined it or not.
 func (c *Controller) applyTaskStatuses(m *machine, before map[attemptKey]*wire.TaskStatus) {
 	pulling := map[string]bool{}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -23,33 +23,33 @@
 		avoided  [2]Time // until when each avoids the machine
 	}
 	verdictOf := func(reversed bool) verdict {
-		set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
+		settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+		c := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 		c.now = 1_000_000
 		var jobs []*job
 		for _, id := range []wire.JobID{"wk-000001", "wk-000002"} {
-			j := c.newJob(id)
-			j.spec = wire.JobSpec{ID: id, Team: "desk", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 8, Cores: 1}
-			j.request = placement.NewRequest(&j.spec)
-			jobs = append(jobs, j)
+			job := c.newJob(id)
+			job.spec = wire.JobSpec{ID: id, Team: "desk", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 8, Cores: 1}
+			job.request = placement.NewRequest(&job.spec)
+			jobs = append(jobs, job)
 		}
-		r := &wire.Heartbeat{Machine: "m-000001", AgentEpoch: 1, Sequence: 1}
-		for _, j := range jobs {
+		heartbeat := &wire.Heartbeat{Machine: "m-000001", AgentEpoch: 1, Sequence: 1}
+		for _, job := range jobs {
 			for i, cause := range []wire.Cause{wire.CauseDone, wire.CauseError, wire.CauseNoRoom, wire.CauseError, wire.CauseDone, wire.CauseError} {
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskID{Job: j.id, Index: i}, Attempt: wire.Attempt(i + 1), State: wire.TaskExited, Cause: cause})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: wire.TaskID{Job: job.id, Index: i}, Attempt: wire.Attempt(i + 1), State: wire.TaskExited, Cause: cause})
 			}
 		}
 		if reversed {
-			slices.Reverse(r.Tasks)
+			slices.Reverse(heartbeat.Tasks)
 		}
-		c.applyHeartbeat(r, true)
-		m := c.machine(r.Machine)
-		v := verdict{faulty: !c.isDue(m.quarantine.faultyUntil)}
-		for i, j := range jobs {
-			v.failures[i], v.avoided[i] = len(j.crashLoop.failedMachines), j.crashLoop.avoidMachines[m.id]
+		c.applyHeartbeat(heartbeat, true)
+		m := c.machine(heartbeat.Machine)
+		result := verdict{faulty: !c.isDue(m.quarantine.faultyUntil)}
+		for i, job := range jobs {
+			result.failures[i], result.avoided[i] = len(job.crashLoop.failedMachines), job.crashLoop.avoidMachines[m.id]
 		}
-		return v
+		return result
 	}
 	first := verdictOf(false)
 	require.True(t, first.faulty, "two jobs went well once and failed then")
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// retryDelay and longRetryDelay are when a user whose request cannot be decided now is
-	// told to come back; the long one while the state store is out of reach.
+	// retryDelay and longRetryDelay are when a user whose request cannot be decided now
+	// is advised to retry; the long one while the state store is out of reach.
 	retryDelay     = time.Second
 	longRetryDelay = 2 * time.Second
 )
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// A controller counts as alive for the others as long as its liveness record stands, which
-// hangs on a lease of the state store: once the controller no longer renews the lease, the
+// A controller counts as alive for the others as long as its liveness record exists, which
+// depends on a lease of the state store: once the controller no longer renews the lease, the
 // store drops the record. That is a hint as to who should act, not a proof that the process
 // has ended: it may still commit what its conditions allow, and command workers that have
 // not seen a higher token.
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -47,7 +47,7 @@
 	lastHeartbeatAt Time // when a heartbeat with news last came, direct or gossiped
 	lastDirectAt    Time
 
-	unansweredCalls  int  // direct calls without a response since the last that had one, whatever it reports
+	unansweredCalls  int  // direct calls without a response since the last that had one, whatever its heartbeats show
 	unreachableSince Time // when the first of them was made
 
 	probing          bool // a probe is under way
@@ -55,7 +55,7 @@
 	unansweredProbes int  // probes in a row that were not answered
 
 	gossipedHeartbeat   *wire.Heartbeat // the last heartbeat that the siblings were sent
-	redirectedToPeerAt  Time            // when it was told to try another controller
+	redirectedToPeerAt  Time            // when it was redirected to any other controller
 	redirectedToOwnerAt Time            // when it was redirected to the owner of its shard
 }
 
@@ -85,7 +85,7 @@
 	holdsHeadroom       bool
 	terminated          bool // the cloud confirmed its termination
 	terminatedAt        Time
-	terminationLiftedAt Time // when it left the list of machines to terminate: it is terminated unless heard since
+	terminationLiftedAt Time // when it left the list of machines to terminate: it is terminated unless a heartbeat came since
 }
 
 // imageCache is which images a machine has.
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -175,8 +175,8 @@
 	return alive
 }
 
-// isIsolatedIncarnation reports whether the process of an incarnation reaches no workers, as
-// it says itself.
+// isIsolatedIncarnation reports whether the process of an incarnation reaches no workers, by
+// its own liveness record.
 func (c *Controller) isIsolatedIncarnation(incarnation wire.FencingToken) bool {
 	label, alive := c.cache.liveController(incarnation)
 	return alive && c.cache.isolatedControllers[label]
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// rolloutEvent tells whoever traces the rollout what happened to this process in it.
+// rolloutEvent emits an event of this process for whoever traces the rollout.
 func (c *Controller) rolloutEvent(kind RolloutEventKind) {
 	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -7,9 +7,8 @@
 	"lilacrill/wire"
 )
 
-// An allocation is removed from the records only once its tasks are proven to have
-// exited, since its room is then given to others and the task may be placed again. There
-// are three proofs:
+// A task is removed from its allocation only once its exit is confirmed, since its room is
+// then given to others and the task may be placed again. One of three things confirms it:
 //
 //   - a direct heartbeat of the agent epoch for which it was launched lists the task as
 //     exited;
@@ -17,12 +16,12 @@
 //     everything;
 //   - the machine was terminated.
 //
-// That a heartbeat does not list a task proves that it has exited only if no launch of it
-// can still arrive: the allocation was fenced, and the worker has seen the fencing token.
-// Silence proves nothing, and gossiped heartbeats do not either: they may be late.
+// That a heartbeat does not list a task confirms its exit only if no launch of it can still
+// arrive: the allocation was fenced, and the worker has seen the fencing token. Silence
+// confirms nothing, and gossiped heartbeats do not either: they may be late.
 
 // launchTimeout is how long a launcher has to get a launch to a worker before the
-// controller that the worker reports to takes over.
+// controller that receives the worker's heartbeats becomes the launcher.
 const launchTimeout = 3 * time.Second
 
 // observedTasks is the tasks of an allocation by what a direct heartbeat of its agent
@@ -33,8 +32,8 @@
 	missing record.TaskSet // not listed
 }
 
-// collectTaskExits removes tasks that are proven to have exited from the pages of a team,
-// and fences off launches that may still arrive.
+// collectTaskExits removes tasks with a confirmed exit from the pages of a team, and fences
+// off launches that may still arrive.
 func (c *Controller) collectTaskExits(txn *placementTransaction) {
 	for _, page := range txn.team.orderedPages() {
 		if !page.needsReview || c.cache.unreadable[page.key] != nil {
@@ -56,8 +55,8 @@
 	}
 }
 
-// markForReview notes that a machine showed something new: tasks of its allocations may be
-// proven to have exited.
+// markForReview notes that a machine showed something new: exits of tasks
+// of its allocations may be confirmed by it.
 func (m *machine) markForReview() {
 	for _, allocation := range m.allocations {
 		allocation.page.needsReview = true
@@ -123,8 +122,8 @@
 
 // fenceMissingTasks fences off a launch of tasks that a worker does not list, where it may
 // still arrive though it should not: the tasks are to end, or their launcher has failed and
-// this process takes over. With the fence, a launch that the other sent is refused or shows
-// in the next heartbeat.
+// this process takes its place (failover). With the fence, a launch that the other sent is
+// refused or shows in the next heartbeat.
 func (c *Controller) fenceMissingTasks(txn *placementTransaction, page *page, allocation *Allocation) {
 	switch {
 	case allocation.Eviction != record.EvictionNone && allocation.Fence > 0:
