--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -110,29 +110,29 @@
 
 func (c *Controller) viewMachines() []wire.AdminMachine {
 	views := []wire.AdminMachine{}
-	for _, m := range c.orderedMachines() {
-		if !m.scaling.terminated {
-			views = append(views, c.viewMachine(m))
+	for _, machine := range c.orderedMachines() {
+		if !machine.scaling.terminated {
+			views = append(views, c.viewMachine(machine))
 		}
 	}
 	return views
 }
 
-func (c *Controller) viewMachine(m *machine) wire.AdminMachine {
+func (c *Controller) viewMachine(machine *machine) wire.AdminMachine {
 	view := wire.AdminMachine{
-		ID:                m.id,
-		Type:              m.machineType,
-		Zone:              m.zone,
-		Spot:              m.spot,
-		Status:            m.scaling.status,
-		SilentS:           c.now.Sub(c.lastSeen(m)).Seconds(),
-		Faulty:            !c.isDue(m.quarantine.faultyUntil),
-		Reserved:          m.scaling.holdsHeadroom,
-		ProvisioningLate:  m.isProvisioning() && m.scaling.status == wire.MachineBooting && !c.expectedToJoin(m),
-		PreemptionNotice:  m.scaling.preemptionAt != 0,
-		TerminationReason: c.cache.terminating[m.id].reason,
+		ID:                machine.id,
+		Type:              machine.machineType,
+		Zone:              machine.zone,
+		Spot:              machine.spot,
+		Status:            machine.scaling.status,
+		SilentS:           c.now.Sub(c.lastSeen(machine)).Seconds(),
+		Faulty:            !c.isDue(machine.quarantine.faultyUntil),
+		Reserved:          machine.scaling.holdsHeadroom,
+		ProvisioningLate:  machine.isProvisioning() && machine.scaling.status == wire.MachineBooting && !c.expectedToJoin(machine),
+		PreemptionNotice:  machine.scaling.preemptionAt != 0,
+		TerminationReason: c.cache.terminating[machine.id].reason,
 	}
-	for _, allocation := range m.allocations {
+	for _, allocation := range machine.allocations {
 		view.Tasks += allocation.Tasks.Len()
 	}
 	return view
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -33,29 +33,29 @@
 
 // admitCommands reports whether a machine may be sent its commands now; if not, they are
 // sent once other calls have completed.
-func (c *Controller) admitCommands(m *machine) bool {
+func (c *Controller) admitCommands(machine *machine) bool {
 	limit := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
-	urgent := c.hasCriticalTasks(m)
+	urgent := c.hasCriticalTasks(machine)
 	if !urgent {
 		limit -= limit / urgentCallDivisor
 	}
 	if c.fleet.commandCallsInFlight < max(1, limit) {
 		return true
 	}
-	c.fleet.queueCommands(m, urgent)
+	c.fleet.queueCommands(machine, urgent)
 	return false
 }
 
 // queueCommands has a machine wait, once, until other calls have completed.
-func (f *fleet) queueCommands(m *machine, urgent bool) {
-	if m.reconciliation.queued {
+func (f *fleet) queueCommands(machine *machine, urgent bool) {
+	if machine.reconciliation.queued {
 		return
 	}
-	m.reconciliation.queued = true
+	machine.reconciliation.queued = true
 	if urgent {
-		f.queuedUrgentCommands = append(f.queuedUrgentCommands, m)
+		f.queuedUrgentCommands = append(f.queuedUrgentCommands, machine)
 	} else {
-		f.queuedCommands = append(f.queuedCommands, m)
+		f.queuedCommands = append(f.queuedCommands, machine)
 	}
 }
 
@@ -63,11 +63,11 @@
 func (c *Controller) sendQueuedCommands() {
 	for _, queue := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
 		for len(*queue) > 0 {
-			m := (*queue)[0]
-			m.reconciliation.queued = false
+			machine := (*queue)[0]
+			machine.reconciliation.queued = false
 			*queue = (*queue)[1:]
-			c.sendCommandsNow(m)
-			if m.reconciliation.queued {
+			c.sendCommandsNow(machine)
+			if machine.reconciliation.queued {
 				return // it was queued again: too many calls are still under way
 			}
 		}
@@ -82,18 +82,18 @@
 
 // commandsFor says which commands a machine needs, by its latest heartbeat and the
 // allocations on it.
-func (c *Controller) commandsFor(m *machine) []wire.Command {
+func (c *Controller) commandsFor(machine *machine) []wire.Command {
 	var commands []wire.Command
-	m.reconciliation.launchDeferred = false
-	for _, allocation := range m.allocations {
-		if allocation.AgentEpoch != m.latestHeartbeat.AgentEpoch {
+	machine.reconciliation.launchDeferred = false
+	for _, allocation := range machine.allocations {
+		if allocation.AgentEpoch != machine.latestHeartbeat.AgentEpoch {
 			continue
 		}
 		for i := range allocation.Tasks.All {
 			if len(commands) >= maxCommands {
 				return commands
 			}
-			if command := c.commandForTask(m, allocation, i); command != nil {
+			if command := c.commandForTask(machine, allocation, i); command != nil {
 				commands = append(commands, *command)
 			}
 		}
@@ -102,13 +102,13 @@
 }
 
 // commandForTask is the command that one task of an allocation needs; nil if none.
-func (c *Controller) commandForTask(m *machine, allocation *Allocation, index int) *wire.Command {
+func (c *Controller) commandForTask(machine *machine, allocation *Allocation, index int) *wire.Command {
 	job := c.cache.jobs[allocation.Job]
 	attempt := allocation.key(index)
 	var command wire.Command
-	switch task := m.tasks[attempt]; {
+	switch task := machine.tasks[attempt]; {
 	case task == nil:
-		if !c.admitLaunch(m, allocation, job) {
+		if !c.admitLaunch(machine, allocation, job) {
 			return nil
 		}
 		command = wire.Command{Verb: wire.VerbLaunch, Task: attempt.task, Attempt: attempt.attempt}
@@ -131,12 +131,12 @@
 // the token that fences off the launcher before. While the knowledge of cancellations is
 // old, the job may have been cancelled unknown to this controller, and its task would
 // start after its user was told that it was cancelled.
-func (c *Controller) admitLaunch(m *machine, allocation *Allocation, job *job) bool {
-	if job == nil || allocation.Eviction != record.EvictionNone || allocation.Launcher != c.membership.incarnation || m.latestHeartbeat.Token < allocation.Fence {
+func (c *Controller) admitLaunch(machine *machine, allocation *Allocation, job *job) bool {
+	if job == nil || allocation.Eviction != record.EvictionNone || allocation.Launcher != c.membership.incarnation || machine.latestHeartbeat.Token < allocation.Fence {
 		return false
 	}
-	if !c.canLaunch() || c.defersGangLaunch(m, allocation, job) {
-		m.reconciliation.launchDeferred = true
+	if !c.canLaunch() || c.defersGangLaunch(machine, allocation, job) {
+		machine.reconciliation.launchDeferred = true
 		return false
 	}
 	return true
@@ -144,13 +144,13 @@
 
 // cleanupCommands says which tasks without an allocation a machine is to stop, and of
 // which exited ones it may forget the attempt.
-func (c *Controller) cleanupCommands(m *machine) []wire.Command {
+func (c *Controller) cleanupCommands(machine *machine) []wire.Command {
 	var commands []wire.Command
 	var unconfirmed []attemptKey
-	recorded := m.recordedAttempts()
+	recorded := machine.recordedAttempts()
 	reported := map[attemptKey]bool{}
-	for i := range m.latestHeartbeat.Tasks {
-		task := &m.latestHeartbeat.Tasks[i]
+	for i := range machine.latestHeartbeat.Tasks {
+		task := &machine.latestHeartbeat.Tasks[i]
 		attempt := attemptKey{task.Task, task.Attempt}
 		if recorded[attempt] || c.jobUnreadable(task.Task.Job) {
 			continue
@@ -158,23 +158,23 @@
 		reported[attempt] = true
 		full := len(commands) >= maxCommands
 		if task.State != wire.TaskExited {
-			if c.shouldStopOrphan(m, attempt, full) {
+			if c.shouldStopOrphan(machine, attempt, full) {
 				commands = append(commands, stopCommand(attempt, 0))
 			}
 			continue
 		}
-		if _, known := m.reconciliation.pendingCleanup[attempt]; !known {
-			m.reconciliation.pendingCleanup[attempt] = neverRevision
+		if _, known := machine.reconciliation.pendingCleanup[attempt]; !known {
+			machine.reconciliation.pendingCleanup[attempt] = neverRevision
 			unconfirmed = append(unconfirmed, attempt)
 		}
-		if !full && c.mayClear(m, attempt) {
+		if !full && c.mayClear(machine, attempt) {
 			commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
 	if len(unconfirmed) > 0 {
-		c.readBarrier(func(ok bool) { c.confirmUnrecorded(m, unconfirmed, ok) })
+		c.readBarrier(func(ok bool) { c.confirmUnrecorded(machine, unconfirmed, ok) })
 	}
-	m.reconciliation.retainReported(reported)
+	machine.reconciliation.retainReported(reported)
 	return commands
 }
 
@@ -192,13 +192,13 @@
 // shouldStopOrphan reports whether a task that runs without an allocation is to be stopped
 // now: at once if its job is complete, otherwise after a while in which its record would
 // have come. With full there is no room for the command, and the task is only noted.
-func (c *Controller) shouldStopOrphan(m *machine, attempt attemptKey, full bool) bool {
+func (c *Controller) shouldStopOrphan(machine *machine, attempt attemptKey, full bool) bool {
 	if _, complete := c.completion(attempt.task.Job); complete && !full {
 		return true
 	}
-	since, known := m.reconciliation.orphanTasks[attempt]
+	since, known := machine.reconciliation.orphanTasks[attempt]
 	if !known {
-		m.reconciliation.orphanTasks[attempt] = c.now
+		machine.reconciliation.orphanTasks[attempt] = c.now
 		return false
 	}
 	return !full && c.cacheComplete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod
@@ -208,8 +208,8 @@
 // start again if a launch of it were still under way, so first its allocation must be gone
 // from the records, then the token raised, and then the worker must have seen that token:
 // no launch sent before can pass it, and no controller that knows it sends one.
-func (c *Controller) mayClear(m *machine, attempt attemptKey) bool {
-	return c.cache.tokenVersion > m.reconciliation.pendingCleanup[attempt] && m.latestHeartbeat.Token >= c.cache.token
+func (c *Controller) mayClear(machine *machine, attempt attemptKey) bool {
+	return c.cache.tokenVersion > machine.reconciliation.pendingCleanup[attempt] && machine.latestHeartbeat.Token >= c.cache.token
 }
 
 // retainReported forgets the attempts that a machine's latest heartbeat no longer lists.
@@ -221,21 +221,21 @@
 // confirmUnrecorded notes, after a read barrier, that exited attempts have no allocation.
 // Without the barrier the allocation could merely be on its way to this controller: the
 // attempt would be cleared, launched again by its launcher, and then taken for exited.
-func (c *Controller) confirmUnrecorded(m *machine, attempts []attemptKey, ok bool) {
+func (c *Controller) confirmUnrecorded(machine *machine, attempts []attemptKey, ok bool) {
 	if !ok {
 		for _, attempt := range attempts {
-			delete(m.reconciliation.pendingCleanup, attempt)
+			delete(machine.reconciliation.pendingCleanup, attempt)
 		}
 		return
 	}
 	for _, attempt := range attempts {
-		if _, pending := m.reconciliation.pendingCleanup[attempt]; !pending {
+		if _, pending := machine.reconciliation.pendingCleanup[attempt]; !pending {
 			continue
 		}
-		m.reconciliation.pendingCleanup[attempt] = max(c.cache.revision, c.cache.ownRevision)
-		for _, allocation := range m.allocations {
+		machine.reconciliation.pendingCleanup[attempt] = max(c.cache.revision, c.cache.ownRevision)
+		for _, allocation := range machine.allocations {
 			if allocation.Job == attempt.task.Job && allocation.Attempt == attempt.attempt && allocation.Tasks.Has(attempt.task.Index) {
-				delete(m.reconciliation.pendingCleanup, attempt)
+				delete(machine.reconciliation.pendingCleanup, attempt)
 			}
 		}
 	}
@@ -243,34 +243,34 @@
 
 // sendCommands sends a machine the commands that it needs, directly, and reports whether
 // there were any.
-func (c *Controller) sendCommands(m *machine) bool {
-	if m.reconciliation.callInFlight || m.latestHeartbeat == nil || m.scaling.terminated || !c.isDue(m.reconciliation.nextSend) || !c.membership.ready {
+func (c *Controller) sendCommands(machine *machine) bool {
+	if machine.reconciliation.callInFlight || machine.latestHeartbeat == nil || machine.scaling.terminated || !c.isDue(machine.reconciliation.nextSend) || !c.membership.ready {
 		return false
 	}
-	request := c.commandRequest(m)
-	if request == nil || !c.admitCommands(m) {
+	request := c.commandRequest(machine)
+	if request == nil || !c.admitCommands(machine) {
 		return false
 	}
-	m.reconciliation.callInFlight = true
+	machine.reconciliation.callInFlight = true
 	c.fleet.commandCallsInFlight++
-	m.reconciliation.nextSend = c.now.Add(commandRetryInterval)
+	machine.reconciliation.nextSend = c.now.Add(commandRetryInterval)
 	calledAt := c.now
 	c.emit(SendCommands{call(c, func(response WorkerResponse) {
-		m.reconciliation.callInFlight = false
+		machine.reconciliation.callInFlight = false
 		c.fleet.commandCallsInFlight--
-		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
-		c.applyWorkerResponse(m, response)
-		if m.reconciliation.resend {
-			c.sendCommandsNow(m)
+		machine.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
+		c.applyWorkerResponse(machine, response)
+		if machine.reconciliation.resend {
+			c.sendCommandsNow(machine)
 		}
 		c.sendQueuedCommands()
-	}), m.addr, *request})
+	}), machine.addr, *request})
 	return true
 }
 
 // commandRequest is what to send a machine by its latest heartbeat; nil if nothing.
-func (c *Controller) commandRequest(m *machine) *wire.CommandRequest {
-	heartbeat := m.latestHeartbeat
+func (c *Controller) commandRequest(machine *machine) *wire.CommandRequest {
+	heartbeat := machine.latestHeartbeat
 	request := &wire.CommandRequest{Token: c.cache.token, AgentEpoch: heartbeat.AgentEpoch}
 	if heartbeat.Token > c.cache.token {
 		c.readBarrier(func(bool) {})
@@ -280,35 +280,35 @@
 		if c.storeReachable() {
 			return nil
 		}
-		if request.Commands = c.stopCommands(m); len(request.Commands) == 0 {
+		if request.Commands = c.stopCommands(machine); len(request.Commands) == 0 {
 			return nil
 		}
 		request.Token = heartbeat.Token
 	}
-	if m.reconciliation.reconciledHeartbeat == heartbeat {
+	if machine.reconciliation.reconciledHeartbeat == heartbeat {
 		return nil
 	}
 	if request.Commands == nil {
-		request.Commands = c.commandsFor(m)
+		request.Commands = c.commandsFor(machine)
 	}
 	if len(request.Commands) > 0 {
 		return request
 	}
-	if c.awaitsFence(m) {
+	if c.awaitsFence(machine) {
 		request.Commands = []wire.Command{} // only to show it the token
 		return request
 	}
-	if !m.reconciliation.launchDeferred {
-		m.reconciliation.reconciledHeartbeat = heartbeat
+	if !machine.reconciliation.launchDeferred {
+		machine.reconciliation.reconciledHeartbeat = heartbeat
 	}
 	return nil
 }
 
 // awaitsFence reports whether a machine has not seen the token that an allocation on it
 // waits for: until its next heartbeat, which may be far off, nothing else would show it.
-func (c *Controller) awaitsFence(m *machine) bool {
-	for _, allocation := range m.allocations {
-		if allocation.AgentEpoch == m.latestHeartbeat.AgentEpoch && allocation.Fence > m.latestHeartbeat.Token && allocation.Fence <= c.cache.token &&
+func (c *Controller) awaitsFence(machine *machine) bool {
+	for _, allocation := range machine.allocations {
+		if allocation.AgentEpoch == machine.latestHeartbeat.AgentEpoch && allocation.Fence > machine.latestHeartbeat.Token && allocation.Fence <= c.cache.token &&
 			(allocation.Launcher == c.membership.incarnation || c.ownsTeam(allocation.page.team)) {
 			return true
 		}
@@ -317,21 +317,21 @@
 }
 
 // sendCommandsNow sends what has just been decided, without the pause after earlier commands.
-func (c *Controller) sendCommandsNow(m *machine) {
-	if m.reconciliation.callInFlight {
-		m.reconciliation.resend = true
+func (c *Controller) sendCommandsNow(machine *machine) {
+	if machine.reconciliation.callInFlight {
+		machine.reconciliation.resend = true
 		return
 	}
-	m.reconciliation.resend = false
-	m.reconciliation.nextSend = c.now
-	c.sendCommands(m)
+	machine.reconciliation.resend = false
+	machine.reconciliation.nextSend = c.now
+	c.sendCommands(machine)
 }
 
 // sendCommandsForJob sends the machines of a job's allocations what has just been decided.
 func (c *Controller) sendCommandsForJob(id wire.JobID) {
 	for _, allocation := range c.scheduler.allocationsByJob[id] {
-		if m := c.fleet.machines[allocation.Machine]; m != nil {
-			c.sendCommandsNow(m)
+		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
+			c.sendCommandsNow(machine)
 		}
 	}
 }
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -64,18 +64,18 @@
 // evictFromPreemptedMachines stops tasks on machines that the cloud is about to take, as late
 // as they can still save a checkpoint. Replicas of services are stopped at once.
 func (c *Controller) evictFromPreemptedMachines(transactions map[string]*placementTransaction) {
-	for _, m := range c.orderedMachines() {
-		if m.scaling.preemptionAt == 0 {
+	for _, machine := range c.orderedMachines() {
+		if machine.scaling.preemptionAt == 0 {
 			continue
 		}
-		for _, allocation := range m.allocations {
+		for _, allocation := range machine.allocations {
 			job := c.cache.jobs[allocation.Job]
 			if job == nil || allocation.Eviction != record.EvictionNone || !c.ownsTeam(job.spec.Team) {
 				continue
 			}
 			txn := transactions[job.spec.Team]
-			if txn != nil && c.hasCapacityFor(txn, evictionOperations) && c.mustLeave(job, m) {
-				c.evictJobFrom(txn, job, m.id)
+			if txn != nil && c.hasCapacityFor(txn, evictionOperations) && c.mustLeave(job, machine) {
+				c.evictJobFrom(txn, job, machine.id)
 			}
 		}
 	}
@@ -83,11 +83,11 @@
 
 // mustLeave reports whether it is time for a job's tasks to leave a machine that the cloud is
 // about to take. Tasks that neither save checkpoints nor serve run on until then.
-func (c *Controller) mustLeave(job *job, m *machine) bool {
+func (c *Controller) mustLeave(job *job, machine *machine) bool {
 	if job.spec.Shape == wire.ShapeService {
 		return true
 	}
-	left := m.scaling.preemptionAt.Sub(c.now).Seconds()
+	left := machine.scaling.preemptionAt.Sub(c.now).Seconds()
 	return job.spec.CheckpointIntervalS > 0 && left < job.spec.CheckpointSaveS+2*checkpointMarginS
 }
 
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -51,8 +51,8 @@
 // lastSeen is when a machine last showed itself. One that has only just become known, or
 // that this controller has had no chance to hear yet, as when this process stalled, is
 // not silent.
-func (c *Controller) lastSeen(m *machine) Time {
-	return max(m.liveness.lastHeartbeatAt, m.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
+func (c *Controller) lastSeen(machine *machine) Time {
+	return max(machine.liveness.lastHeartbeatAt, machine.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
 }
 
 // maxHeartbeatInterval is the longest time between two heartbeats of a healthy worker.
@@ -69,16 +69,16 @@
 // heartbeatTimeout is how long a worker may be silent before it is probed. Where critical
 // tasks run, somebody waits for them at every moment, and heartbeats may be too far apart
 // to wait for the next.
-func (c *Controller) heartbeatTimeout(m *machine) time.Duration {
-	if c.hasCriticalTasks(m) {
+func (c *Controller) heartbeatTimeout(machine *machine) time.Duration {
+	if c.hasCriticalTasks(machine) {
 		return min(c.defaultHeartbeatTimeout(), criticalProbeAfter)
 	}
 	return c.defaultHeartbeatTimeout()
 }
 
 // hasCriticalTasks reports whether critical tasks are placed on a machine.
-func (c *Controller) hasCriticalTasks(m *machine) bool {
-	return c.scheduler.criticalAllocations[m.id] > 0
+func (c *Controller) hasCriticalTasks(machine *machine) bool {
+	return c.scheduler.criticalAllocations[machine.id] > 0
 }
 
 // noteHeartbeat notes a heartbeat that is newer than all before.
@@ -120,29 +120,29 @@
 // since it must know for itself. While siblings are out of reach, the heartbeats that they
 // receive are not gossiped: each controller then probes for itself, or it would take most
 // machines for silent after a while, and place nothing on them.
-func (c *Controller) shouldProbe(m *machine, quiet time.Duration) bool {
+func (c *Controller) shouldProbe(machine *machine, quiet time.Duration) bool {
 	if quiet > c.defaultHeartbeatTimeout() && !c.allPeersHeard() {
 		return true
 	}
-	if c.cache.provisionerIncarnation == c.membership.incarnation && quiet > c.heartbeatTimeout(m)+provisionerProbeDelay {
+	if c.cache.provisionerIncarnation == c.membership.incarnation && quiet > c.heartbeatTimeout(machine)+provisionerProbeDelay {
 		return true
 	}
-	return len(c.membership.eligibleControllers) == 0 || rendezvous.Highest(c.membership.eligibleControllers, string(m.id)) == c.settings.Label
+	return len(c.membership.eligibleControllers) == 0 || rendezvous.Highest(c.membership.eligibleControllers, string(machine.id)) == c.settings.Label
 }
 
 // confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
 // controller, as the team's owner, should write down: hints prove nothing.
-func (c *Controller) confirmDirectly(m *machine) {
-	if m.liveness.probing || m.directHeartbeat == m.latestHeartbeat || !c.isDue(m.liveness.nextProbe) || !c.canProbe() {
+func (c *Controller) confirmDirectly(machine *machine) {
+	if machine.liveness.probing || machine.directHeartbeat == machine.latestHeartbeat || !c.isDue(machine.liveness.nextProbe) || !c.canProbe() {
 		return
 	}
-	for _, allocation := range m.allocations {
+	for _, allocation := range machine.allocations {
 		if !c.ownsTeam(allocation.page.team) {
 			continue
 		}
 		for i := range allocation.Tasks.All {
-			if c.hintsAtChange(m, allocation, m.tasks[allocation.key(i)]) {
-				c.probeMachine(m)
+			if c.hintsAtChange(machine, allocation, machine.tasks[allocation.key(i)]) {
+				c.probeMachine(machine)
 				return
 			}
 		}
@@ -151,12 +151,12 @@
 
 // hintsAtChange reports whether a task's status in the latest heartbeat, nil if it is not
 // listed, suggests that a direct heartbeat would prove something about its allocation.
-func (c *Controller) hintsAtChange(m *machine, allocation *Allocation, task *wire.TaskStatus) bool {
+func (c *Controller) hintsAtChange(machine *machine, allocation *Allocation, task *wire.TaskStatus) bool {
 	if task != nil {
 		return task.State == wire.TaskExited
 	}
 	return allocation.Eviction != record.EvictionNone || c.cache.jobs[allocation.Job] == nil ||
-		!c.isAlive(allocation.Launcher) || m.latestHeartbeat.AgentEpoch > allocation.AgentEpoch
+		!c.isAlive(allocation.Launcher) || machine.latestHeartbeat.AgentEpoch > allocation.AgentEpoch
 }
 
 // canProbe reports whether another machine may be probed now. When hundreds hang, calls
@@ -182,30 +182,30 @@
 		}
 		return cmp.Compare(a.liveness.nextProbe, b.liveness.nextProbe)
 	})
-	for _, m := range due {
+	for _, machine := range due {
 		if !c.canProbe() {
 			return
 		}
-		c.probeMachine(m)
+		c.probeMachine(machine)
 	}
 }
 
 // probeMachine requests a heartbeat from a worker.
-func (c *Controller) probeMachine(m *machine) {
-	m.liveness.probing = true
-	m.liveness.nextProbe = c.now.Add(probeInterval)
+func (c *Controller) probeMachine(machine *machine) {
+	machine.liveness.probing = true
+	machine.liveness.nextProbe = c.now.Add(probeInterval)
 	c.fleet.probesInFlight++
 	c.metrics.count(countProbes, 1)
 	calledAt := c.now
 	c.emit(RequestHeartbeat{call(c, func(response WorkerResponse) {
-		m.liveness.probing = false
+		machine.liveness.probing = false
 		c.fleet.probesInFlight--
 		if response.Heartbeat == nil {
-			m.liveness.unansweredProbes++
+			machine.liveness.unansweredProbes++
 		}
-		m.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
-		c.applyWorkerResponse(m, response)
-	}), m.addr})
+		machine.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
+		c.applyWorkerResponse(machine, response)
+	}), machine.addr})
 }
 
 // isolated reports whether this controller reaches no workers, though there are some that
@@ -245,18 +245,21 @@
 // first: those that answered the last call, and of them those heard last.
 func (c *Controller) reachabilityCandidates() []*machine {
 	var candidates []*machine
-	for _, m := range c.orderedMachines() {
-		if m.addr == "" || m.scaling.terminated || m.liveness.probing || m.latestHeartbeat == nil || c.now.Sub(m.liveness.lastHeartbeatAt) >= forgetMachineAfter {
+	for _, machine := range c.orderedMachines() {
+		if machine.addr == "" || machine.scaling.terminated || machine.liveness.probing || machine.latestHeartbeat == nil || c.now.Sub(machine.liveness.lastHeartbeatAt) >= forgetMachineAfter {
 			continue
 		}
-		// One that answers is as good as any other; one that did not may be dead.
-		i, _ := slices.BinarySearchFunc(candidates, m, func(a, b *machine) int {
-			return cmp.Or(cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls), -cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
-		})
+		i, _ := slices.BinarySearchFunc(candidates, machine, compareReachability)
 		if i < reachabilityProbeCandidates {
-			candidates = slices.Insert(candidates, i, m)
+			candidates = slices.Insert(candidates, i, machine)
 			candidates = candidates[:min(len(candidates), reachabilityProbeCandidates)]
 		}
 	}
 	return candidates
 }
+
+// compareReachability orders machines by how likely they are to answer a probe. One that
+// answered the last call is as good as any other; one that did not may be dead.
+func compareReachability(a, b *machine) int {
+	return cmp.Or(cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls), -cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
+}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -78,20 +78,20 @@
 	return f.machinesByID
 }
 
-func (f *fleet) add(m *machine) {
-	f.machines[m.id] = m
+func (f *fleet) add(machine *machine) {
+	f.machines[machine.id] = machine
 	f.machinesByID = nil
 }
 
-func (f *fleet) remove(m *machine) {
-	delete(f.machines, m.id)
+func (f *fleet) remove(machine *machine) {
+	delete(f.machines, machine.id)
 	f.machinesByID = nil
 }
 
 // allocationsOn is the allocations that the records have on a machine.
 func (f *fleet) allocationsOn(id wire.MachineID) []*Allocation {
-	if m := f.machines[id]; m != nil {
-		return m.allocations
+	if machine := f.machines[id]; machine != nil {
+		return machine.allocations
 	}
 	return nil
 }
@@ -108,21 +108,21 @@
 
 // machine finds a machine, or adds it as one that has only just become known.
 func (c *Controller) machine(id wire.MachineID) *machine {
-	m := c.fleet.machines[id]
-	if m == nil {
-		m = newMachine(id, c.now)
-		c.fleet.add(m)
-		c.restoreRecordedImages(m)
+	machine := c.fleet.machines[id]
+	if machine == nil {
+		machine = newMachine(id, c.now)
+		c.fleet.add(machine)
+		c.restoreRecordedImages(machine)
 	}
-	return m
+	return machine
 }
 
 // orderedMachines is the machines in the order of their IDs. It must not be changed.
 func (c *Controller) orderedMachines() []*machine { return c.fleet.ordered() }
 
 // labelsOf is a machine's labels; all of a kind share them.
-func (c *Controller) labelsOf(m *machine) placement.Tags {
-	return c.fleet.kindLabels(machineKind{m.machineType, m.zone, m.spot})
+func (c *Controller) labelsOf(machine *machine) placement.Tags {
+	return c.fleet.kindLabels(machineKind{machine.machineType, machine.zone, machine.spot})
 }
 
 const (
@@ -171,12 +171,12 @@
 func (c *Controller) reviewFleet() {
 	var review fleetReview
 	c.fleet.machinesUp = 0
-	for _, m := range c.orderedMachines() {
-		if c.isGone(m) {
-			c.forgetUnused(m)
+	for _, machine := range c.orderedMachines() {
+		if c.isGone(machine) {
+			c.forgetUnused(machine)
 			continue
 		}
-		c.reviewLiveness(m, &review)
+		c.reviewLiveness(machine, &review)
 	}
 	c.probeMachines(review.due)
 	c.fleet.outboundSuspect = review.outboundSuspect()
@@ -187,50 +187,50 @@
 
 // isGone reports whether a machine was terminated, or neither its worker nor the cloud's
 // list has shown it for long.
-func (c *Controller) isGone(m *machine) bool {
-	return m.scaling.terminated ||
-		c.now.Sub(c.lastSeen(m)) > forgetMachineAfter && c.now.Sub(m.scaling.lastListedAt) > forgetMachineAfter
+func (c *Controller) isGone(machine *machine) bool {
+	return machine.scaling.terminated ||
+		c.now.Sub(c.lastSeen(machine)) > forgetMachineAfter && c.now.Sub(machine.scaling.lastListedAt) > forgetMachineAfter
 }
 
 // forgetUnused drops a machine that is gone and has no allocations. A terminated one is
 // remembered for a while, since late heartbeats of it may yet be gossiped.
-func (c *Controller) forgetUnused(m *machine) {
-	if len(m.allocations) == 0 && (!m.scaling.terminated || c.now.Sub(m.scaling.terminatedAt) > forgetMachineAfter) {
-		c.fleet.remove(m)
+func (c *Controller) forgetUnused(machine *machine) {
+	if len(machine.allocations) == 0 && (!machine.scaling.terminated || c.now.Sub(machine.scaling.terminatedAt) > forgetMachineAfter) {
+		c.fleet.remove(machine)
 	}
 }
 
 // reviewLiveness reviews one machine that is not gone.
-func (c *Controller) reviewLiveness(m *machine, review *fleetReview) {
-	if !m.isTerminated() && (m.latestHeartbeat != nil || m.scaling.status == wire.MachineRunning) {
+func (c *Controller) reviewLiveness(machine *machine, review *fleetReview) {
+	if !machine.isTerminated() && (machine.latestHeartbeat != nil || machine.scaling.status == wire.MachineRunning) {
 		c.fleet.machinesUp++
 	}
-	review.pendingCleanups = max(review.pendingCleanups, len(m.reconciliation.pendingCleanup))
-	quiet := c.now.Sub(c.lastSeen(m))
-	if m.latestHeartbeat != nil && quiet < forgetMachineAfter {
+	review.pendingCleanups = max(review.pendingCleanups, len(machine.reconciliation.pendingCleanup))
+	quiet := c.now.Sub(c.lastSeen(machine))
+	if machine.latestHeartbeat != nil && quiet < forgetMachineAfter {
 		review.reporting++
-		if m.unreachable() {
+		if machine.unreachable() {
 			review.unreachable++
 		}
 	}
-	if m.reconciliation.reconciledHeartbeat != m.latestHeartbeat && c.isDue(m.reconciliation.nextSend) && quiet < c.heartbeatTimeout(m) {
-		c.retryLaunches(m)
+	if machine.reconciliation.reconciledHeartbeat != machine.latestHeartbeat && c.isDue(machine.reconciliation.nextSend) && quiet < c.heartbeatTimeout(machine) {
+		c.retryLaunches(machine)
 	}
-	if m.isTerminated() && len(m.allocations) == 0 {
+	if machine.isTerminated() && len(machine.allocations) == 0 {
 		return
 	}
-	if c.probeDue(m, quiet) {
-		review.due = append(review.due, m)
+	if c.probeDue(machine, quiet) {
+		review.due = append(review.due, machine)
 	}
 }
 
 // retryLaunches sends commands again to a machine with allocations that this process
 // launches.
-func (c *Controller) retryLaunches(m *machine) {
-	launches := slices.ContainsFunc(m.allocations, func(allocation *Allocation) bool {
+func (c *Controller) retryLaunches(machine *machine) {
+	launches := slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
 		return allocation.Launcher == c.membership.incarnation && allocation.Eviction == record.EvictionNone
 	})
-	if launches && c.sendCommands(m) {
+	if launches && c.sendCommands(machine) {
 		c.metrics.count(countLaunchRetries, 1)
 	}
 }
@@ -238,9 +238,9 @@
 // probeDue reports whether to probe a machine that has been silent for so long: it may
 // have lost its way to this controller. One that left a call unanswered is probed though
 // its heartbeats go on.
-func (c *Controller) probeDue(m *machine, quiet time.Duration) bool {
-	if m.addr == "" || m.scaling.status == wire.MachineBooting || m.liveness.probing || !c.isDue(m.liveness.nextProbe) {
+func (c *Controller) probeDue(machine *machine, quiet time.Duration) bool {
+	if machine.addr == "" || machine.scaling.status == wire.MachineBooting || machine.liveness.probing || !c.isDue(machine.liveness.nextProbe) {
 		return false
 	}
-	return m.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(m) && c.shouldProbe(m, quiet)
+	return machine.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(machine) && c.shouldProbe(machine, quiet)
 }
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -145,11 +145,11 @@
 // queueAllHeartbeats has the next messages carry all that this controller knows of the
 // machines at first hand, in full.
 func (c *Controller) queueAllHeartbeats() {
-	for id, m := range c.fleet.machines {
-		if m.directHeartbeat != nil && c.now.Sub(m.liveness.lastDirectAt) < forgetMachineAfter && !m.scaling.terminated {
+	for id, machine := range c.fleet.machines {
+		if machine.directHeartbeat != nil && c.now.Sub(machine.liveness.lastDirectAt) < forgetMachineAfter && !machine.scaling.terminated {
 			c.gossip.pendingMachines[id] = true
 		}
-		m.liveness.gossipedHeartbeat = nil
+		machine.liveness.gossipedHeartbeat = nil
 	}
 	c.provisioner.gossipedStatus = nil
 }
@@ -159,18 +159,18 @@
 // one that is not.
 func (c *Controller) addHeartbeats(message *wire.PeerMessage) *wire.PeerMessage {
 	for _, id := range sortedKeys(c.gossip.pendingMachines) {
-		m := c.fleet.machines[id]
-		if m == nil || m.directHeartbeat == nil {
+		machine := c.fleet.machines[id]
+		if machine == nil || machine.directHeartbeat == nil {
 			continue
 		}
-		heartbeat := m.directHeartbeat
-		if m.liveness.gossipedHeartbeat != nil && sameStatus(m.liveness.gossipedHeartbeat, heartbeat) {
+		heartbeat := machine.directHeartbeat
+		if machine.liveness.gossipedHeartbeat != nil && sameStatus(machine.liveness.gossipedHeartbeat, heartbeat) {
 			message.UnchangedHeartbeats = append(message.UnchangedHeartbeats, wire.UnchangedHeartbeat{
 				Machine: id, AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, Token: heartbeat.Token})
 		} else {
 			message.Heartbeats = append(message.Heartbeats, heartbeat)
 		}
-		m.liveness.gossipedHeartbeat = heartbeat
+		machine.liveness.gossipedHeartbeat = heartbeat
 		if len(message.Heartbeats) == heartbeatsPerMessage {
 			c.broadcast(message)
 			message = c.newPeerMessage()
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -98,12 +98,12 @@
 // down what exits here. So each worker is redirected once: where others are well it stays
 // with them, and if it comes back, having found none, it is kept. It is redirected only if
 // its lease lasts for the tour of all controllers.
-func (c *Controller) shouldRedirectToPeer(m *machine) bool {
+func (c *Controller) shouldRedirectToPeer(machine *machine) bool {
 	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay ||
-		m.liveness.redirectedToPeerAt > c.cache.lastStoreResponse || !c.leaseOutlastsTour() {
+		machine.liveness.redirectedToPeerAt > c.cache.lastStoreResponse || !c.leaseOutlastsTour() {
 		return false
 	}
-	m.liveness.redirectedToPeerAt = c.now
+	machine.liveness.redirectedToPeerAt = c.now
 	c.metrics.count(countPeerRedirects, 1)
 	return true
 }
@@ -121,22 +121,22 @@
 
 // respondToHeartbeat renews a worker's lease and sends it the commands that it needs.
 func (c *Controller) respondToHeartbeat(in HeartbeatReceived) {
-	m := c.machine(in.Heartbeat.Machine)
-	returned := m.directHeartbeat == nil || c.now.Sub(m.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
+	machine := c.machine(in.Heartbeat.Machine)
+	returned := machine.directHeartbeat == nil || c.now.Sub(machine.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
-	if returned && !m.liveness.probing && !m.scaling.terminated && c.canProbe() {
+	if returned && !machine.liveness.probing && !machine.scaling.terminated && c.canProbe() {
 		// It may have come because no call reaches it, or this may be a late copy of a
 		// heartbeat that it sent long ago.
-		c.probeMachine(m)
+		c.probeMachine(machine)
 	}
 	var commands []wire.Command
-	if m.latestHeartbeat == in.Heartbeat {
-		commands = append(c.commandsFor(m), c.cleanupCommands(m)...)
+	if machine.latestHeartbeat == in.Heartbeat {
+		commands = append(c.commandsFor(machine), c.cleanupCommands(machine)...)
 	} else {
 		// A heartbeat that is older than the latest was held up on its way: commands that
 		// follow from it could repeat what is over. The response may renew the lease all
 		// the same.
-		commands = c.stopCommands(m)
+		commands = c.stopCommands(machine)
 	}
 	c.reply(in.Request, http.StatusOK, wire.HeartbeatResponse{Token: c.cache.token, Commands: commands})
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -41,47 +41,47 @@
 // from the worker itself: it alone proves that a task has exited. Another was gossiped
 // by a sibling and is a hint: it may be late, so it may show a state that is over.
 func (c *Controller) applyHeartbeat(heartbeat *wire.Heartbeat, direct bool) {
-	m := c.machine(heartbeat.Machine)
+	machine := c.machine(heartbeat.Machine)
 	if direct {
-		c.noteDirectHeartbeat(m, heartbeat)
+		c.noteDirectHeartbeat(machine, heartbeat)
 	}
-	if m.latestHeartbeat != nil && !heartbeat.Newer(m.latestHeartbeat) {
+	if machine.latestHeartbeat != nil && !heartbeat.Newer(machine.latestHeartbeat) {
 		return
 	}
-	before, first := m.tasks, m.latestHeartbeat == nil
+	before, first := machine.tasks, machine.latestHeartbeat == nil
 	// A heartbeat that only says that the machine is still there changes no schedule.
-	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(m.latestHeartbeat, heartbeat) || !c.heartbeatsOnTime(m)
-	m.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
-	m.setLatestHeartbeat(heartbeat, c.now)
+	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(machine.latestHeartbeat, heartbeat) || !c.heartbeatsOnTime(machine)
+	machine.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
+	machine.setLatestHeartbeat(heartbeat, c.now)
 	if first {
-		c.noteJoined(m)
+		c.noteJoined(machine)
 	}
-	m.scaling.notePreemptionNotice(heartbeat.PreemptionNoticeS, c.now)
-	c.applyTaskStatuses(m, before)
+	machine.scaling.notePreemptionNotice(heartbeat.PreemptionNoticeS, c.now)
+	c.applyTaskStatuses(machine, before)
 	if !direct && c.membership.ready {
-		c.confirmDirectly(m)
+		c.confirmDirectly(machine)
 	}
 }
 
 // noteDirectHeartbeat notes that a worker reaches this controller, and keeps the
 // heartbeat as the newest proof of what runs there unless it is late.
-func (c *Controller) noteDirectHeartbeat(m *machine, heartbeat *wire.Heartbeat) {
+func (c *Controller) noteDirectHeartbeat(machine *machine, heartbeat *wire.Heartbeat) {
 	if c.isolationSuspected() {
 		c.fleet.reachableSince = c.now
 	}
 	c.fleet.lastDirectHeartbeatAt = c.now
-	c.gossip.pendingMachines[m.id] = true
-	if m.directHeartbeat != nil && !heartbeat.Newer(m.directHeartbeat) {
+	c.gossip.pendingMachines[machine.id] = true
+	if machine.directHeartbeat != nil && !heartbeat.Newer(machine.directHeartbeat) {
 		return
 	}
-	if m.directHeartbeat == nil || !sameStatus(m.directHeartbeat, heartbeat) {
-		m.markForReview()
+	if machine.directHeartbeat == nil || !sameStatus(machine.directHeartbeat, heartbeat) {
+		machine.markForReview()
 		c.scheduler.dirty = true
 	}
-	m.directHeartbeat, m.directTasks, m.liveness.lastDirectAt = heartbeat, tasksByAttempt(heartbeat), c.now
-	for key, since := range m.reconciliation.missingSince {
-		if m.directTasks[key] != nil || c.now.Sub(since) > forgetMachineAfter {
-			delete(m.reconciliation.missingSince, key)
+	machine.directHeartbeat, machine.directTasks, machine.liveness.lastDirectAt = heartbeat, tasksByAttempt(heartbeat), c.now
+	for key, since := range machine.reconciliation.missingSince {
+		if machine.directTasks[key] != nil || c.now.Sub(since) > forgetMachineAfter {
+			delete(machine.reconciliation.missingSince, key)
 		}
 	}
 }
@@ -107,30 +107,30 @@
 //
 // The order is fixed: what one exit shows of a job decides what the next shows of the
 // machine, so in the order of the map the same heartbeat quarantined it or not.
-func (c *Controller) applyTaskStatuses(m *machine, before map[attemptKey]*wire.TaskStatus) {
+func (c *Controller) applyTaskStatuses(machine *machine, before map[attemptKey]*wire.TaskStatus) {
 	pulling := map[string]bool{}
-	for _, task := range sortedTasks(m.latestHeartbeat) {
+	for _, task := range sortedTasks(machine.latestHeartbeat) {
 		key := attemptKey{task.Task, task.Attempt}
-		if m.tasks[key] != task {
+		if machine.tasks[key] != task {
 			continue // listed twice: the last counts
 		}
 		if job := c.cache.jobs[task.Task.Job]; job != nil {
 			if task.State == wire.TaskPulling {
 				pulling[job.spec.Image] = true
 			}
-			c.noteTaskState(m, job, task.State)
+			c.noteTaskState(machine, job, task.State)
 		}
 		if old := before[key]; task.State == wire.TaskExited && (old == nil || old.State != wire.TaskExited) {
-			c.noteTaskExit(m, task)
+			c.noteTaskExit(machine, task)
 		}
 	}
-	m.images.pulling = len(pulling)
+	machine.images.pulling = len(pulling)
 }
 
 // noteTaskState notes what a task's state shows of its job and of the machine's images.
-func (c *Controller) noteTaskState(m *machine, job *job, state wire.TaskState) {
+func (c *Controller) noteTaskState(machine *machine, job *job, state wire.TaskState) {
 	if state == wire.TaskRunning || state == wire.TaskWaiting {
-		c.noteImageUse(m, job.spec.Image)
+		c.noteImageUse(machine, job.spec.Image)
 		c.noteJobStarted(job)
 	}
 	if state == wire.TaskRunning && job.crashLoop.consecutiveBackoffs > 0 {
@@ -151,25 +151,25 @@
 // applyUnchangedHeartbeat takes a sibling's gossip that a machine sent another heartbeat
 // with the status of the one before.
 func (c *Controller) applyUnchangedHeartbeat(unchanged *wire.UnchangedHeartbeat) {
-	m := c.fleet.machines[unchanged.Machine]
-	if m == nil || m.latestHeartbeat == nil || m.latestHeartbeat.AgentEpoch != unchanged.AgentEpoch || m.latestHeartbeat.Sequence >= unchanged.Sequence {
+	machine := c.fleet.machines[unchanged.Machine]
+	if machine == nil || machine.latestHeartbeat == nil || machine.latestHeartbeat.AgentEpoch != unchanged.AgentEpoch || machine.latestHeartbeat.Sequence >= unchanged.Sequence {
 		return
 	}
-	m.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
-	heartbeat := *m.latestHeartbeat
+	machine.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
+	heartbeat := *machine.latestHeartbeat
 	heartbeat.Sequence, heartbeat.Token = unchanged.Sequence, unchanged.Token
-	m.latestHeartbeat = &heartbeat
-	m.liveness.noteHeartbeat(c.now)
+	machine.latestHeartbeat = &heartbeat
+	machine.liveness.noteHeartbeat(c.now)
 	if c.membership.ready {
-		c.confirmDirectly(m)
+		c.confirmDirectly(machine)
 	}
 }
 
 // applyWorkerResponse takes the heartbeat with which a worker answered a direct call. A
 // worker that has seen a higher fencing token than is known here obeys nobody who does
 // not know it, so this controller first reads what was written before.
-func (c *Controller) applyWorkerResponse(m *machine, response WorkerResponse) {
-	if response.Heartbeat == nil || response.Heartbeat.Machine != m.id {
+func (c *Controller) applyWorkerResponse(machine *machine, response WorkerResponse) {
+	if response.Heartbeat == nil || response.Heartbeat.Machine != machine.id {
 		return
 	}
 	c.applyHeartbeat(response.Heartbeat, true)
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -139,8 +139,8 @@
 func (c *Controller) status(job *job) wire.JobStatus {
 	status := wire.JobStatus{ID: job.id, Status: wire.StatusPending, Done: job.completed.Len()}
 	for _, allocation := range c.scheduler.allocationsByJob[job.id] {
-		if m := c.fleet.machines[allocation.Machine]; m != nil {
-			status.Running += m.running(allocation)
+		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
+			status.Running += machine.running(allocation)
 		}
 	}
 	if status.Running > 0 {
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -67,17 +67,17 @@
 // at it again even if its machine shows nothing new: something is open, or was removed and
 // is yet to be written. Most allocations run for long and cost nothing meanwhile.
 func (c *Controller) collectTaskExit(txn *placementTransaction, page *page, allocation *Allocation) bool {
-	m := allocation.host
-	heartbeat := m.directHeartbeat
+	machine := allocation.host
+	heartbeat := machine.directHeartbeat
 	// After a new agent epoch the worker obeys no command that was meant for the one before.
-	if m.scaling.terminated || heartbeat != nil && heartbeat.AgentEpoch > allocation.AgentEpoch {
+	if machine.scaling.terminated || heartbeat != nil && heartbeat.AgentEpoch > allocation.AgentEpoch {
 		c.removeTasks(txn, page, allocation, allocation.Tasks, record.TaskSet{})
 		return true
 	}
 	if heartbeat == nil || heartbeat.AgentEpoch < allocation.AgentEpoch {
 		return false
 	}
-	observed := c.observeTasks(m, allocation)
+	observed := c.observeTasks(machine, allocation)
 	if !observed.missing.Empty() {
 		if c.fencedOff(allocation, heartbeat) {
 			observed.exited = observed.exited.With(observed.missing)
@@ -96,11 +96,11 @@
 }
 
 // observeTasks sorts an allocation's tasks by what the direct heartbeat says of them.
-func (c *Controller) observeTasks(m *machine, allocation *Allocation) observedTasks {
+func (c *Controller) observeTasks(machine *machine, allocation *Allocation) observedTasks {
 	var observed observedTasks
 	countsAsDone := c.cache.jobs[allocation.Job] != nil && allocation.Shape != wire.ShapeService
 	for i := range allocation.Tasks.All {
-		task := m.directTasks[allocation.key(i)]
+		task := machine.directTasks[allocation.key(i)]
 		switch {
 		case task == nil:
 			observed.missing = observed.missing.Add(i)
@@ -176,18 +176,18 @@
 
 // launchTimedOut reports whether a worker that sends heartbeats to this controller has
 // lacked an allocation's tasks for so long that its launcher does not seem to reach it.
-func (c *Controller) launchTimedOut(m *machine, allocation *Allocation) bool {
+func (c *Controller) launchTimedOut(machine *machine, allocation *Allocation) bool {
 	first := allocation.key(allocation.Tasks.First())
-	since, ok := m.reconciliation.missingSince[first]
+	since, ok := machine.reconciliation.missingSince[first]
 	if !ok {
-		m.reconciliation.missingSince[first] = c.now
+		machine.reconciliation.missingSince[first] = c.now
 		return false
 	}
 	timeout := launchTimeout
 	if job := c.cache.jobs[allocation.Job]; job != nil && allocation.Shape == wire.ShapeGang {
 		timeout += c.gangImagePullTime(job, allocation.Attempt) // its launcher may defer it
 	}
-	return c.now.Sub(max(since, c.resumedAt)) > timeout && c.now.Sub(m.liveness.lastDirectAt) < launchTimeout
+	return c.now.Sub(max(since, c.resumedAt)) > timeout && c.now.Sub(machine.liveness.lastDirectAt) < launchTimeout
 }
 
 // raiseFence changes an allocation and raises the token in the same transaction: whoever
