--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -37,7 +37,7 @@
 	}
 	c.archiveCompletedJobs()
 	require.Len(t, c.outputs, 1, "one at a time")
-	c.pendingCalls[c.nextCall].complete(CommitResult{Revision: 9000})
+	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 9000})
 	require.Len(t, c.cache.completedJobs, maxCompletedInPlace)
 	for i := range maxCompletedInPlace + 2 {
 		f, ok := c.completion(name(i))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,10 +37,7 @@
 	wall    int64 // Unix milliseconds
 	outputs []Output
 
-	pendingCalls  map[CallID]pendingCall
-	nextCall      CallID
-	callStartedAt Time // when the call was made whose result is being handled
-
+	calls          callTable
 	cache          stateCache
 	membership     membership
 	fleet          fleet
@@ -66,11 +63,11 @@
 // same random numbers.
 func New(settings *config.Settings, log *slog.Logger, seed uint64) *Controller {
 	c := &Controller{
-		settings:     settings,
-		log:          log,
-		rand:         rand.New(rand.NewPCG(seed, randStream)),
-		pendingCalls: map[CallID]pendingCall{},
+		settings: settings,
+		log:      log,
+		rand:     rand.New(rand.NewPCG(seed, randStream)),
 	}
+	c.calls.init()
 	c.cache.init()
 	c.gossip.init()
 	c.fleet.init(sockets.NewBudget(settings).Workers)
@@ -129,7 +126,7 @@
 	case HeartbeatReceived:
 		c.handleHeartbeat(in)
 	case CallCompleted:
-		c.completeCall(in)
+		c.calls.complete(in)
 	case ViewRequested:
 		c.handleView(in)
 	case SettingsChangeRequested:
@@ -174,7 +171,7 @@
 // handled. A response to a call from before this process stalled may have waited all the
 // while: it does not show that the store can be reached, nor that the cache is current.
 func (c *Controller) noteStoreResponse() {
-	if c.callStartedAt < c.resumedAt {
+	if c.calls.currentStartedAt < c.resumedAt {
 		return
 	}
 	c.membership.stale = c.membership.stale || c.membership.loaded && !c.storeReachable()
--- a/internal/controller/results.go
+++ b/internal/controller/results.go
@@ -102,28 +102,3 @@
 func (ProvisionResult) isResult() {}
 func (TerminateResult) isResult() {}
 func (WorkerResponse) isResult()  {}
-
-// pendingCall is a call without a result yet.
-type pendingCall struct {
-	startedAt Time
-	complete  func(Result)
-}
-
-// call registers what to do with a call's result, and returns the ID under which the
-// result comes back. Every call must come back, if only as Unknown.
-func call[R Result](c *Controller, then func(R)) CallID {
-	c.nextCall++
-	c.pendingCalls[c.nextCall] = pendingCall{c.now, func(result Result) { then(result.(R)) }}
-	return c.nextCall
-}
-
-// completeCall hands a call's result to whoever made the call.
-func (c *Controller) completeCall(in CallCompleted) {
-	pending, ok := c.pendingCalls[in.Call]
-	if !ok {
-		return
-	}
-	delete(c.pendingCalls, in.Call)
-	c.callStartedAt = pending.startedAt
-	pending.complete(in.Result)
-}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -129,7 +129,7 @@
 	c.cache.revision = max(c.cache.revision, result.Response.Revision)
 	if c.membership.loaded {
 		// The answer holds every change from before the call, however late it came.
-		c.cancellations.noteCacheCurrent(c.callStartedAt)
+		c.cancellations.noteCacheCurrent(c.calls.currentStartedAt)
 	}
 	c.cache.forgetDeletedKeys()
 	return true
