--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -143,7 +143,7 @@
 	if c.isDue(machine.reconciliation.nextSend) && !machine.reconciliation.callInFlight && (!c.storeReachable() || c.isResponsibleFor(machine)) {
 		c.sendCommands(machine)
 	}
-	if machine.latestHeartbeat == nil && machine.addr != "" && !machine.liveness.probing && c.isDue(machine.liveness.nextProbe) && c.canProbe() {
+	if machine.latestHeartbeat == nil && machine.addr != "" && machine.liveness.probeAllowed(c.now) && c.canProbe() {
 		c.probeMachine(machine)
 	}
 }
@@ -174,7 +174,7 @@
 	part := unrecordedFraction
 	if !c.storeReachable() {
 		part = unrecordedFractionIsolated
-		if c.cache.provisionerIncarnation == c.membership.incarnation && !c.isolationSuspected() {
+		if c.isProvisioner() && !c.isolationSuspected() {
 			part = unrecordedFractionProvisioner
 		}
 	}
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -124,7 +124,7 @@
 	if quiet > c.defaultHeartbeatTimeout() && !c.allPeersHeard() {
 		return true
 	}
-	if c.cache.provisionerIncarnation == c.membership.incarnation && quiet > c.heartbeatTimeout(machine)+provisionerProbeDelay {
+	if c.isProvisioner() && quiet > c.heartbeatTimeout(machine)+provisionerProbeDelay {
 		return true
 	}
 	return len(c.membership.eligibleControllers) == 0 || rendezvous.Highest(c.membership.eligibleControllers, string(machine.id)) == c.settings.Label
@@ -133,7 +133,7 @@
 // confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
 // controller, as the team's owner, should write down: hints prove nothing.
 func (c *Controller) confirmDirectly(machine *machine) {
-	if machine.liveness.probing || machine.directHeartbeat == machine.latestHeartbeat || !c.isDue(machine.liveness.nextProbe) || !c.canProbe() {
+	if machine.directHeartbeat == machine.latestHeartbeat || !machine.liveness.probeAllowed(c.now) || !c.canProbe() {
 		return
 	}
 	for _, allocation := range machine.allocations {
@@ -159,6 +159,9 @@
 		!c.isAlive(allocation.Launcher) || machine.latestHeartbeat.AgentEpoch > allocation.AgentEpoch
 }
 
+// probeAllowed reports whether no probe is under way, and the last one was long enough ago.
+func (l *liveness) probeAllowed(now Time) bool { return !l.probing && now >= l.nextProbe }
+
 // canProbe reports whether another machine may be probed now. When hundreds hang, calls
 // to them would pile up otherwise, with a socket each.
 func (c *Controller) canProbe() bool {
@@ -246,7 +249,8 @@
 func (c *Controller) reachabilityCandidates() []*machine {
 	var candidates []*machine
 	for _, machine := range c.orderedMachines() {
-		if machine.addr == "" || machine.scaling.terminated || machine.liveness.probing || machine.latestHeartbeat == nil || c.now.Sub(machine.liveness.lastHeartbeatAt) >= forgetMachineAfter {
+		if machine.addr == "" || machine.scaling.terminated || machine.liveness.probing || machine.latestHeartbeat == nil ||
+			c.now.Sub(machine.liveness.lastHeartbeatAt) >= forgetMachineAfter {
 			continue
 		}
 		i, _ := slices.BinarySearchFunc(candidates, machine, compareReachability)
@@ -261,5 +265,7 @@
 // compareReachability orders machines by how likely they are to answer a probe. One that
 // answered the last call is as good as any other; one that did not may be dead.
 func compareReachability(a, b *machine) int {
-	return cmp.Or(cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls), -cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
+	return cmp.Or(
+		cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls),
+		-cmp.Compare(a.liveness.lastHeartbeatAt, b.liveness.lastHeartbeatAt))
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -213,7 +213,7 @@
 			review.unreachable++
 		}
 	}
-	if machine.reconciliation.reconciledHeartbeat != machine.latestHeartbeat && c.isDue(machine.reconciliation.nextSend) && quiet < c.heartbeatTimeout(machine) {
+	if !machine.isReconciled() && c.isDue(machine.reconciliation.nextSend) && quiet < c.heartbeatTimeout(machine) {
 		c.retryLaunches(machine)
 	}
 	if machine.isTerminated() && len(machine.allocations) == 0 {
@@ -239,7 +239,7 @@
 // have lost its way to this controller. One that left a call unanswered is probed though
 // its heartbeats go on.
 func (c *Controller) probeDue(machine *machine, quiet time.Duration) bool {
-	if machine.addr == "" || machine.scaling.status == wire.MachineBooting || machine.liveness.probing || !c.isDue(machine.liveness.nextProbe) {
+	if machine.addr == "" || machine.scaling.status == wire.MachineBooting || !machine.liveness.probeAllowed(c.now) {
 		return false
 	}
 	return machine.liveness.unansweredCalls > 0 || quiet > c.heartbeatTimeout(machine) && c.shouldProbe(machine, quiet)
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -122,7 +122,8 @@
 // respondToHeartbeat renews a worker's lease and sends it the commands that it needs.
 func (c *Controller) respondToHeartbeat(in HeartbeatReceived) {
 	machine := c.machine(in.Heartbeat.Machine)
-	returned := machine.directHeartbeat == nil || c.now.Sub(machine.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
+	returned := machine.directHeartbeat == nil ||
+		c.now.Sub(machine.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
 	if returned && !machine.liveness.probing && !machine.scaling.terminated && c.canProbe() {
 		// It may have come because no call reaches it, or this may be a late copy of a
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -152,7 +152,10 @@
 // with the status of the one before.
 func (c *Controller) applyUnchangedHeartbeat(unchanged *wire.UnchangedHeartbeat) {
 	machine := c.fleet.machines[unchanged.Machine]
-	if machine == nil || machine.latestHeartbeat == nil || machine.latestHeartbeat.AgentEpoch != unchanged.AgentEpoch || machine.latestHeartbeat.Sequence >= unchanged.Sequence {
+	if machine == nil || machine.latestHeartbeat == nil {
+		return
+	}
+	if machine.latestHeartbeat.AgentEpoch != unchanged.AgentEpoch || machine.latestHeartbeat.Sequence >= unchanged.Sequence {
 		return
 	}
 	machine.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -141,6 +141,11 @@
 	return count
 }
 
+// isReconciled reports whether no command follows from the latest heartbeat.
+func (m *machine) isReconciled() bool {
+	return m.reconciliation.reconciledHeartbeat == m.latestHeartbeat
+}
+
 // isTerminated reports whether a machine was terminated, as far as can be told: probing
 // it would only cost calls.
 func (m *machine) isTerminated() bool {
