--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -76,14 +76,23 @@
 	return wire.AdminSettings{Version: c.operator.version, Settings: values}
 }
 
-// operatorChange carries out a change of what is stored, named subject, that an operator
-// asks for. makeTxn is called once the cache holds all that was written before now;
-// errorStatus says how its errors are answered, and done answers once the change is made.
-func (c *Controller) operatorChange(request RequestID, subject string, makeTxn func() (wire.Transaction, error), errorStatus func(error) int, done func()) {
+// operatorChange is an operator's request to change what is stored.
+type operatorChange struct {
+	request RequestID
+	subject string // what is changed, as the operator is told
+	// transaction is called once the cache holds all that was written before now.
+	transaction func() (wire.Transaction, error)
+	errorStatus func(error) int // the HTTP status for an error of transaction
+	done        func()          // answers once the change is made
+}
+
+// carryOut makes an operator's change, and answers if it cannot.
+func (c *Controller) carryOut(change operatorChange) {
+	request, subject := change.request, change.subject
 	c.afterBarrier(request, func() {
-		txn, err := makeTxn()
+		txn, err := change.transaction()
 		if err != nil {
-			c.refuse(request, errorStatus(err), err.Error(), 0)
+			c.refuse(request, change.errorStatus(err), err.Error(), 0)
 			return
 		}
 		if len(txn.If) > maxConditionsPerOperation*c.settings.Cluster.State.TxnOps {
@@ -93,7 +102,7 @@
 		c.commit(PriorityAdmission, txn, func(result CommitResult) {
 			switch result.Outcome {
 			case Succeeded:
-				done()
+				change.done()
 			case Conflict:
 				c.refuse(request, http.StatusConflict, "the controllers or the "+subject+" have changed meanwhile: read the "+subject+" again", 0)
 			default:
--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -22,7 +22,7 @@
 		Label:            c.settings.Label,
 		Incarnation:      c.membership.incarnation,
 		Alive:            true,
-		Provisioner:      c.cache.provisionerIncarnation == c.membership.incarnation,
+		Provisioner:      c.isProvisioner(),
 		Self:             true,
 		StoreReachable:   c.storeReachable(),
 		HeardFrom:        true,
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -163,7 +163,7 @@
 		count -= tasks
 	}
 	if count > 0 && p.c.schedulesJob(j) {
-		count = p.c.preempt(p, evaluator, rules, pending, count, usable)
+		count = p.c.preempt(&preemption{pass: p, evaluator: evaluator, rules: rules, pending: pending, usable: usable}, count)
 	}
 	return count
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -23,10 +23,9 @@
 // preempt stops tasks to make room for a pending job and returns how many of its tasks still
 // have none. Work within its team's guarantee is stopped only where nothing else will do, and
 // only for urgent jobs.
-func (c *Controller) preempt(pass *schedulingPass, evaluator *placement.Evaluator, rules []placement.Node, pending *pendingJob, count int, usable func(*placement.Host) bool) int {
-	search := &preemption{pass: pass, evaluator: evaluator, rules: rules, pending: pending, usable: usable}
+func (c *Controller) preempt(search *preemption, count int) int {
 	count = c.preemptOnHosts(search, count)
-	if count > 0 && pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
+	if count > 0 && search.pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		search.ofGuaranteed = true
 		count = c.preemptOnHosts(search, count)
 	}
@@ -38,7 +37,8 @@
 func (c *Controller) preemptOnHosts(search *preemption, count int) int {
 	job := search.pending.job
 	for _, host := range c.preemptionHosts(search) {
-		for count > 0 && search.evaluator.Holds(search.rules, job.spec.Team, host) && c.makeRoom(search.pass.transactions, host, search.pending, search.ofGuaranteed) {
+		for count > 0 && search.evaluator.Holds(search.rules, job.spec.Team, host) &&
+			c.makeRoom(search.pass.transactions, host, search.pending, search.ofGuaranteed) {
 			search.pass.reserveFreeingCapacity(search.evaluator, job, host, 1)
 			count--
 			c.metrics.count(countPreempted, 1)
@@ -162,7 +162,11 @@
 		}
 	}
 	slices.SortFunc(allocations, func(a, b *Allocation) int {
-		return cmp.Or(cmp.Compare(boolToInt(c.scheduler.guaranteedJobs[a.Job]), boolToInt(c.scheduler.guaranteedJobs[b.Job])), -cmp.Compare(a.Priority, b.Priority), -cmp.Compare(a.Attempt, b.Attempt), cmp.Compare(a.Job, b.Job))
+		return cmp.Or(
+			cmp.Compare(boolToInt(c.scheduler.guaranteedJobs[a.Job]), boolToInt(c.scheduler.guaranteedJobs[b.Job])),
+			-cmp.Compare(a.Priority, b.Priority),
+			-cmp.Compare(a.Attempt, b.Attempt),
+			cmp.Compare(a.Job, b.Job))
 	})
 	return allocations
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -74,7 +74,12 @@
 }
 
 func (c *Controller) shutdownReply(request RequestID) Reply {
-	return Reply{Request: request, Status: http.StatusServiceUnavailable, Body: wire.ErrorResponse{Error: c.rollout.shutdownCause.Error()}, RetryAfter: longRetryDelay}
+	return Reply{
+		Request:    request,
+		Status:     http.StatusServiceUnavailable,
+		Body:       wire.ErrorResponse{Error: c.rollout.shutdownCause.Error()},
+		RetryAfter: longRetryDelay,
+	}
 }
 
 // tickRollout activates a format that all controllers are ready for, where the deployment
@@ -82,8 +87,8 @@
 // one another; whether it may is decided by the conditions of the transaction.
 func (c *Controller) tickRollout() {
 	settings := &c.settings.Features.Rollout
-	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || c.cache.provisionerIncarnation != c.membership.incarnation || !c.isDue(c.rollout.nextActivation) ||
-		!c.cacheComplete() || !c.storeReachable() {
+	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || !c.isProvisioner() ||
+		!c.isDue(c.rollout.nextActivation) || !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
 	c.rollout.nextActivation = c.now.Add(activationInterval)
@@ -115,11 +120,17 @@
 	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.operatorChange(in.Request, "rollout", func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) }, rolloutErrorStatus, func() {
-		c.rolloutEvent(RolloutChanged)
-		c.log.Info("rollout changed by an operator", "format", c.rollout.tracker.Format(), "activate", in.Change.Activate != nil,
-			"exclude", in.Change.Exclude, "reason", in.Change.Reason, "include", in.Change.Include)
-		c.reply(in.Request, http.StatusOK, c.rollout.tracker.View())
+	c.carryOut(operatorChange{
+		request:     in.Request,
+		subject:     "rollout",
+		transaction: func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) },
+		errorStatus: rolloutErrorStatus,
+		done: func() {
+			c.rolloutEvent(RolloutChanged)
+			c.log.Info("rollout changed by operator", "format", c.rollout.tracker.Format(), "activate", in.Change.Activate != nil,
+				"exclude", in.Change.Exclude, "reason", in.Change.Reason, "include", in.Change.Include)
+			c.reply(in.Request, http.StatusOK, c.rollout.tracker.View())
+		},
 	})
 }
 
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -84,7 +84,7 @@
 		return
 	}
 	c.shards.nextReview = c.now.Add(shardReviewInterval)
-	if c.cache.provisionerIncarnation == c.membership.incarnation {
+	if c.isProvisioner() {
 		if a, due := c.shardingSwitch(); due {
 			c.commitShardAction(a)
 			return
@@ -207,10 +207,16 @@
 	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.operatorChange(in.Request, "shares", func() (wire.Transaction, error) { return c.shardTransaction(in.Change) }, shardErrorStatus, func() {
-		c.log.Info("shares changed by an operator", "move", in.Change.Move, "to", in.Change.To, "drain", in.Change.Drain,
-			"reason", in.Change.Reason, "end_drain", in.Change.EndDrain)
-		c.reply(in.Request, http.StatusOK, c.shardsView())
+	c.carryOut(operatorChange{
+		request:     in.Request,
+		subject:     "shares",
+		transaction: func() (wire.Transaction, error) { return c.shardTransaction(in.Change) },
+		errorStatus: shardErrorStatus,
+		done: func() {
+			c.log.Info("shards changed by operator", "move", in.Change.Move, "to", in.Change.To, "drain", in.Change.Drain,
+				"reason", in.Change.Reason, "end_drain", in.Change.EndDrain)
+			c.reply(in.Request, http.StatusOK, c.shardsView())
+		},
 	})
 }
 
