--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -13,12 +11,12 @@
 	"lilacrill/wire"
 )
 
-// TestRefusedUsersAreSpread: what cannot be taken is refused in the same step, and
-// users are told to come back one after the other, not all at once.
+// TestRefusedUsersAreSpread: submissions that cannot be taken are refused in the same step, and
+// users are advised to retry one after the other, not all at once.
 func TestRefusedUsersAreSpread(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		Teams: []config.Team{{Name: "guest"}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(settings)
 	c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east"}}}
 	c.membership.ready, c.membership.loaded = true, true
 	taken, last := 0, time.Duration(0)
@@ -42,3 +40,36 @@
 	}
 	require.InDelta(t, 34, taken, 2, "0.8 s worth of writes")
 }
+
+// TestInfeasibleJobsAreRefusedWithReason pins down which jobs can never run, and the reason
+// that users are given.
+func TestInfeasibleJobsAreRefusedWithReason(t *testing.T) {
+	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "west"},
+		Teams: []config.Team{{Name: "desk", CPUs: 10, CPUsMax: 10}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}})
+	c.provisioner.catalogue = []wire.MachineType{
+		{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east", "west"}},
+		{Name: "c8", Cores: 8, MemGB: 16, Zones: []string{"east"}},
+	}
+	feasible := wire.JobSpec{ID: "wk-000001", Team: "desk", Shape: wire.ShapeGang, Priority: wire.PriorityNormal, Tasks: 2, Cores: 4, MemGB: 1}
+	tests := []struct {
+		name   string
+		change func(*wire.JobSpec)
+		want   error
+	}{
+		{"feasible", func(*wire.JobSpec) {}, nil},
+		{"unknown team", func(s *wire.JobSpec) { s.Team = "nobody" }, errUnknownTeam},
+		{"gang above the team's limit", func(s *wire.JobSpec) { s.Tasks = 3 }, errAboveTeamLimit},
+		{"array whose tasks fit one by one", func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeArray, 3 }, nil},
+		{"single zone and spread over zones", func(s *wire.JobSpec) { s.SingleZone, s.SpreadZones = true, true }, errSingleAndSpread},
+		{"spread over zones in a given zone", func(s *wire.JobSpec) { s.SpreadZones, s.Zone = true, "east" }, errSpreadInZone},
+		{"task above every machine type", func(s *wire.JobSpec) { s.Tasks, s.Cores = 1, 9 }, errNoMachineType},
+		{"spread over zones of which one has the machine type", func(s *wire.JobSpec) { s.SpreadZones, s.Cores = true, 5 }, errSpreadOverOneZone},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			spec := feasible
+			test.change(&spec)
+			require.ErrorIs(t, c.checkFeasible(&spec), test.want)
+		})
+	}
+}
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -20,7 +18,7 @@
 func TestEndsAreFiled(t *testing.T) {
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(set)
 	name := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
 	for i := range maxCompletedInPlace + 2 {
 		c.apply(record.JobKey(name(i)), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"io"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -20,7 +18,7 @@
 	set := &config.Settings{Label: "rig-0", Siblings: []config.Sibling{{Label: "rig-1"}, {Label: "rig-2"}},
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(set)
 	c.membership.loaded, c.cache.revision = true, 100
 	for i := range 5 {
 		c.now = Time(10+i) * Time(time.Second)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"io"
-	"log/slog"
 	"slices"
 	"testing"
 
@@ -13,47 +11,63 @@
 	"lilacrill/wire"
 )
 
+// heartbeatVerdict is what a controller concludes from a heartbeat about its machine and the
+// two jobs whose tasks exited there.
+type heartbeatVerdict struct {
+	faulty   bool
+	failures [2]int  // machines on which each job is known to fail
+	avoided  [2]Time // until when each avoids the machine
+}
+
 // TestSameHeartbeatSameVerdict guards the replay of a controller's inputs: a heartbeat with
 // many exited tasks, as a controller that has just started receives it, leads to the same
 // verdict on its machine and its jobs every time, in whatever order it lists them.
 func TestSameHeartbeatSameVerdict(t *testing.T) {
-	type verdict struct {
-		faulty   bool
-		failures [2]int  // machines on which each job is known to fail
-		avoided  [2]Time // until when each avoids the machine
-	}
-	verdictOf := func(reversed bool) verdict {
-		settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
-			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-		c := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
-		c.now = 1_000_000
-		var jobs []*job
-		for _, id := range []wire.JobID{"wk-000001", "wk-000002"} {
-			job := c.newJob(id)
-			job.spec = wire.JobSpec{ID: id, Team: "desk", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 8, Cores: 1}
-			job.request = placement.NewRequest(&job.spec)
-			jobs = append(jobs, job)
-		}
-		heartbeat := &wire.Heartbeat{Machine: "m-000001", AgentEpoch: 1, Sequence: 1}
-		for _, job := range jobs {
-			for i, cause := range []wire.Cause{wire.CauseDone, wire.CauseError, wire.CauseNoRoom, wire.CauseError, wire.CauseDone, wire.CauseError} {
-				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: wire.TaskID{Job: job.id, Index: i}, Attempt: wire.Attempt(i + 1), State: wire.TaskExited, Cause: cause})
-			}
-		}
-		if reversed {
-			slices.Reverse(heartbeat.Tasks)
-		}
-		c.applyHeartbeat(heartbeat, true)
-		m := c.machine(heartbeat.Machine)
-		result := verdict{faulty: !c.isDue(m.quarantine.faultyUntil)}
-		for i, job := range jobs {
-			result.failures[i], result.avoided[i] = len(job.crashLoop.failedMachines), job.crashLoop.avoidMachines[m.id]
-		}
-		return result
-	}
-	first := verdictOf(false)
+	first := verdictOnExits(false)
 	require.True(t, first.faulty, "two jobs went well once and failed then")
 	for i := range 200 {
-		require.Equal(t, first, verdictOf(i%2 == 1), "run %d", i)
+		require.Equal(t, first, verdictOnExits(i%2 == 1), "run %d", i)
+	}
+}
+
+// verdictOnExits has a new controller apply a heartbeat with exits of two jobs.
+func verdictOnExits(reversed bool) heartbeatVerdict {
+	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
+		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}})
+	c.now = 1_000_000
+	jobs := []*job{newTestJob(c, "wk-000001"), newTestJob(c, "wk-000002")}
+	heartbeat := heartbeatWithExits(jobs)
+	if reversed {
+		slices.Reverse(heartbeat.Tasks)
+	}
+	c.applyHeartbeat(heartbeat, true)
+	machine := c.machine(heartbeat.Machine)
+	verdict := heartbeatVerdict{faulty: !c.isDue(machine.quarantine.faultyUntil)}
+	for i, job := range jobs {
+		verdict.failures[i], verdict.avoided[i] = len(job.crashLoop.failedMachines), job.crashLoop.avoidMachines[machine.id]
+	}
+	return verdict
+}
+
+func newTestJob(c *Controller, id wire.JobID) *job {
+	job := c.newJob(id)
+	job.spec = wire.JobSpec{ID: id, Team: "desk", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 8, Cores: 1}
+	job.request = placement.NewRequest(&job.spec)
+	return job
+}
+
+func heartbeatWithExits(jobs []*job) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{Machine: "m-000001", AgentEpoch: 1, Sequence: 1}
+	causes := []wire.Cause{wire.CauseDone, wire.CauseError, wire.CauseNoRoom, wire.CauseError, wire.CauseDone, wire.CauseError}
+	for _, job := range jobs {
+		for i, cause := range causes {
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
+				Task:    wire.TaskID{Job: job.id, Index: i},
+				Attempt: wire.Attempt(i + 1),
+				State:   wire.TaskExited,
+				Cause:   cause,
+			})
+		}
 	}
+	return heartbeat
 }
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -17,7 +15,7 @@
 func TestImagesOfALargeFleetFit(t *testing.T) {
 	for _, machines := range []int{100, 4200, 9000} {
 		set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
-		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+		c := newTestController(set)
 		for i := range machines {
 			m := c.machine(wire.MachineID(fmt.Sprintf("m-%06d", i)))
 			m.latestHeartbeat = &wire.Heartbeat{}
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"io"
-	"log/slog"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -21,7 +19,7 @@
 		Teams:      []config.Team{{Name: "desk", CPUs: 20}, {Name: "guest"}},
 		Objectives: []config.Objective{{Kind: "finished", Class: "parcel", WithinS: 60}},
 		State:      config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(set)
 	c.wall = 100_000
 	add := func(id wire.JobID, team, class string, tasks int, at int64) *job {
 		j := &job{id: id, acceptedAt: at, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
@@ -53,7 +51,7 @@
 // goes well opens it again.
 func TestTrial(t *testing.T) {
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
-	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(set)
 	j := &job{id: "wk-000001", spec: wire.JobSpec{Shape: wire.ShapeArray, Tasks: 200}}
 	j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
 	c.cache.jobs[j.id] = j
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"io"
-	"log/slog"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -17,7 +15,7 @@
 // and fail until somebody else wrote the page.
 func TestUnwrittenDraft(t *testing.T) {
 	set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+	c := newTestController(set)
 	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
 	c.replacePage(p)
 	c.cache.keyVersions[p.key] = p.version
--- a/internal/controller/sums_test.go
+++ b/internal/controller/sums_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -22,7 +20,7 @@
 		Teams: []config.Team{{Name: "desk"}}, Workers: config.Workers{ReportS: 2, LeaseS: 15},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	sums := func(work float64) (used float64, late bool) {
-		c := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+		c := newTestController(set)
 		for i, zone := range set.Cluster.Zones {
 			c.replacePage(&page{key: record.PlacementKey("desk", zone, 0), team: "desk", zone: zone, allocations: []Allocation{{
 				AllocationHeader: record.AllocationHeader{Job: "wk-000001", Attempt: 1, Cores: float64(i+1) / 10}, Machine: "m-000001", Tasks: record.Span(0, 1)}}})
