--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -133,7 +133,7 @@
 	group.Go(func() error { return server.New(p.settings, p, os.Getenv(admin.TokenVariable), p.log).Serve(public) })
 	group.Go(func() error { return p.peers.Serve(peers, p.receivePeerMessage) })
 	group.Go(func() error { p.peers.Send(ctx); return nil })
-	group.Go(func() error { p.state.Serve(ctx.Done()); return nil })
+	group.Go(func() error { p.state.Serve(ctx); return nil })
 	group.Go(func() error { return p.loop(ctx) })
 	err = group.Wait()
 	if errors.Is(err, net.ErrClosed) {
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,6 +1,10 @@
+// Package statestore calls the state store, a consensus-backed key-value store, for the
+// controller. Calls take tokens for requests and for writes, so that the store's rate limits are
+// kept; while these are short, urgent calls go first.
 package statestore
 
 import (
+	"context"
 	"errors"
 	"log/slog"
 	"net/http"
@@ -15,193 +19,232 @@
 	"lilacrill/wire"
 )
 
-// Client carries out the core's calls to the state service.
-type Client struct {
-	set   *config.Settings
-	log   *slog.Logger
-	calls *httpcall.Client
-	feed  *httpcall.Client
-	queue *queue
-}
-
 const (
 	callTimeout  = 1500 * time.Millisecond
 	leaseTimeout = time.Second
-	blockSlack   = 3 * time.Second
-	queueTime    = 2 * time.Second
-	listPage     = 500
-	idleTime     = 30 * time.Second
-	feedConns    = 4
+	listTimeout  = 2 * callTimeout
+	// watchSlack is how much longer than its blocking time a watch may take.
+	watchSlack = 3 * time.Second
+
+	idleTimeout = 30 * time.Second // of a connection
+	// watchConnections are kept for watches that block.
+	watchConnections = 4
+
+	// listPageSize is how many keys one request of a load reads.
+	listPageSize = 500
+	// leaseUnknown is the error by which the state store refuses a transaction that attaches a key
+	// to a lease which does not exist.
+	leaseUnknown = "no such lease"
+)
+
+// The paths of the state store's API.
+const (
+	watchPath       = "/follow"
+	transactionPath = "/multi"
+	keysPath        = "/kv"
+	leasesPath      = "/leases"
 )
 
-// New makes a client; Serve must run for it to do anything.
-func New(set *config.Settings, log *slog.Logger) *Client {
-	conns := sockets.NewBudget(set).State
+// Client carries out the controller's calls to the state store. Every method returns at once and
+// calls its callback once, on another goroutine, with the result. A result says by its outcome
+// whether the call was executed: callers must handle Unknown, where the call may have been
+// executed, or may yet be.
+type Client struct {
+	settings *config.Settings
+	log      *slog.Logger
+	calls    *httpcall.Client
+	watches  *httpcall.Client
+	queue    *queue
+}
+
+// New makes a client; Serve must run for it to make any calls.
+func New(settings *config.Settings, log *slog.Logger) *Client {
+	connections := sockets.NewBudget(settings).State
+	limits := &settings.Cluster.State
 	return &Client{
-		set:   set,
-		log:   log,
-		calls: httpcall.New(set.Services.State, conns-feedConns, idleTime),
-		feed:  httpcall.New(set.Services.State, feedConns, idleTime),
-		queue: newQueue(set.Cluster.State.RPS, set.Cluster.State.WriteRPS),
+		settings: settings,
+		log:      log,
+		calls:    httpcall.New(settings.Services.State, connections-watchConnections, idleTimeout),
+		watches:  httpcall.New(settings.Services.State, watchConnections, idleTimeout),
+		queue:    newQueue(limits.RPS, limits.WriteRPS),
 	}
 }
 
-// Serve hands out tokens until done is closed.
-func (c *Client) Serve(done <-chan struct{}) { c.queue.serve(done) }
-
-// SetRateFraction sets the part of the limits that this controller may use.
-func (c *Client) SetRateFraction(part float64) {
-	c.queue.share(c.set.Cluster.State.RPS, c.set.Cluster.State.WriteRPS, part)
-}
+// Serve starts calls as the rate limits allow, until the context ends. Calls that are queued then
+// are not started, and get no result.
+func (c *Client) Serve(ctx context.Context) { c.queue.serve(ctx) }
 
-// outcome sorts a call's end. Statuses in the 500s other than 503 say nothing
-// of whether the call was executed.
-func (c *Client) outcome(what string, status int, err error) controller.Outcome {
-	switch {
-	case err != nil && errors.Is(err, httpcall.ErrNotSent):
-		c.log.Debug("state service not reached", "call", what, "err", err)
-		return controller.NotExecuted
-	case err != nil:
-		c.log.Debug("state service gave no answer", "call", what, "err", err)
-		return controller.Unknown
-	}
-	switch status {
-	case http.StatusOK:
-		return controller.Succeeded
-	case http.StatusConflict:
-		return controller.Conflict
-	case http.StatusNotFound:
-		return controller.NotFound
-	case http.StatusGone:
-		return controller.Compacted
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		c.log.Debug("state service refused", "call", what, "status", status)
-		return controller.NotExecuted
-	case http.StatusBadRequest:
-		c.log.Error("state service found a call malformed", "call", what)
-		return controller.NotExecuted
-	}
-	c.log.Warn("state service answered oddly", "call", what, "status", status)
-	return controller.Unknown
+// SetRateFraction sets the part of the state store's rate limits that this controller may use.
+func (c *Client) SetRateFraction(fraction float64) {
+	limits := &c.settings.Cluster.State
+	c.queue.setLimits(limits.RPS, limits.WriteRPS, fraction)
 }
 
-// Watch reads the feed.
-func (c *Client) Watch(f controller.Watch, then func(controller.WatchResult)) {
-	q := url.Values{"under": {f.Prefix}, "after": {strconv.FormatUint(uint64(f.After), 10)}}
-	timeout := callTimeout
-	calls := c.calls
-	if f.Block > 0 {
-		q.Set("block_ms", strconv.FormatInt(f.Block.Milliseconds(), 10))
-		timeout = f.Block + blockSlack
-		calls = c.feed
+// Watch reads the changes after a revision. With a blocking time the state store holds the
+// request open for that long if there are none.
+func (c *Client) Watch(watch controller.Watch, then func(controller.WatchResult)) {
+	query := url.Values{"under": {watch.Prefix}, "after": {strconv.FormatUint(uint64(watch.After), 10)}}
+	timeout, client := callTimeout, c.calls
+	if watch.Block > 0 {
+		query.Set("block_ms", strconv.FormatInt(watch.Block.Milliseconds(), 10))
+		timeout, client = watch.Block+watchSlack, c.watches
 	}
-	c.queue.add(f.Priority, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var r controller.WatchResult
-		status, err := calls.Call(http.MethodGet, "/follow?"+q.Encode(), nil, timeout, map[int]any{200: &r.Response})
-		r.Outcome = c.outcome("follow", status, err)
-		then(r)
-	}, expire: func() { then(controller.WatchResult{Outcome: controller.NotExecuted}) }})
+	c.queue.add(watch.Priority, newCall(0, func() controller.WatchResult {
+		var result controller.WatchResult
+		status, err := client.Call(http.MethodGet, watchPath+"?"+query.Encode(), nil, timeout,
+			httpcall.Destinations{http.StatusOK: &result.Response})
+		result.Outcome = c.outcome("watch", status, err)
+		return result
+	}, controller.WatchResult{Outcome: controller.NotExecuted}, then))
 }
 
-// Commit runs a transaction.
-func (c *Client) Commit(m controller.Commit, then func(controller.CommitResult)) {
+// Commit runs a transaction. Its outcome is NotFound if the lease that it names does not exist.
+func (c *Client) Commit(commit controller.Commit, then func(controller.CommitResult)) {
 	timeout := callTimeout
-	if m.Priority == controller.PriorityLease {
+	if commit.Priority == controller.PriorityLease {
 		timeout = leaseTimeout
 	}
-	c.queue.add(m.Priority, &waiter{writes: len(m.Txn.Then), deadline: time.Now().Add(queueTime), run: func() {
-		var a wire.TransactionResponse
-		var problem wire.ErrorResponse
-		status, err := c.calls.Call(http.MethodPost, "/multi", m.Txn, timeout,
-			map[int]any{200: &a, 409: &a, 400: &problem})
-		r := controller.CommitResult{Revision: a.Revision, Failed: a.Failed}
-		if status == http.StatusBadRequest && err == nil && problem.Error == "no such lease" {
-			r.Outcome = controller.NotFound
+	c.queue.add(commit.Priority, newCall(len(commit.Txn.Then), func() controller.CommitResult {
+		var response wire.TransactionResponse
+		var refusal wire.ErrorResponse
+		status, err := c.calls.Call(http.MethodPost, transactionPath, commit.Txn, timeout, httpcall.Destinations{
+			http.StatusOK: &response, http.StatusConflict: &response, http.StatusBadRequest: &refusal})
+		result := controller.CommitResult{Revision: response.Revision, Failed: response.Failed}
+		if status == http.StatusBadRequest && err == nil && refusal.Error == leaseUnknown {
+			result.Outcome = controller.NotFound
 		} else {
-			r.Outcome = c.outcome("multi", status, err)
+			result.Outcome = c.outcome("transaction", status, err)
 		}
-		then(r)
-	}, expire: func() { then(controller.CommitResult{Outcome: controller.NotExecuted}) }})
+		return result
+	}, controller.CommitResult{Outcome: controller.NotExecuted}, then))
 }
 
 // Get reads one key.
-func (c *Client) Get(f controller.GetKey, then func(controller.GetResult)) {
-	c.queue.add(controller.PriorityAdmission, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var e wire.Entry
-		status, err := c.calls.Call(http.MethodGet, "/kv/"+f.Key, nil, callTimeout, map[int]any{200: &e})
-		then(controller.GetResult{Outcome: c.outcome("get", status, err), Value: e.Value, Version: e.Version})
-	}, expire: func() { then(controller.GetResult{Outcome: controller.NotExecuted}) }})
+func (c *Client) Get(get controller.GetKey, then func(controller.GetResult)) {
+	c.queue.add(controller.PriorityAdmission, newCall(0, func() controller.GetResult {
+		var entry wire.Entry
+		status, err := c.calls.Call(http.MethodGet, keysPath+"/"+get.Key, nil, callTimeout, httpcall.Destinations{http.StatusOK: &entry})
+		return controller.GetResult{Outcome: c.outcome("get", status, err), Value: entry.Value, Version: entry.Version}
+	}, controller.GetResult{Outcome: controller.NotExecuted}, then))
 }
 
-// GrantLease asks for a lease.
-func (c *Client) GrantLease(g controller.GrantLease, then func(controller.LeaseResult)) {
+// GrantLease creates a lease.
+func (c *Client) GrantLease(grant controller.GrantLease, then func(controller.LeaseResult)) {
 	body := struct {
 		TTL int64 `json:"ttl_ms"`
-	}{g.TTL.Milliseconds()}
-	c.lease("/leases", body, 0, then)
+	}{grant.TTL.Milliseconds()}
+	c.callLease(leasesPath, body, 0, then)
 }
 
 // RenewLease renews a lease.
-func (c *Client) RenewLease(e controller.RenewLease, then func(controller.LeaseResult)) {
-	c.lease("/leases/"+strconv.FormatUint(uint64(e.LeaseID), 10)+"/extend", struct{}{}, e.LeaseID, then)
+func (c *Client) RenewLease(renewal controller.RenewLease, then func(controller.LeaseResult)) {
+	path := leasesPath + "/" + strconv.FormatUint(uint64(renewal.LeaseID), 10) + "/extend"
+	c.callLease(path, struct{}{}, renewal.LeaseID, then)
 }
 
-func (c *Client) lease(path string, body any, leaseID wire.LeaseID, then func(controller.LeaseResult)) {
-	c.queue.add(controller.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var a struct {
+// callLease makes a call about a lease; known is the lease's ID, 0 if the response gives it.
+func (c *Client) callLease(path string, body any, known wire.LeaseID, then func(controller.LeaseResult)) {
+	c.queue.add(controller.PriorityLease, newCall(0, func() controller.LeaseResult {
+		var response struct {
 			LeaseID wire.LeaseID `json:"permit"`
 		}
-		status, err := c.calls.Call(http.MethodPost, path, body, leaseTimeout, map[int]any{200: &a})
-		if a.LeaseID == 0 {
-			a.LeaseID = leaseID
+		status, err := c.calls.Call(http.MethodPost, path, body, leaseTimeout, httpcall.Destinations{http.StatusOK: &response})
+		if response.LeaseID == 0 {
+			response.LeaseID = known
 		}
-		then(controller.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: a.LeaseID})
-	}, expire: func() { then(controller.LeaseResult{Outcome: controller.NotExecuted}) }})
+		return controller.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: response.LeaseID}
+	}, controller.LeaseResult{Outcome: controller.NotExecuted}, then))
 }
 
-// Load reads all keys under the prefixes.
-func (c *Client) Load(l controller.LoadKeys, then func(controller.LoadResult)) {
-	go func() {
-		var r controller.LoadResult
-		for i, prefix := range l.Prefixes {
-			after := ""
-			for {
-				page, outcome := c.list(prefix, after)
-				if outcome != controller.Succeeded {
-					then(controller.LoadResult{Outcome: outcome})
-					return
-				}
-				if i == 0 && after == "" {
-					r.First = page.Revision
-				}
-				r.Last = max(r.Last, page.Revision)
-				r.Entries = append(r.Entries, page.Entries...)
-				if !page.More || len(page.Entries) == 0 {
-					break
-				}
-				after = page.Entries[len(page.Entries)-1].Key
+// Load reads all keys under some prefixes, page by page and in the order of the prefixes. Others
+// may write meanwhile: the result has the revisions of the first and of the latest page.
+func (c *Client) Load(load controller.LoadKeys, then func(controller.LoadResult)) {
+	go func() { then(c.load(load.Prefixes)) }()
+}
+
+func (c *Client) load(prefixes []string) controller.LoadResult {
+	var result controller.LoadResult
+	for i, prefix := range prefixes {
+		after := ""
+		for {
+			page := c.list(prefix, after)
+			if page.outcome != controller.Succeeded {
+				return controller.LoadResult{Outcome: page.outcome}
+			}
+			if i == 0 && after == "" {
+				result.First = page.Revision
+			}
+			result.Last = max(result.Last, page.Revision)
+			result.Entries = append(result.Entries, page.Entries...)
+			if !page.More || len(page.Entries) == 0 {
+				break
 			}
+			after = page.Entries[len(page.Entries)-1].Key
 		}
-		then(r)
-	}()
+	}
+	return result
+}
+
+// listPage is a page of keys, if the outcome says that it was read.
+type listPage struct {
+	wire.EntryList
+	outcome controller.Outcome
 }
 
-func (c *Client) list(prefix, after string) (wire.EntryList, controller.Outcome) {
-	q := url.Values{"under": {prefix}, "page": {strconv.Itoa(listPage)}}
+// list reads one page of the keys under a prefix, from after a key on, and waits for it.
+func (c *Client) list(prefix, after string) listPage {
+	query := url.Values{"under": {prefix}, "page": {strconv.Itoa(listPageSize)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
+	}
+	pages := make(chan listPage, 1)
+	c.queue.add(controller.PriorityLease, newCall(0, func() listPage {
+		var page listPage
+		status, err := c.calls.Call(http.MethodGet, keysPath+"?"+query.Encode(), nil, listTimeout, httpcall.Destinations{http.StatusOK: &page.EntryList})
+		page.outcome = c.outcome("list", status, err)
+		return page
+	}, listPage{outcome: controller.NotExecuted}, func(page listPage) { pages <- page }))
+	return <-pages
+}
+
+// newCall is a call, to be queued, whose callback gets the result of run or, if the call expires,
+// the result expired.
+func newCall[R any](writes int, run func() R, expired R, then func(R)) *queuedCall {
+	return &queuedCall{
+		writes:   writes,
+		deadline: time.Now().Add(queueTimeout),
+		run:      func() { then(run()) },
+		expire:   func() { then(expired) },
 	}
-	type result struct {
-		page    wire.EntryList
-		outcome controller.Outcome
+}
+
+// outcome is the outcome of a call. A status in the 500s other than 503 says nothing of whether
+// the call was executed.
+func (c *Client) outcome(call string, status int, err error) controller.Outcome {
+	switch {
+	case errors.Is(err, httpcall.ErrNotSent):
+		c.log.Debug("state store unreachable", "call", call, "err", err)
+		return controller.NotExecuted
+	case err != nil:
+		c.log.Debug("state store did not respond", "call", call, "err", err)
+		return controller.Unknown
 	}
-	ch := make(chan result, 1)
-	c.queue.add(controller.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var r result
-		status, err := c.calls.Call(http.MethodGet, "/kv?"+q.Encode(), nil, 2*callTimeout, map[int]any{200: &r.page})
-		r.outcome = c.outcome("list", status, err)
-		ch <- r
-	}, expire: func() { ch <- result{outcome: controller.NotExecuted} }})
-	r := <-ch
-	return r.page, r.outcome
+	switch status {
+	case http.StatusOK:
+		return controller.Succeeded
+	case http.StatusConflict:
+		return controller.Conflict
+	case http.StatusNotFound:
+		return controller.NotFound
+	case http.StatusGone:
+		return controller.Compacted
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		c.log.Debug("state store refused a call", "call", call, "status", status)
+		return controller.NotExecuted
+	case http.StatusBadRequest:
+		c.log.Error("state store found a call malformed", "call", call)
+		return controller.NotExecuted
+	}
+	c.log.Warn("state store returned an unexpected status", "call", call, "status", status)
+	return controller.Unknown
 }
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -1,6 +1,7 @@
 package statestore
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"log/slog"
@@ -17,39 +18,40 @@
 	"lilacrill/wire"
 )
 
-// startClient makes a client of the server that recorder answers for.
+// startClient starts a client of a server that recorder responds for.
 func startClient(t *testing.T, recorder *golden.Recorder) *Client {
+	t.Helper()
 	server := httptest.NewServer(recorder)
 	client := New(&config.Settings{
 		Services: config.Services{State: strings.TrimPrefix(server.URL, "http://")},
 		Cluster:  config.Cluster{State: config.State{RPS: 1000, WriteRPS: 1000}, Quota: config.Quota{Sockets: 500}},
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	done := make(chan struct{})
-	go client.Serve(done)
+	ctx, stop := context.WithCancel(context.Background())
+	go client.Serve(ctx)
 	t.Cleanup(func() {
-		close(done)
+		stop()
 		server.Close()
 	})
 	return client
 }
 
-// TestGoldenRequests holds what is sent to the state service, and reads answers with all
-// fields set.
+// TestGoldenRequests compares the requests to the state store with the golden file, and decodes
+// responses with all fields set.
 func TestGoldenRequests(t *testing.T) {
 	var entry wire.Entry
 	var entries wire.EntryList
 	var committed wire.TransactionResponse
-	var feed wire.WatchResponse
+	var watched wire.WatchResponse
 	golden.NewFiller(2).Fill(&entry)
 	golden.NewFiller(2).Fill(&entries)
 	golden.NewFiller(2).Fill(&committed)
-	golden.NewFiller(2).Fill(&feed)
+	golden.NewFiller(2).Fill(&watched)
 	entries.More = false
 	recorder := &golden.Recorder{Answers: map[string]string{
 		"GET /kv/a/b":           encode(t, entry),
 		"GET /kv":               encode(t, entries),
 		"POST /multi":           encode(t, committed),
-		"GET /follow":           encode(t, feed),
+		"GET /follow":           encode(t, watched),
 		"POST /leases":          `{"permit":7}`,
 		"POST /leases/7/extend": `{}`,
 	}}
@@ -70,10 +72,10 @@
 	client.Commit(controller.Commit{Txn: transaction}, func(r controller.CommitResult) { commit <- r })
 	require.Equal(t, controller.CommitResult{Outcome: controller.Succeeded, Revision: committed.Revision, Failed: committed.Failed}, <-commit)
 
-	fed := make(chan controller.WatchResult, 1)
+	changes := make(chan controller.WatchResult, 1)
 	for _, block := range []time.Duration{0, time.Second} {
-		client.Watch(controller.Watch{Prefix: "l/", After: 431, Block: block}, func(r controller.WatchResult) { fed <- r })
-		require.Equal(t, controller.WatchResult{Outcome: controller.Succeeded, Response: feed}, <-fed)
+		client.Watch(controller.Watch{Prefix: "l/", After: 431, Block: block}, func(r controller.WatchResult) { changes <- r })
+		require.Equal(t, controller.WatchResult{Outcome: controller.Succeeded, Response: watched}, <-changes)
 	}
 
 	granted := make(chan controller.LeaseResult, 1)
@@ -86,6 +88,7 @@
 }
 
 func encode(t *testing.T, v any) string {
+	t.Helper()
 	text, err := json.Marshal(v)
 	require.NoError(t, err)
 	return string(text)
--- /dev/null
+++ b/internal/statestore/queue_test.go
@@ -0,0 +1,62 @@
+package statestore
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/controller"
+)
+
+// drain takes all request tokens.
+func drain(q *queue, now time.Time) {
+	for q.requests.AllowN(now, 1) {
+	}
+}
+
+// TestUrgentCallsGoFirst queues calls of every priority while there are no tokens and then makes
+// tokens available one by one.
+func TestUrgentCallsGoFirst(t *testing.T) {
+	q := newQueue(100, 100)
+	now := time.Now()
+	drain(q, now)
+	order := make(chan controller.CallPriority, 8)
+	for _, priority := range []controller.CallPriority{controller.PriorityBackground, controller.PriorityAdmission, controller.PriorityLease, controller.PriorityUrgent} {
+		q.add(priority, &queuedCall{deadline: now.Add(time.Hour), run: func() { order <- priority }, expire: func() { t.Error("expired") }})
+	}
+	require.Positive(t, q.startCalls(now), "ran without a token")
+	require.Empty(t, order)
+	for _, want := range []controller.CallPriority{controller.PriorityLease, controller.PriorityUrgent, controller.PriorityAdmission, controller.PriorityBackground} {
+		now = now.Add(11 * time.Millisecond)
+		q.startCalls(now)
+		require.Equal(t, want, <-order)
+	}
+	require.Zero(t, q.startCalls(now.Add(time.Second)))
+}
+
+// TestCallsExpire: a call that gets no token in time expires, and takes none later.
+func TestCallsExpire(t *testing.T) {
+	q := newQueue(100, 100)
+	now := time.Now()
+	drain(q, now)
+	var expired sync.WaitGroup
+	expired.Add(1)
+	q.add(controller.PriorityBackground, &queuedCall{deadline: now.Add(time.Millisecond), run: func() { t.Error("ran") }, expire: expired.Done})
+	q.startCalls(now.Add(time.Second))
+	expired.Wait()
+}
+
+// TestLimitsAreDivided: controllers divide the limits, and a large transaction still passes when
+// it has more writes than the burst of its controller's part.
+func TestLimitsAreDivided(t *testing.T) {
+	q := newQueue(150, 40)
+	q.setLimits(150, 40, 1.0/3)
+	require.Less(t, float64(q.requests.Limit())*3, 150.0)
+	require.Less(t, float64(q.writes.Limit())*3, 40.0)
+	now := time.Now().Add(time.Minute)
+	require.True(t, q.takeTokens(now, 32))
+	require.False(t, q.takeTokens(now, 1))
+	require.True(t, q.takeTokens(now.Add(time.Second), 12))
+}
