--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -4,74 +4,77 @@
 	"slices"
 	"time"
 
-	"lilacrill/internal/capacity"
 	"lilacrill/internal/config"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// provisioner is what this controller knows of the cloud, and what it is doing
-// there if it is the buyer.
+// provisioner is what this controller knows of the cloud and, if it is the leader for scaling,
+// what it is doing there.
 type provisioner struct {
 	catalogue             []wire.MachineType
 	catalogueReadAt       Time
 	catalogueReadInFlight bool
 
-	unmetDemands    []unmetDemand // tasks without room, as the last plan left them
-	missingHeadroom int           // tasks that the spare room falls short of
+	unmetDemands    []unmetDemand // as the last pass over the whole fleet left them
+	missingHeadroom int           // tasks that the headroom lacks room for
+	priceLimit      float64       // the price of a core above which machines are left alone; 0: not known
 
-	writingLeadership      bool
-	leaderlessSince        Time // since when nobody is known to buy
-	listInFlight           bool
-	nextList               Time
-	listsSinceElected      int // good lists since this controller became the buyer
+	// Leadership and the machine list.
+	writingLeadership bool
+	leaderlessSince   Time // since when no leader is known
+	listInFlight      bool
+	nextList          Time
+	listsSinceElected int                                   // lists read since this controller became the leader
+	gossipedStatus    map[wire.MachineID]wire.MachineStatus // as peers were last sent it
+
+	// Scaling out.
 	provisionCallsInFlight int
 	nextScaleOut           Time
-	capacityShortages      map[capacity.Key]capacityShortage
-	terminateCallInFlight  bool
-	terminateRequested     map[wire.MachineID]bool   // asked to be returned, so not to be kept
-	toTerminate            map[wire.MachineID]string // to be written down as going, and why
-	partitionedZones       map[string]partition      // zones that seem to be cut off
-	priceLimit             float64                   // the price of a core above which machines are left alone; 0: not known
-	recordingTerminations  bool                      // the list of them is being written
-	nextTerminationRecord  Time
-	nextMachineReview      Time
-	gossipedStatus         map[wire.MachineID]wire.MachineStatus // as the siblings were told
-	provisioningDelays     map[string]provisioningDelay          // by type
-	silentTerminations     []Time                                // when machines were given up for their silence
+	shortages              capacityShortages
+	delays                 provisioningDelays
+
+	// Scaling in.
+	partitions            partitionDetector
+	silentTerminations    terminationLimiter
+	terminateCallInFlight bool
+	terminateRequested    map[wire.MachineID]bool   // machines that the cloud was asked to terminate
+	toTerminate           map[wire.MachineID]string // machines to be recorded as pending, and why
+	recordingTerminations bool                      // the record of them is being written
+	nextTerminationRecord Time
+	nextMachineReview     Time
 }
 
 func (v *provisioner) init() {
-	v.capacityShortages = map[capacity.Key]capacityShortage{}
-	v.provisioningDelays = map[string]provisioningDelay{}
+	v.shortages = capacityShortages{}
+	v.delays = provisioningDelays{}
+	v.partitions.zones = map[string]partition{}
 	v.toTerminate = map[wire.MachineID]string{}
-	v.partitionedZones = map[string]partition{}
 	v.terminateRequested = map[wire.MachineID]bool{}
 }
 
 const (
-	catalogueInterval             = time.Minute
-	listInterval                  = 2 * time.Second
-	scaleOutInterval              = 300 * time.Millisecond
-	machineReviewInterval         = 200 * time.Millisecond
-	maxMachineReviewInterval      = 500 * time.Millisecond
-	terminationRecordInterval     = 300 * time.Millisecond
-	leadershipClaimDelay          = 3 * time.Second
-	capacityBackoff               = 5 * time.Second // doubled with every refusal in a row
-	maxCapacityBackoff            = 40 * time.Second
-	maxProvisionCalls             = 4
-	completedTaskFraction         = 0.2 // of the time for a cancellation, that a machine may take to hear of it
-	completedTaskFractionIsolated = 0.5 // the same while it may be us who cannot be heard
-	probeGracePeriod              = 2 * time.Second
-	minPartitionedMachines        = 5 // silent machines that a zone must have for replicas in it to be left alone
-	partitionLeases               = 3
-	partitionLifetime             = 40 * time.Second // after which a zone is tried again
-	silentTerminationWindow       = 10 * time.Second
-	minSilentTerminations         = 4 // machines that may be given up in a window, however small the fleet
-	criticalTerminationDivisor    = 2 // of that, one half is kept for machines with critical tasks
-	silentTerminationDivisor      = 4 // and at least every fourth of those that report
+	catalogueInterval         = time.Minute
+	catalogueRetryDelay       = time.Second
+	listInterval              = 2 * time.Second
+	scaleOutInterval          = 300 * time.Millisecond
+	scaleOutRetryDelay        = time.Second
+	machineReviewInterval     = 200 * time.Millisecond
+	maxMachineReviewInterval  = 500 * time.Millisecond
+	terminationRecordInterval = 300 * time.Millisecond
+	// leadershipClaimDelay is how long the leadership is left to the preferred controller.
+	leadershipClaimDelay = 3 * time.Second
+	// maxProvisionCalls bounds the calls that one plan makes.
+	maxProvisionCalls = 4
+	// maxProvisionTries bounds how often a call without an answer is made.
+	maxProvisionTries = 3
 )
 
+// leadershipKey is hashed like a team's name to spread the preference for the leadership over
+// the controllers.
+const leadershipKey = "buyer"
+
+// machineTypeNamed is a machine type of the catalogue; nil if it is not known.
 func (c *Controller) machineTypeNamed(name string) *wire.MachineType {
 	for i := range c.provisioner.catalogue {
 		if c.provisioner.catalogue[i].Name == name {
@@ -86,14 +89,16 @@
 	return c.cache.provisionerIncarnation == c.membership.incarnation
 }
 
+// tickCloud carries out what is due in the cloud. Only the leader for scaling lists, reviews,
+// provisions and terminates machines.
 func (c *Controller) tickCloud() {
-	if !c.provisioner.catalogueReadInFlight && (len(c.provisioner.catalogue) == 0 || c.now.Sub(c.provisioner.catalogueReadAt) > catalogueInterval) && c.isDue(c.provisioner.catalogueReadAt) {
+	if c.catalogueDue() {
 		c.readCatalogue()
 	}
 	if !c.cacheComplete() || !c.storeReachable() {
 		return
 	}
-	if c.cache.provisionerIncarnation != c.membership.incarnation {
+	if !c.isProvisioner() {
 		c.provisioner.listsSinceElected = 0
 		c.claimProvisionerLeadership()
 		return
@@ -103,7 +108,7 @@
 		return
 	}
 	if c.membership.stale {
-		return // another may have bought in our place meanwhile
+		return // another controller may have become the leader meanwhile
 	}
 	if !c.provisioner.listInFlight && c.isDue(c.provisioner.nextList) {
 		c.listMachines()
@@ -121,22 +126,30 @@
 	}
 }
 
+// catalogueDue reports whether the catalogue is to be read.
+func (c *Controller) catalogueDue() bool {
+	v := &c.provisioner
+	outdated := len(v.catalogue) == 0 || c.now.Sub(v.catalogueReadAt) > catalogueInterval
+	return !v.catalogueReadInFlight && outdated && c.isDue(v.catalogueReadAt)
+}
+
+// readCatalogue reads the machine types that the cloud has.
 func (c *Controller) readCatalogue() {
 	c.provisioner.catalogueReadInFlight = true
-	c.emit(ReadCatalogue{call(c, func(r CatalogueResult) {
+	c.emit(ReadCatalogue{call(c, func(result CatalogueResult) {
 		c.provisioner.catalogueReadInFlight = false
-		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
-		if r.Outcome != Succeeded {
-			// An old catalogue still serves; without any, ask again soon.
-			c.provisioner.catalogueReadAt = c.now.Add(time.Second)
+		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
+		if result.Outcome != Succeeded {
+			// An old catalogue still serves; without any, it is read again soon.
+			c.provisioner.catalogueReadAt = c.now.Add(catalogueRetryDelay)
 			return
 		}
-		c.provisioner.catalogue, c.provisioner.catalogueReadAt, c.scheduler.dirty = r.Catalogue.Types, c.now, true
+		c.provisioner.catalogue, c.provisioner.catalogueReadAt, c.scheduler.dirty = result.Catalogue.Types, c.now, true
 	})})
 }
 
-// claimProvisionerLeadership tries to become the buyer when there is none: one buyer at a time keeps
-// controllers from renting twice for the same need.
+// claimProvisionerLeadership tries to become the leader for scaling when there is none: a
+// single leader at a time keeps controllers from provisioning twice for the same demand.
 func (c *Controller) claimProvisionerLeadership() {
 	if c.cache.provisionerIncarnation != 0 {
 		c.provisioner.leaderlessSince = 0
@@ -145,91 +158,96 @@
 	if c.provisioner.leaderlessSince == 0 {
 		c.provisioner.leaderlessSince = c.now
 	}
-	if c.provisioner.writingLeadership || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() || !c.ownsTeam("buyer") && c.now.Sub(c.provisioner.leaderlessSince) < leadershipClaimDelay {
+	if c.provisioner.writingLeadership || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() ||
+		!c.ownsTeam(leadershipKey) && c.now.Sub(c.provisioner.leaderlessSince) < leadershipClaimDelay {
 		return
 	}
 	c.provisioner.writingLeadership = true
 	claim := c.putChange(record.ProvisionerKey, c.membership.incarnation)
 	claim.LeaseID = c.membership.leaseID
-	c.commit(PriorityBackground, wire.Transaction{
-		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
-		Then: []wire.Change{claim},
-	}, func(r CommitResult) {
-		c.provisioner.writingLeadership = false
+	c.commitLeadership(claim, func(result CommitResult) {
 		c.provisioner.leaderlessSince = 0
-		if r.Outcome == Succeeded {
-			c.log.Info("this controller now buys and returns machines")
+		if result.Outcome == Succeeded {
+			c.log.Info("became leader for scaling")
 		} else {
 			c.readBarrier(func(bool) {})
 		}
 	})
 }
 
-// resignProvisionerLeadership leaves buying to another controller, as one that reaches no workers
-// cannot tell which machines are to be returned. If all are like this, nobody
-// can.
+// resignProvisionerLeadership leaves scaling to another controller: one that reaches no workers
+// cannot tell which machines are to be terminated. If all controllers are isolated, none can.
 func (c *Controller) resignProvisionerLeadership() {
 	if c.provisioner.writingLeadership || len(c.membership.eligibleControllers) == 0 || slices.Contains(c.membership.eligibleControllers, c.settings.Label) {
 		return
 	}
 	c.provisioner.writingLeadership = true
-	c.log.Info("this controller reaches no workers and leaves buying to another")
+	c.log.Info("resigning as leader for scaling", "reason", "isolated")
+	c.commitLeadership(wire.Change{Delete: record.ProvisionerKey}, func(CommitResult) {
+		c.readBarrier(func(bool) {})
+	})
+}
+
+// commitLeadership writes a change of the leadership, unless it changed meanwhile.
+func (c *Controller) commitLeadership(change wire.Change, then func(CommitResult)) {
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
-		Then: []wire.Change{{Delete: record.ProvisionerKey}},
-	}, func(CommitResult) {
+		Then: []wire.Change{change},
+	}, func(result CommitResult) {
 		c.provisioner.writingLeadership = false
-		c.readBarrier(func(bool) {})
+		then(result)
 	})
 }
 
+// listMachines reads the cloud's list of machines and gossips it.
 func (c *Controller) listMachines() {
 	c.provisioner.listInFlight = true
 	c.provisioner.nextList = c.now.Add(listInterval)
-	c.emit(ListMachines{call(c, func(r MachinesResult) {
+	c.emit(ListMachines{call(c, func(result MachinesResult) {
 		c.provisioner.listInFlight = false
-		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
-		if r.Outcome != Succeeded {
+		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
+		if result.Outcome != Succeeded {
 			return
 		}
 		c.provisioner.listsSinceElected++
-		c.applyMachineList(r.Machines)
-		// A list of several pages takes as many calls, which hires need as well.
-		c.provisioner.nextList = max(c.provisioner.nextList, c.now.Add(listInterval*time.Duration(len(r.Machines)/wire.MaxMachinesPerPage)))
-		c.gossipMachineList(r.Machines)
+		c.applyMachineList(result.Machines)
+		// A list of several pages takes as many calls, which provisioning needs as well.
+		pages := len(result.Machines) / wire.MaxMachinesPerPage
+		c.provisioner.nextList = max(c.provisioner.nextList, c.now.Add(listInterval*time.Duration(pages)))
+		c.gossipMachineList(result.Machines)
 	})})
 }
 
-// gossipMachineList passes on what is new in the list: most of it never changes.
+// gossipMachineList sends peers what is new in the list: most of it never changes.
 func (c *Controller) gossipMachineList(list []wire.CloudMachine) {
-	told := make(map[wire.MachineID]wire.MachineStatus, len(list))
-	var news []wire.CloudMachine
-	for i := range list {
-		l := &list[i]
-		told[l.ID] = l.Status
-		if c.provisioner.gossipedStatus[l.ID] != l.Status {
-			news = append(news, *l)
+	statuses := make(map[wire.MachineID]wire.MachineStatus, len(list))
+	var changed []wire.CloudMachine
+	for _, listed := range list {
+		statuses[listed.ID] = listed.Status
+		if c.provisioner.gossipedStatus[listed.ID] != listed.Status {
+			changed = append(changed, listed)
 		}
 	}
-	c.provisioner.gossipedStatus = told
-	if len(news) > 0 {
-		line := c.newPeerMessage()
-		line.CloudMachines = news
-		c.broadcast(line)
+	c.provisioner.gossipedStatus = statuses
+	if len(changed) > 0 {
+		message := c.newPeerMessage()
+		message.CloudMachines = changed
+		c.broadcast(message)
 	}
 }
 
-// applyMachineList takes a machine list. It lags, so absence from it proves nothing.
+// applyMachineList applies the cloud's list. The list lags, so the absence of a machine proves
+// nothing.
 func (c *Controller) applyMachineList(list []wire.CloudMachine) {
-	for _, l := range list {
-		m := c.machine(l.ID)
+	for _, listed := range list {
+		m := c.machine(listed.ID)
 		if m.latestHeartbeat == nil {
-			m.addr, m.machineType, m.zone, m.spot = l.Addr, l.Type, l.Zone, l.Spot
+			m.addr, m.machineType, m.zone, m.spot = listed.Addr, listed.Type, listed.Zone, listed.Spot
 		}
 		m.scaling.lastListedAt = c.now
-		m.scaling.status = l.Status
-		if born := c.now.Add(-config.Seconds(l.AgeS)); m.scaling.launchedAt == 0 || born < m.scaling.launchedAt {
-			m.scaling.launchedAt = born
+		m.scaling.status = listed.Status
+		if launched := c.now.Add(-config.Seconds(listed.AgeS)); m.scaling.launchedAt == 0 || launched < m.scaling.launchedAt {
+			m.scaling.launchedAt = launched
 		}
 	}
 }
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -9,93 +9,119 @@
 )
 
 const (
-	// expectedDelayFactor is how many times the usual boot time a machine may take and still
-	// be counted on; what is rented beyond that time is rented elsewhere if it can.
+	// expectedDelayFactor is how many times its type's usual provisioning delay a machine may
+	// take and still be expected to join; what takes longer is provisioned elsewhere as well,
+	// if it can be.
 	expectedDelayFactor = 1.8
 	expectedDelaySlack  = 3 * time.Second
-	// abandonFactor is the same until it is returned as one that never came up, and
-	// abandonFactorWhenLate while machines of its type come late, so that they are not
-	// returned just before they are up. lateFactor says from when on one is late.
+	// abandonFactor is how many times that delay it may take until it is terminated as one
+	// that never joined, and abandonFactorWhenLate the same while machines of its type join
+	// late, so that they are not terminated just before they join.
 	abandonFactor         = 4.0
 	abandonFactorWhenLate = 9.0
-	lateFactor            = 2.5
 	abandonSlack          = 10 * time.Second
-	// lateObservationLifetime is how long one late machine has others waited for longer.
+	// lateFactor is how many times that delay a machine takes that joins late.
+	lateFactor = 2.5
+	// lateObservationLifetime is how long a machine that joined late has others of its type
+	// waited for longer.
 	lateObservationLifetime = 3 * time.Minute
 )
 
-// isProvisioning reports whether a rented machine has not come up yet.
+// provisioningDelay is what is known of how long machines of a type take to join.
+type provisioningDelay struct {
+	lastJoinedLaunch Time // when the last launched of them that has joined was launched
+	lastLateAt       Time // when one last joined late; 0: none yet
+}
+
+// provisioningDelays is the provisioning delays by machine type.
+type provisioningDelays map[string]provisioningDelay
+
+// lateLately reports whether a machine of the type joined late not long ago.
+func (d provisioningDelay) lateLately(now Time) bool {
+	return d.lastLateAt != 0 && now.Sub(d.lastLateAt) <= lateObservationLifetime
+}
+
+// noteJoined notes that a machine of a type joined now, and whether it was late. It reports
+// whether it is the first late one for a while.
+func (d provisioningDelays) noteJoined(machineType string, launchedAt Time, late bool, now Time) (firstLate bool) {
+	delay := d[machineType]
+	delay.lastJoinedLaunch = max(delay.lastJoinedLaunch, launchedAt)
+	if late {
+		firstLate = !delay.lateLately(now)
+		delay.lastLateAt = now
+	}
+	d[machineType] = delay
+	return firstLate
+}
+
+// abandonFactor is how many times the usual delay a machine of a type may take that was
+// launched at a time. As long as none of its type that was launched later has joined, all of
+// them may be late: terminated too soon, none would ever join.
+func (d provisioningDelays) abandonFactor(machineType string, launchedAt, now Time) float64 {
+	delay := d[machineType]
+	if delay.lastJoinedLaunch > launchedAt && !delay.lateLately(now) {
+		return abandonFactor
+	}
+	return abandonFactorWhenLate
+}
+
+// isProvisioning reports whether a provisioned machine has not joined yet.
 func (m *machine) isProvisioning() bool {
 	return m.latestHeartbeat == nil && !m.scaling.terminated && m.scaling.status != wire.MachineFailed
 }
 
-// expectedToJoin reports whether a rented machine may still be expected to come up soon.
+// expectedToJoin reports whether a provisioned machine may still be expected to join soon.
 func (c *Controller) expectedToJoin(m *machine) bool {
 	t := c.machineTypeNamed(m.machineType)
 	if t == nil || !m.isProvisioning() {
 		return false
 	}
-	if _, going := c.cache.terminating[m.id]; going {
+	if _, terminating := c.cache.terminating[m.id]; terminating {
 		return false
 	}
 	return c.now.Sub(m.scaling.launchedAt) < config.Seconds(expectedDelayFactor*t.StartupS)+expectedDelaySlack
 }
 
-// neverJoined reports whether a machine is to be given up that did not come up.
+// neverJoined reports whether a machine that has not joined is to be given up.
 func (c *Controller) neverJoined(m *machine) bool {
 	t := c.machineTypeNamed(m.machineType)
 	if t == nil {
 		return false
 	}
-	// As long as none of its type that was rented later is up, all of them may be
-	// late: returned too soon, none would ever come up.
-	boots := c.provisioner.provisioningDelays[m.machineType]
-	most := abandonFactorWhenLate
-	if boots.lastJoinedLaunch > m.scaling.launchedAt && (boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime) {
-		most = abandonFactor
-	}
-	return c.now.Sub(m.scaling.launchedAt) > config.Seconds(most*t.StartupS)+abandonSlack
+	factor := c.provisioner.delays.abandonFactor(m.machineType, m.scaling.launchedAt, c.now)
+	return c.now.Sub(m.scaling.launchedAt) > config.Seconds(factor*t.StartupS)+abandonSlack
 }
 
-// noteJoined notes how long a machine took to come up.
+// noteJoined notes how long a machine took to join. Machines that were launched before this
+// controller was ready may have joined unseen, and do not count.
 func (c *Controller) noteJoined(m *machine) {
 	t := c.machineTypeNamed(m.machineType)
 	if t == nil || m.scaling.launchedAt == 0 || m.scaling.launchedAt < c.membership.readyAt {
 		return
 	}
-	boots := c.provisioner.provisioningDelays[m.machineType]
-	boots.lastJoinedLaunch = max(boots.lastJoinedLaunch, m.scaling.launchedAt)
-	if took := c.now.Sub(m.scaling.launchedAt); took > config.Seconds(lateFactor*t.StartupS) {
-		if boots.lastLateAt == 0 || c.now.Sub(boots.lastLateAt) > lateObservationLifetime {
-			c.log.Info("machines come up late", "type", m.machineType, "zone", m.zone, "took", took)
-		}
-		boots.lastLateAt = c.now
+	took := c.now.Sub(m.scaling.launchedAt)
+	late := took > config.Seconds(lateFactor*t.StartupS)
+	if c.provisioner.delays.noteJoined(m.machineType, m.scaling.launchedAt, late, c.now) {
+		c.log.Info("machines join late", "type", m.machineType, "zone", m.zone, "took", took)
 	}
-	c.provisioner.provisioningDelays[m.machineType] = boots
-}
-
-// provisioningDelay is how machines of a type came up.
-type provisioningDelay struct {
-	lastJoinedLaunch Time // when the newest of them that is up was rented
-	lastLateAt       Time // when one last came up late; 0: not yet
 }
 
-// overdueFractions says for each offer which part of the machines that were rented of it
-// and are not up yet are overdue: others are rented first.
+// overdueFractions is, for each offer, which part of the machines that were provisioned of it
+// and have not joined yet is overdue: other offers are preferred.
 func (c *Controller) overdueFractions() map[capacity.Key]float64 {
-	waiting, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
+	provisioning, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
 	for _, m := range c.fleet.machines {
-		if _, going := c.cache.terminating[m.id]; going || !m.isProvisioning() || m.scaling.status != wire.MachineBooting {
+		if _, terminating := c.cache.terminating[m.id]; terminating || !m.isProvisioning() || m.scaling.status != wire.MachineBooting {
 			continue
 		}
 		key := capacity.Key{Type: m.machineType, Zone: m.zone, Spot: m.spot}
-		waiting[key]++
+		provisioning[key]++
 		if !c.expectedToJoin(m) {
 			overdue[key]++
 		}
 	}
 	for key, n := range overdue {
-		overdue[key] = n / (waiting[key] + 1)
+		overdue[key] = n / (provisioning[key] + 1)
 	}
 	return overdue
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -5,332 +5,288 @@
 	"time"
 
 	"lilacrill/internal/config"
-	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// partition is a zone that seems to be cut off.
-type partition struct {
-	lastSeenAt Time // when it last seemed so
-	silent     int  // machines in it that were silent then
-}
+// The reasons for the termination of machines, as placement records, metrics and operators
+// see them.
+const (
+	reasonIdle               = "idle"                 // no tasks run on it
+	reasonFailed             = "failed"               // the cloud lists it as failed
+	reasonNeverJoined        = "never came up"        // its worker sent no heartbeat in time
+	reasonSilent             = "silent"               // no heartbeat for too long
+	reasonUnreachable        = "unreachable"          // its heartbeats come, but it answers no call
+	reasonHoldsCompletedWork = "holds ended work"     // it cannot be told to stop tasks of completed jobs
+	reasonAlreadyTerminated  = "gone with work on it" // it is gone, with allocations on it
+)
 
-// reasonIdle is why machines are returned that nothing stands on, reasonHoldsCompletedWork why those
-// are that hold ended work and cannot be told to stop it, and reasonAlreadyTerminated those that are
-// gone already with something on them.
 const (
-	reasonIdle               = "idle"
-	reasonHoldsCompletedWork = "holds ended work"
-	reasonAlreadyTerminated  = "gone with work on it"
+	completedTaskFraction         = 0.2 // of the time for a cancellation, in which a machine must learn of it
+	completedTaskFractionIsolated = 0.5 // the same while this controller may be isolated
+	probeGracePeriod              = 2 * time.Second
+	// minUnansweredProbes is how many probes a silent machine must have left unanswered.
+	minUnansweredProbes = 2
+	// minPartitionedMachines is how many machines of a partitioned zone must be silent for
+	// those with critical tasks to be left alone.
+	minPartitionedMachines = 5
+	// partitionLeases is for how many leases machines with accelerators in a partitioned zone
+	// are left alone.
+	partitionLeases = 3
+	// allReportedFactor times the heartbeat interval is when all machines had to report.
+	allReportedFactor = 1.3
 )
 
-// mayBeBusy reports whether a machine without entries reports tasks of which the
-// records cannot be read.
-func (c *Controller) mayBeBusy(m *machine) bool {
-	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(m.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
+// terminationReview is what a review of the machines finds of the fleet as a whole.
+type terminationReview struct {
+	reporting int // machines that send heartbeats
+	silent    int // of these, the ones that should have been heard and were not
+	zones     map[string]*zoneReview
+	// isolationPossible says that this controller, and not the silent machines, may be
+	// cut off.
+	isolationPossible bool
 }
 
-// reviewMachines finds machines that should go: dead, silent, never up, or idle.
-func (c *Controller) reviewMachines() {
-	silence, idle := config.Seconds(c.operator.values.UnresponsiveS), config.Seconds(c.operator.values.IdleS)
-	silent, reporting := 0, 0
-	bySilent, byHeard, lastHeard := map[string]int{}, map[string]int{}, map[string]Time{}
-	for id, m := range c.fleet.machines {
-		// What we return ourselves falls silent, which says nothing about us.
-		if _, going := c.cache.terminating[id]; m.latestHeartbeat != nil && !m.isTerminated() && !going {
-			reporting++
-			lastHeard[m.zone] = max(lastHeard[m.zone], m.liveness.lastHeartbeatAt)
-			// Reports may be further apart than that: only what was asked and did
-			// not answer is silent, or should have been asked by somebody long ago. Where all that had no reason to report counted, a
-			// zone that was cut off was never seen to be, and with one sibling out of
-			// hearing no machine was given up.
-			switch quiet := c.now.Sub(c.lastSeen(m)); {
-			case quiet <= silence/2:
-				byHeard[m.zone]++
-			case m.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
-				bySilent[m.zone]++
-				silent++
-			}
-		}
-	}
-	for zone, n := range bySilent {
-		// Nearly all of a zone at once, while others are heard: it is cut off. Seen
-		// before the first of them would be given up.
-		if n > 2 && n > 3*byHeard[zone] && 2*silent < reporting {
-			c.provisioner.partitionedZones[zone] = partition{c.now, n}
-		}
-	}
-	for zone, seen := range c.provisioner.partitionedZones {
-		if c.now.Sub(seen.lastSeenAt) > partitionLifetime || lastHeard[zone] > seen.lastSeenAt.Add(silence) {
-			delete(c.provisioner.partitionedZones, zone)
-		}
+// zoneReview is the same for one zone.
+type zoneReview struct {
+	heard, silent int
+	lastHeardAt   Time
+}
+
+// zone is the review of a zone.
+func (r *terminationReview) zone(name string) *zoneReview {
+	if r.zones[name] == nil {
+		r.zones[name] = &zoneReview{}
 	}
-	// Many silent at once, and no sibling that hears them: it may be us who is
-	// cut off.
-	cutOff := silent > 2 && 2*silent > reporting && !c.allPeersHeard() ||
-		c.isolationSuspected() && (silent < reporting || !c.allPeersHeard())
+	return r.zones[name]
+}
+
+// reviewMachines finds the machines to terminate: failed, silent, never joined, or idle.
+func (c *Controller) reviewMachines() {
+	review := c.reviewZones()
 	for _, m := range c.orderedMachines() {
-		id := m.id
-		if _, going := c.cache.terminating[id]; m.scaling.terminated && len(m.allocations) > 0 && !going && c.provisioner.toTerminate[id] == "" && !slices.Contains(c.cache.terminations.Confirmed, id) {
-			// It was returned while that could not be written down, or got work from one
-			// that did not know. All have to learn that what stood on it is gone.
+		_, terminating := c.cache.terminating[m.id]
+		terminating = terminating || c.provisioner.toTerminate[m.id] != ""
+		if c.isUnrecordedTermination(m, terminating) {
 			c.markForTermination(m, reasonAlreadyTerminated)
 			continue
-		} else if m.scaling.terminated || m.isTerminated() && len(m.allocations) == 0 || c.provisioner.toTerminate[id] != "" || going {
-			continue
 		}
-		quiet := c.now.Sub(c.lastSeen(m))
-		busy := len(m.allocations) > 0
-		if busy || m.scaling.holdsHeadroom || m.latestHeartbeat == nil || c.mayBeBusy(m) {
-			m.scaling.idleSince = 0
-		} else if m.scaling.idleSince == 0 {
-			m.scaling.idleSince = c.now
+		if terminating || m.scaling.terminated || m.isTerminated() && len(m.allocations) == 0 {
+			continue
 		}
-		switch {
-		case m.scaling.status == wire.MachineFailed:
-			c.markForTermination(m, "failed")
-		case m.latestHeartbeat == nil && m.scaling.status != wire.MachineRunning && !busy:
-			if c.neverJoined(m) {
-				c.markForTermination(m, "never came up")
-			}
-		case c.holdsCompletedTasks(id, c.completedTaskTolerance(cutOff)) && m.liveness.unansweredCalls >= unreachableThreshold:
-			// Tasks of jobs that are over must be gone in time, and it cannot be
-			// told: whatever the bounds, it goes.
-			c.markForTermination(m, reasonHoldsCompletedWork)
-		case quiet > c.silenceTolerance(m, silence) && (m.liveness.unansweredProbes >= 2 || c.hadTimeToReport(m, quiet)) && !cutOff &&
-			!c.maybePartitioned(m, lastHeard[m.zone], quiet-c.silenceTolerance(m, silence)) && (busy || c.now.Sub(m.scaling.lastListedAt) < forgetMachineAfter):
-			if c.admitSilentTermination(m, reporting) {
-				c.markForTermination(m, "silent")
-			}
-		case m.unreachable() && m.liveness.lastHeartbeatAt > m.liveness.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect && !cutOff &&
-			c.now.Sub(m.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2):
-			// Its reports come, but it hears nothing: its lease runs out unseen. One
-			// whose reports do not come either is silent, and may be in a zone that is
-			// cut off: once all machines of such a zone went this way, and later one of
-			// which a report had come just after the first call that the cut swallowed.
-			if c.admitSilentTermination(m, reporting) {
-				c.markForTermination(m, "unreachable")
-			}
-		case m.scaling.idleSince != 0 && c.now.Sub(m.scaling.idleSince) > idle && c.provisioner.missingHeadroom == 0 &&
-			(len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(m) || c.now.Sub(m.scaling.idleSince) > 2*idle): // what waits cannot use it
-			c.markForTermination(m, reasonIdle)
+		c.updateIdleTime(m)
+		if reason := c.terminationReason(m, review); reason != "" {
+			c.markForTermination(m, reason)
 		}
 	}
 }
 
-// hadTimeToReport reports whether a machine that only the records name has had the time
-// to be listed, or to be heard by somebody. A buyer that had just started once gave up
-// dozens before it had read the list, which their workers were on their way to.
-func (c *Controller) hadTimeToReport(m *machine, quiet time.Duration) bool {
-	return m.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+// isUnrecordedTermination reports whether a machine is gone, still has allocations, and is not
+// recorded as terminated: it was terminated while that could not be recorded, or a controller
+// that did not know placed tasks on it. All have to learn that those tasks are gone.
+func (c *Controller) isUnrecordedTermination(m *machine, terminating bool) bool {
+	return m.scaling.terminated && len(m.allocations) > 0 && !terminating && !slices.Contains(c.cache.terminations.Confirmed, m.id)
 }
 
-// holdsCompletedTasks reports whether a machine has held ended work for longer than that.
-func (c *Controller) holdsCompletedTasks(id wire.MachineID, patience time.Duration) bool {
-	return c.completedTasks.heldLongerThan(id, c.now, patience) && c.completedTasksOn(id).recorded
+// reviewZones counts the machines that are heard and that are silent, and looks for
+// partitioned zones.
+func (c *Controller) reviewZones() *terminationReview {
+	silence := config.Seconds(c.operator.values.UnresponsiveS)
+	review := &terminationReview{zones: map[string]*zoneReview{}}
+	for id, m := range c.fleet.machines {
+		// A machine that is being terminated falls silent, which says nothing about the
+		// network.
+		if _, terminating := c.cache.terminating[id]; m.latestHeartbeat == nil || m.isTerminated() || terminating {
+			continue
+		}
+		review.reporting++
+		zone := review.zone(m.zone)
+		zone.lastHeardAt = max(zone.lastHeardAt, m.liveness.lastHeartbeatAt)
+		// Heartbeats may be further apart than the silence that is tolerated: only what was
+		// probed and did not answer is silent, or should have been probed by somebody long
+		// ago. Where all that had no reason to report counted, a partitioned zone was never
+		// seen to be, and with one peer out of hearing no machine was given up.
+		switch quiet := c.now.Sub(c.lastSeen(m)); {
+		case quiet <= silence/2:
+			zone.heard++
+		case m.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
+			zone.silent++
+			review.silent++
+		}
+	}
+	c.provisioner.partitions.update(review, silence, c.now)
+	// Many are silent at once, and not all peers are heard: it may be this controller that is
+	// cut off.
+	manySilent := review.silent > minSilentMachines && 2*review.silent > review.reporting
+	review.isolationPossible = manySilent && !c.allPeersHeard() ||
+		c.isolationSuspected() && (review.silent < review.reporting || !c.allPeersHeard())
+	return review
 }
 
-// completedTaskTolerance is how long a machine may hold ended work that it cannot be told
-// to stop. While it may be us who cannot be heard, others have time to do it.
-func (c *Controller) completedTaskTolerance(cutOff bool) time.Duration {
-	part := completedTaskFraction
-	if cutOff {
-		part = completedTaskFractionIsolated
+// updateIdleTime notes since when a machine has had no tasks and held no headroom.
+func (c *Controller) updateIdleTime(m *machine) {
+	if len(m.allocations) > 0 || m.scaling.holdsHeadroom || m.latestHeartbeat == nil || c.runsUnreadableTasks(m) {
+		m.scaling.idleSince = 0
+	} else if m.scaling.idleSince == 0 {
+		m.scaling.idleSince = c.now
 	}
-	return config.Seconds(part * c.settings.Cluster.Workers.CancelS)
 }
 
-// isPartitioned reports whether a zone seems to be cut off. Nothing is rented there
-// meanwhile: what came up would be silent, be returned, and be rented again.
-func (c *Controller) isPartitioned(zone string) bool {
-	_, cut := c.provisioner.partitionedZones[zone]
-	return cut
+// runsUnreadableTasks reports whether a machine reports tasks whose records cannot be read: it
+// may be busy though it has no allocations.
+func (c *Controller) runsUnreadableTasks(m *machine) bool {
+	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(m.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
 }
 
-// silenceTolerance is how long a machine may be silent before it is given up. What hangs
-// often goes on after a while: where nothing urgent stands on it, waiting costs
-// less than to start its work anew on a machine that has yet to boot.
-func (c *Controller) silenceTolerance(m *machine, silence time.Duration) time.Duration {
-	for _, e := range m.allocations {
-		if e.Priority == wire.PriorityCritical.Level() {
-			if c.provisioner.partitionedZones[m.zone].silent >= minPartitionedMachines {
-				// A zone that is cut off works on, and its workers' leases last for a
-				// while: so long nothing on it is lost, unless we return it.
-				w := &c.settings.Cluster.Workers
-				return max(silence, config.Seconds(w.LeaseS-1.25*w.ReportS))
-			}
-			return silence
+// terminationReason is why a machine is to be terminated; "" if it is not. The first reason
+// that applies counts, and also suppresses those after it while its own bound holds the
+// termination back.
+func (c *Controller) terminationReason(m *machine, review *terminationReview) string {
+	switch {
+	case m.scaling.status == wire.MachineFailed:
+		return reasonFailed
+	case m.latestHeartbeat == nil && m.scaling.status != wire.MachineRunning && len(m.allocations) == 0:
+		if c.neverJoined(m) {
+			return reasonNeverJoined
 		}
-	}
-	if t := c.machineTypeNamed(m.machineType); t != nil && t.Accelerators > 0 {
-		if c.isPartitioned(m.zone) {
-			// They could not be replaced in their zone, and are the scarcest: once the
-			// zone is back, they are there with their images.
-			return partitionLeases * config.Seconds(c.settings.Cluster.Workers.LeaseS)
+	case c.holdsCompletedTasks(m.id, c.completedTaskTolerance(review.isolationPossible)) && m.liveness.unansweredCalls >= unreachableThreshold:
+		// Tasks of completed jobs must be gone in time, and the machine cannot be told:
+		// it is terminated whatever the bounds.
+		return reasonHoldsCompletedWork
+	case c.isSilent(m, review):
+		if c.admitSilentTermination(m, review) {
+			return reasonSilent
 		}
-		// Until all of the zone had reason to report, it may be cut off.
-		silence += config.Seconds(1.3 * c.settings.Cluster.Workers.ReportS)
-	}
-	for _, e := range m.allocations {
-		if e.Priority == wire.PriorityHigh.Level() {
-			return silence
+	case c.losesLeaseUnseen(m) && !review.isolationPossible:
+		if c.admitSilentTermination(m, review) {
+			return reasonUnreachable
 		}
+	case c.idleTooLong(m):
+		return reasonIdle
 	}
-	return max(silence, 2*config.Seconds(c.settings.Cluster.Workers.ReportS))
+	return ""
 }
 
-// maybePartitioned reports whether nothing shows yet that a silent machine fell silent by
-// itself: no machine of its zone was heard after it first left a call unanswered. Where
-// few machines of a zone have reason to be asked early, a cut is seen only once the
-// others should have reported; the first of them was returned meanwhile.
-func (c *Controller) maybePartitioned(m *machine, zoneHeard Time, overdue time.Duration) bool {
-	others := config.Seconds(1.3*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
-	return m.liveness.unansweredCalls > 0 && zoneHeard <= m.liveness.unreachableSince && overdue < others
+// isSilent reports whether a machine has been silent for so long that it is given up.
+func (c *Controller) isSilent(m *machine, review *terminationReview) bool {
+	quiet := c.now.Sub(c.lastSeen(m))
+	tolerance := c.silenceTolerance(m)
+	if quiet <= tolerance || review.isolationPossible {
+		return false
+	}
+	probedInVain := m.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(m, quiet)
+	matters := len(m.allocations) > 0 || c.now.Sub(m.scaling.lastListedAt) < forgetMachineAfter
+	return probedInVain && !c.maybePartitioned(m, review.zone(m.zone).lastHeardAt, quiet-tolerance) && matters
 }
 
-// allPeersHeard reports whether all other living controllers talk to us.
-func (c *Controller) allPeersHeard() bool {
-	for label := range c.cache.liveControllers {
-		if label == c.settings.Label {
-			continue
-		}
-		if p := c.gossip.peers[label]; p == nil || c.now.Sub(p.lastHeardAt) > 3*peerHeartbeatInterval {
-			return false
-		}
-	}
-	return len(c.cache.liveControllers) > 1
+// losesLeaseUnseen reports whether a machine's heartbeats come, but it hears nothing: its
+// lease runs out without anybody noticing.
+//
+// A machine whose heartbeats do not come either is silent, and may be in a partitioned zone:
+// once all machines of such a zone were terminated this way, and later one whose heartbeat
+// had come just after the first call that the partition swallowed.
+func (c *Controller) losesLeaseUnseen(m *machine) bool {
+	return m.unreachable() && m.liveness.lastHeartbeatAt > m.liveness.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect &&
+		c.now.Sub(m.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
 }
 
-// admitSilentTermination bounds how many silent machines go at once. A part of the bound is kept
-// for machines that somebody waits for at every moment: when a hundred hang, those
-// without a replica, which were silent first, would use it up for seconds.
-func (c *Controller) admitSilentTermination(m *machine, reporting int) bool {
-	c.provisioner.silentTerminations = slices.DeleteFunc(c.provisioner.silentTerminations, func(t Time) bool { return c.now.Sub(t) > silentTerminationWindow })
-	most := max(minSilentTerminations, reporting/silentTerminationDivisor)
-	if !c.hasCriticalTasks(m) {
-		most -= most / criticalTerminationDivisor
-	}
-	if len(c.provisioner.silentTerminations) >= most {
+// idleTooLong reports whether a machine is to be terminated as idle: there is enough headroom,
+// and no pending job can use the machine.
+func (c *Controller) idleTooLong(m *machine) bool {
+	limit := config.Seconds(c.operator.values.IdleS)
+	if m.scaling.idleSince == 0 || c.provisioner.missingHeadroom != 0 {
 		return false
 	}
-	c.provisioner.silentTerminations = append(c.provisioner.silentTerminations, c.now)
-	return true
+	idle := c.now.Sub(m.scaling.idleSince)
+	return idle > limit && (len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(m) || idle > 2*limit)
 }
 
-// markForTermination notes that a machine is to be returned; it is written down with the
-// others of the moment.
-func (c *Controller) markForTermination(m *machine, why string) {
-	c.provisioner.toTerminate[m.id] = why
-	c.log.Info("machine to be returned", "machine", m.id, "why", why, "quiet", c.now.Sub(c.lastSeen(m)), "unanswered", m.liveness.unansweredCalls)
+// hadTimeToReport reports whether a machine that only the records name has had the time to be
+// listed, or to be heard by somebody. A provisioner that had just started once gave up dozens
+// of machines before it had read the list, while their workers were about to report.
+func (c *Controller) hadTimeToReport(m *machine, quiet time.Duration) bool {
+	return m.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
 
-// recordTerminations writes down which machines are going and which are gone. Placements
-// demand that this record is as they saw it, so none can slip in unseen.
-func (c *Controller) recordTerminations() {
-	if c.provisioner.recordingTerminations || !c.isDue(c.provisioner.nextTerminationRecord) {
-		return
-	}
-	next := record.Terminations{Pending: map[string][]wire.MachineID{}}
-	changed := len(c.provisioner.toTerminate) > 0
-	room := c.pageLimit() - len(`{"going":{},"gone":[]}`)
-	keep := func(list []wire.MachineID, id wire.MachineID) []wire.MachineID {
-		room -= len(id) + len(`"",`)
-		return append(list, id)
+// holdsCompletedTasks reports whether a machine has held tasks of completed jobs for longer
+// than tolerance.
+func (c *Controller) holdsCompletedTasks(id wire.MachineID, tolerance time.Duration) bool {
+	return c.completedTasks.heldLongerThan(id, c.now, tolerance) && c.completedTasksOn(id).recorded
+}
+
+// completedTaskTolerance is how long a machine that cannot be told to stop tasks of completed
+// jobs may hold them. While this controller may be isolated, others have time to stop them.
+func (c *Controller) completedTaskTolerance(isolationPossible bool) time.Duration {
+	fraction := completedTaskFraction
+	if isolationPossible {
+		fraction = completedTaskFractionIsolated
 	}
-	for _, id := range sortedKeys(c.cache.terminating) {
-		d := c.cache.terminating[id]
-		switch m := c.machine(id); {
-		case m.scaling.terminated:
-			changed = true
-			if len(c.machine(id).allocations) > 0 {
-				next.Confirmed = keep(next.Confirmed, id)
-			}
-		case d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.provisioner.terminateRequested[id]:
-			changed = true // it got work before its end was written down: keep it
-		default:
-			next.Pending[d.reason] = keep(next.Pending[d.reason], id)
+	return config.Seconds(fraction * c.settings.Cluster.Workers.CancelS)
+}
+
+// silenceTolerance is how long a machine may be silent before it is given up. A machine that
+// hangs often recovers after a while: where no urgent tasks run on it, waiting costs less
+// than starting its tasks anew on a machine that has yet to be provisioned.
+func (c *Controller) silenceTolerance(m *machine) time.Duration {
+	silence := config.Seconds(c.operator.values.UnresponsiveS)
+	workers := &c.settings.Cluster.Workers
+	if hasPriority(m, wire.PriorityCritical) {
+		if c.provisioner.partitions.silentMachines(m.zone) >= minPartitionedMachines {
+			// A partitioned zone works on, and its workers' leases last for a while: so long
+			// none of its tasks are lost, unless the machine is terminated.
+			return max(silence, config.Seconds(workers.LeaseS-heartbeatTolerance*workers.ReportS))
 		}
+		return silence
 	}
-	for _, id := range c.cache.terminations.Confirmed {
-		if len(c.machine(id).allocations) == 0 {
-			changed = true
-		} else {
-			next.Confirmed = keep(next.Confirmed, id)
+	if t := c.machineTypeNamed(m.machineType); t != nil && t.Accelerators > 0 {
+		if c.isPartitioned(m.zone) {
+			// Machines with accelerators could not be replaced in their zone, and are the
+			// scarcest: once the partition is over, they are there with their images.
+			return partitionLeases * config.Seconds(workers.LeaseS)
 		}
+		// Until all machines of the zone had to report, it may be partitioned.
+		silence += config.Seconds(allReportedFactor * workers.ReportS)
 	}
-	if !changed {
-		return
-	}
-	taken := make([]wire.MachineID, 0, len(c.provisioner.toTerminate))
-	for _, id := range sortedKeys(c.provisioner.toTerminate) {
-		why := c.provisioner.toTerminate[id]
-		if next.Pending[why] == nil {
-			room -= len(why) + len(`"":[],`)
-		}
-		if room > 0 && c.machine(id) != nil {
-			next.Pending[why] = keep(next.Pending[why], id)
-			taken = append(taken, id)
-		}
+	if hasPriority(m, wire.PriorityHigh) {
+		return silence
 	}
-	c.provisioner.recordingTerminations = true
-	c.provisioner.nextTerminationRecord = c.now.Add(terminationRecordInterval)
-	// One write for all that goes, which replicas wait for: ahead of submissions.
-	c.commit(PriorityUrgent, wire.Transaction{
-		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]}},
-		Then: []wire.Change{c.putChange(record.TerminationsKey, next)},
-	}, func(r CommitResult) {
-		c.provisioner.recordingTerminations = false
-		if r.Outcome != NotExecuted {
-			for _, id := range taken {
-				delete(c.provisioner.toTerminate, id)
-			}
-		}
-		if r.Outcome != Succeeded {
-			c.readBarrier(func(bool) {})
-		}
-	})
+	return max(silence, 2*config.Seconds(workers.ReportS))
 }
 
-// terminateRecorded returns pendingTermination machines. The cloud's 200 means that they and all on
-// them are gone; only then do their tasks leave the records.
-func (c *Controller) terminateRecorded() {
-	if c.provisioner.terminateCallInFlight {
-		return
-	}
-	var names []wire.MachineID
-	for _, id := range sortedKeys(c.cache.terminating) {
-		d := c.cache.terminating[id]
-		if m := c.machine(id); m.scaling.terminated || d.since > c.cache.revision || len(names) == wire.MaxTerminate ||
-			d.reason == reasonIdle && len(c.machine(id).allocations) > 0 && !c.provisioner.terminateRequested[id] {
+// hasPriority reports whether tasks of a priority are placed on a machine.
+func hasPriority(m *machine, priority wire.Priority) bool {
+	return slices.ContainsFunc(m.allocations, func(allocation *Allocation) bool { return allocation.Priority == priority.Level() })
+}
+
+// maybePartitioned reports whether there is no evidence yet that a silent machine fell silent
+// by itself: no machine of its zone was heard after it first left a call unanswered. Where
+// few machines of a zone are probed early, a partition is seen only once the others should
+// have reported; the first of them was terminated meanwhile.
+func (c *Controller) maybePartitioned(m *machine, zoneHeardAt Time, overdue time.Duration) bool {
+	othersReport := config.Seconds(allReportedFactor*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
+	return m.liveness.unansweredCalls > 0 && zoneHeardAt <= m.liveness.unreachableSince && overdue < othersReport
+}
+
+// allPeersHeard reports whether all other live controllers are heard.
+func (c *Controller) allPeersHeard() bool {
+	for label := range c.cache.liveControllers {
+		if label == c.settings.Label {
 			continue
 		}
-		names = append(names, id)
-		c.provisioner.terminateRequested[id] = true
-	}
-	if len(names) == 0 {
-		return
+		if peer := c.gossip.peers[label]; peer == nil || !peer.isHeard(c.now) {
+			return false
+		}
 	}
-	c.callTerminate(names, func(m *machine) {
-		c.metrics.count(countTerminated+c.cache.terminating[m.id].reason, 1)
-		delete(c.provisioner.terminateRequested, m.id)
-	})
+	return len(c.cache.liveControllers) > 1
 }
 
-// callTerminate has the cloud take machines back; gone is called for each once it
-// confirms that they are gone.
-func (c *Controller) callTerminate(names []wire.MachineID, gone func(*machine)) {
-	c.provisioner.terminateCallInFlight = true
-	c.emit(TerminateMachines{call(c, func(r TerminateResult) {
-		c.provisioner.terminateCallInFlight = false
-		c.metrics.countFailure(r.Outcome, countCloudRefused, countCloudUnanswered)
-		if r.Outcome != Succeeded {
-			return
-		}
-		for _, id := range names {
-			m := c.machine(id)
-			m.scaling.terminated, m.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
-			m.markForReview()
-			gone(m)
-		}
-	}), names})
+// admitSilentTermination bounds how many silent machines are terminated at once.
+func (c *Controller) admitSilentTermination(m *machine, review *terminationReview) bool {
+	return c.provisioner.silentTerminations.admit(review.reporting, c.hasCriticalTasks(m), c.now)
+}
+
+// markForTermination notes that a machine is to be terminated; recordTerminations records it
+// together with others.
+func (c *Controller) markForTermination(m *machine, reason string) {
+	c.provisioner.toTerminate[m.id] = reason
+	c.log.Info("machine marked for termination", "machine", m.id, "reason", reason, "silent_for", c.now.Sub(c.lastSeen(m)), "unanswered_calls", m.liveness.unansweredCalls)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -14,147 +14,206 @@
 
 // capacityShortage is an offer that the cloud had no machine for.
 type capacityShortage struct {
-	until   Time
+	until   Time // the offer is not asked for before
 	backoff time.Duration
 }
 
-// noteCapacityShortage keeps an offer from being asked for over and over: cheap offers that
-// are sold out must not hide dear ones that are not.
-func (c *Controller) noteCapacityShortage(key capacity.Key) {
-	r := c.provisioner.capacityShortages[key]
-	r.backoff = min(max(2*r.backoff, capacityBackoff), maxCapacityBackoff)
-	r.until = c.now.Add(r.backoff)
-	c.provisioner.capacityShortages[key] = r
+// capacityShortages is the shortages by offer. They keep an offer from being asked for over
+// and over: cheap offers that are sold out must not hide expensive ones that are not.
+type capacityShortages map[capacity.Key]capacityShortage
+
+const (
+	capacityBackoff    = 5 * time.Second // doubled with every shortage in a row
+	maxCapacityBackoff = 40 * time.Second
+)
+
+// note notes a shortage.
+func (s capacityShortages) note(key capacity.Key, now Time) {
+	shortage := s[key]
+	shortage.backoff = min(max(2*shortage.backoff, capacityBackoff), maxCapacityBackoff)
+	shortage.until = now.Add(shortage.backoff)
+	s[key] = shortage
 }
 
-// scaleOut rents for what waits and for the spare room.
+// clear ends a shortage: the cloud had machines.
+func (s capacityShortages) clear(key capacity.Key) { delete(s, key) }
+
+// isShort reports whether an offer is not to be asked for now.
+func (s capacityShortages) isShort(key capacity.Key, now Time) bool { return now < s[key].until }
+
+// scaleOut provisions machines for the unmet demand and the missing headroom, less what the
+// machines that are expected to join will satisfy.
 func (c *Controller) scaleOut() {
 	if c.provisioner.listsSinceElected == 0 || len(c.provisioner.catalogue) == 0 || c.provisioner.provisionCallsInFlight > 0 {
 		return
 	}
-	var bootExpected placement.Fleet
+	var expected placement.Fleet
 	for _, m := range c.orderedMachines() {
 		if c.expectedToJoin(m) {
-			o := capacity.Offer{Type: *c.machineTypeNamed(m.machineType), Zone: m.zone, Spot: m.spot}
-			bootExpected = append(bootExpected, o.Host(m.id, maxTasksPerMachine))
+			offer := capacity.Offer{Type: *c.machineTypeNamed(m.machineType), Zone: m.zone, Spot: m.spot}
+			expected = append(expected, offer.Host(m.id, maxTasksPerMachine))
 		}
 	}
 	demands := c.scaleOutDemands()
 	if c.provisioner.missingHeadroom > 0 {
-		for _, s := range c.headroomDemands() {
-			s.Count = min(s.Count, c.provisioner.missingHeadroom)
-			demands = append(demands, s)
+		for _, demand := range c.headroomDemands() {
+			demand.Count = min(demand.Count, c.provisioner.missingHeadroom)
+			demands = append(demands, demand)
 		}
 	}
-	for i, p := range capacity.Plan(demands, bootExpected, c.offers(), maxTasksPerMachine) {
+	for i, launch := range capacity.Plan(demands, expected, c.offers(), maxTasksPerMachine) {
 		if i == maxProvisionCalls {
 			break
 		}
 		c.requestMachines(wire.ProvisionRequest{
-			Name: fmt.Sprintf("%s-%d", c.settings.Label, c.nextSerial()),
-			Type: p.Offer.Type.Name, Zone: p.Offer.Zone, Spot: p.Offer.Spot, Count: p.Count,
-		}, 3)
+			Name:  fmt.Sprintf("%s-%d", c.settings.Label, c.nextSerial()),
+			Type:  launch.Offer.Type.Name,
+			Zone:  launch.Offer.Zone,
+			Spot:  launch.Offer.Spot,
+			Count: launch.Count,
+		}, maxProvisionTries)
 	}
 }
 
-// scaleOutDemands is what of the backlog more is rented for. Work in no hurry waits for
-// room to come free, as long as all of it can be expected to start in time on
-// the machines that there are: a burst then does not rent machines, dear ones
-// among them, that stand idle after it. Where it cannot, as much is rented as
-// makes up the difference.
-func (c *Controller) scaleOutDemands() []capacity.Demand {
-	var out []capacity.Demand
-	// Demands for the same go together: each is set against all that is coming.
-	alike := map[rankingKey]int{}
-	add := func(d unmetDemand, count int) {
-		key := rankingKey{searchKey: searchKey{spot: d.job.spec.Spot}, need: d.job.request.Need, oneAtATime: d.job.request.OneAtATime}
-		if k, known := alike[key]; known && hasPlainConstraints(d.job) && d.zone == "" {
-			out[k].Count += count
-			return
-		}
-		if hasPlainConstraints(d.job) && d.zone == "" {
-			alike[key] = len(out)
-		}
-		out = append(out, capacity.Demand{Request: d.job.request, Count: count, Zone: d.zone})
+// demandKey is what demands have in common that are provisioned for together.
+type demandKey struct {
+	spot       bool
+	need       placement.Resources
+	oneAtATime bool
+}
+
+// demandList is demands in the order in which they were added first. Equal demands are added
+// up: each is set against all machines that are expected to join.
+type demandList struct {
+	demands []capacity.Demand
+	index   map[demandKey]int
+}
+
+// add adds count tasks of an unmet demand.
+func (l *demandList) add(unmet unmetDemand, count int) {
+	request := unmet.job.request
+	demand := capacity.Demand{Request: request, Count: count, Zone: unmet.zone}
+	if !hasPlainConstraints(unmet.job) || unmet.zone != "" {
+		l.demands = append(l.demands, demand)
+		return
 	}
-	var patient []unmetDemand
-	cores, work, lacking := 0.0, 0.0, 0.0
-	for _, d := range c.provisioner.unmetDemands {
-		patience := c.waitTolerance(d.job)
-		if d.guaranteed || patience == 0 || c.pendingFor(d.job) > overdueToleranceFactor*patience || !hasPlainConstraints(d.job) && c.pendingFor(d.job) > patience {
-			// What has waited for too long may be unable to use the machines that
-			// there are: the reckoning below counts them all.
-			add(d, d.count)
+	key := demandKey{unmet.job.spec.Spot, request.Need, request.OneAtATime}
+	if i, known := l.index[key]; known {
+		l.demands[i].Count += count
+		return
+	}
+	l.index[key] = len(l.demands)
+	l.demands = append(l.demands, demand)
+}
+
+// scaleOutDemands is the unmet demand that machines are provisioned for. Demand that tolerates
+// a wait is not provisioned for as long as all of it can be expected to start in time on the
+// machines that there are: a burst then does not provision machines, expensive ones among
+// them, that are idle after it. Otherwise as much is provisioned as makes up the difference.
+func (c *Controller) scaleOutDemands() []capacity.Demand {
+	list := &demandList{index: map[demandKey]int{}}
+	var tolerant []unmetDemand
+	cores, work, missingCores := 0.0, 0.0, 0.0
+	for _, unmet := range c.provisioner.unmetDemands {
+		if c.isUrgentDemand(unmet) {
+			list.add(unmet, unmet.count)
 			continue
 		}
-		if patient == nil {
+		if tolerant == nil {
 			cores, work = c.finiteWork()
 		}
-		patient = append(patient, d)
-		s := &d.job.spec
-		work += float64(d.count) * s.Cores * (s.RuntimeS + startOverheadS)
-		left := max(patience-c.pendingFor(d.job), minWaitTolerance).Seconds()
-		lacking = max(lacking, work/left-cores)
+		tolerant = append(tolerant, unmet)
+		work += float64(unmet.count) * unmet.job.spec.Cores * (unmet.job.spec.RuntimeS + startOverheadS)
+		missingCores = max(missingCores, work/c.remainingTolerance(unmet.job).Seconds()-cores)
 	}
-	for _, d := range patient {
-		if lacking <= 0 {
+	for _, unmet := range tolerant {
+		if missingCores <= 0 {
 			break
 		}
-		n := min(d.count, int(math.Ceil(lacking/max(d.job.spec.Cores, 0.01))))
-		lacking -= float64(n) * d.job.spec.Cores
-		add(d, n)
+		cores := unmet.job.spec.Cores
+		count := min(unmet.count, int(math.Ceil(missingCores/max(cores, minCoresPerTask))))
+		missingCores -= float64(count) * cores
+		list.add(unmet, count)
 	}
-	return out
+	return list.demands
+}
+
+// isUrgentDemand reports whether machines are provisioned at once for an unmet demand: it
+// tolerates no wait, or has waited for too long and so may be unable to use the machines that
+// there are, all of which scaleOutDemands counts otherwise.
+func (c *Controller) isUrgentDemand(unmet unmetDemand) bool {
+	tolerance, waited := c.waitTolerance(unmet.job), c.pendingFor(unmet.job)
+	return unmet.guaranteed || tolerance == 0 || waited > overdueToleranceFactor*tolerance ||
+		!hasPlainConstraints(unmet.job) && waited > tolerance
+}
+
+// remainingTolerance is how long a job's tasks may still be left pending.
+func (c *Controller) remainingTolerance(j *job) time.Duration {
+	return max(c.waitTolerance(j)-c.pendingFor(j), minWaitTolerance)
 }
 
-// updatePriceLimit finds the price of a core up to which machines are needed so that
-// work in no hurry can be expected to start in time. Such work then leaves dearer
-// ones alone, unless replicas keep them anyway, so that they come to be idle and
-// are returned, while it waits a little longer.
+// updatePriceLimit finds the price of a core up to which machines are needed for jobs that
+// tolerate a wait to be expected to start in time. Such jobs then leave more expensive
+// machines alone, unless services keep them anyway, so that those become idle and are
+// terminated, while the jobs wait a little longer.
 func (c *Controller) updatePriceLimit(queue []pendingJob) {
+	c.provisioner.priceLimit = math.Inf(1)
+	cores, anyTolerant := c.coresNeeded(queue)
+	if !anyTolerant {
+		return
+	}
+	coresByPrice := c.finiteCoresByPrice()
+	for _, price := range sortedKeys(coresByPrice) {
+		if cores -= coresByPrice[price]; cores <= 0 {
+			c.provisioner.priceLimit = price
+			return
+		}
+	}
+}
+
+// coresNeeded is how many cores the finite jobs need for all to be expected to start in time,
+// and whether any of the pending ones tolerates a wait.
+func (c *Controller) coresNeeded(queue []pendingJob) (cores float64, anyTolerant bool) {
 	_, work := c.finiteWork()
-	need, any := 0.0, false
 	for i := range queue {
-		w := &queue[i]
-		s := &w.job.spec
-		if s.Shape == wire.ShapeService {
+		pending := &queue[i]
+		spec := &pending.job.spec
+		if spec.Shape == wire.ShapeService {
 			continue
 		}
-		work += float64(w.missing.Len()) * s.Cores * (s.RuntimeS + startOverheadS)
-		patience := c.waitTolerance(w.job)
-		if w.guaranteed || patience == 0 {
-			patience = 0
+		work += float64(pending.missing.Len()) * spec.Cores * (spec.RuntimeS + startOverheadS)
+		tolerance := c.waitTolerance(pending.job)
+		if pending.guaranteed || tolerance == 0 {
+			tolerance = 0
 		} else {
-			any = true
+			anyTolerant = true
 		}
-		need = max(need, capacityMargin*work/max(patience-c.pendingFor(w.job), minWaitTolerance).Seconds())
-	}
-	c.provisioner.priceLimit = math.Inf(1)
-	if !any {
-		return
+		cores = max(cores, capacityMargin*work/max(tolerance-c.pendingFor(pending.job), minWaitTolerance).Seconds())
 	}
-	byPrice := map[float64]float64{}
+	return cores, anyTolerant
+}
+
+// finiteCoresByPrice is the cores of the machines that accept tasks, without those that
+// services take, by the price of a core.
+func (c *Controller) finiteCoresByPrice() map[float64]float64 {
+	coresByPrice := map[float64]float64{}
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
 		if t == nil || !c.acceptsTasks(m) {
 			continue
 		}
 		cores := t.Cores
-		for _, e := range m.allocations {
-			if e.Shape == wire.ShapeService {
-				cores -= e.Cores * float64(e.Tasks.Len())
+		for _, allocation := range m.allocations {
+			if allocation.Shape == wire.ShapeService {
+				cores -= allocation.Cores * float64(allocation.Tasks.Len())
 			}
 		}
-		byPrice[pricePerCore(t, m.spot)] += cores
-	}
-	for _, price := range sortedKeys(byPrice) {
-		if need -= byPrice[price]; need <= 0 {
-			c.provisioner.priceLimit = price
-			return
-		}
+		coresByPrice[pricePerCore(t, m.spot)] += cores
 	}
+	return coresByPrice
 }
 
+// pricePerCore is the price of a core for an hour.
 func pricePerCore(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / max(t.Cores, 1)
@@ -162,10 +221,11 @@
 	return t.OnDemandPrice / max(t.Cores, 1)
 }
 
-// abovePriceLimit reports whether a machine is one that work in no hurry leaves alone.
+// abovePriceLimit reports whether a machine is so expensive that jobs that tolerate a wait
+// leave it alone.
 func (c *Controller) abovePriceLimit(m *machine) bool {
 	t := c.machineTypeNamed(m.machineType)
-	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+1e-9) && !c.hasCriticalTasks(m)
+	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !c.hasCriticalTasks(m)
 }
 
 // avoidsExpensive reports whether a job leaves machines above the price limit alone.
@@ -173,130 +233,150 @@
 	return !pending.guaranteed && !math.IsInf(c.provisioner.priceLimit, 1) && c.waitTolerance(pending.job) > 0
 }
 
-// capacityMargin is how much more than the work that is known of the machines that
-// are not too dear should be able to do.
-const capacityMargin = 1.25
-
-// finiteWork is the cores that work which ends has at its disposal, and how many
-// core-seconds of it they are still at.
+// finiteWork is the cores that finite jobs (all but services) have at their disposal, and how
+// many core-seconds of work their running tasks still have, half of them on average.
 func (c *Controller) finiteWork() (cores, work float64) {
 	for _, m := range c.orderedMachines() {
 		t := c.machineTypeNamed(m.machineType)
 		if t == nil || !c.acceptsTasks(m) {
-			continue // what is coming is set against what is rented
+			continue // machines that have yet to join are set against the demands by scaleOut
 		}
 		cores += t.Cores
-		for _, e := range m.allocations {
-			n := e.Cores * float64(e.Tasks.Len())
-			if e.Shape == wire.ShapeService {
-				cores -= n
-			} else if j := c.cache.jobs[e.Job]; j != nil {
-				work += n * j.spec.RuntimeS / 2
+		for _, allocation := range m.allocations {
+			used := allocation.Cores * float64(allocation.Tasks.Len())
+			if allocation.Shape == wire.ShapeService {
+				cores -= used
+			} else if j := c.cache.jobs[allocation.Job]; j != nil {
+				work += used * j.spec.RuntimeS / 2
 			}
 		}
 	}
 	return cores, work
 }
 
-// waitTolerance is how long after its submission a job's tasks may be left waiting:
-// a part of what the objectives leave.
+// waitTolerance is how long after its submission a job's tasks may be left pending: a part of
+// what its objectives and its deadline leave. Urgent jobs tolerate no wait.
 func (c *Controller) waitTolerance(j *job) time.Duration {
 	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		return 0
 	}
-	left := math.Inf(1)
+	slackS := c.objectiveSlackS(j)
+	if math.IsInf(slackS, 1) {
+		// It has neither a deadline nor an objective. It is to start soon, and to complete in
+		// some proportion to its length, but machines are not provisioned for it as if it
+		// were urgent.
+		if !j.started && c.pendingFor(j) > noObjectiveFirstStart {
+			return 0
+		}
+		slackS = noObjectiveRuntimes*j.spec.RuntimeS + noObjectiveMinS
+	}
+	return config.Seconds(max(0, waitToleranceFraction*slackS))
+}
+
+// objectiveSlackS is how many seconds a job's objectives and deadline leave beside its run
+// time; infinite if it has none. Run times count twice: estimates are often wrong by half or
+// more.
+func (c *Controller) objectiveSlackS(j *job) float64 {
+	slackS := math.Inf(1)
 	if j.spec.DeadlineS > 0 {
-		// Estimates are often wrong by half or more.
-		left = (j.spec.DeadlineS - 2*j.spec.RuntimeS) * deadlineWaitFraction / waitToleranceFraction
+		slackS = (j.spec.DeadlineS - 2*j.spec.RuntimeS) * deadlineWaitFraction / waitToleranceFraction
 	}
-	for _, o := range c.settings.Cluster.Objectives {
-		if o.Class != j.spec.Class {
+	for _, objective := range c.settings.Cluster.Objectives {
+		if objective.Class != j.spec.Class {
 			continue
 		}
-		switch o.Kind {
+		switch objective.Kind {
 		case objectiveWait:
-			left = min(left, o.WithinS)
+			slackS = min(slackS, objective.WithinS)
 		case objectiveFinished:
-			left = min(left, o.WithinS-2*j.spec.RuntimeS)
+			slackS = min(slackS, objective.WithinS-2*j.spec.RuntimeS)
 		}
 	}
-	if math.IsInf(left, 1) {
-		// Nobody stated a time. It is to begin soon, and to be done in some
-		// proportion to its length, but machines are not rented for it as if it
-		// were urgent.
-		if !j.started && c.pendingFor(j) > noObjectiveFirstStart {
-			return 0
-		}
-		left = noObjectiveRuntimes*j.spec.RuntimeS + noObjectiveMinS
-	}
-	return config.Seconds(max(0, waitToleranceFraction*left))
+	return slackS
 }
 
 const (
-	// waitToleranceFraction is the part of the time an objective leaves, and deadlineWaitFraction of the
-	// time before a deadline, that may be spent waiting.
-	waitToleranceFraction  = 0.4
-	deadlineWaitFraction   = 0.15
-	minWaitTolerance       = 15 * time.Second
+	// waitToleranceFraction is the part of an objective's slack, and deadlineWaitFraction of
+	// a deadline's, that may be spent pending.
+	waitToleranceFraction = 0.4
+	deadlineWaitFraction  = 0.15
+	minWaitTolerance      = 15 * time.Second
+	// overdueToleranceFactor times its tolerance is when a wait is too long.
 	overdueToleranceFactor = 2
-	// noObjectiveRuntimes times its length, and noObjectiveMinS seconds, is what work without
-	// any objective or deadline may take; noObjectiveFirstStart is how long it waits for its
-	// first start before machines are rented for it at once.
+	// noObjectiveRuntimes times its run time, and noObjectiveMinS seconds, is what a job
+	// without any objective or deadline may take; noObjectiveFirstStart is how long it waits
+	// for its first start before machines are provisioned for it at once.
 	noObjectiveRuntimes   = 4
 	noObjectiveMinS       = 240.0
 	noObjectiveFirstStart = 60 * time.Second
-	startOverheadS        = 5.0 // seconds that a task takes beside its run time
+	// startOverheadS is how many seconds a task occupies a machine beside its run time.
+	startOverheadS = 5.0
+	// capacityMargin is how much more work than is known of the machines within the price
+	// limit should be able to do.
+	capacityMargin = 1.25
+	// priceTolerance forgives rounding in prices, relative to them.
+	priceTolerance = 1e-9
+	// minCoresPerTask keeps the count of tasks that need next to no cores finite.
+	minCoresPerTask = 0.01
 )
 
-// offers is all the cloud may have, less what it refused lately.
+// offers is all that the cloud may have in the zones that are not partitioned, less what it
+// has been short of lately.
 func (c *Controller) offers() []capacity.Offer {
-	var out []capacity.Offer
-	doubts := c.overdueFractions()
+	var offers []capacity.Offer
+	overdue := c.overdueFractions()
 	for _, t := range c.provisioner.catalogue {
 		for _, zone := range t.Zones {
 			if !slices.Contains(c.settings.Cluster.Zones, zone) || c.isPartitioned(zone) {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
-				o := capacity.Offer{Type: t, Zone: zone, Spot: spot}
-				o.OverdueFraction = doubts[o.Key()]
-				if c.isDue(c.provisioner.capacityShortages[o.Key()].until) {
-					out = append(out, o)
+				offer := capacity.Offer{Type: t, Zone: zone, Spot: spot}
+				offer.OverdueFraction = overdue[offer.Key()]
+				if !c.provisioner.shortages.isShort(offer.Key(), c.now) {
+					offers = append(offers, offer)
 				}
 			}
 		}
 	}
-	return out
+	return offers
 }
 
-func (c *Controller) requestMachines(h wire.ProvisionRequest, tries int) {
+// requestMachines has the cloud provision machines. A call without an answer is repeated, up
+// to tries calls in all: its name makes that safe, as the cloud provisions nothing twice for
+// one name.
+func (c *Controller) requestMachines(request wire.ProvisionRequest, tries int) {
 	c.provisioner.provisionCallsInFlight++
-	c.emit(ProvisionMachines{call(c, func(r ProvisionResult) {
+	c.emit(ProvisionMachines{call(c, func(result ProvisionResult) {
 		c.provisioner.provisionCallsInFlight--
-		key := capacity.Key{Type: h.Type, Zone: h.Zone, Spot: h.Spot}
+		key := capacity.Key{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 		switch {
-		case r.Outcome == Succeeded:
-			c.metrics.count(countProvisioned, len(r.Machines))
-			c.log.Info("machines rented", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "asked", h.Count, "got", len(r.Machines))
-			for _, id := range r.Machines {
-				m := c.machine(id)
-				if m.latestHeartbeat == nil {
-					m.machineType, m.zone, m.spot, m.scaling.status = h.Type, h.Zone, h.Spot, wire.MachineBooting
-				}
-				m.scaling.launchedAt, m.scaling.lastListedAt = c.now, c.now
+		case result.Outcome == Succeeded:
+			c.applyProvisioned(request, result.Machines)
+			c.provisioner.shortages.clear(key)
+			if len(result.Machines) < request.Count {
+				c.provisioner.shortages.note(key, c.now)
 			}
-			delete(c.provisioner.capacityShortages, key)
-			if len(r.Machines) < h.Count {
-				c.noteCapacityShortage(key)
-			}
-		case r.Outcome == Unknown && tries > 1:
-			// The name makes the repeat safe: it rents nothing twice.
-			c.requestMachines(h, tries-1)
-		case r.NoCapacity:
+		case result.Outcome == Unknown && tries > 1:
+			c.requestMachines(request, tries-1)
+		case result.NoCapacity:
 			c.metrics.count(countNoCapacity, 1)
-			c.noteCapacityShortage(key)
+			c.provisioner.shortages.note(key, c.now)
 		default:
-			c.provisioner.nextScaleOut = c.now.Add(time.Second)
+			c.provisioner.nextScaleOut = c.now.Add(scaleOutRetryDelay)
 		}
-	}), h})
+	}), request})
+}
+
+// applyProvisioned notes the machines that the cloud provisioned.
+func (c *Controller) applyProvisioned(request wire.ProvisionRequest, machines []wire.MachineID) {
+	c.metrics.count(countProvisioned, len(machines))
+	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "provisioned", len(machines))
+	for _, id := range machines {
+		m := c.machine(id)
+		if m.latestHeartbeat == nil {
+			m.machineType, m.zone, m.spot, m.scaling.status = request.Type, request.Zone, request.Spot, wire.MachineBooting
+		}
+		m.scaling.launchedAt, m.scaling.lastListedAt = c.now, c.now
+	}
 }
--- /dev/null
+++ b/internal/controller/terminations.go
@@ -0,0 +1,164 @@
+package controller
+
+import (
+	"lilacrill/internal/record"
+	"lilacrill/wire"
+)
+
+// The termination of a machine takes three steps, so that no placement slips in unseen:
+// recordTerminations records it as pending, which every placement's conditions name;
+// terminateRecorded has the cloud terminate it once that record is known to be committed;
+// and once the cloud confirms it, the machine is recorded as confirmed for as long as there
+// are allocations on it.
+
+// terminationsDraft is the next record of terminations, as far as it fits a value.
+type terminationsDraft struct {
+	terminations record.Terminations
+	room         int // bytes
+}
+
+// confirm adds a machine whose termination is confirmed.
+func (d *terminationsDraft) confirm(id wire.MachineID) {
+	d.room -= len(id) + len(`"",`)
+	d.terminations.Confirmed = append(d.terminations.Confirmed, id)
+}
+
+// addPending adds a machine whose termination is pending.
+func (d *terminationsDraft) addPending(reason string, id wire.MachineID) {
+	d.room -= len(id) + len(`"",`)
+	d.terminations.Pending[reason] = append(d.terminations.Pending[reason], id)
+}
+
+// reserveReason takes off the room of a reason that has no machines yet.
+func (d *terminationsDraft) reserveReason(reason string) {
+	if d.terminations.Pending[reason] == nil {
+		d.room -= len(reason) + len(`"":[],`)
+	}
+}
+
+// recordTerminations records which machines are to be terminated and which are gone.
+// Placements name this record's version in their conditions, so none can slip in unseen.
+func (c *Controller) recordTerminations() {
+	if c.provisioner.recordingTerminations || !c.isDue(c.provisioner.nextTerminationRecord) {
+		return
+	}
+	draft := &terminationsDraft{
+		terminations: record.Terminations{Pending: map[string][]wire.MachineID{}},
+		room:         c.pageLimit() - len(`{"going":{},"gone":[]}`),
+	}
+	if changed := c.carryOverTerminations(draft); !changed && len(c.provisioner.toTerminate) == 0 {
+		return
+	}
+	added := c.addMarkedMachines(draft)
+	c.provisioner.recordingTerminations = true
+	c.provisioner.nextTerminationRecord = c.now.Add(terminationRecordInterval)
+	// One write for all of them, which replicas wait for: ahead of submissions.
+	c.commit(PriorityUrgent, wire.Transaction{
+		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]}},
+		Then: []wire.Change{c.putChange(record.TerminationsKey, draft.terminations)},
+	}, func(result CommitResult) {
+		c.provisioner.recordingTerminations = false
+		if result.Outcome != NotExecuted {
+			for _, id := range added {
+				delete(c.provisioner.toTerminate, id)
+			}
+		}
+		if result.Outcome != Succeeded {
+			c.readBarrier(func(bool) {})
+		}
+	})
+}
+
+// carryOverTerminations adds to the draft what still holds of the current record, and reports
+// whether anything changed.
+func (c *Controller) carryOverTerminations(draft *terminationsDraft) (changed bool) {
+	for _, id := range sortedKeys(c.cache.terminating) {
+		pending := c.cache.terminating[id]
+		switch m := c.machine(id); {
+		case m.scaling.terminated:
+			changed = true
+			if len(m.allocations) > 0 {
+				draft.confirm(id)
+			}
+		case c.keepsRegainedMachine(m, pending):
+			changed = true
+		default:
+			draft.addPending(pending.reason, id)
+		}
+	}
+	for _, id := range c.cache.terminations.Confirmed {
+		if len(c.machine(id).allocations) == 0 {
+			changed = true
+		} else {
+			draft.confirm(id)
+		}
+	}
+	return changed
+}
+
+// keepsRegainedMachine reports whether an idle machine is kept: tasks were placed on it before
+// its termination was recorded.
+func (c *Controller) keepsRegainedMachine(m *machine, pending pendingTermination) bool {
+	return pending.reason == reasonIdle && len(m.allocations) > 0 && !c.provisioner.terminateRequested[m.id]
+}
+
+// addMarkedMachines adds the machines that are marked for termination to the draft, as far as
+// there is room, and returns them.
+func (c *Controller) addMarkedMachines(draft *terminationsDraft) []wire.MachineID {
+	added := make([]wire.MachineID, 0, len(c.provisioner.toTerminate))
+	for _, id := range sortedKeys(c.provisioner.toTerminate) {
+		reason := c.provisioner.toTerminate[id]
+		draft.reserveReason(reason)
+		if draft.room > 0 {
+			c.machine(id) // it is known again if it was forgotten meanwhile
+			draft.addPending(reason, id)
+			added = append(added, id)
+		}
+	}
+	return added
+}
+
+// terminateRecorded has the cloud terminate the machines that are recorded as pending. The
+// cloud's success means that they and all tasks on them are gone; only then do their
+// allocations leave the records.
+func (c *Controller) terminateRecorded() {
+	if c.provisioner.terminateCallInFlight {
+		return
+	}
+	var ids []wire.MachineID
+	for _, id := range sortedKeys(c.cache.terminating) {
+		pending := c.cache.terminating[id]
+		m := c.machine(id)
+		if m.scaling.terminated || pending.since > c.cache.revision || len(ids) == wire.MaxTerminate || c.keepsRegainedMachine(m, pending) {
+			continue
+		}
+		ids = append(ids, id)
+		c.provisioner.terminateRequested[id] = true
+	}
+	if len(ids) == 0 {
+		return
+	}
+	c.callTerminate(ids, func(m *machine) {
+		c.metrics.count(countTerminated+c.cache.terminating[m.id].reason, 1)
+		delete(c.provisioner.terminateRequested, m.id)
+	})
+}
+
+// callTerminate has the cloud terminate machines; terminated is called for each once the
+// cloud has confirmed it.
+func (c *Controller) callTerminate(ids []wire.MachineID, terminated func(*machine)) {
+	c.provisioner.terminateCallInFlight = true
+	c.emit(TerminateMachines{call(c, func(result TerminateResult) {
+		c.provisioner.terminateCallInFlight = false
+		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
+		if result.Outcome != Succeeded {
+			return
+		}
+		for _, id := range ids {
+			m := c.machine(id)
+			m.scaling.terminated, m.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
+			m.markForReview()
+			terminated(m)
+		}
+	}), ids})
+}
