--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -9,10 +9,6 @@
 	"lilacrill/wire"
 )
 
-// maxConditionsPerOperation is how many conditions a transaction may have for each operation
-// that the state store allows.
-const maxConditionsPerOperation = 4
-
 const reasonStaleSettings = "stale version: read the settings again"
 
 // operatorSettings is the operators' settings and their version; 0 while nobody has changed
@@ -95,7 +91,7 @@
 			c.refuse(request, change.errorStatus(err), err.Error(), 0)
 			return
 		}
-		if len(txn.If) > maxConditionsPerOperation*c.settings.Cluster.State.TxnOps {
+		if len(txn.If) > conditionsPerWrite*c.settings.Cluster.State.TxnOps {
 			c.refuse(request, http.StatusConflict, "more controllers than one transaction of the state service can demand", 0)
 			return
 		}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -39,6 +39,12 @@
 	errSpreadOverOneZone = errors.New("apart, but only one zone has machines that a task fits")
 )
 
+// admission is what is known of submissions that are not decided yet.
+type admission struct {
+	inFlight         int  // submissions being written
+	lastAdvisedRetry Time // the latest moment at which a user was advised to retry
+}
+
 // submit answers a submission. Submissions are idempotent: one that repeats an earlier one
 // is answered with the job's status.
 func (c *Controller) submit(in JobSubmitted) {
@@ -85,12 +91,12 @@
 // accept writes the job's record before its user is told. Should the response of the state
 // store be lost, the user's retry finds the job or writes it again.
 func (c *Controller) accept(in JobSubmitted) {
-	if float64(c.cache.submissionsInFlight) >= max(minAdmissionQueue, c.writeRate()*admissionQueueTime.Seconds()) {
+	if float64(c.admission.inFlight) >= max(minAdmissionQueue, c.writeRate()*admissionQueueTime.Seconds()) {
 		// More would only be queued until their users retry.
 		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
 		return
 	}
-	c.cache.submissionsInFlight++
+	c.admission.inFlight++
 	pending := &submission{request: in.Request, spec: in.Spec, startedAt: c.now}
 	c.fleet.addTimer(c.now.Add(submitTimeout), func() {
 		if !pending.answered {
@@ -107,7 +113,7 @@
 
 func (c *Controller) completeSubmission(pending *submission, outcome Outcome) {
 	spec := &pending.spec
-	c.cache.submissionsInFlight--
+	c.admission.inFlight--
 	if outcome == Succeeded {
 		c.metrics.count(countAccepted, 1)
 		c.metrics.observe(latencyAdmission, c.now.Sub(pending.startedAt))
@@ -131,8 +137,8 @@
 // given a time of its own, as far apart as submissions can be written. Given the same time,
 // all would retry at once, and most of them in vain.
 func (c *Controller) nextRetryDelay() time.Duration {
-	c.cache.lastAdvisedRetry = max(c.cache.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
-	delay := c.cache.lastAdvisedRetry.Sub(c.now)
+	c.admission.lastAdvisedRetry = max(c.admission.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	delay := c.admission.lastAdvisedRetry.Sub(c.now)
 	if delay > maxRetryDelay {
 		delay = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
 	}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -134,6 +134,6 @@
 
 // archives reports whether this controller, rather than a sibling, archives a job.
 func (c *Controller) archives(id wire.JobID) bool {
-	eligible := c.membership.eligibleControllers
+	eligible := c.ownership.eligible
 	return len(eligible) == 0 || rendezvous.Highest(eligible, string(id)) == c.settings.Label
 }
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -48,9 +48,6 @@
 	watching          bool // a watch request is open
 
 	barrier readBarrier
-
-	submissionsInFlight int  // submissions being written
-	lastAdvisedRetry    Time // when the last user who was refused was told to come back
 }
 
 // pendingTermination says why a machine is to be terminated, and since which revision.
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -201,10 +201,10 @@
 
 // raiseToken raises the fencing token so that exited tasks can be cleared.
 func (c *Controller) raiseToken() {
-	if !c.isDue(c.scheduler.lastTokenRaise.Add(tokenRaiseInterval)) {
+	if !c.isDue(c.fleet.lastTokenRaiseAt.Add(tokenRaiseInterval)) {
 		return
 	}
-	c.scheduler.lastTokenRaise = c.now
+	c.fleet.lastTokenRaiseAt = c.now
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]}},
 		Then: []wire.Change{c.putChange(record.TokenKey, c.cache.token+1)},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -51,6 +51,8 @@
 	cancellations  cancellationWatermark
 	completedTasks completedTasks
 	writeBudget    writeBudget
+	admission      admission
+	ownership      ownership
 	archive        archive
 	cleanup        cleanup
 	gossip         gossip
@@ -70,6 +72,7 @@
 	c.calls.init()
 	c.cache.init()
 	c.gossip.init()
+	c.ownership.init()
 	c.fleet.init(sockets.NewBudget(settings).Workers)
 	c.provisioner.init()
 	c.scheduler.init()
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -35,7 +35,9 @@
 	reachableSince        Time // since when workers do, after a while in which none did
 	nextReachabilityProbe Time
 
-	timers []timer
+	nextReview       Time
+	lastTokenRaiseAt Time // for the cleanup of exited tasks
+	timers           []timer
 }
 
 // timer is something to do at a moment, whatever becomes of its cause meanwhile.
@@ -157,10 +159,10 @@
 // tickFleet runs the timers and, at intervals, reviews all machines.
 func (c *Controller) tickFleet() {
 	c.fleet.runTimers(c.now)
-	if !c.isDue(c.scheduler.nextFleetReview) {
+	if !c.isDue(c.fleet.nextReview) {
 		return
 	}
-	c.scheduler.nextFleetReview = c.now.Add(fleetReviewInterval)
+	c.fleet.nextReview = c.now.Add(fleetReviewInterval)
 	c.tickCompletedTasks()
 	c.probeOwnReachability()
 	c.reviewFleet()
@@ -180,7 +182,7 @@
 	}
 	c.probeMachines(review.due)
 	c.fleet.outboundSuspect = review.outboundSuspect()
-	if review.pendingCleanups > cleanupFenceThreshold || review.pendingCleanups > 0 && c.now.Sub(c.scheduler.lastTokenRaise) > cleanupFenceInterval {
+	if review.pendingCleanups > cleanupFenceThreshold || review.pendingCleanups > 0 && c.now.Sub(c.fleet.lastTokenRaiseAt) > cleanupFenceInterval {
 		c.raiseToken()
 	}
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -127,7 +127,7 @@
 func (c *Controller) nextForwardTarget(pending *pendingJob, tried []string, offeredOnly bool) string {
 	mayPreempt := pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || pending.guaranteed
 	preempting := ""
-	for _, label := range c.membership.eligibleControllers {
+	for _, label := range c.ownership.eligible {
 		peer := c.gossip.peers[label]
 		if label == c.settings.Label || slices.Contains(tried, label) || peer == nil || !peer.isHeard(c.now) || c.shards.table.OwnedCount(label) == 0 {
 			continue
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -34,9 +34,6 @@
 	readyAt     Time
 	lastSerial  uint64
 
-	assignedRateFraction float64  // of the state store's rate limits
-	eligibleControllers  []string // the live controllers that reach workers
-
 	leaseID           wire.LeaseID // 0: none
 	leaseCallInFlight bool
 	nextRenewal       Time
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -2,36 +2,48 @@
 
 import "lilacrill/internal/rendezvous"
 
-// ownsTeam reports whether this controller is a team's owner: the one that looks after
-// whatever the team's jobs need beyond the first placement. It is only a hint that avoids
-// transactions lost to one another; safety rests on their conditions.
-func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
+// ownership is how the live controllers divide what any of them may do. It is only a hint that
+// avoids transactions lost to one another; safety rests on their conditions.
+type ownership struct {
+	eligible     []string          // labels of the live controllers that reach workers
+	teamOwners   map[string]string // team to label; replaced when the live controllers change
+	rateFraction float64           // of the state store's rate limits; 0 until it is known
+}
+
+func (o *ownership) init() { o.teamOwners = map[string]string{} }
 
-// teamOwner is the label of a team's owner. A team that the settings do not name is given
-// one when it first comes up.
-func (c *Controller) teamOwner(team string) string {
-	if owner, ok := c.scheduler.teamOwners[team]; ok {
+// teamOwner is the label of a team's owner. A team that the settings do not name is given one
+// when it first comes up.
+func (o *ownership) teamOwner(team string) string {
+	if owner, ok := o.teamOwners[team]; ok {
 		return owner
 	}
-	owner := rendezvous.Highest(c.membership.eligibleControllers, team)
-	c.scheduler.teamOwners[team] = owner
+	owner := rendezvous.Highest(o.eligible, team)
+	o.teamOwners[team] = owner
 	return owner
 }
 
+// ownsTeam reports whether this controller is a team's owner: the one that looks after
+// whatever the team's jobs need beyond the first placement.
+func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
+
+// teamOwner is the label of a team's owner.
+func (c *Controller) teamOwner(team string) string { return c.ownership.teamOwner(team) }
+
 // assignOwnership divides the teams and the state store's rate limits among the live
 // controllers. All come to the same result once they know of the same ones; until then it
 // costs lost transactions and refused calls, not safety.
 func (c *Controller) assignOwnership() {
-	c.membership.eligibleControllers = c.findEligibleControllers()
+	c.ownership.eligible = c.findEligibleControllers()
 	var teams []string
 	for i := range c.settings.Cluster.Teams {
 		teams = append(teams, c.settings.Cluster.Teams[i].Name)
 	}
 	// Each is given no more than its part: at many writes a second a controller with
 	// three teams holds two of them up.
-	c.scheduler.teamOwners = rendezvous.Assign(c.membership.eligibleControllers, teams)
-	if fraction := c.computeRateFraction(); fraction != c.membership.assignedRateFraction {
-		c.membership.assignedRateFraction = fraction
+	c.ownership.teamOwners = rendezvous.Assign(c.ownership.eligible, teams)
+	if fraction := c.computeRateFraction(); fraction != c.ownership.rateFraction {
+		c.ownership.rateFraction = fraction
 		c.emit(SetRateShare{fraction})
 	}
 }
@@ -62,7 +74,7 @@
 			weights[label]++
 		}
 	}
-	for _, owner := range c.scheduler.teamOwners {
+	for _, owner := range c.ownership.teamOwners {
 		weights[owner]++
 	}
 	sum := 0
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -178,7 +178,7 @@
 // resignProvisionerLeadership leaves scaling to another controller: one that reaches no workers
 // cannot tell which machines are to be terminated. If all controllers are isolated, none can.
 func (c *Controller) resignProvisionerLeadership() {
-	if c.provisioner.writingLeadership || len(c.membership.eligibleControllers) == 0 || slices.Contains(c.membership.eligibleControllers, c.settings.Label) {
+	if c.provisioner.writingLeadership || len(c.ownership.eligible) == 0 || slices.Contains(c.ownership.eligible, c.settings.Label) {
 		return
 	}
 	c.provisioner.writingLeadership = true
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -23,8 +23,6 @@
 	nextNonCritical    Time
 	nextCriticalOnly   Time // no pass over critical jobs alone before, while submissions are crowded
 	nextDemandEstimate Time
-	nextFleetReview    Time
-	lastTokenRaise     Time
 	lastTick           Time
 	lag                float64 // how late ticks have come lately, in ticks
 	lagging            bool
@@ -33,7 +31,6 @@
 	// those of transactions in flight for scheduling.
 	allocationsByJob    map[wire.JobID][]*Allocation
 	criticalAllocations map[wire.MachineID]int // allocations of critical tasks
-	teamOwners          map[string]string      // team to controller; computed on demand, dropped when the live controllers change
 	guaranteedJobs      map[wire.JobID]bool    // the jobs within their teams' quota guarantees
 }
 
@@ -52,7 +49,6 @@
 func (s *scheduler) init() {
 	s.allocationsByJob = map[wire.JobID][]*Allocation{}
 	s.criticalAllocations = map[wire.MachineID]int{}
-	s.teamOwners = map[string]string{}
 }
 
 const (
@@ -173,7 +169,7 @@
 // at once only a few a second were then accepted, and the machines for them were provisioned
 // as late. The more jobs there are in a transaction, the fewer writes each takes.
 func (c *Controller) submissionsCrowded() bool {
-	return c.cache.submissionsInFlight >= minAdmissionQueue
+	return c.admission.inFlight >= minAdmissionQueue
 }
 
 // startTransactions starts transactions for the teams whose turn it is, and collects the
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -20,6 +20,13 @@
 // arrive: the allocation was fenced, and the worker has seen the fencing token. Silence
 // confirms nothing, and gossiped heartbeats do not either: they may be late.
 
+const (
+	// exitOperations is the most operations of a transaction that the exits of an allocation
+	// take: the page and the token. completionOperations has the job's record as well.
+	exitOperations       = 2
+	completionOperations = 3
+)
+
 // launchTimeout is how long a launcher has to get a launch to a worker before the
 // controller that receives the worker's heartbeats becomes the launcher.
 const launchTimeout = 3 * time.Second
@@ -44,7 +51,7 @@
 		for i := range page.allocations {
 			// Room is left for the pages of the zones that it may place in. On a page
 			// that is written anyway, more exits cost no further write.
-			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !c.hasCapacityFor(txn, 2) {
+			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !c.hasCapacityFor(txn, exitOperations) {
 				page.needsReview = true
 				break
 			}
@@ -171,7 +178,7 @@
 // canCompleteJob reports whether a transaction may take on another change and still have
 // room to place tasks in all zones.
 func (c *Controller) canCompleteJob(txn *placementTransaction) bool {
-	return c.hasCapacityFor(txn, 3+len(c.settings.Cluster.Zones))
+	return c.hasCapacityFor(txn, completionOperations+len(c.settings.Cluster.Zones))
 }
 
 // launchTimedOut reports whether a worker that sends heartbeats to this controller has
@@ -242,7 +249,7 @@
 	for _, id := range sortedKeys(c.cache.jobs) {
 		job := c.cache.jobs[id]
 		txn := transactions[job.spec.Team]
-		if txn == nil || job.completed.Len() < job.spec.Tasks || !c.ownsTeam(job.spec.Team) || !c.hasCapacityFor(txn, 3) {
+		if txn == nil || job.completed.Len() < job.spec.Tasks || !c.ownsTeam(job.spec.Team) || !c.hasCapacityFor(txn, completionOperations) {
 			continue
 		}
 		if !txn.completedJobs[id] {
--- a/internal/controller/write_budget.go
+++ b/internal/controller/write_budget.go
@@ -37,10 +37,10 @@
 // rateFraction is this controller's part of the state store's limits, which all controllers
 // share: all of them until the part is known.
 func (c *Controller) rateFraction() float64 {
-	if c.membership.assignedRateFraction == 0 {
+	if c.ownership.rateFraction == 0 {
 		return 1
 	}
-	return c.membership.assignedRateFraction
+	return c.ownership.rateFraction
 }
 
 // writeRate is how many writes a second this controller may make.
