--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -12,10 +12,10 @@
 	"lilacrill/wire"
 )
 
-// TestEndsAreFiled: of very many jobs that are over the oldest are moved to keys of
-// their own, each by one transaction that demands both keys as they were, so that a
-// late copy of a submission never finds both missing. What is moved stays known.
-func TestEndsAreFiled(t *testing.T) {
+// TestOldestCompletionsAreArchived: of very many completions the oldest are moved to keys of their
+// own, each by one transaction that demands both keys as they were, so that a delayed copy of a
+// submission never finds both missing. What was moved stays known.
+func TestOldestCompletionsAreArchived(t *testing.T) {
 	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(set)
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -12,9 +12,9 @@
 	"lilacrill/wire"
 )
 
-// attested makes a controller with two siblings that has read all up to revision 100
-// at second 10, and has sent an attestation at each of the seconds 10 to 14; it is second 20.
-func attested() *Controller {
+// newWatermarkSender makes a controller with two siblings whose cache was current at second 10, at
+// revision 100, and which has sent a watermark at each of the seconds 10 to 14; it is second 20.
+func newWatermarkSender() *Controller {
 	set := &config.Settings{Label: "rig-0", Siblings: []config.Sibling{{Label: "rig-1"}, {Label: "rig-2"}},
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
@@ -28,78 +28,80 @@
 	return c
 }
 
-// word is a sibling's attestation that has heard the given one of ours.
-func word(c *Controller, from string, process, number, heard uint64, since wire.Revision, w ...wire.Cancellation) *wire.PeerMessage {
-	return &wire.PeerMessage{From: from, Watermark: &wire.CancellationWatermark{Process: process, Sequence: number, Revision: since, Since: since,
-		Acks: map[string]wire.WatermarkAck{c.settings.Label: {Process: c.cancellations.process, Sequence: heard}}, Cancellations: w}}
+// watermarkFrom is a sibling's watermark that acknowledges the given one of ours.
+func watermarkFrom(c *Controller, from string, process, sequence, acknowledged uint64, since wire.Revision, cancellations ...wire.Cancellation) *wire.PeerMessage {
+	ack := wire.WatermarkAck{Process: c.cancellations.process, Sequence: acknowledged}
+	return &wire.PeerMessage{From: from, Watermark: &wire.CancellationWatermark{Process: process, Sequence: sequence, Revision: since, Since: since,
+		Acks: map[string]wire.WatermarkAck{c.settings.Label: ack}, Cancellations: cancellations}}
 }
 
 func at(s float64) Time { return Time(s * float64(time.Second)) }
 
-// TestAttestations guards what a controller without the state service takes its siblings'
-// word for. It reaches as far as what the sibling has heard of ours, however late the
-// line comes; all have to give theirs; and a process that ended may have told users
-// what nobody attests, until the feed was read since.
-func TestAttestations(t *testing.T) {
-	c := attested()
+// TestWatermarksBoundKnownCancellations guards up to when a controller without the state store
+// knows of cancellations by its siblings' watermarks. A watermark reaches as far as the one of ours
+// that it acknowledges, however late the message comes; all siblings have to send theirs; and a
+// process that ended may have told users of cancellations that no watermark lists, until the cache
+// was current since.
+func TestWatermarksBoundKnownCancellations(t *testing.T) {
+	c := newWatermarkSender()
 	require.Equal(t, at(10), c.cancellationsKnownAt())
-	// First lines: earlier processes of theirs may have told anything until now.
-	c.handlePeerMessage(word(c, "rig-1", 7, 1, 5, 100))
-	c.handlePeerMessage(word(c, "rig-2", 8, 1, 5, 100))
-	require.Equal(t, at(10), c.cancellationsKnownAt(), "the feed was not read since they were first heard")
+	// First messages: earlier processes of theirs may have told users anything until now.
+	c.handlePeerMessage(watermarkFrom(c, "rig-1", 7, 1, 5, 100))
+	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 1, 5, 100))
+	require.Equal(t, at(10), c.cancellationsKnownAt(), "the cache was not current since they were first heard")
 	c.cancellations.noteCacheCurrent(at(20))
 	c.now = at(40)
 	for range 3 {
 		c.newWatermark() // 6 to 8, at second 40
 	}
 	c.now = at(50)
-	c.handlePeerMessage(word(c, "rig-1", 7, 2, 8, 100))
-	require.Equal(t, at(20), c.cancellationsKnownAt(), "one of them has said nothing new")
-	c.handlePeerMessage(word(c, "rig-2", 8, 2, 6, 100))
-	require.Equal(t, at(40), c.cancellationsKnownAt(), "as far as both have heard of ours, not until now")
+	c.handlePeerMessage(watermarkFrom(c, "rig-1", 7, 2, 8, 100))
+	require.Equal(t, at(20), c.cancellationsKnownAt(), "one of them has sent nothing new")
+	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 2, 6, 100))
+	require.Equal(t, at(40), c.cancellationsKnownAt(), "as far as both have acknowledged ours, not until now")
 	require.True(t, c.canRenewLeases())
 	require.False(t, c.canLaunch())
 	c.now = at(40 + 16.1)
-	require.False(t, c.canRenewLeases(), "a lease more would outlast cancel_s")
+	require.False(t, c.canRenewLeases(), "one more lease would outlast cancel_s")
 
-	// A withdrawal that is listed is known; a list that begins after what was read
-	// here proves nothing.
+	// A cancellation that is listed is known; a list that begins after the cache's revision proves
+	// nothing.
 	c.newWatermark() // 9
-	c.handlePeerMessage(word(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
-	c.handlePeerMessage(word(c, "rig-2", 8, 3, 9, 140))
+	c.handlePeerMessage(watermarkFrom(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
+	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 3, 9, 140))
 	f, ok := c.completion("wk-000001")
 	require.True(t, ok)
 	require.Equal(t, wire.StatusCancelled, f.Status)
 	require.Equal(t, at(40), c.cancellationsKnownAt())
-	c.handlePeerMessage(word(c, "rig-2", 8, 4, 9, 100))
+	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 4, 9, 100))
 	require.Equal(t, at(40+16.1), c.cancellationsKnownAt())
 
-	// A new process of a sibling: what the one before told last is not known.
+	// A new process of a sibling: what the one before told users last is not known.
 	c.newWatermark() // 10
-	c.handlePeerMessage(word(c, "rig-2", 9, 1, 10, 100))
+	c.handlePeerMessage(watermarkFrom(c, "rig-2", 9, 1, 10, 100))
 	require.Equal(t, at(20), c.cancellationsKnownAt())
 	require.False(t, c.canRenewLeases())
-	// What an earlier process of ours was heard of means nothing.
+	// An acknowledgement of an earlier process of ours proves nothing.
 	c.handlePeerMessage(&wire.PeerMessage{From: "rig-1", Watermark: &wire.CancellationWatermark{Process: 7, Sequence: 9,
 		Acks: map[string]wire.WatermarkAck{"rig-0": {Process: c.cancellations.process + 1, Sequence: 3}}}})
 	require.Equal(t, at(20), c.cancellationsKnownAt())
 }
 
-// TestAttestationLists: an attestation lists all withdrawals after the revision that it names,
-// whatever came in between, and names a later one rather than leave some out.
-func TestAttestationLists(t *testing.T) {
+// TestWatermarkListsAllCancellations: a watermark lists all cancellations after the revision that it
+// names, whatever came in between, and names a later one rather than leave some out.
+func TestWatermarkListsAllCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := attested()
+		c := newWatermarkSender()
 		all := map[wire.Revision]wire.JobID{}
 		version := wire.Revision(100)
-		for i := range rapid.IntRange(0, 900).Draw(t, "withdrawals") {
+		for i := range rapid.IntRange(0, 900).Draw(t, "cancellations") {
 			version += wire.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 			id := wire.JobID(wire.TaskID{Job: "wk-1", Index: i}.String())
 			c.apply(record.JobKey(id), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled}}), version)
 			all[version] = id
-			if rapid.IntRange(0, 200).Draw(t, "told") == 0 {
+			if rapid.IntRange(0, 200).Draw(t, "known to a sibling") == 0 {
 				p := rapid.SampledFrom([]string{"rig-1", "rig-2"}).Draw(t, "by")
-				c.handlePeerMessage(word(c, p, 7, 1, 5, version))
+				c.handlePeerMessage(watermarkFrom(c, p, 7, 1, 5, version))
 			}
 		}
 		c.cache.revision = version
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -10,10 +10,10 @@
 	"lilacrill/wire"
 )
 
-// TestUnwrittenDraft guards against taking a page for written that a round only
-// drafted and demanded: its next write would demand a version that never was,
-// and fail until somebody else wrote the page.
-func TestUnwrittenDraft(t *testing.T) {
+// TestUnwrittenStagedPageKeepsItsVersion guards against taking a page for written that a transaction
+// only staged and demanded: its next write would demand a version that never existed, and fail
+// until another controller wrote the page.
+func TestUnwrittenStagedPageKeepsItsVersion(t *testing.T) {
 	set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(set)
 	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
--- a/internal/fastjson/fastjson_test.go
+++ b/internal/fastjson/fastjson_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// document is a message as it comes over the network, and the type it is read into.
+// document is a message as it comes over the network, and the type it is decoded into.
 type document struct {
 	text  string
 	value func() any
@@ -34,8 +34,8 @@
 		func() any { return new(wire.MachineList) }},
 }
 
-// spoilt changes a document in up to three places.
-func spoilt(t *rapid.T, text string) []byte {
+// damaged changes a document in up to three places.
+func damaged(t *rapid.T, text string) []byte {
 	b := []byte(text)
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
@@ -61,7 +61,7 @@
 func TestDecodesLikeTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rapid.SampledFrom(documents).Draw(t, "document")
-		text := spoilt(t, d.text)
+		text := damaged(t, d.text)
 		want, got := d.value(), d.value()
 		wantErr, gotErr := json.Unmarshal(text, want), fastjson.Unmarshal(text, got)
 		if wantErr != nil {
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestKeepsNothingOfItsInput guards against values that change when the buffer that
-// they were read from is used for the next message.
+// TestKeepsNothingOfItsInput guards against values that change when the buffer that they were
+// decoded from is used for the next message.
 func TestKeepsNothingOfItsInput(t *testing.T) {
 	for _, d := range documents {
 		want, got := d.value(), d.value()
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -9,8 +9,8 @@
 	"lilacrill/wire"
 )
 
-// pageWith makes a placement record as they look in service: jobs of several machines,
-// named in order of creation, with attempts and tasks.
+// pageWith makes a placement record as they are in production: jobs on several machines, named in
+// order of creation, with attempts and tasks.
 func pageWith(jobs, machines int) PlacementPage {
 	var p PlacementPage
 	for j := range jobs {
@@ -26,8 +26,8 @@
 	return p
 }
 
-// BenchmarkEncode writes placement records of growing size in both formats and says
-// how large they come out.
+// BenchmarkEncode encodes placement records of growing size in every format and reports their
+// encoded size.
 func BenchmarkEncode(b *testing.B) {
 	for _, jobs := range []int{1, 2, 4, 8, 16, 30} {
 		page := pageWith(jobs, 6)
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkDecode reads the same records.
+// BenchmarkDecode decodes the same records.
 func BenchmarkDecode(b *testing.B) {
 	for _, jobs := range []int{1, 8, 30} {
 		for format := Oldest; format <= Newest; format++ {
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -16,7 +16,7 @@
 
 const bound = 64 << 10
 
-// sample is a record with its key and something to read it into.
+// sample is a record with its key and something to decode it into.
 type sample struct {
 	name  string
 	key   string
@@ -31,8 +31,8 @@
 		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 }
 
-// samples has one of each record. Their files in testdata say how each format writes
-// them: a change that reads them otherwise needs a format of its own.
+// samples has one of each record. Their files in testdata are how each format encodes them: a
+// change that decodes them otherwise needs a format of its own.
 func samples() []sample {
 	long := jobSpec()
 	for i := range 80 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFixtures reads every record as each format wrote it, and wants the first format,
-// and later ones where they do not compress, written as ever.
+// TestFixtures decodes every record as each format encoded it, and requires the first format, and
+// later ones where they do not compress, to encode it as ever.
 func TestFixtures(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		for _, s := range samples() {
@@ -83,24 +83,24 @@
 	}
 }
 
-// TestLineFixtures does so for the lines between controllers.
-func TestLineFixtures(t *testing.T) {
+// TestPeerMessageFixtures does so for the messages between controllers.
+func TestPeerMessageFixtures(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), "line.json")
 		stored, err := os.ReadFile(path)
 		require.NoError(t, err)
-		line, err := DecodePeerMessage(stored)
+		message, err := DecodePeerMessage(stored)
 		require.NoError(t, err)
-		require.Equal(t, "rig-1", line.From)
-		require.Len(t, line.Heartbeats, 1)
-		written, err := EncodePeerMessage(line)
+		require.Equal(t, "rig-1", message.From)
+		require.Len(t, message.Heartbeats, 1)
+		written, err := EncodePeerMessage(message)
 		require.NoError(t, err)
 		require.Equal(t, string(stored), string(written))
 	}
 }
 
-// TestFormatsRoundTrip writes generated placement records in both formats: they come
-// back as they were, and no value is larger than its plain one.
+// TestFormatsRoundTrip encodes generated placement records in every format: they decode as they
+// were, and no value is larger than its plain one.
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		page := pageWith(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
@@ -116,8 +116,8 @@
 	})
 }
 
-// TestDamagedValues spoils a compressed value in every way that storage may: it is
-// refused with a cause, or reads as what it was.
+// TestDamagedValues damages a compressed value in every way that storage may: it is refused with a
+// cause, or decodes as what it was.
 func TestDamagedValues(t *testing.T) {
 	page := pageWith(30, 6)
 	good := Encode(FormatCompressed, PlacementKey("t", "z", 0), page)
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -11,7 +11,7 @@
 	"lilacrill/wire"
 )
 
-// goldenRecord is a kind of record under the key where it stands.
+// goldenRecord is a kind of record with its key.
 type goldenRecord struct {
 	name string
 	key  string
@@ -56,9 +56,9 @@
 	filler.Fill(target)
 }
 
-// TestGoldenRecords writes every kind of record in every format, with all fields set and
-// with none. A plain value has to come out as it is stored; so does the plain JSON within a
-// compressed one, whose other bytes are the compressor's. Stored values are read back.
+// TestGoldenRecords encodes every kind of record in every format, with all fields set and with
+// none. A plain value has to come out as the golden file has it; so does the plain JSON within a
+// compressed one, whose other bytes are the compressor's. The golden files are decoded as well.
 func TestGoldenRecords(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		for _, r := range goldenRecords() {
@@ -83,6 +83,7 @@
 // compareValues requires a value to be as the golden file has it, apart from how well it
 // is compressed.
 func compareValues(t *testing.T, name string, written json.RawMessage) {
+	t.Helper()
 	if !isString(written) {
 		golden.Compare(t, name, written)
 		return
@@ -97,6 +98,7 @@
 
 // expandValue is the plain JSON within a compressed value.
 func expandValue(t *testing.T, value json.RawMessage) []byte {
+	t.Helper()
 	var packed []byte
 	require.NoError(t, json.Unmarshal(value, &packed))
 	text, err := expand(packed, bound)
@@ -104,25 +106,26 @@
 	return text
 }
 
-// TestGoldenLines writes the lines between controllers in every format, with all fields
-// set, and reads them back.
-func TestGoldenLines(t *testing.T) {
+// TestGoldenPeerMessages encodes the messages between controllers in every format, with all fields
+// set, and decodes them.
+func TestGoldenPeerMessages(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
-		var line wire.PeerMessage
+		var message wire.PeerMessage
 		filler := golden.NewFiller(2)
 		golden.Use(filler, func(int) wire.Format { return format })
-		filler.Fill(&line)
-		written, err := EncodePeerMessage(&line)
+		filler.Fill(&message)
+		written, err := EncodePeerMessage(&message)
 		require.NoError(t, err)
 		name := fmt.Sprintf("format-%d/sibling-line.json", format)
 		golden.Compare(t, name, written)
 		back, err := DecodePeerMessage(golden.Read(t, name))
 		require.NoError(t, err)
-		require.Equal(t, &line, back)
+		require.Equal(t, &message, back)
 	}
 }
 
-// TestGoldenKeys holds where records stand, and the words and numbers in them.
+// TestGoldenKeys compares the keys of records, and the words and numbers in them, with the golden
+// file.
 func TestGoldenKeys(t *testing.T) {
 	text, err := json.MarshalIndent(map[string]any{
 		"fixed":    []string{RootKey, TokenKey, ProvisionerKey, SettingsKey, TerminationsKey, RolloutKey, ShardPolicyKey},
--- a/internal/record/peer_message_test.go
+++ b/internal/record/peer_message_test.go
@@ -9,9 +9,9 @@
 	"lilacrill/wire"
 )
 
-// TestLines: what was written is read back; what was cut or spoilt is refused
-// or harmless, never fatal.
-func TestLines(t *testing.T) {
+// TestPeerMessages: what was encoded decodes as it was; what was truncated or damaged is refused or
+// harmless, never fatal.
+func TestPeerMessages(t *testing.T) {
 	l := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
 		Tasks: []wire.TaskStatus{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
 		UnchangedHeartbeats: []wire.UnchangedHeartbeat{{Machine: "m-2", AgentEpoch: 1, Sequence: 7, Token: 3}}}
