--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"net/http"
 
+	"lilacrill/internal/apierror"
 	"lilacrill/internal/config"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
@@ -78,8 +79,7 @@
 	subject string // what is changed, as the operator is told
 	// transaction is called once the cache holds all that was written before now.
 	transaction func() (wire.Transaction, error)
-	errorStatus func(error) int // the HTTP status for an error of transaction
-	done        func()          // answers once the change is made
+	done        func() // answers once the change is made
 }
 
 // carryOut makes an operator's change, and answers if it cannot.
@@ -88,7 +88,7 @@
 	c.afterBarrier(request, func() {
 		txn, err := change.transaction()
 		if err != nil {
-			c.refuse(request, change.errorStatus(err), err.Error(), 0)
+			c.refuse(request, apierror.Status(err), err.Error(), 0)
 			return
 		}
 		if len(txn.If) > conditionsPerWrite*c.settings.Cluster.State.TxnOps {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"errors"
 	"net/http"
 	"time"
 
@@ -124,7 +123,6 @@
 		request:     in.Request,
 		subject:     "rollout",
 		transaction: func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) },
-		errorStatus: rolloutErrorStatus,
 		done: func() {
 			c.rolloutEvent(RolloutChanged)
 			c.log.Info("rollout changed by operator", "format", c.rollout.tracker.Format(), "activate", in.Change.Activate != nil,
@@ -144,12 +142,3 @@
 		return c.rollout.tracker.Include(change.Include, change.Version)
 	}
 }
-
-// rolloutErrorStatus is the status with which a change of the rollout is refused.
-func rolloutErrorStatus(err error) int {
-	var field *rollout.FieldError
-	if errors.As(err, &field) {
-		return http.StatusBadRequest
-	}
-	return http.StatusConflict
-}
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"errors"
 	"net/http"
 	"time"
 
@@ -211,7 +210,6 @@
 		request:     in.Request,
 		subject:     "shares",
 		transaction: func() (wire.Transaction, error) { return c.shardTransaction(in.Change) },
-		errorStatus: shardErrorStatus,
 		done: func() {
 			c.log.Info("shards changed by operator", "move", in.Change.Move, "to", in.Change.To, "drain", in.Change.Drain,
 				"reason", in.Change.Reason, "end_drain", in.Change.EndDrain)
@@ -230,16 +228,3 @@
 		return c.shards.table.EndDrain(change.EndDrain)
 	}
 }
-
-// shardErrorStatus is the status with which a change of the shares is refused.
-func shardErrorStatus(err error) int {
-	var unknown *shard.NotFoundError
-	var field *shard.InvalidFieldError
-	switch {
-	case errors.As(err, &unknown):
-		return http.StatusNotFound
-	case errors.As(err, &field):
-		return http.StatusBadRequest
-	}
-	return http.StatusConflict
-}
--- a/internal/rollout/automatic.go
+++ b/internal/rollout/automatic.go
@@ -6,11 +6,11 @@
 	"lilacrill/wire"
 )
 
-// Time is a moment on the steady clock of the process.
+// Time is a moment on the monotonic clock of the process, since its start.
 type Time time.Duration
 
-// AutomaticActivation returns the format to activate without an operator's word: the newest that
-// all controllers have been ready for, without a break, for as long as settle.
+// AutomaticActivation returns the format to activate without an operator's decision: the newest
+// that all controllers have been ready for, without a break, for as long as settle.
 func (t *Tracker) AutomaticActivation(now Time, settle time.Duration) (wire.Format, bool) {
 	next, ready := t.NextFormat()
 	if !ready {
@@ -23,12 +23,12 @@
 	return next, time.Duration(now-t.since) >= settle
 }
 
-// NextFormat is the newest format that all controllers read, if it is later than the one in
-// force and nobody holds it up. Otherwise it is the one that is waited for.
+// NextFormat is the newest format that no controller blocks, if it is later than the one in force.
+// Otherwise it is the one after that in force, which is waited for.
 func (t *Tracker) NextFormat() (next wire.Format, ready bool) {
-	for f := t.formats.Newest; f > t.state.Format; f-- {
-		if len(t.Blockers(f)) == 0 {
-			return f, true
+	for format := t.formats.Newest; format > t.state.Format; format-- {
+		if len(t.Blockers(format)) == 0 {
+			return format, true
 		}
 	}
 	return min(t.state.Format+1, t.formats.Newest), false
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"lilacrill/internal/apierror"
 	"lilacrill/internal/fixedseed"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
@@ -44,7 +45,7 @@
 	}
 	field := func(txn wire.Transaction, err error) string {
 		require.Empty(t, txn)
-		var fieldErr *FieldError
+		var fieldErr *apierror.FieldError
 		require.ErrorAs(t, err, &fieldErr)
 		return fieldErr.Field
 	}
@@ -59,7 +60,7 @@
 	conflict := func(txn wire.Transaction, err error) string {
 		require.Empty(t, txn)
 		require.Error(t, err)
-		var fieldErr *FieldError
+		var fieldErr *apierror.FieldError
 		require.False(t, errors.As(err, &fieldErr))
 		return err.Error()
 	}
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -2,25 +2,25 @@
 
 import "lilacrill/wire"
 
-// View is the rollout as operators see it.
+// View is what operators see of the rollout.
 func (t *Tracker) View() wire.AdminRollout {
 	next, ready := t.NextFormat()
-	v := wire.AdminRollout{Version: t.stateVersion, Format: t.state.Format, Oldest: t.formats.Oldest, Newest: t.formats.Newest}
+	view := wire.AdminRollout{Version: t.stateVersion, Format: t.state.Format, Oldest: t.formats.Oldest, Newest: t.formats.Newest}
 	if next > t.state.Format {
-		v.Next, v.Ready = next, ready
+		view.Next, view.Ready = next, ready
 	}
 	for _, label := range t.knownLabels() {
-		n, alive := t.live[label]
-		m := t.registrations[label]
-		c := wire.AdminRolloutController{Label: label, Alive: alive, Incarnation: max(n.incarnation, m.Incarnation),
-			Oldest: m.Formats.Oldest, Newest: m.Formats.Newest, Release: m.Release}
-		if v.Next != 0 {
-			c.Blocks = t.blockReason(label, v.Next)
+		live, alive := t.live[label]
+		registered := t.registrations[label]
+		controller := wire.AdminRolloutController{Label: label, Alive: alive, Incarnation: max(live.incarnation, registered.Incarnation),
+			Oldest: registered.Formats.Oldest, Newest: registered.Formats.Newest, Release: registered.Release}
+		if view.Next != 0 {
+			controller.Blocks = t.blockReason(label, view.Next)
 		}
 		if t.excluded(label) && !alive {
-			c.Excluded = t.state.Excluded[label].Reason
+			controller.Excluded = t.state.Excluded[label].Reason
 		}
-		v.Controllers = append(v.Controllers, c)
+		view.Controllers = append(view.Controllers, controller)
 	}
-	return v
+	return view
 }
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -7,26 +7,25 @@
 	"lilacrill/wire"
 )
 
-// A change of the shares is one transaction. Each demands the records that it changes as
-// they are known here, so of two changes that meet one fails, and one that is carried out
-// late fails too.
+// Each change of shards is one transaction, whose conditions are the versions of the records
+// that it changes: of two concurrent changes one fails, and so does one that arrives late.
 
-// put writes a share's record on the condition that it is as it is known here.
+// put adds the write of a shard's record, on the condition that it has not changed.
 func (t *Table) put(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
 	txn.If = append(txn.If, t.Condition(id))
 	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatSharding, record.ShardKey(id), next)})
 }
 
-// requireOnce adds a condition unless it is there.
+// requireOnce adds a condition unless the transaction has it.
 func requireOnce(txn *wire.Transaction, condition wire.Condition) {
 	if !slices.Contains(txn.If, condition) {
 		txn.If = append(txn.If, condition)
 	}
 }
 
-// failOver makes this process the owner of shares that nobody owns, or whose owner has
-// ended. That is demanded: an owner's record in the state service hangs on its lease, so
-// a share is never taken from one that may still be alive.
+// failOver makes this process the owner of shards that have no owner, or whose owner is gone.
+// That it is gone is a condition: a controller's liveness record is on its lease, so a shard
+// is never taken from an owner that may still be alive.
 func (t *Table) failOver(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -39,27 +38,28 @@
 	return txn
 }
 
-// proposal is a share that is to be handed over.
+// proposal is a shard with the controller that it is to be handed over to.
 type proposal struct {
 	id wire.ShardID
 	to string
 }
 
-// propose asks the owners of shares to hand them over. The targets must live.
-func (t *Table) propose(proposals []proposal, why string, wall int64) wire.Transaction {
+// propose asks the owners of shards to hand them over. That the targets are alive is a
+// condition.
+func (t *Table) propose(proposals []proposal, reason string, wall int64) wire.Transaction {
 	var txn wire.Transaction
-	for _, p := range proposals {
-		requireOnce(&txn, t.livenessCondition(p.to))
-		next := t.shards[p.id].Shard
-		next.Move = &record.ShardMove{To: record.ShardOwner{Label: p.to, Incarnation: t.controllers[p.to].Incarnation},
-			Phase: record.MoveProposed, Since: wall, Reason: why}
-		t.put(&txn, p.id, next)
+	for _, move := range proposals {
+		requireOnce(&txn, t.livenessCondition(move.to))
+		next := t.shards[move.id].Shard
+		next.Move = &record.ShardMove{To: record.ShardOwner{Label: move.to, Incarnation: t.controllers[move.to].Incarnation},
+			Phase: record.MoveProposed, Since: wall, Reason: reason}
+		t.put(&txn, move.id, next)
 	}
 	return txn
 }
 
-// release notes that this process, the owner, has no placement under way in shares that
-// it is to hand over.
+// release records that this process, the owner, has no placement under way in shards that it
+// is to hand over: their targets may adopt them.
 func (t *Table) release(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -72,7 +72,7 @@
 	return txn
 }
 
-// adopt makes this process the owner of shares that were released to it.
+// adopt makes this process the owner of shards that were released to it.
 func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -81,8 +81,8 @@
 	return txn
 }
 
-// undo ends moves whose targets have ended: the shares stay with their owners. That the
-// targets have ended is demanded, since one that lives may adopt at any moment.
+// undo ends moves whose targets are gone: the shards stay with their owners. That the targets
+// are gone is a condition, since one that is alive may adopt at any moment.
 func (t *Table) undo(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -93,11 +93,3 @@
 	}
 	return txn
 }
-
-// putPolicy writes whether shares are in use, and who is drained.
-func (t *Table) putPolicy(next record.ShardPolicy) wire.Transaction {
-	return wire.Transaction{
-		If:   []wire.Condition{t.policyCondition()},
-		Then: []wire.Change{{Put: record.ShardPolicyKey, Value: record.Encode(record.FormatSharding, record.ShardPolicyKey, next)}},
-	}
-}
--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -10,36 +10,38 @@
 	"lilacrill/wire"
 )
 
-// Table is what one controller knows of the shares and of who could own them.
+// Table is what one controller knows of the shards, from their records, and of the
+// controllers that may own them.
 type Table struct {
 	self record.ShardOwner
 
 	policy        record.ShardPolicy
 	policyVersion wire.Revision
 	shards        [Count]shardState
-	controllers   map[string]Controller // that live
-	registrations map[string]registration
-	format        wire.Format // in force
+	controllers   map[string]Controller   // that are alive, by label
+	registrations map[string]registration // by label
+	format        wire.Format             // in force
 }
 
-// shardState is a share's record. Its version is 0 while there is none.
+// shardState is a shard's record. Its version is 0 while there is none.
 type shardState struct {
 	record.Shard
 	version    wire.Revision
 	unreadable bool
 }
 
+// registration is what a controller's latest process registered.
 type registration struct {
 	record.Registration
 	version wire.Revision
 }
 
-// Controller is a living controller.
+// Controller is a controller that is alive.
 type Controller struct {
 	Incarnation wire.FencingToken
-	Isolated    bool // it reaches no workers, by its own word
+	Isolated    bool // it reports that it reaches no workers
 	Version     wire.Revision
-	// Since is when this process became known to live.
+	// Since is when this process was first known to be alive.
 	Since Time
 }
 
@@ -50,7 +52,7 @@
 	return t
 }
 
-// Reset forgets what was read, before everything is read anew.
+// Reset forgets all records, before they are read anew.
 func (t *Table) Reset() {
 	t.policy, t.policyVersion = record.ShardPolicy{}, 0
 	t.shards = [Count]shardState{}
@@ -58,13 +60,13 @@
 	t.format = record.FormatPlain
 }
 
-// SetIncarnation notes the boot of this process.
-func (t *Table) SetIncarnation(boot wire.FencingToken) { t.self.Incarnation = boot }
+// SetIncarnation sets the incarnation of this process, once it has joined.
+func (t *Table) SetIncarnation(incarnation wire.FencingToken) { t.self.Incarnation = incarnation }
 
-// ApplyFormat takes the format in force.
+// ApplyFormat sets the format in force.
 func (t *Table) ApplyFormat(format wire.Format) { t.format = format }
 
-// ApplyPolicy takes the record that says whether shares are in use; a nil value says that
+// ApplyPolicy applies the record that says whether sharding is in use; a nil value means that
 // there is none.
 func (t *Table) ApplyPolicy(value []byte, version wire.Revision) error {
 	t.policy, t.policyVersion = record.ShardPolicy{}, version
@@ -75,11 +77,11 @@
 	return fastjson.Unmarshal(value, &t.policy)
 }
 
-// ApplyShard takes a share's record by its key. One that cannot be understood belongs to
-// nobody here: this controller places nothing in it.
+// ApplyShard applies a shard's record by its key. One that cannot be decoded has no owner
+// here: this controller schedules nothing in it, and leaves the record alone.
 func (t *Table) ApplyShard(key string, value []byte, version wire.Revision) error {
-	n, err := strconv.Atoi(strings.TrimPrefix(key, record.ShardPrefix))
-	if err != nil || !Valid(wire.ShardID(n)) {
+	number, err := strconv.Atoi(strings.TrimPrefix(key, record.ShardPrefix))
+	if err != nil || !Valid(wire.ShardID(number)) {
 		return fmt.Errorf("share record %q: no such share", key)
 	}
 	s := shardState{version: version}
@@ -88,68 +90,69 @@
 	} else if err = fastjson.Unmarshal(value, &s.Shard); err != nil {
 		s.Shard, s.unreadable = record.Shard{}, true
 	}
-	t.shards[n] = s
+	t.shards[number] = s
 	return err
 }
 
-// ApplyRegistration takes what a controller's latest process has registered.
+// ApplyRegistration applies what a controller's latest process has registered.
 func (t *Table) ApplyRegistration(label string, value []byte, version wire.Revision) {
 	delete(t.registrations, label)
-	m := registration{version: version}
-	if value != nil && fastjson.Unmarshal(value, &m.Registration) == nil {
-		t.registrations[label] = m
+	registered := registration{version: version}
+	if value != nil && fastjson.Unmarshal(value, &registered.Registration) == nil {
+		t.registrations[label] = registered
 	}
 }
 
-// ApplyLiveness takes a living controller's record; boot is 0 if it has none.
-func (t *Table) ApplyLiveness(label string, node record.Liveness, version wire.Revision, now Time) {
+// ApplyLiveness applies a controller's liveness record, which has no incarnation if the
+// controller is not alive.
+func (t *Table) ApplyLiveness(label string, liveness record.Liveness, version wire.Revision, now Time) {
 	before, known := t.controllers[label]
-	if node.Incarnation == 0 {
+	if liveness.Incarnation == 0 {
 		delete(t.controllers, label)
 		return
 	}
 	since := now
-	if known && before.Incarnation == node.Incarnation {
+	if known && before.Incarnation == liveness.Incarnation {
 		since = before.Since
 	}
-	t.controllers[label] = Controller{Incarnation: node.Incarnation, Isolated: node.Isolated, Version: version, Since: since}
+	t.controllers[label] = Controller{Incarnation: liveness.Incarnation, Isolated: liveness.Isolated, Version: version, Since: since}
 }
 
-// Enabled reports whether shares are in use.
+// Enabled reports whether sharding is in use.
 func (t *Table) Enabled() bool { return t.policy.Enabled }
 
-// Alive reports whether a process is known to live.
+// Alive reports whether a process is known to be alive.
 func (t *Table) Alive(owner record.ShardOwner) bool {
 	c, ok := t.controllers[owner.Label]
 	return ok && owner.Incarnation != 0 && c.Incarnation == owner.Incarnation
 }
 
-// Owner is the process that owns a share. It may have ended.
+// Owner is the process that owns a shard. It may be gone.
 func (t *Table) Owner(id wire.ShardID) record.ShardOwner { return t.shards[id].Owner }
 
-// Epoch is how often a share has changed hands.
+// Epoch counts the changes of a shard's owner.
 func (t *Table) Epoch(id wire.ShardID) wire.ShardEpoch { return t.shards[id].Epoch }
 
-// MaySchedule reports whether this process may start placements on the machines of a share: it
-// owns it, and no move of it is under way.
+// MaySchedule reports whether this process may start placements on the machines of a shard:
+// it owns the shard, and no move of it is under way.
 func (t *Table) MaySchedule(id wire.ShardID) bool {
 	s := &t.shards[id]
 	return t.self.Incarnation != 0 && s.Owner == t.self && s.Move == nil && !s.unreadable
 }
 
-// OwnedCount counts the shares that a controller's living process owns.
+// OwnedCount counts the shards that a controller's live process owns.
 func (t *Table) OwnedCount(label string) int {
-	n := 0
+	count := 0
 	for i := range t.shards {
-		if o := t.shards[i].Owner; o.Label == label && t.Alive(o) {
-			n++
+		if owner := t.shards[i].Owner; owner.Label == label && t.Alive(owner) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Condition is the condition that a share's record is as it is known here. A placement
-// demands it of every share that it places in.
+// Condition is the condition that a shard's record has not changed. It is part of every
+// placement in the shard.
 func (t *Table) Condition(id wire.ShardID) wire.Condition {
 	return wire.Condition{Key: record.ShardKey(id), Version: t.shards[id].version}
 }
@@ -158,8 +161,8 @@
 	return wire.Condition{Key: record.ShardPolicyKey, Version: t.policyVersion}
 }
 
-// livenessCondition is the condition that a controller lives, or does not, as it is known
-// here. The record of one that lives hangs on its lease.
+// livenessCondition is the condition that a controller is still alive, or still gone, as this
+// controller knows it. The record of a live controller is on its lease.
 func (t *Table) livenessCondition(label string) wire.Condition {
 	return wire.Condition{Key: record.LivenessKey(label), Version: t.controllers[label].Version}
 }
