--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -5,15 +5,17 @@
 	"errors"
 	"fmt"
 	"os"
+	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
+	"lilacrill/internal/apierror"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
 
-// Features is the features file: what is enabled beyond the ordinary. Without one,
+// Features is the features file: what operators enable beyond the default. Without a file,
 // DefaultFeatures holds.
 type Features struct {
 	Rollout  Rollout  `toml:"rollout"`
@@ -23,21 +25,21 @@
 
 // Sharding says whether the machines are divided among the controllers.
 type Sharding struct {
-	// Enabled has shares used once all living controllers enable them.
+	// Enabled has sharding used once all live controllers enable it.
 	Enabled bool `toml:"enabled"`
 }
 
 // Rollout says how newer formats of records come into force.
 type Rollout struct {
-	// Activation is by an operator's word or, once all controllers have been ready for
-	// SettleS, by itself.
+	// Activation is by an operator or, once all controllers have been ready for SettleS
+	// seconds, automatic.
 	Activation Activation `toml:"activation"`
 	SettleS    *float64   `toml:"settle_s"`
 	// NewestFormat is the newest format that this controller takes part in.
 	NewestFormat wire.Format `toml:"newest_format"`
 }
 
-// Activation says who brings a format into force.
+// Activation says what brings a format into force.
 type Activation string
 
 // The ways of activation.
@@ -56,7 +58,8 @@
 // activation: time to see that a release is good, and to go back if it is not.
 const defaultSettle = 10 * time.Minute
 
-// Settle is how long all controllers have to be ready before an automatic activation.
+// Settle is how long all controllers have to be ready before an automatic activation. It is
+// defaultSettle unless the file says otherwise.
 func (r *Rollout) Settle() time.Duration {
 	if r.SettleS == nil {
 		return defaultSettle
@@ -64,7 +67,7 @@
 	return Seconds(*r.SettleS)
 }
 
-// Formats is what this controller reads and writes.
+// Formats is the range of formats that this controller reads and writes.
 func (r *Rollout) Formats() record.FormatRange {
 	formats := record.FormatRange{Oldest: record.Oldest, Newest: record.Newest}
 	if r.NewestFormat != 0 {
@@ -73,41 +76,41 @@
 	return formats
 }
 
-// DefaultFeatures is what holds without a features file.
+// DefaultFeatures are those without a features file.
 func DefaultFeatures() Features {
 	return Features{Rollout: Rollout{Activation: ActivationManual, NewestFormat: record.Newest}}
 }
 
-// LoadFeatures reads and checks a features file. Its error is one line that names the
-// field.
+// LoadFeatures reads and checks a features file. Its error is one line with the file and the
+// field, and wraps an *apierror.FieldError as that of Load does.
 func LoadFeatures(path string) (Features, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return Features{}, fmt.Errorf("features file: %w", err)
 	}
-	f, err := ParseFeatures(text)
+	features, err := ParseFeatures(text)
 	if err != nil {
 		return Features{}, fmt.Errorf("features file %s: %w", path, err)
 	}
-	return f, nil
+	return features, nil
 }
 
-// ParseFeatures reads and checks features. Unlike settings, which the platform may
-// extend, they are the operators' own: a field that is not known is refused.
+// ParseFeatures decodes and checks features. Unlike settings, which the platform may extend,
+// they are the operators' own: a field that is not known is an error.
 func ParseFeatures(text []byte) (Features, error) {
-	f := DefaultFeatures()
+	features := DefaultFeatures()
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := decoder.Decode(&f); err != nil {
-		return f, describeTOML(err)
+	if err := decoder.Decode(&features); err != nil {
+		return features, describeTOML(err)
 	}
-	return f, f.check()
+	return features, features.check()
 }
 
-// describeTOML says on one line where a file cannot be read.
+// describeTOML says on one line where a text cannot be decoded.
 func describeTOML(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		return fmt.Errorf("%s: no such field", joinKey(strict.Errors[0].Key()))
+		return apierror.Field(strings.Join(strict.Errors[0].Key(), "."), "no such field")
 	}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -117,31 +120,21 @@
 	return err
 }
 
-func joinKey(key toml.Key) string {
-	var b bytes.Buffer
-	for i, part := range key {
-		if i > 0 {
-			b.WriteByte('.')
-		}
-		b.WriteString(part)
-	}
-	return b.String()
-}
-
-// mostSettleS is the longest time that an automatic activation may wait: a week.
-const mostSettleS = 7 * 86400
+// maxSettleS is the longest time that an automatic activation may wait: a week.
+const maxSettleS = 7 * 86400
 
+// check returns an *apierror.FieldError for the first field that is wrong, or nil.
 func (f *Features) check() error {
-	r := &f.Rollout
+	rollout := &f.Rollout
 	switch {
-	case r.Activation != ActivationManual && r.Activation != ActivationAutomatic:
-		return fmt.Errorf("rollout.activation: %q is neither manual nor automatic", r.Activation)
-	case r.NewestFormat < record.Oldest || r.NewestFormat > record.Newest:
-		return fmt.Errorf("rollout.newest_format: %d is not between %d and %d", r.NewestFormat, record.Oldest, record.Newest)
-	case r.SettleS != nil && r.Activation != ActivationAutomatic:
-		return errors.New("rollout.settle_s: goes with activation = \"automatic\" only")
-	case r.SettleS != nil && !(*r.SettleS >= 0 && *r.SettleS <= mostSettleS):
-		return fmt.Errorf("rollout.settle_s: %v is not between 0 and %d", *r.SettleS, mostSettleS)
+	case rollout.Activation != ActivationManual && rollout.Activation != ActivationAutomatic:
+		return apierror.Field("rollout.activation", "%q is neither manual nor automatic", rollout.Activation)
+	case rollout.NewestFormat < record.Oldest || rollout.NewestFormat > record.Newest:
+		return apierror.Field("rollout.newest_format", "%d is not between %d and %d", rollout.NewestFormat, record.Oldest, record.Newest)
+	case rollout.SettleS != nil && rollout.Activation != ActivationAutomatic:
+		return apierror.Field("rollout.settle_s", "goes with activation = \"automatic\" only")
+	case rollout.SettleS != nil && !(*rollout.SettleS >= 0 && *rollout.SettleS <= maxSettleS):
+		return apierror.Field("rollout.settle_s", "%v is not between 0 and %d", *rollout.SettleS, maxSettleS)
 	}
 	return nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -2,47 +2,49 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"maps"
 	"math"
 	"reflect"
 	"strings"
 	"time"
+
+	"lilacrill/internal/apierror"
 )
 
-// Affinity says what happens when no machine that meets a job's preferred
-// rules has room.
+// Affinity says what happens when no machine that meets a job's preferred rules has the
+// capacity.
 type Affinity string
 
-// The modes of "How Atlas chooses a host".
+// Preferred has the job scheduled elsewhere, enforced has it wait.
 const (
 	AffinityPreferred Affinity = "preferred"
 	AffinityEnforced  Affinity = "enforced"
 )
 
-// Operator is what operators choose at run time, through the administration
-// API. It is kept in the state service and is the same for all controllers.
+// Operator are the settings that operators change at run time, through the administration
+// API. They are kept in the state store and are the same for all controllers. Fields that end
+// in S are seconds.
 type Operator struct {
-	// ProbeMachines, ProbeTries and ProbeS bound placement under contention.
+	// ProbeMachines, ProbeTries and ProbeS bound placement under contention: how many machines
+	// are tried at a time, how often, and for how long.
 	ProbeMachines int     `json:"probe_hosts"`
 	ProbeTries    int     `json:"probe_tries"`
 	ProbeS        float64 `json:"probe_s"`
-	// PlacementRetryS is the pause before a task is placed again after all tries.
+	// PlacementRetryS is the delay before a task is scheduled again after all tries.
 	PlacementRetryS float64 `json:"busy_s"`
-	// Affinity decides on preferred rules that cannot be met.
+	// Affinity applies to preferred rules that cannot be met.
 	Affinity Affinity `json:"affinity"`
-	// HeadroomFraction is the part of the running tasks of classes that are promised a
-	// short wait for which more room is kept free; SpareLeast is the least.
+	// HeadroomFraction is the fraction of the running tasks, of classes with an objective of a
+	// short wait, for which headroom is kept; MinHeadroom is the least, in tasks.
 	HeadroomFraction float64 `json:"spare_share"`
 	MinHeadroom      int     `json:"spare_least"`
-	// UnresponsiveS is how long a machine may be silent before it is returned.
+	// UnresponsiveS is how long a machine may be unresponsive before it is terminated.
 	UnresponsiveS float64 `json:"silence_s"`
-	// IdleS is how long a machine may be idle before it is returned.
+	// IdleS is how long a machine may be idle before it is terminated.
 	IdleS float64 `json:"idle_s"`
 }
 
-// DefaultOperator is what holds until operators choose otherwise.
+// DefaultOperator are the settings until operators change them.
 func DefaultOperator() Operator {
 	return Operator{
 		ProbeMachines: 16, ProbeTries: 3, ProbeS: 0.4, PlacementRetryS: 1,
@@ -52,12 +54,12 @@
 	}
 }
 
-// With takes over the values of a JSON object, by their names, and checks the
-// result. Its error names the field.
+// With returns the settings changed to the values of a JSON object, by their names. Its error
+// is an *apierror.FieldError.
 func (o Operator) With(changes json.RawMessage) (Operator, error) {
 	next, unknown, err := o.withKnown(changes)
 	for name := range unknown {
-		return o, fmt.Errorf("%s: no such setting", name)
+		return o, apierror.Field(name, "no such setting")
 	}
 	if err != nil {
 		return o, err
@@ -65,15 +67,15 @@
 	return next, next.check()
 }
 
-// StoredOperator is a settings record as it stands in the state service: what this
-// release knows of it, and the fields that only a later one does. They are written
-// back with every change, so that going back a release and forth again loses none.
+// StoredOperator is a settings record in the state store: the fields that this release knows,
+// and those that only a later one does. The latter are written back with every change, so that
+// none is lost when a release is rolled back and forward again.
 type StoredOperator struct {
 	Operator
 	later map[string]json.RawMessage
 }
 
-// ReadOperator reads a settings record.
+// ReadOperator decodes and checks a settings record.
 func ReadOperator(stored json.RawMessage) (StoredOperator, error) {
 	known, later, err := DefaultOperator().withKnown(stored)
 	if err == nil {
@@ -82,7 +84,7 @@
 	return StoredOperator{known, later}, err
 }
 
-// With is the record with a change of fields that this release knows.
+// With is the record with changes of fields that this release knows.
 func (s StoredOperator) With(changes json.RawMessage) (StoredOperator, error) {
 	next, err := s.Operator.With(changes)
 	return StoredOperator{next, s.later}, err
@@ -101,32 +103,33 @@
 	return json.Marshal(fields)
 }
 
-// withKnown takes over the values of the fields that this release knows, and returns
-// the others.
+// withKnown returns the settings with the values of the fields that this release knows, and
+// the other fields.
 func (o Operator) withKnown(changes json.RawMessage) (next Operator, unknown map[string]json.RawMessage, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(changes, &fields); err != nil || fields == nil {
-		return o, nil, errors.New("settings: want a JSON object")
+		return o, nil, apierror.Field("settings", "want a JSON object")
 	}
-	v := reflect.ValueOf(&o).Elem()
-	for i := range v.NumField() {
-		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
+	settings := reflect.ValueOf(&o).Elem()
+	for i := range settings.NumField() {
+		name, _, _ := strings.Cut(settings.Type().Field(i).Tag.Get("json"), ",")
 		raw, given := fields[name]
 		if !given {
 			continue
 		}
 		delete(fields, name)
-		if string(raw) == "null" || json.Unmarshal(raw, v.Field(i).Addr().Interface()) != nil {
-			return o, nil, fmt.Errorf("%s: wrong type", name)
+		if string(raw) == "null" || json.Unmarshal(raw, settings.Field(i).Addr().Interface()) != nil {
+			return o, nil, apierror.Field(name, "wrong type")
 		}
 	}
 	return o, fields, nil
 }
 
+// check returns an *apierror.FieldError for the first setting out of its bounds, or nil.
 func (o *Operator) check() error {
-	for _, f := range []struct {
+	for _, setting := range []struct {
 		name      string
-		v         float64
+		value     float64
 		low, high float64
 	}{
 		{"probe_hosts", float64(o.ProbeMachines), 1, 1000},
@@ -138,15 +141,15 @@
 		{"silence_s", o.UnresponsiveS, 3, 3600},
 		{"idle_s", o.IdleS, 1, 86400},
 	} {
-		if math.IsNaN(f.v) || f.v < f.low || f.v > f.high {
-			return fmt.Errorf("%s: %v is not between %v and %v", f.name, f.v, f.low, f.high)
+		if math.IsNaN(setting.value) || setting.value < setting.low || setting.value > setting.high {
+			return apierror.Field(setting.name, "%v is not between %v and %v", setting.value, setting.low, setting.high)
 		}
 	}
 	if o.Affinity != AffinityPreferred && o.Affinity != AffinityEnforced {
-		return fmt.Errorf("affinity: %q is neither preferred nor enforced", o.Affinity)
+		return apierror.Field("affinity", "%q is neither preferred nor enforced", o.Affinity)
 	}
 	return nil
 }
 
-// Probe is how long placement under contention may go on.
+// Probe is how long placement under contention may take.
 func (o *Operator) Probe() time.Duration { return Seconds(o.ProbeS) }
