--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -21,7 +21,7 @@
 			c.noteCompletedTasksOn(allocation.Machine)
 		}
 		if allocation.isCritical() {
-			c.scheduler.criticalAllocations[allocation.Machine]++
+			host.criticalAllocations++
 		}
 	}
 }
@@ -35,7 +35,7 @@
 		host.allocations = slices.DeleteFunc(host.allocations, onPage)
 		deleteWhere(c.scheduler.allocationsByJob, allocation.Job, onPage)
 		if allocation.isCritical() {
-			decrement(c.scheduler.criticalAllocations, allocation.Machine)
+			host.criticalAllocations--
 		}
 	}
 }
@@ -51,13 +51,6 @@
 	}
 }
 
-// decrement lowers a key's count, and drops the key at 0.
-func decrement[K comparable](counts map[K]int, key K) {
-	if counts[key]--; counts[key] == 0 {
-		delete(counts, key)
-	}
-}
-
 // locatedAllocation is an allocation with the page in the cache that it is on. The allocation may
 // be a staged one.
 type locatedAllocation struct {
--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -43,7 +43,7 @@
 	heartbeat := machine.latestHeartbeat
 	request := &wire.CommandRequest{Token: c.cache.token, AgentEpoch: heartbeat.AgentEpoch}
 	if heartbeat.Token > c.cache.token {
-		c.readBarrier(func(bool) {})
+		c.refreshCache()
 		// While the state store is out of reach that token cannot be read. To stop what
 		// is complete is right whatever was written before it, so that much may be
 		// commanded in its name.
@@ -109,7 +109,7 @@
 // sent once other calls have completed.
 func (c *Controller) admitCommands(machine *machine) bool {
 	limit := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
-	urgent := c.hasCriticalTasks(machine)
+	urgent := machine.hasCriticalTasks()
 	if !urgent {
 		limit -= limit / urgentCallDivisor
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -208,5 +208,5 @@
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]}},
 		Then: []wire.Change{c.putChange(record.TokenKey, c.cache.token+1)},
-	}, func(CommitResult) { c.readBarrier(func(bool) {}) })
+	}, func(CommitResult) { c.refreshCache() })
 }
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -70,16 +70,14 @@
 // tasks run, somebody waits for them at every moment, and heartbeats may be too far apart
 // to wait for the next.
 func (c *Controller) heartbeatTimeout(machine *machine) time.Duration {
-	if c.hasCriticalTasks(machine) {
+	if machine.hasCriticalTasks() {
 		return min(c.defaultHeartbeatTimeout(), criticalProbeAfter)
 	}
 	return c.defaultHeartbeatTimeout()
 }
 
 // hasCriticalTasks reports whether critical tasks are placed on a machine.
-func (c *Controller) hasCriticalTasks(machine *machine) bool {
-	return c.scheduler.criticalAllocations[machine.id] > 0
-}
+func (m *machine) hasCriticalTasks() bool { return m.criticalAllocations > 0 }
 
 // noteHeartbeat notes a heartbeat that is newer than all before.
 func (l *liveness) noteHeartbeat(now Time) {
@@ -177,7 +175,7 @@
 		return
 	}
 	slices.SortStableFunc(due, func(a, b *machine) int {
-		if critical := c.hasCriticalTasks(a); critical != c.hasCriticalTasks(b) {
+		if critical := a.hasCriticalTasks(); critical != b.hasCriticalTasks() {
 			if critical {
 				return -1
 			}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -177,6 +177,6 @@
 	}
 	c.applyHeartbeat(response.Heartbeat, true)
 	if response.Heartbeat.Token > c.cache.token {
-		c.readBarrier(func(bool) {})
+		c.refreshCache()
 	}
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -26,8 +26,9 @@
 
 	// allocations is what the records place on it, host what the scheduling pass under
 	// way makes of it.
-	allocations []*Allocation
-	host        *placement.Host
+	allocations         []*Allocation
+	criticalAllocations int // of these, allocations of critical tasks
+	host                *placement.Host
 
 	// latestHeartbeat is the newest heartbeat, whichever controller received it;
 	// directHeartbeat is the newest that this controller received itself. Only direct
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -119,7 +119,7 @@
 		c.membership.joining = false
 		c.handleJoinResult(result.Outcome, incarnation, leaseID)
 		// The token is taken from a read of the state store alone.
-		c.readBarrier(func(bool) {})
+		c.refreshCache()
 	})
 }
 
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -296,7 +296,7 @@
 		}
 	}
 	if txn.raisesToken {
-		c.readBarrier(func(bool) {}) // the new token is known only from the watch
+		c.refreshCache() // the new token is known only from the watch
 	}
 }
 
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -170,7 +170,7 @@
 		if result.Outcome == Succeeded {
 			c.log.Info("became leader for scaling")
 		} else {
-			c.readBarrier(func(bool) {})
+			c.refreshCache()
 		}
 	})
 }
@@ -184,7 +184,7 @@
 	c.provisioner.writingLeadership = true
 	c.log.Info("resigning as leader for scaling", "reason", "isolated")
 	c.commitLeadership(wire.Change{Delete: record.ProvisionerKey}, func(CommitResult) {
-		c.readBarrier(func(bool) {})
+		c.refreshCache()
 	})
 }
 
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -47,6 +47,9 @@
 	c.startBarrier()
 }
 
+// refreshCache reads everything that was written before this call, where nothing waits for it.
+func (c *Controller) refreshCache() { c.readBarrier(func(bool) {}) }
+
 // startBarrier sends a request for the readers that are queued, if it may be sent now.
 func (c *Controller) startBarrier() {
 	if !c.cache.barrier.ready(c.now) {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -281,7 +281,7 @@
 
 // admitSilentTermination bounds how many silent machines are terminated at once.
 func (c *Controller) admitSilentTermination(m *machine, review *terminationReview) bool {
-	return c.provisioner.silentTerminations.admit(review.reporting, c.hasCriticalTasks(m), c.now)
+	return c.provisioner.silentTerminations.admit(review.reporting, m.hasCriticalTasks(), c.now)
 }
 
 // markForTermination notes that a machine is to be terminated; recordTerminations records it
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -225,7 +225,7 @@
 // leave it alone.
 func (c *Controller) abovePriceLimit(m *machine) bool {
 	t := c.machineTypeNamed(m.machineType)
-	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !c.hasCriticalTasks(m)
+	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !m.hasCriticalTasks()
 }
 
 // avoidsExpensive reports whether a job leaves machines above the price limit alone.
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -29,9 +29,8 @@
 
 	// The index of the placement records: of committed allocations for commands, and with
 	// those of transactions in flight for scheduling.
-	allocationsByJob    map[wire.JobID][]*Allocation
-	criticalAllocations map[wire.MachineID]int // allocations of critical tasks
-	guaranteedJobs      map[wire.JobID]bool    // the jobs within their teams' quota guarantees
+	allocationsByJob map[wire.JobID][]*Allocation
+	guaranteedJobs   map[wire.JobID]bool // the jobs within their teams' quota guarantees
 }
 
 // teamSchedule is the scheduler's state of a team.
@@ -48,7 +47,6 @@
 
 func (s *scheduler) init() {
 	s.allocationsByJob = map[wire.JobID][]*Allocation{}
-	s.criticalAllocations = map[wire.MachineID]int{}
 }
 
 const (
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -64,7 +64,7 @@
 			}
 		}
 		if result.Outcome != Succeeded {
-			c.readBarrier(func(bool) {})
+			c.refreshCache()
 		}
 	})
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -61,10 +61,9 @@
 	c.cancellations.reset()
 	c.completedTasks.reset()
 	for _, machine := range c.fleet.machines {
-		machine.allocations = nil
+		machine.allocations, machine.criticalAllocations = nil, 0
 	}
 	clear(c.scheduler.allocationsByJob)
-	clear(c.scheduler.criticalAllocations)
 }
 
 // openWatch keeps one watch request open. It does not block while the cache is known to be
@@ -139,6 +138,6 @@
 // that something changed, never that nothing did.
 func (c *Controller) keepCacheCurrent() {
 	if c.cacheComplete() && c.storeReachable() && c.cache.barrier.idle() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval {
-		c.readBarrier(func(bool) {})
+		c.refreshCache()
 	}
 }
