--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -13,40 +13,45 @@
 	"lilacrill/wire"
 )
 
-// noteImageUse notes that a machine has an image; of very many the one that was
-// seen longest ago is forgotten.
+// noteImageUse notes that a machine has an image. Of more than maxCachedImages the one that
+// was seen in use the longest ago is forgotten.
 func (c *Controller) noteImageUse(m *machine, image string) {
 	if _, known := m.images.lastUsed[image]; !known && len(m.images.lastUsed) >= maxCachedImages {
-		oldest := image
-		for _, name := range sortedKeys(m.images.lastUsed) {
-			if oldest == image || m.images.lastUsed[name] < m.images.lastUsed[oldest] {
-				oldest = name
-			}
-		}
-		delete(m.images.lastUsed, oldest)
-		delete(m.images.cached, oldest)
+		m.images.forgetOldest(image)
 	}
 	m.images.lastUsed[image], m.images.cached[image] = c.now, true
 }
 
-// applyImageBucket takes over what was noted of machines' images, so that a
-// controller that has just started knows them too.
-func (c *Controller) applyImageBucket(shard string, value json.RawMessage) error {
-	n, err := strconv.Atoi(shard)
+// forgetOldest forgets the image that was seen in use the longest ago, except the given one.
+func (i *imageCache) forgetOldest(except string) {
+	oldest := except
+	for _, name := range sortedKeys(i.lastUsed) {
+		if oldest == except || i.lastUsed[name] < i.lastUsed[oldest] {
+			oldest = name
+		}
+	}
+	delete(i.lastUsed, oldest)
+	delete(i.cached, oldest)
+}
+
+// applyImageBucket applies a record of machines' images, so that a controller that has just
+// started knows them too.
+func (c *Controller) applyImageBucket(name string, value json.RawMessage) error {
+	bucket, err := strconv.Atoi(name)
 	if err != nil {
 		return err
 	}
-	var noted map[wire.MachineID][]string
+	var recorded map[wire.MachineID][]string
 	if value != nil {
-		if err := fastjson.Unmarshal(value, &noted); err != nil {
+		if err := fastjson.Unmarshal(value, &recorded); err != nil {
 			return err
 		}
 	}
-	for id := range c.fleet.imageBuckets[n] {
+	for id := range c.fleet.imageBuckets[bucket] {
 		delete(c.fleet.recordedImages, id)
 	}
-	c.fleet.imageBuckets[n] = noted
-	for id, images := range noted {
+	c.fleet.imageBuckets[bucket] = recorded
+	for id, images := range recorded {
 		c.fleet.recordedImages[id] = images
 		if m := c.fleet.machines[id]; m != nil {
 			c.restoreRecordedImages(m)
@@ -55,77 +60,80 @@
 	return nil
 }
 
+// restoreRecordedImages adds the images that the records name to what is known of a machine,
+// as ones that were not seen in use.
 func (c *Controller) restoreRecordedImages(m *machine) {
 	for _, image := range c.fleet.recordedImages[m.id] {
-		if _, ok := m.images.lastUsed[image]; !ok && len(m.images.lastUsed) < maxCachedImages {
+		if _, known := m.images.lastUsed[image]; !known && len(m.images.lastUsed) < maxCachedImages {
 			m.images.lastUsed[image], m.images.cached[image] = 0, true
 		}
 	}
 }
 
-// recordImages writes down which images machines have, a number of machines to a
-// record and one record at a time. It is the buyer's task, since it knows all
-// machines.
+// recordImages records which images machines have: a bucket of machines to a record, one
+// record at a time. This is up to the provisioner, which knows all machines.
 func (c *Controller) recordImages() {
 	if c.fleet.recordingImages || !c.isDue(c.fleet.nextImageRecord) || !c.canAffordWrite() {
 		return
 	}
 	c.fleet.nextImageRecord = c.now.Add(imageRecordInterval)
 	c.fleet.nextImageBucket = (c.fleet.nextImageBucket + 1) % imageBuckets
-	shard := c.fleet.nextImageBucket
-	noted := c.imagesInBucket(shard)
-	if maps.EqualFunc(noted, c.fleet.imageBuckets[shard], slices.Equal[[]string]) {
+	bucket := c.fleet.nextImageBucket
+	images := c.imagesInBucket(bucket)
+	if maps.EqualFunc(images, c.fleet.imageBuckets[bucket], slices.Equal[[]string]) {
 		return
 	}
 	c.fleet.recordingImages = true
-	c.commit(PriorityBackground, wire.Transaction{Then: []wire.Change{c.putChange(record.ImageKey(shard), noted)}}, func(CommitResult) { c.fleet.recordingImages = false })
+	c.commit(PriorityBackground, wire.Transaction{
+		Then: []wire.Change{c.putChange(record.ImageKey(bucket), images)},
+	}, func(CommitResult) { c.fleet.recordingImages = false })
 }
 
-// imagesInBucket is what is to be noted of a shard's machines: of each the images seen in use
-// last, as many as let all of them fit into one value. With a number that was fixed, a
-// part of the machines of a fleet beyond some 3,000 was left out altogether.
-func (c *Controller) imagesInBucket(shard int) map[wire.MachineID][]string {
-	latest := map[wire.MachineID][]string{}
+// imagesInBucket is what is recorded of a bucket's machines: of each the images seen in use
+// last, as many as let all of them fit into one value. With a fixed number of images, a part
+// of the machines of a fleet beyond some 3,000 was left out altogether.
+func (c *Controller) imagesInBucket(bucket int) map[wire.MachineID][]string {
+	latestFirst := map[wire.MachineID][]string{}
 	for _, m := range c.orderedMachines() {
-		if m.latestHeartbeat == nil || m.scaling.terminated || imageBucketOf(m.id) != shard || len(m.images.lastUsed) == 0 {
+		if m.latestHeartbeat == nil || m.scaling.terminated || imageBucketOf(m.id) != bucket || len(m.images.lastUsed) == 0 {
 			continue
 		}
 		images := sortedKeys(m.images.lastUsed)
 		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.images.lastUsed[a], m.images.lastUsed[b]) })
-		latest[m.id] = images
+		latestFirst[m.id] = images
 	}
-	for most := maxRecordedImages; most > 1; most-- {
-		if noted, whole := fitImages(latest, most, c.pageLimit()); whole {
-			return noted
+	for perMachine := maxRecordedImages; perMachine > 1; perMachine-- {
+		if images, complete := fitImages(latestFirst, perMachine, c.pageLimit()); complete {
+			return images
 		}
 	}
-	noted, _ := fitImages(latest, 1, c.pageLimit())
-	return noted
+	images, _ := fitImages(latestFirst, 1, c.pageLimit())
+	return images
 }
 
-// fitImages takes up to most images of each machine, as long as the value stays under a
-// limit, and reports whether all machines found room. What is left out is learnt from
-// what they run.
-func fitImages(latest map[wire.MachineID][]string, most, limit int) (noted map[wire.MachineID][]string, whole bool) {
-	noted = map[wire.MachineID][]string{}
+// fitImages takes up to perMachine images of each machine, the latest first, as long as the
+// encoded value stays within limit bytes, and reports whether all machines fit. The images of
+// those that do not are learned from the tasks that they run.
+func fitImages(latestFirst map[wire.MachineID][]string, perMachine, limit int) (fitting map[wire.MachineID][]string, complete bool) {
+	fitting = map[wire.MachineID][]string{}
 	size := len(`{}`)
-	for _, id := range sortedKeys(latest) {
-		images := slices.Sorted(slices.Values(latest[id][:min(len(latest[id]), most)]))
+	for _, id := range sortedKeys(latestFirst) {
+		images := slices.Sorted(slices.Values(latestFirst[id][:min(len(latestFirst[id]), perMachine)]))
 		size += len(id) + len(`"":[],`)
 		for _, image := range images {
 			size += len(image) + len(`"",`)
 		}
 		if size > limit {
-			return noted, false
+			return fitting, false
 		}
-		noted[id] = images
+		fitting[id] = images
 	}
-	return noted, true
+	return fitting, true
 }
 
-// imageBucketOf is the record that notes a machine's images.
+// imageBucketOf is the number of the record that names a machine's images.
 func imageBucketOf(id wire.MachineID) int {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return int(h.Sum32() % imageBuckets)
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	return int(hash.Sum32() % imageBuckets)
 }
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -25,8 +25,8 @@
 			}
 		}
 		total := 0
-		for shard := range imageBuckets {
-			noted := c.imagesInBucket(shard)
+		for bucket := range imageBuckets {
+			noted := c.imagesInBucket(bucket)
 			total += len(noted)
 			require.LessOrEqual(t, len(encodePlain(noted)), c.pageLimit())
 			for id, images := range noted {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,13 +8,14 @@
 	"lilacrill/wire"
 )
 
-// metrics counts what a person needs to find a cause.
+// metrics is the counters and latencies that operators see, by name.
 type metrics struct {
 	counts map[string]uint64
-	times  map[string]*hdrhistogram.Histogram
+	times  map[string]*hdrhistogram.Histogram // in milliseconds
 }
 
-// The names of the counts and times.
+// The names of the counters and latencies. They are part of the administration API, so they
+// keep their words.
 const (
 	countAccepted             = "jobs_accepted"
 	countRefused              = "requests_refused"
@@ -47,16 +48,16 @@
 	countTerminatedUnrecorded = "machines_returned_unwritten"
 	countOwnerRedirects       = "workers_redirected"
 	countJobsForwarded        = "jobs_handed_on"
-	countShardActions         = "shares_" // + what was done
+	countShardActions         = "shares_" // followed by the kind of action
 	countShardConflicts       = "share_changes_lost"
-	countTerminated           = "machines_returned_" // + why
+	countTerminated           = "machines_returned_" // followed by the reason
 
 	latencyAdmission = "acceptance"
 	latencyJobStart  = "job_start"
 	latencyCommit    = "commit"
 )
 
-// maxLatency is the longest time that is told apart from longer ones.
+// maxLatency is the longest latency that is distinguished from longer ones.
 const maxLatency = time.Hour
 
 func (m *metrics) init() {
@@ -67,31 +68,40 @@
 	}
 }
 
+// count adds n to a counter.
 func (m *metrics) count(name string, n int) { m.counts[name] += uint64(n) }
 
-func (m *metrics) observe(name string, d time.Duration) {
-	// The value is cut to what the histogram holds, so recording cannot fail.
-	_ = m.times[name].RecordValue(min(max(d, time.Millisecond), maxLatency).Milliseconds())
+// observe adds an observation to a latency.
+func (m *metrics) observe(name string, latency time.Duration) {
+	// The value is clamped to the range of the histogram, so recording cannot fail.
+	_ = m.times[name].RecordValue(min(max(latency, time.Millisecond), maxLatency).Milliseconds())
 }
 
-// countFailure counts calls that did not go through.
-func (m *metrics) countFailure(o Outcome, refused, lost string) {
-	switch o {
+// countFailure counts a call that failed: under refused if it was not carried out, and under
+// unanswered if nobody knows.
+func (m *metrics) countFailure(outcome Outcome, refused, unanswered string) {
+	switch outcome {
 	case NotExecuted:
 		m.count(refused, 1)
 	case Unknown:
-		m.count(lost, 1)
+		m.count(unanswered, 1)
 	}
 }
 
+// view is the metrics as operators see them.
 func (m *metrics) view() wire.AdminMetrics {
-	v := wire.AdminMetrics{Counts: map[string]uint64{}, Times: map[string]wire.AdminLatency{}}
+	view := wire.AdminMetrics{Counts: map[string]uint64{}, Times: map[string]wire.AdminLatency{}}
 	for name, n := range m.counts {
-		v.Counts[name] = n
+		view.Counts[name] = n
 	}
-	for name, h := range m.times {
-		v.Times[name] = wire.AdminLatency{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90),
-			P99: h.ValueAtQuantile(99), Max: h.Max()}
+	for name, histogram := range m.times {
+		view.Times[name] = wire.AdminLatency{
+			Count: histogram.TotalCount(),
+			P50:   histogram.ValueAtQuantile(50),
+			P90:   histogram.ValueAtQuantile(90),
+			P99:   histogram.ValueAtQuantile(99),
+			Max:   histogram.Max(),
+		}
 	}
-	return v
+	return view
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -12,36 +12,39 @@
 	"lilacrill/wire"
 )
 
-// shardState is this process's part in the shares of the machines (docs/shards.md).
+// shardState is this controller's view of the shards of the machines, and its part in their
+// ownership (docs/shards.md).
 type shardState struct {
 	table      *shard.Table
 	planner    *shard.Planner
-	writing    bool // a change of the shares is being written
+	writing    bool // an action is being committed
 	nextReview Time
-	// acquireFor is a job that needs the room of several controllers at once, and
-	// collected when shares were last asked for.
+	// acquireFor is a job that needs the capacity of several controllers at once, and
+	// acquiredAt when shards were last acquired.
 	acquireFor wire.JobID
 	acquiredAt Time
 	redirects  *rate.Limiter
-	// nextFleetEstimate is when the buyer looks at the whole fleet again.
+	// nextFleetEstimate is when the provisioner next estimates the demand on the whole fleet.
 	nextFleetEstimate Time
 }
 
 const (
-	// shardReviewInterval is how often the shares are looked at.
+	// shardReviewInterval is how often the ownership of the shards is reviewed.
 	shardReviewInterval = 100 * time.Millisecond
-	// maxShardsPerTransaction is how many shares one transaction changes at most.
+	// maxShardsPerTransaction bounds the shards that one transaction changes.
 	maxShardsPerTransaction = 6
-	// shardReservedConditions is what a placement may demand beside shares and the heads of
-	// zones: the list of machines to be returned, the token, its job and some pages.
+	// shardReservedConditions is how many conditions a placement may have beside those on
+	// shards and on the head pages of zones: the terminations, the fencing token, its job and
+	// some pages.
 	shardReservedConditions = 8
-	// redirectsPerSecond bounds how fast workers are led to the owners of their shares.
+	// redirectsPerSecond bounds how fast workers are redirected to the owners of their shards.
 	redirectsPerSecond = 20
-	// redirectCooldown is how long a worker that came back is not redirected again.
+	// redirectCooldown is how long a worker that returned is not redirected again.
 	redirectCooldown = time.Minute
-	// acquiredHoldPeriod is how long shares that were asked for are not handed on again.
+	// acquiredHoldPeriod is how long acquired shards are not moved again for balance.
 	acquiredHoldPeriod = 6 * time.Second
-	acquireInterval    = 2 * time.Second
+	// acquireInterval is how often shards are acquired at most.
+	acquireInterval = 2 * time.Second
 )
 
 func (s *shardState) init(settings *config.Settings) {
@@ -50,24 +53,30 @@
 	s.redirects = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
 }
 
-// shardingEnabled reports whether this process may take part in shares: its features say so,
-// and a placement in all of them fits a transaction.
+// maxConditions is how many conditions a transaction may have.
+func (c *Controller) maxConditions() int {
+	return conditionsPerWrite * c.settings.Cluster.State.TxnOps
+}
+
+// shardingEnabled reports whether this controller may take part in sharding: its features say
+// so, and the conditions of a placement in all shards fit a transaction.
 func (c *Controller) shardingEnabled() bool {
 	if !c.settings.Features.Sharding.Enabled {
 		return false
 	}
-	need := shard.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
-	if most := 4 * c.settings.Cluster.State.TxnOps; most < need {
-		c.log.Warn("shares stay off: a transaction of the state service may have too few conditions", "conditions", most, "wanted", need)
+	required := shard.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
+	if limit := c.maxConditions(); limit < required {
+		c.log.Warn("sharding disabled: too few conditions per transaction", "conditions", limit, "required", required)
 		return false
 	}
 	return true
 }
 
-// sharded reports whether each controller places in its own shares only.
+// sharded reports whether sharding is in use: each controller then places tasks on the
+// machines in its own shards only.
 func (c *Controller) sharded() bool { return c.shards.table.Enabled() }
 
-// hasPlacementIn reports whether a placement in a share is being written, or may yet be.
+// hasPlacementIn reports whether a transaction in flight places tasks in a shard.
 func (c *Controller) hasPlacementIn(id wire.ShardID) bool {
 	for _, t := range c.cache.teams {
 		if t.schedule.inFlight != nil && t.schedule.inFlight.shards[id] {
@@ -77,68 +86,70 @@
 	return false
 }
 
-// tickShards does what this controller has to do about the shares, one change at a time.
+// tickShards commits the next change of the shards that is due, one at a time: the switch of
+// sharding first, then an acquisition for a job, then what the planner has.
 func (c *Controller) tickShards() {
 	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cacheComplete() || !c.storeReachable() || c.membership.stale {
 		return
 	}
 	c.shards.nextReview = c.now.Add(shardReviewInterval)
 	if c.isProvisioner() {
-		if a, due := c.shardingSwitch(); due {
-			c.commitShardAction(a)
+		if action, due := c.shardingSwitch(); due {
+			c.commitShardAction(action)
 			return
 		}
 	}
 	if !c.sharded() {
 		return
 	}
-	if a, due := c.acquireShards(); due {
-		c.commitShardAction(a)
+	if action, due := c.acquireShards(); due {
+		c.commitShardAction(action)
 		return
 	}
 	hold := c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquiredHoldPeriod
-	a, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
-	// Moves wait for their part of the writes: when operators moved all shares at once,
-	// what that took was paid back for a minute without a placement (TestContinuousShardMoves).
-	if overdrawn := c.writesOverdrawn(); due && (a.Kind == shard.Failover || !overdrawn) {
-		c.commitShardAction(a)
+	action, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
+	// Moves keep to the write budget: when operators moved all shards at once, what that took
+	// was paid back for a minute without a placement (TestContinuousShardMoves).
+	if overdrawn := c.writesOverdrawn(); due && (action.Kind == shard.Failover || !overdrawn) {
+		c.commitShardAction(action)
 	}
 }
 
-// shardingSwitch is the change that switches shares on or off, if that is due. It rewrites
-// the list of machines to be returned as it is: all placements demand that list, so none
-// that was under way before comes after it, whoever made it (TestInvariantsHoldWithShards).
+// shardingSwitch is the action that switches sharding on or off, and whether it is due. It
+// rewrites the record of terminations unchanged: all placements have a condition on that
+// record, so none that was in flight before comes after it, whoever made it
+// (TestInvariantsHoldWithShards).
 func (c *Controller) shardingSwitch() (shard.Action, bool) {
-	a, due := c.shards.table.SwitchPolicy()
+	action, due := c.shards.table.SwitchPolicy()
 	if !due || c.provisioner.recordingTerminations {
 		return shard.Action{}, false
 	}
-	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]})
-	a.Txn.Then = append(a.Txn.Then, c.putChange(record.TerminationsKey, c.cache.terminations))
-	return a, len(a.Txn.If) <= 4*c.settings.Cluster.State.TxnOps
+	action.Txn.If = append(action.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]})
+	action.Txn.Then = append(action.Txn.Then, c.putChange(record.TerminationsKey, c.cache.terminations))
+	return action, len(action.Txn.If) <= c.maxConditions()
 }
 
-// commitShardAction runs a change of the shares. After one that was lost or not answered the
-// records are read before the next.
-func (c *Controller) commitShardAction(a shard.Action) {
+// commitShardAction commits a change of the shards. After one that was lost or has no answer,
+// the records are read again before the next.
+func (c *Controller) commitShardAction(action shard.Action) {
 	c.shards.writing = true
 	class := PriorityBackground
-	if a.Kind == shard.Failover || a.Kind == shard.Adopt {
-		class = PriorityUrgent // nobody places there meanwhile
+	if action.Kind == shard.Failover || action.Kind == shard.Adopt {
+		class = PriorityUrgent // nobody places tasks in the shard meanwhile
 	}
-	c.commit(class, a.Txn, func(r CommitResult) {
-		if r.Outcome != Succeeded {
+	c.commit(class, action.Txn, func(result CommitResult) {
+		if result.Outcome != Succeeded {
 			c.metrics.count(countShardConflicts, 1)
 			c.readBarrier(func(bool) { c.shards.writing = false })
 			return
 		}
 		c.shards.writing = false
-		c.metrics.count(countShardActions+string(a.Kind), max(1, len(a.Shards)))
-		c.log.Info("shares: "+string(a.Kind), "shares", a.Shards, "why", a.Reason)
+		c.metrics.count(countShardActions+string(action.Kind), max(1, len(action.Shards)))
+		c.log.Info("shards changed", "action", action.Kind, "shards", action.Shards, "reason", action.Reason)
 	})
 }
 
-// applyShardRecord takes a record of the shares.
+// applyShardRecord applies a record of the shards' policy or ownership.
 func (c *Controller) applyShardRecord(key string, value []byte, version wire.Revision) error {
 	c.scheduler.dirty, c.scheduler.criticalDirty = true, c.scheduler.criticalDirty || c.scheduler.criticalPending
 	if key != record.ShardPolicyKey {
@@ -147,13 +158,12 @@
 	before := c.sharded()
 	err := c.shards.table.ApplyPolicy(value, version)
 	if now := c.sharded(); now != before {
-		c.log.Info("shares in use", "now", now, "revision", version)
+		c.log.Info("sharding switched", "enabled", now, "revision", version)
 	}
 	return err
 }
 
-// redirectToOwner leads a worker to the controller that owns its share, if it can be had without
-// a renewal lost: its lease was renewed here a moment ago, and the owner is well. It
+// redirectToOwner redirects a worker to the controller that owns its machine's shard. It
 // reports whether the request was answered.
 func (c *Controller) redirectToOwner(in HeartbeatReceived) bool {
 	m := c.machine(in.Heartbeat.Machine)
@@ -161,17 +171,7 @@
 		return false
 	}
 	owner := c.shards.table.Owner(m.shard)
-	p := c.gossip.peers[owner.Label]
-	switch {
-	case owner.Label == c.settings.Label || !c.shards.table.Alive(owner) || c.cache.isolatedControllers[owner.Label]:
-		return false
-	case p == nil || !p.storeReachable || c.now.Sub(p.lastHeardAt) > 2*peerHeartbeatInterval:
-		return false
-	case c.now.Sub(m.liveness.lastDirectAt) > config.Seconds(2*c.settings.Cluster.Workers.ReportS):
-		return false
-	case m.liveness.redirectedToOwnerAt != 0 && c.now.Sub(m.liveness.redirectedToOwnerAt) < redirectCooldown:
-		return false
-	case !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1):
+	if !c.mayRedirectTo(owner, m) || !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return false
 	}
 	m.liveness.redirectedToOwnerAt = c.now
@@ -181,27 +181,40 @@
 	return true
 }
 
-// viewShards answers with the shares as of now or later.
+// mayRedirectTo reports whether a worker can be redirected to a shard's owner without missing
+// a renewal of its lease: its lease was renewed here a moment ago, the owner is well, and the
+// worker was not redirected there lately.
+func (c *Controller) mayRedirectTo(owner record.ShardOwner, m *machine) bool {
+	peer := c.gossip.peers[owner.Label]
+	ownerIsWell := c.shards.table.Alive(owner) && !c.cache.isolatedControllers[owner.Label] &&
+		peer != nil && peer.storeReachable && c.now.Sub(peer.lastHeardAt) <= 2*peerHeartbeatInterval
+	renewedLately := c.now.Sub(m.liveness.lastDirectAt) <= config.Seconds(2*c.settings.Cluster.Workers.ReportS)
+	redirectedLately := m.liveness.redirectedToOwnerAt != 0 && c.now.Sub(m.liveness.redirectedToOwnerAt) < redirectCooldown
+	return owner.Label != c.settings.Label && ownerIsWell && renewedLately && !redirectedLately
+}
+
+// viewShards responds with the shards as of now or later.
 func (c *Controller) viewShards(r RequestID) {
 	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.shardsView()) })
 }
 
+// shardsView is the shards with their machines and the cores that tasks use on them.
 func (c *Controller) shardsView() wire.AdminShards {
-	v := c.shards.table.View(c.wall)
-	for _, m := range c.orderedMachines() { // a sum of fractions depends on the order
-		if m.isTerminated() || int(m.shard) >= len(v.Shards) {
+	view := c.shards.table.View(c.wall)
+	for _, m := range c.orderedMachines() { // in order: a sum of fractions depends on it
+		if m.isTerminated() || int(m.shard) >= len(view.Shards) {
 			continue
 		}
-		s := &v.Shards[m.shard]
-		s.Machines++
-		for _, e := range m.allocations {
-			s.CoresUsed += e.Cores * float64(e.Tasks.Len())
+		shardView := &view.Shards[m.shard]
+		shardView.Machines++
+		for _, allocation := range m.allocations {
+			shardView.CoresUsed += allocation.Cores * float64(allocation.Tasks.Len())
 		}
 	}
-	return v
+	return view
 }
 
-// changeShards carries out what an operator asks of the shares.
+// changeShards carries out an operator's change of the shards.
 func (c *Controller) changeShards(in ShardChangeRequested) {
 	if !c.ensureServing(in.Request) {
 		return
@@ -218,6 +231,7 @@
 	})
 }
 
+// shardTransaction is the transaction for an operator's change.
 func (c *Controller) shardTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
 	switch {
 	case change.Move != nil:
