--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -49,7 +49,7 @@
 // is answered with the job's status.
 func (c *Controller) submit(in JobSubmitted) {
 	id := in.Spec.ID
-	if completion, ok := c.completion(id); ok {
+	if completion, ok := c.cache.completion(id); ok {
 		c.reply(in.Request, http.StatusOK, completionStatus(id, completion))
 		return
 	}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -44,11 +44,11 @@
 }
 
 // completion is how a job was completed, if that is known here.
-func (c *Controller) completion(id wire.JobID) (record.Completion, bool) {
-	if completion, ok := c.cache.completedJobs[id]; ok {
+func (s *stateCache) completion(id wire.JobID) (record.Completion, bool) {
+	if completion, ok := s.completedJobs[id]; ok {
 		return completion, true
 	}
-	completion, ok := c.cache.archivedJobs[id]
+	completion, ok := s.archivedJobs[id]
 	return completion, ok
 }
 
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -38,7 +38,7 @@
 	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 9000})
 	require.Len(t, c.cache.completedJobs, maxCompletedInPlace)
 	for i := range maxCompletedInPlace + 2 {
-		f, ok := c.completion(name(i))
+		f, ok := c.cache.completion(name(i))
 		require.True(t, ok)
 		require.Equal(t, wire.StatusDone, f.Status)
 	}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -69,7 +69,7 @@
 	c.newWatermark() // 9
 	c.handlePeerMessage(watermarkFrom(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
 	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 3, 9, 140))
-	f, ok := c.completion("wk-000001")
+	f, ok := c.cache.completion("wk-000001")
 	require.True(t, ok)
 	require.Equal(t, wire.StatusCancelled, f.Status)
 	require.Equal(t, at(40), c.cancellationsKnownAt())
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -40,7 +40,7 @@
 		}
 		for _, key := range sortedKeys(team.pages) {
 			page := team.pages[key]
-			if len(page.allocations) == 0 && len(c.uncompletedOnly(page.completed)) < len(page.completed) {
+			if len(page.allocations) == 0 && len(c.cache.uncompletedOnly(page.completed)) < len(page.completed) {
 				return page
 			}
 		}
@@ -50,7 +50,7 @@
 
 // cleanUpPage writes a page without the completed tasks of completed jobs.
 func (c *Controller) cleanUpPage(stale *page) {
-	cleaned := page{completed: c.uncompletedOnly(stale.completed)}
+	cleaned := page{completed: c.cache.uncompletedOnly(stale.completed)}
 	c.cleanup.inFlight = true
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: stale.key, Version: stale.version}},
@@ -60,10 +60,10 @@
 
 // uncompletedOnly is the part of some completed tasks that belongs to jobs which are not
 // completed.
-func (c *Controller) uncompletedOnly(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
+func (s *stateCache) uncompletedOnly(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	remaining := map[wire.JobID]record.TaskSet{}
 	for id, tasks := range completed {
-		if c.cache.jobs[id] != nil {
+		if s.jobs[id] != nil {
 			remaining[id] = tasks
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -151,7 +151,7 @@
 // now: at once if its job is complete, otherwise after a while in which its record would
 // have come. With full there is no room for the command, and the task is only noted.
 func (c *Controller) shouldStopOrphan(machine *machine, attempt attemptKey, full bool) bool {
-	if _, complete := c.completion(attempt.task.Job); complete && !full {
+	if _, complete := c.cache.completion(attempt.task.Job); complete && !full {
 		return true
 	}
 	since, known := machine.reconciliation.orphanTasks[attempt]
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -203,7 +203,7 @@
 		if task.State == wire.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
-		if _, completed := c.completion(task.Task.Job); completed {
+		if _, completed := c.cache.completion(task.Task.Job); completed {
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: task.Task, Attempt: task.Attempt, GracePeriodS: gracePeriod(0)})
 		}
 	}
--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -146,7 +146,7 @@
 	failedJobs := 0.0
 	for id, at := range m.quarantine.failedJobs {
 		j := c.cache.jobs[id]
-		completion, _ := c.completion(id)
+		completion, _ := c.cache.completion(id)
 		switch {
 		case c.now.Sub(at) > faultyMachineLifetime:
 			delete(m.quarantine.failedJobs, id)
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -22,7 +22,7 @@
 		return
 	}
 	target := *located.allocation // a copy: the original may stand on the staged page
-	staged := c.stagePage(txn, located.page)
+	staged := txn.stagePage(located.page)
 	for i := range staged.allocations {
 		candidate := &staged.allocations[i]
 		if !sameAllocation(candidate, &target) || candidate.Eviction >= eviction {
@@ -74,7 +74,7 @@
 				continue
 			}
 			txn := transactions[job.spec.Team]
-			if txn != nil && c.hasCapacityFor(txn, evictionOperations) && c.mustLeave(job, machine) {
+			if txn != nil && txn.hasCapacityFor(evictionOperations) && c.mustLeave(job, machine) {
 				c.evictJobFrom(txn, job, machine.id)
 			}
 		}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -21,7 +21,7 @@
 	for _, id := range sortedKeys(c.cache.jobs) {
 		j := c.cache.jobs[id]
 		txn := transactions[j.spec.Team]
-		if j.spec.Shape != wire.ShapeGang || txn == nil || !c.ownsTeam(j.spec.Team) || !c.hasCapacityFor(txn, gangEvictionOperations) {
+		if j.spec.Shape != wire.ShapeGang || txn == nil || !c.ownsTeam(j.spec.Team) || !txn.hasCapacityFor(gangEvictionOperations) {
 			continue
 		}
 		if txn.completedJobs[id] || c.jobUnreadable(id) {
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -55,7 +55,7 @@
 		pending:     pending,
 		transaction: transaction,
 		stages: transaction != nil && (!transaction.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
-			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(j) && c.hasCapacityFor(transaction, 0),
+			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(j) && transaction.hasCapacityFor(0),
 	}
 }
 
@@ -115,10 +115,10 @@
 		jp.attempt = wire.Attempt(c.nextSerial())
 	}
 	allocation := jp.newAllocation(m, tasks)
-	if !c.hasCapacityFor(jp.transaction, 0) || !c.stageAllocation(jp.transaction, m.zone, allocation) {
+	if !jp.transaction.hasCapacityFor(0) || !jp.transaction.stageAllocation(m.zone, allocation) {
 		jp.stages = false
 		if j.spec.Shape == wire.ShapeGang {
-			c.unstageAttempt(jp.transaction, jp.attempt)
+			jp.transaction.unstageAttempt(jp.attempt)
 		}
 		return
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -75,7 +75,7 @@
 // controller may have told its user something newer. If that cannot be done, it answers the
 // request itself.
 func (c *Controller) lookUpJob(request RequestID, id wire.JobID, then func(status wire.JobStatus, found bool)) {
-	if completion, ok := c.completion(id); ok {
+	if completion, ok := c.cache.completion(id); ok {
 		then(completionStatus(id, completion), true) // it never changes
 		return
 	}
@@ -87,7 +87,7 @@
 			c.unavailable(request, reasonStoreUnavailable)
 			return
 		}
-		if completion, ok := c.completion(id); ok {
+		if completion, ok := c.cache.completion(id); ok {
 			then(completionStatus(id, completion), true)
 			return
 		}
@@ -110,7 +110,7 @@
 		switch result.Outcome {
 		case Succeeded:
 			c.apply(key, result.Value, result.Version)
-			if completion, ok := c.completion(id); ok {
+			if completion, ok := c.cache.completion(id); ok {
 				then(completionStatus(id, completion), true)
 			} else {
 				c.unavailable(request, "record not understood")
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strings"
 
+	"lilacrill/internal/config"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
 )
@@ -125,7 +126,9 @@
 }
 
 // pageLimit is how many bytes a value in the state store may take.
-func (c *Controller) pageLimit() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
+func (c *Controller) pageLimit() int { return pageLimit(&c.settings.Cluster) }
+
+func pageLimit(cluster *config.Cluster) int { return int(cluster.State.ValueKB * 1024) }
 
 // applyPlacementPage takes a placement record into the cache.
 func (c *Controller) applyPlacementPage(key string, value json.RawMessage, version wire.Revision) error {
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -20,7 +20,7 @@
 	c.replacePage(p)
 	c.cache.keyVersions[p.key] = p.version
 	r := c.newPlacementTransaction(c.cache.team("blue"))
-	c.stagePage(r, p)
+	r.stagePage(p)
 	r.placesTasks = true
 	c.commitPlacements(r)
 	require.Empty(t, c.outputs, "nothing changed, so nothing is written")
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -101,7 +101,7 @@
 		return false
 	}
 	txn := transactions[job.spec.Team]
-	return txn != nil && c.hasCapacityFor(txn, evictionOperations)
+	return txn != nil && txn.hasCapacityFor(evictionOperations)
 }
 
 // victim is tasks of an allocation that are to be stopped.
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -51,7 +51,7 @@
 		for i := range page.allocations {
 			// Room is left for the pages of the zones that it may place in. On a page
 			// that is written anyway, more exits cost no further write.
-			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !c.hasCapacityFor(txn, exitOperations) {
+			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !txn.hasCapacityFor(exitOperations) {
 				page.needsReview = true
 				break
 			}
@@ -170,7 +170,7 @@
 	// Where there is no room for the completion it is written later (completeJobs): the
 	// machine's room is free all the same.
 	if !txn.completedJobs[job.id] && job.completed.With(txn.completed[job.id]).Len() == job.spec.Tasks && c.canCompleteJob(txn) {
-		c.completeJob(txn, job)
+		txn.completeJob(job)
 	}
 	return done
 }
@@ -178,7 +178,7 @@
 // canCompleteJob reports whether a transaction may take on another change and still have
 // room to place tasks in all zones.
 func (c *Controller) canCompleteJob(txn *placementTransaction) bool {
-	return c.hasCapacityFor(txn, completionOperations+len(c.settings.Cluster.Zones))
+	return txn.hasCapacityFor(completionOperations + len(c.settings.Cluster.Zones))
 }
 
 // launchTimedOut reports whether a worker that sends heartbeats to this controller has
@@ -200,7 +200,7 @@
 // raiseFence changes an allocation and raises the token in the same transaction: whoever
 // knows of the token knows of the change.
 func (c *Controller) raiseFence(txn *placementTransaction, page *page, allocation *Allocation, change func(*Allocation)) {
-	staged := c.stagePage(txn, page)
+	staged := txn.stagePage(page)
 	for i := range staged.allocations {
 		candidate := &staged.allocations[i]
 		if !sameAllocation(candidate, allocation) {
@@ -225,7 +225,7 @@
 // removeTasks takes exited tasks out of an allocation and records those of them that are
 // done.
 func (c *Controller) removeTasks(txn *placementTransaction, page *page, allocation *Allocation, exited, done record.TaskSet) {
-	staged := c.stagePage(txn, page)
+	staged := txn.stagePage(page)
 	kept := staged.allocations[:0]
 	for _, candidate := range staged.allocations {
 		if candidate.Job == allocation.Job && candidate.Attempt == allocation.Attempt && candidate.Machine == allocation.Machine {
@@ -249,12 +249,12 @@
 	for _, id := range sortedKeys(c.cache.jobs) {
 		job := c.cache.jobs[id]
 		txn := transactions[job.spec.Team]
-		if txn == nil || job.completed.Len() < job.spec.Tasks || !c.ownsTeam(job.spec.Team) || !c.hasCapacityFor(txn, completionOperations) {
+		if txn == nil || job.completed.Len() < job.spec.Tasks || !c.ownsTeam(job.spec.Team) || !txn.hasCapacityFor(completionOperations) {
 			continue
 		}
 		if !txn.completedJobs[id] {
 			txn.completed[id] = record.TaskSet{}
-			c.completeJob(txn, job)
+			txn.completeJob(job)
 		}
 	}
 }
