--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,93 +7,130 @@
 	"lilacrill/wire"
 )
 
-// recordedHeartbeat is a copy of a report that was held up on its way.
-type recordedHeartbeat struct {
-	heartbeat *wire.Heartbeat
-	at        controller.Time
-}
+const (
+	// callTimeout is when a controller gives up a call to the store or the cloud.
+	callTimeout = 1500 * time.Millisecond
+	// commandTimeout and probeTimeout are when it gives up calls to workers.
+	commandTimeout = 2 * time.Second
+	probeTimeout   = 800 * time.Millisecond
+
+	// maxRequestDelay bounds the delay of calls and requests that arrive late, or copies
+	// of which do; maxLostCallDelay that of calls that were given up before.
+	maxRequestDelay  = 30 * time.Second
+	maxLostCallDelay = 40 * time.Second
+
+	// minCopyDelay is the least delay of copies of heartbeats and peer messages, and
+	// maxPeerCopyDelay bounds what comes on top for the latter.
+	minCopyDelay     = 2 * time.Second
+	maxPeerCopyDelay = time.Minute
+
+	// replays is how often recorded heartbeats are replayed to a controller that has
+	// started, replayInterval apart: while it loads its state and begins to act.
+	replays        = 8
+	replayInterval = 250 * time.Millisecond
+)
 
-const callTimeout = 1500 * time.Millisecond
+// latency is how long one message takes: most take milliseconds, few up to 0.3 s more.
+func (c *Cluster) latency() time.Duration {
+	d := time.Duration(500+c.rng.IntN(2500)) * time.Microsecond
+	if c.rng.IntN(200) == 0 {
+		d += time.Duration(c.rng.IntN(300)) * time.Millisecond
+	}
+	return d
+}
 
-// callRemote carries a call out somewhere else, with all that may go wrong:
-// exec runs there; lost is the result if no answer comes.
-func (c *Cluster) callRemote(process *controllerProcess, generation int, call controller.CallID, lost controller.Result, exec func() controller.Result) {
+// callRemote executes a call at the store or the cloud; lost is its result if no answer
+// comes. A lost call is executed all the same, or late, or not at all, and others are
+// executed a second time late, as by a network that duplicates.
+func (c *Cluster) callRemote(call pendingCall, lost controller.Result, execute func() controller.Result) {
 	if c.rng.Float64() < c.MessageLoss {
-		c.completeCall(process, generation, callTimeout, call, lost)
+		c.completeCall(call, callTimeout, lost)
 		switch c.rng.IntN(3) {
-		case 0: // carried out, but the answer is lost
-			c.after(c.latency(), func() { exec() })
-		case 1: // held up, and carried out long after
-			c.after(time.Duration(c.rng.IntN(40_000))*time.Millisecond, func() { exec() })
+		case 0: // only the answer is lost
+			c.after(c.latency(), func() { execute() })
+		case 1:
+			c.after(c.randomDelay(maxLostCallDelay), func() { execute() })
 		}
 		return
 	}
 	c.after(c.latency(), func() {
-		result := exec()
-		c.completeCall(process, generation, c.latency(), call, result)
-		if c.rng.Float64() < c.MessageLoss/2 { // a late copy
-			c.after(time.Duration(c.rng.IntN(30_000))*time.Millisecond, func() { exec() })
+		result := execute()
+		c.completeCall(call, c.latency(), result)
+		if c.rng.Float64() < c.MessageLoss/2 {
+			c.after(c.randomDelay(maxRequestDelay), func() { execute() })
 		}
 	})
 }
 
-// callWorker carries out a call to a worker; a hanging one carries it out later.
-func (c *Cluster) callWorker(process *controllerProcess, call controller.CallID, addr string, timeout time.Duration, exec func(*fakeMachine) controller.WorkerResponse) {
-	generation := process.generation
+// callWorker executes a call at a worker; one that hangs executes it when it resumes. The
+// caller gives up after the timeout, and executions after that are not answered.
+func (c *Cluster) callWorker(process *controllerProcess, id controller.CallID, addr string, timeout time.Duration, execute func(*fakeMachine) controller.WorkerResponse) {
+	call := newCall(process, id)
 	open := true
 	process.directCalls++
 	process.maxDirectCalls = max(process.maxDirectCalls, process.directCalls)
 	finish := func(d time.Duration, response controller.WorkerResponse) {
-		if open {
-			open = false
-			if process.generation == generation {
-				process.directCalls--
-			}
-			c.completeCall(process, generation, d, call, response)
+		if !open {
+			return
+		}
+		open = false
+		if !call.isOver() {
+			process.directCalls--
 		}
+		c.completeCall(call, d, response)
 	}
 	c.after(timeout, func() { finish(0, controller.WorkerResponse{Outcome: controller.Unknown}) })
 	machine := c.machinesByID[wire.MachineID(addr)]
-	if machine != nil && c.isPartitioned(machine.zone, process) {
+	if machine == nil || !c.reachesWorker(process, machine) {
 		return
 	}
-	if machine == nil || machine.terminated || machine.inboundPartitioned || c.DropDirectCalls || c.WorkersPartitioned[process.index] {
-		return
-	}
-	deliver := func() { machine.deliver(func() { finish(c.latency(), exec(machine)) }) }
+	deliver := func() { machine.deliver(func() { finish(c.latency(), execute(machine)) }) }
 	d := c.latency()
 	if c.rng.Float64() < c.MessageLoss {
-		d = time.Duration(c.rng.IntN(30_000)) * time.Millisecond
+		d = c.randomDelay(maxRequestDelay)
 		c.Observed[delayedDirectCall(process.index)]++
 	}
 	c.after(d, deliver)
 	if c.rng.Float64() < c.MessageLoss/2 {
-		c.after(time.Duration(c.rng.IntN(30_000))*time.Millisecond, deliver)
+		c.after(c.randomDelay(maxRequestDelay), deliver)
 	}
 }
 
-// isPartitioned reports whether a cut lies between a zone's machines and a controller.
-func (c *Cluster) isPartitioned(zone string, process *controllerProcess) bool {
-	return c.PartitionedZone != "" && (zone == c.PartitionedZone) != (process.index == c.ControllerInZone)
+// reachesWorker reports whether a direct call of a controller arrives at a machine.
+func (c *Cluster) reachesWorker(process *controllerProcess, machine *fakeMachine) bool {
+	return !machine.terminated && !machine.inboundPartitioned && !c.DropDirectCalls &&
+		!c.WorkersPartitioned[process.index] && !c.isPartitioned(machine.zone, process)
 }
 
-// PartitionZone cuts a zone and the controller in it off from everything for a while.
-func (c *Cluster) PartitionZone(zone string, inside int, d time.Duration) {
-	c.PartitionedZone, c.ControllerInZone = zone, inside
-	c.StorePartitioned[inside], c.PeersPartitioned[inside] = true, true
-	c.At(d, func() {
-		c.PartitionedZone = ""
-		delete(c.StorePartitioned, inside)
-		delete(c.PeersPartitioned, inside)
+// broadcast sends a message to all peers of a controller.
+func (c *Cluster) broadcast(process *controllerProcess, message *wire.PeerMessage) {
+	c.checkPeerMessage(message)
+	for _, peer := range c.controllers {
+		if peer == process || peer.controller == nil || c.PeersPartitioned[process.index] || c.PeersPartitioned[peer.index] {
+			continue
+		}
+		if c.rng.Float64() >= max(c.MessageLoss, c.PeerMessageLoss) {
+			c.sendPeerMessage(peer, *message)
+		}
+	}
+}
+
+func (c *Cluster) sendPeerMessage(receiver *controllerProcess, message wire.PeerMessage) {
+	generation := receiver.generation
+	c.after(c.latency(), func() {
+		if receiver.generation == generation {
+			c.step(receiver, controller.PeerMessageReceived{Message: &message})
+		}
 	})
+	c.duplicatePeerMessage(receiver, message)
 }
 
-// duplicatePeerMessage has a copy of a line come late, perhaps.
+// duplicatePeerMessage delivers a copy of some messages late.
 func (c *Cluster) duplicatePeerMessage(receiver *controllerProcess, message wire.PeerMessage) {
 	if c.DuplicatedPeerMessages == 0 || c.rng.Float64() >= c.DuplicatedPeerMessages {
 		return
 	}
-	c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(time.Minute))), func() {
+	c.after(minCopyDelay+time.Duration(c.rng.Int64N(int64(maxPeerCopyDelay))), func() {
 		if receiver.controller == nil {
 			return
 		}
@@ -104,66 +141,76 @@
 	})
 }
 
-// sendToController sends a request to a controller.
-func (c *Cluster) sendToController(process *controllerProcess, newInput func(controller.RequestID) controller.Input, then func(controller.Reply)) {
-	if r, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.rng.Float64() < c.ReplayedHeartbeats {
-		c.recordedHeartbeats = append(c.recordedHeartbeats, recordedHeartbeat{r.Heartbeat, c.now})
-	}
-	if _, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.rng.Float64() < c.DuplicatedHeartbeats {
-		c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(3*c.Lease))), func() {
-			if process.controller != nil && !c.WorkersPartitioned[process.index] {
-				process.lastRequest++
-				c.step(process, newInput(process.lastRequest))
-			}
-		})
-	}
-	if r, fromWorker := newInput(0).(controller.HeartbeatReceived); fromWorker && c.isPartitioned(r.Heartbeat.Zone, process) {
-		return
+// sendToController sends a request to a controller, and its reply to then. It may be
+// lost or delayed; a worker's heartbeat may also be duplicated, or recorded for a replay.
+func (c *Cluster) sendToController(process *controllerProcess, newInput inputFor, then func(controller.Reply)) {
+	heartbeat, fromWorker := newInput(0).(controller.HeartbeatReceived)
+	if fromWorker {
+		c.copyHeartbeat(process, heartbeat.Heartbeat, newInput)
+		if c.isPartitioned(heartbeat.Heartbeat.Zone, process) {
+			return
+		}
 	}
 	d := c.latency()
 	if c.rng.Float64() < c.MessageLoss {
 		if c.rng.IntN(2) == 0 {
 			return
 		}
-		d = time.Duration(c.rng.IntN(30_000)) * time.Millisecond
+		d = c.randomDelay(maxRequestDelay)
 	}
 	c.after(d, func() {
-		if process.controller == nil {
+		if process.controller == nil || fromWorker && c.WorkersPartitioned[process.index] {
 			return
 		}
-		in := newInput(0)
-		if _, fromWorker := in.(controller.HeartbeatReceived); fromWorker && c.WorkersPartitioned[process.index] {
-			return
+		c.deliverRequest(process, newInput, then)
+	})
+}
+
+// copyHeartbeat records a copy of some heartbeats for a replay, and delivers a copy of
+// some late.
+func (c *Cluster) copyHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, newInput inputFor) {
+	if c.rng.Float64() < c.ReplayedHeartbeats {
+		c.recordedHeartbeats = append(c.recordedHeartbeats, heartbeat)
+	}
+	if c.rng.Float64() >= c.DuplicatedHeartbeats {
+		return
+	}
+	c.after(minCopyDelay+time.Duration(c.rng.Int64N(int64(3*c.Lease))), func() {
+		if process.controller != nil && !c.WorkersPartitioned[process.index] {
+			c.deliverRequest(process, newInput, nil)
 		}
-		process.lastRequest++
-		process.replyHandlers[process.lastRequest] = then
-		c.step(process, newInput(process.lastRequest))
 	})
 }
 
-// replayHeartbeats hands the kept reports to all controllers, again and again while a
-// controller that has just been started reads its state and begins to act.
-func (c *Cluster) replayHeartbeats(began *controllerProcess) {
-	kept := c.recordedHeartbeats
+// replayHeartbeats replays the recorded heartbeats to all controllers, again and again
+// while a controller that has just started loads its state and begins to act.
+func (c *Cluster) replayHeartbeats(started *controllerProcess) {
+	recorded := c.recordedHeartbeats
 	c.recordedHeartbeats = nil
-	generation := began.generation
-	for i := range 8 {
-		c.after(time.Duration(i)*250*time.Millisecond, func() {
+	generation := started.generation
+	for i := range replays {
+		c.after(time.Duration(i)*replayInterval, func() {
 			for _, process := range c.controllers {
-				for _, recorded := range kept {
-					if process.controller == nil || began.generation != generation {
-						continue
-					}
-					if process == began && process.controller.Healthy() {
-						c.Observed[replayToNewController]++
-						if machine := c.machinesByID[recorded.heartbeat.Machine]; machine != nil && recorded.heartbeat.AgentEpoch < machine.agentEpoch {
-							c.Observed[replayOfEarlierEpoch]++
-						}
+				for _, heartbeat := range recorded {
+					if process.controller != nil && started.generation == generation {
+						c.replayHeartbeat(process, heartbeat, process == started)
 					}
-					process.lastRequest++
-					c.step(process, controller.HeartbeatReceived{Request: process.lastRequest, Heartbeat: recorded.heartbeat})
 				}
 			}
 		})
 	}
 }
+
+// replayHeartbeat replays a heartbeat to a controller, perhaps the one that has just
+// started.
+func (c *Cluster) replayHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, hasStarted bool) {
+	if hasStarted && process.controller.Healthy() {
+		c.Observed[replayToNewController]++
+		if machine := c.machinesByID[heartbeat.Machine]; machine != nil && heartbeat.AgentEpoch < machine.agentEpoch {
+			c.Observed[replayOfEarlierEpoch]++
+		}
+	}
+	c.deliverRequest(process, func(id controller.RequestID) controller.Input {
+		return controller.HeartbeatReceived{Request: id, Heartbeat: heartbeat}
+	}, nil)
+}
--- /dev/null
+++ b/internal/simulation/resources.go
@@ -0,0 +1,29 @@
+package simulation
+
+import "lilacrill/wire"
+
+// resources are what a task needs or a machine has.
+type resources struct {
+	cores, accelerators, memoryGB float64
+}
+
+func resourcesOf(spec *wire.JobSpec) resources {
+	return resources{spec.Cores, spec.Accelerators, spec.MemGB}
+}
+
+func machineResources(machineType wire.MachineType) resources {
+	return resources{machineType.Cores, machineType.Accelerators, machineType.MemGB}
+}
+
+func (r resources) plus(other resources) resources {
+	return resources{r.cores + other.cores, r.accelerators + other.accelerators, r.memoryGB + other.memoryGB}
+}
+
+func (r resources) minus(other resources) resources {
+	return resources{r.cores - other.cores, r.accelerators - other.accelerators, r.memoryGB - other.memoryGB}
+}
+
+// fitIn reports whether there is enough of each resource.
+func (r resources) fitIn(available resources) bool {
+	return r.cores <= available.cores && r.accelerators <= available.accelerators && r.memoryGB <= available.memoryGB
+}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
@@ -9,66 +10,79 @@
 	"lilacrill/wire"
 )
 
-func (c *Cluster) randomController() *controllerProcess {
-	return c.controllers[c.rng.IntN(len(c.controllers))]
-}
+const (
+	// requestTimeout is when users give up a request.
+	requestTimeout = 5 * time.Second
+	// minRetryDelay is the least time until they repeat one.
+	minRetryDelay = time.Second
+	// pollInterval is the time between two polls of a job.
+	pollInterval = 3 * time.Second
+	// stormInterval is that time in a poll storm.
+	stormInterval = 300 * time.Millisecond
+)
 
-// Submit has a user submit a job, and repeat it until it is accepted. Its tasks
-// run for runtime.
+// Submit has a user submit a job, repeat that until it is accepted, and poll it from then
+// on. Its tasks run for runtime.
 func (c *Cluster) Submit(spec wire.JobSpec, runtime time.Duration) {
-	job := c.jobs[spec.ID]
-	if job == nil {
-		job = &submittedJob{spec: spec, runtime: runtime, completed: map[int]bool{}, submittedAt: c.now}
-		c.jobs[spec.ID] = job
-	}
-	var try func()
-	try = func() {
-		job.submitted = true
-		sentAt := c.now
-		c.request(func(id controller.RequestID) controller.Input {
-			return controller.JobSubmitted{Request: id, Spec: spec}
-		},
-			func(reply controller.Reply, ok bool) {
-				if status, good := reply.Body.(wire.JobStatus); ok && good && (reply.Status == 200 || reply.Status == 201) {
-					c.recordStatus(job, sentAt, status.Status)
-					c.poll(job)
-					return
-				}
-				if ok && reply.Status == 422 {
-					if job.accepted {
-						c.violation("forgotten: repeat of %s got 422", spec.ID)
-					}
-					return
-				}
-				c.after(max(time.Second, reply.RetryAfter), try)
-			})
+	if c.jobs[spec.ID] == nil {
+		c.addJob(&submittedJob{spec: spec, runtime: runtime})
 	}
-	try()
+	c.submit(c.jobs[spec.ID])
 }
 
-// SubmitUnschedulable has a user submit a job that can never run: it must be refused for
+// SubmitWithRuntimes is Submit for a job whose tasks run for different times.
+func (c *Cluster) SubmitWithRuntimes(spec wire.JobSpec, runtime func(index int) time.Duration) {
+	c.submit(c.addJob(&submittedJob{spec: spec, runtimeOf: runtime}))
+}
+
+// SubmitFailing is Submit for a job whose tasks fail on every machine.
+func (c *Cluster) SubmitFailing(spec wire.JobSpec) {
+	c.submit(c.addJob(&submittedJob{spec: spec, alwaysFails: true}))
+}
+
+func (c *Cluster) addJob(job *submittedJob) *submittedJob {
+	job.completed, job.submittedAt = map[int]bool{}, c.now
+	c.jobs[job.spec.ID] = job
+	return job
+}
+
+// submit submits a job until it is accepted, or rejected for good.
+func (c *Cluster) submit(job *submittedJob) {
+	job.submitted = true
+	sentAt := c.now
+	c.askAny(submission(&job.spec), func(reply controller.Reply, answered bool) {
+		status, isStatus := reply.Body.(wire.JobStatus)
+		switch {
+		case answered && isStatus && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated):
+			c.recordStatus(job, sentAt, status.Status)
+			c.poll(job)
+		case answered && reply.Status == http.StatusUnprocessableEntity:
+			if job.accepted {
+				c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+			}
+		default:
+			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.submit(job) })
+		}
+	})
+}
+
+// SubmitUnschedulable has a user submit a job that can never run: it must be rejected for
 // good, and never be accepted.
 func (c *Cluster) SubmitUnschedulable(spec wire.JobSpec) {
-	var try func()
-	try = func() {
-		c.request(func(id controller.RequestID) controller.Input {
-			return controller.JobSubmitted{Request: id, Spec: spec}
-		}, func(reply controller.Reply, ok bool) {
-			switch {
-			case ok && reply.Status == 422:
-				c.Observed[unschedulableJobRejected]++
-			case ok && reply.Status < 300:
-				c.violation("accepted though it can never run: %s", spec.ID)
-			default:
-				c.after(max(time.Second, reply.RetryAfter), try)
-			}
-		})
-	}
-	try()
+	c.askAny(submission(&spec), func(reply controller.Reply, answered bool) {
+		switch {
+		case answered && reply.Status == http.StatusUnprocessableEntity:
+			c.Observed[unschedulableJobRejected]++
+		case answered && reply.Status < http.StatusMultipleChoices:
+			c.violation("accepted though it can never run: %s", spec.ID)
+		default:
+			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.SubmitUnschedulable(spec) })
+		}
+	})
 }
 
-// repeatRequests has users call off jobs that are done, and repeat submissions of jobs
-// that are not.
+// repeatRequests has users cancel jobs that are done, and repeat submissions of jobs that
+// are not.
 func (c *Cluster) repeatRequests() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		job := c.jobs[id]
@@ -76,37 +90,30 @@
 		case job.lastStatus == wire.StatusDone:
 			c.Observed[cancelledAfterCompletion]++
 			c.CancelJob(id)
-		case job.accepted && !job.lastStatus.IsTerminal():
+		case job.accepted && job.isOpen():
 			c.Observed[submissionRepeated]++
-			sentAt := c.now
-			c.request(func(r controller.RequestID) controller.Input {
-				return controller.JobSubmitted{Request: r, Spec: job.spec}
-			}, func(r controller.Reply, ok bool) {
-				if status, good := r.Body.(wire.JobStatus); ok && good {
-					c.recordStatus(job, sentAt, status.Status)
-				} else if ok && r.Status < 429 {
-					c.violation("forgotten: repeat of %s got %d", id, r.Status)
-				}
-			})
+			c.repeatSubmission(c.randomController(), job, func(status int) bool { return status < http.StatusTooManyRequests })
 		}
 	}
 }
 
-// SubmitWithRuntimes is Submit for a job whose tasks run for different times.
-func (c *Cluster) SubmitWithRuntimes(spec wire.JobSpec, runtime func(index int) time.Duration) {
-	c.jobs[spec.ID] = &submittedJob{spec: spec, runtimeOf: runtime, completed: map[int]bool{}, submittedAt: c.now}
-	c.Submit(spec, 0)
-}
-
-// SubmitFailing is Submit for a job whose tasks fail on every machine.
-func (c *Cluster) SubmitFailing(spec wire.JobSpec) {
-	c.jobs[spec.ID] = &submittedJob{spec: spec, alwaysFails: true, completed: map[int]bool{}, submittedAt: c.now}
-	c.Submit(spec, 0)
+// repeatSubmission repeats the submission of an accepted job at a controller; some
+// statuses mean that the job was forgotten.
+func (c *Cluster) repeatSubmission(process *controllerProcess, job *submittedJob, forgotten func(status int) bool) {
+	sentAt := c.now
+	c.ask(process, submission(&job.spec), func(reply controller.Reply, answered bool) {
+		if status, isStatus := reply.Body.(wire.JobStatus); answered && isStatus {
+			c.recordStatus(job, sentAt, status.Status)
+		} else if answered && forgotten(reply.Status) {
+			c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+		}
+	})
 }
 
-// jobCompleted has the user of a job whose last task has just ended call it off, perhaps.
-func (c *Cluster) jobCompleted(job *submittedJob) {
-	if len(job.completed) < job.spec.Tasks || job.lastStatus.IsTerminal() || c.rng.Float64() >= c.CancelOnCompletion {
+// taskCompleted has the user of a job whose last task has just completed cancel it,
+// perhaps.
+func (c *Cluster) taskCompleted(job *submittedJob) {
+	if !job.isComplete() || !job.isOpen() || c.rng.Float64() >= c.CancelOnCompletion {
 		return
 	}
 	c.Observed[cancelledOnCompletion]++
@@ -114,30 +121,29 @@
 	c.burstOfRequests(job)
 }
 
-// burstOfRequests has users ask about a job at all controllers within milliseconds,
-// repeat its submission, and call some off at once.
+// burstTimes are when the requests of a burst are sent.
+var burstTimes = []time.Duration{
+	1 * time.Millisecond, 2 * time.Millisecond, 4 * time.Millisecond, 7 * time.Millisecond,
+	12 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond, 200 * time.Millisecond,
+}
+
+// burstOfRequests has users poll a job at all controllers within milliseconds, repeat its
+// submission, and cancel some at once.
 func (c *Cluster) burstOfRequests(job *submittedJob) {
 	if !c.RequestBursts {
 		return
 	}
-	for i, d := range []time.Duration{1, 2, 4, 7, 12, 30, 80, 200} {
-		c.after(d*time.Millisecond, func() {
+	forgotten := func(status int) bool {
+		return status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
+	}
+	for i, d := range burstTimes {
+		c.after(d, func() {
 			for _, process := range c.controllers {
 				c.Observed[requestBurst]++
-				sentAt := c.now
 				if (i+process.index)%3 == 0 {
-					c.requestFrom(process, func(id controller.RequestID) controller.Input {
-						return controller.JobSubmitted{Request: id, Spec: job.spec}
-					},
-						func(reply controller.Reply, ok bool) {
-							if status, good := reply.Body.(wire.JobStatus); ok && good {
-								c.recordStatus(job, sentAt, status.Status)
-							} else if ok && (reply.Status == 400 || reply.Status == 404 || reply.Status == 422) {
-								c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
-							}
-						})
+					c.repeatSubmission(process, job, forgotten)
 				} else {
-					c.pollFrom(process, job)
+					c.pollAt(process, job)
 				}
 			}
 		})
@@ -147,158 +153,143 @@
 	}
 }
 
-// request sends a request to some controller and gives up after 5 s.
-func (c *Cluster) request(newInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
-	c.requestFrom(c.randomController(), newInput, then)
-}
-
-// requestFrom is ask at a certain controller.
-func (c *Cluster) requestFrom(process *controllerProcess, newInput func(controller.RequestID) controller.Input, then func(controller.Reply, bool)) {
-	open := true
-	c.after(5*time.Second, func() {
-		if open {
-			open = false
-			then(controller.Reply{}, false)
-		}
-	})
-	c.sendToController(process, newInput, func(reply controller.Reply) {
-		if open {
-			open = false
-			then(reply, true)
-		}
-	})
-}
-
-// recordStatus notes what a user was told and holds it against what was said before
-// and what is the case.
-//
-// An answer to a request that was sent before the user knew better may be old.
+// recordStatus records a status that was reported for a job, and checks it against the
+// ones before and against its tasks. The answer to a request that was sent before the
+// user knew of a terminal status may be older than that.
 func (c *Cluster) recordStatus(job *submittedJob, sentAt controller.Time, status wire.Status) {
 	job.accepted, job.answeredAt = true, c.now
-	if job.lastStatus.IsTerminal() && status != job.lastStatus && sentAt > job.terminalAt {
-		c.violation("went_back: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
-	}
-	if status == wire.StatusCancelled && !job.cancelRequested {
-		c.violation("went_back: %s withdrawn, but nobody asked", job.spec.ID)
-	}
-	if status == wire.StatusDone && len(job.completed) < job.spec.Tasks {
-		c.violation("not_done: %s told done with %d of %d", job.spec.ID, len(job.completed), job.spec.Tasks)
-	}
-	if status.IsTerminal() && !job.lastStatus.IsTerminal() {
+	c.checkStatus(job, sentAt, status)
+	switch {
+	case !job.isOpen():
+		return
+	case status.IsTerminal():
 		job.terminalAt = c.now
 		if status == wire.StatusCancelled {
 			c.Observed[jobCancelled]++
 		}
 		c.burstOfRequests(job)
-	} else if job.lastStatus == "" {
+	case job.lastStatus == "":
 		c.burstOfRequests(job)
 	}
-	if !job.lastStatus.IsTerminal() {
-		job.lastStatus = status
-	}
+	job.lastStatus = status
 }
 
+// poll polls a job at random controllers from now on.
 func (c *Cluster) poll(job *submittedJob) {
-	c.pollOnce(job)
-	c.after(3*time.Second, func() { c.poll(job) })
+	c.pollAt(c.randomController(), job)
+	c.after(pollInterval, func() { c.poll(job) })
 }
 
-func (c *Cluster) pollOnce(job *submittedJob) { c.pollFrom(c.randomController(), job) }
-
-func (c *Cluster) pollFrom(process *controllerProcess, job *submittedJob) {
+// pollAt polls a job once.
+func (c *Cluster) pollAt(process *controllerProcess, job *submittedJob) {
 	sentAt := c.now
-	c.requestFrom(process, func(id controller.RequestID) controller.Input {
-		return controller.JobPolled{Request: id, Job: job.spec.ID}
-	},
-		func(reply controller.Reply, ok bool) {
-			switch {
-			case ok && reply.Status == 200:
-				c.recordStatus(job, sentAt, reply.Body.(wire.JobStatus).Status)
-			case ok && reply.Status == 404:
-				c.violation("forgotten: poll of %s got 404", job.spec.ID)
-			}
-		})
+	c.ask(process, pollOf(job.spec.ID), func(reply controller.Reply, answered bool) {
+		switch {
+		case answered && reply.Status == http.StatusOK:
+			c.recordStatus(job, sentAt, reply.Body.(wire.JobStatus).Status)
+		case answered && reply.Status == http.StatusNotFound:
+			c.violation("forgotten: poll of %s got %d", job.spec.ID, reply.Status)
+		}
+	})
 }
 
 // PollUnknown polls a job that nobody submitted.
 func (c *Cluster) PollUnknown(id wire.JobID) {
-	c.request(func(r controller.RequestID) controller.Input { return controller.JobPolled{Request: r, Job: id} },
-		func(r controller.Reply, ok bool) {
-			if ok && r.Status == 200 {
-				c.violation("invented: %s", id)
-			}
-		})
+	c.askAny(pollOf(id), func(reply controller.Reply, answered bool) {
+		if answered && reply.Status == http.StatusOK {
+			c.violation("invented: %s", id)
+		}
+	})
 }
 
-// CancelJob has a user cancel a job, and repeat it until that is answered.
+// PollStorm has users poll all jobs many times as often for a while.
+func (c *Cluster) PollStorm(d time.Duration) { c.pollAllUntil(c.now.Add(d)) }
+
+func (c *Cluster) pollAllUntil(end controller.Time) {
+	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
+		if job := c.jobs[id]; job.accepted {
+			c.pollAt(c.randomController(), job)
+		}
+	}
+	if c.now < end {
+		c.after(stormInterval, func() { c.pollAllUntil(end) })
+	}
+}
+
+// CancelJob has a user cancel a job, once it is accepted, and repeat that until the job
+// is reported to be over.
 func (c *Cluster) CancelJob(id wire.JobID) {
-	job := c.jobs[id]
-	if job == nil {
+	if job := c.jobs[id]; job != nil {
+		c.cancel(job)
+	}
+}
+
+func (c *Cluster) cancel(job *submittedJob) {
+	retry := func() { c.after(minRetryDelay, func() { c.cancel(job) }) }
+	if !job.accepted {
+		retry()
 		return
 	}
-	var attempt func()
-	attempt = func() {
-		if !job.accepted {
-			c.after(time.Second, attempt)
+	if c.HangOnCancel > 0 && !job.cancelRequested {
+		c.hangMachineOf(job)
+	}
+	job.cancelRequested = true
+	sentAt := c.now
+	c.askAny(cancellationOf(job.spec.ID), func(reply controller.Reply, answered bool) {
+		if status, isStatus := reply.Body.(wire.JobStatus); answered && isStatus && status.Status.IsTerminal() {
+			c.recordStatus(job, sentAt, status.Status)
 			return
 		}
-		if c.HangOnCancel > 0 && !job.cancelRequested {
-			for _, placed := range job.active()[:min(1, len(job.active()))] {
-				if !placed.machine.hung {
-					c.Observed[machineHungOnCancellation]++
-					placed.machine.hung = true
-					c.after(c.HangOnCancel, placed.machine.resume)
-				}
-			}
-		}
-		job.cancelRequested = true
-		sentAt := c.now
-		c.request(func(r controller.RequestID) controller.Input { return controller.CancelRequested{Request: r, Job: id} },
-			func(r controller.Reply, ok bool) {
-				if status, good := r.Body.(wire.JobStatus); ok && good && status.Status.IsTerminal() {
-					c.recordStatus(job, sentAt, status.Status)
-					return
-				}
-				c.after(time.Second, attempt)
-			})
+		retry()
+	})
+}
+
+// hangMachineOf has the machine of a job's first task hang.
+func (c *Cluster) hangMachineOf(job *submittedJob) {
+	if active := job.active(); len(active) > 0 && !active[0].machine.hung {
+		c.Observed[machineHungOnCancellation]++
+		active[0].machine.hangFor(c.HangOnCancel)
 	}
-	attempt()
 }
 
-// PollStorm has users ask about all jobs many times as often for a while.
-func (c *Cluster) PollStorm(d time.Duration) {
-	end := c.now.Add(d)
-	var ask func()
-	ask = func() {
-		for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-			if job := c.jobs[id]; job.accepted {
-				c.pollOnce(job)
-			}
-		}
-		if c.now < end {
-			c.after(300*time.Millisecond, ask)
-		}
+// submission makes the input that submits a job.
+func submission(spec *wire.JobSpec) inputFor {
+	return func(id controller.RequestID) controller.Input {
+		return controller.JobSubmitted{Request: id, Spec: *spec}
 	}
-	ask()
 }
 
-// Unfinished names the jobs that are not over, but for services and for jobs that
-// can never end because of a mistake in them.
-func (c *Cluster) Unfinished() []wire.JobID {
-	var out []wire.JobID
-	for id, job := range c.jobs {
-		if job.submitted && !job.lastStatus.IsTerminal() && job.spec.Shape != wire.ShapeService && (!job.alwaysFails || job.cancelRequested) {
-			out = append(out, id)
-		}
+// pollOf makes the input that polls a job.
+func pollOf(job wire.JobID) inputFor {
+	return func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: job} }
+}
+
+// cancellationOf makes the input that cancels a job.
+func cancellationOf(job wire.JobID) inputFor {
+	return func(id controller.RequestID) controller.Input {
+		return controller.CancelRequested{Request: id, Job: job}
 	}
-	return out
 }
 
-// Records lists what the state service holds, for a failing test to show.
-func (c *Cluster) Records() []string {
-	var out []string
-	for _, entry := range c.store.List("l/") {
-		out = append(out, entry.Key+" "+string(entry.Value)+"\n")
+func (c *Cluster) randomController() *controllerProcess {
+	return c.controllers[c.rng.IntN(len(c.controllers))]
+}
+
+// askAny sends a user's request to a random controller.
+func (c *Cluster) askAny(newInput inputFor, then func(reply controller.Reply, answered bool)) {
+	c.ask(c.randomController(), newInput, then)
+}
+
+// ask sends a user's request to a controller; then gets its reply, or that none came in
+// time.
+func (c *Cluster) ask(process *controllerProcess, newInput inputFor, then func(reply controller.Reply, answered bool)) {
+	open := true
+	finish := func(reply controller.Reply, answered bool) {
+		if open {
+			open = false
+			then(reply, answered)
+		}
 	}
-	return out
+	c.after(requestTimeout, func() { finish(controller.Reply{}, false) })
+	c.sendToController(process, newInput, func(reply controller.Reply) { finish(reply, true) })
 }
