--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	request := c.commandRequest(machine)
-	if request == nil || !c.admitCommands(machine) {
+	if request == nil || !c.fleet.admitCommands(machine) {
 		return false
 	}
 	machine.reconciliation.callInFlight = true
@@ -107,16 +107,16 @@
 
 // admitCommands reports whether a machine may be sent its commands now; if not, they are
 // sent once other calls have completed.
-func (c *Controller) admitCommands(machine *machine) bool {
-	limit := c.fleet.maxWorkerCalls - c.fleet.maxWorkerCalls/probeCallDivisor
+func (f *fleet) admitCommands(machine *machine) bool {
+	limit := f.maxWorkerCalls - f.maxWorkerCalls/probeCallDivisor
 	urgent := machine.hasCriticalTasks()
 	if !urgent {
 		limit -= limit / urgentCallDivisor
 	}
-	if c.fleet.commandCallsInFlight < max(1, limit) {
+	if f.commandCallsInFlight < max(1, limit) {
 		return true
 	}
-	c.fleet.queueCommands(machine, urgent)
+	f.queueCommands(machine, urgent)
 	return false
 }
 
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -143,7 +143,7 @@
 	if c.isDue(machine.reconciliation.nextSend) && !machine.reconciliation.callInFlight && (!c.storeReachable() || c.isResponsibleFor(machine)) {
 		c.sendCommands(machine)
 	}
-	if machine.latestHeartbeat == nil && machine.addr != "" && machine.liveness.probeAllowed(c.now) && c.canProbe() {
+	if machine.latestHeartbeat == nil && machine.addr != "" && machine.liveness.probeAllowed(c.now) && c.fleet.canProbe() {
 		c.probeMachine(machine)
 	}
 }
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -131,7 +131,7 @@
 // confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
 // controller, as the team's owner, should write down: hints prove nothing.
 func (c *Controller) confirmDirectly(machine *machine) {
-	if machine.directHeartbeat == machine.latestHeartbeat || !machine.liveness.probeAllowed(c.now) || !c.canProbe() {
+	if machine.directHeartbeat == machine.latestHeartbeat || !machine.liveness.probeAllowed(c.now) || !c.fleet.canProbe() {
 		return
 	}
 	for _, allocation := range machine.allocations {
@@ -162,8 +162,8 @@
 
 // canProbe reports whether another machine may be probed now. When hundreds hang, calls
 // to them would pile up otherwise, with a socket each.
-func (c *Controller) canProbe() bool {
-	return c.fleet.probesInFlight < max(1, c.fleet.maxWorkerCalls/probeCallDivisor)
+func (f *fleet) canProbe() bool {
+	return f.probesInFlight < max(1, f.maxWorkerCalls/probeCallDivisor)
 }
 
 // probeMachines probes machines, as many as may be at a time: those with critical tasks
@@ -171,7 +171,7 @@
 // their names, a few that hang were probed over and over while others that hang were never
 // found silent.
 func (c *Controller) probeMachines(due []*machine) {
-	if len(due) == 0 || !c.canProbe() {
+	if len(due) == 0 || !c.fleet.canProbe() {
 		return
 	}
 	slices.SortStableFunc(due, func(a, b *machine) int {
@@ -184,7 +184,7 @@
 		return cmp.Compare(a.liveness.nextProbe, b.liveness.nextProbe)
 	})
 	for _, machine := range due {
-		if !c.canProbe() {
+		if !c.fleet.canProbe() {
 			return
 		}
 		c.probeMachine(machine)
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -195,7 +195,7 @@
 }
 
 // forgetUnused drops a machine that is gone and has no allocations. A terminated one is
-// remembered for a while, since late heartbeats of it may yet be gossiped.
+// remembered for a while: a late heartbeat of it must not make it a new machine.
 func (c *Controller) forgetUnused(machine *machine) {
 	if len(machine.allocations) == 0 && (!machine.scaling.terminated || c.now.Sub(machine.scaling.terminatedAt) > forgetMachineAfter) {
 		c.fleet.remove(machine)
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -125,7 +125,7 @@
 	returned := machine.directHeartbeat == nil ||
 		c.now.Sub(machine.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
-	if returned && !machine.liveness.probing && !machine.scaling.terminated && c.canProbe() {
+	if returned && !machine.liveness.probing && !machine.scaling.terminated && c.fleet.canProbe() {
 		// It may have come because no call reaches it, or this may be a late copy of a
 		// heartbeat that it sent long ago.
 		c.probeMachine(machine)
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -112,7 +112,7 @@
 func (jp *jobPlacement) stage(m *machine, tasks record.TaskSet) {
 	c, j := jp.pass.c, jp.pending.job
 	if jp.attempt == 0 {
-		jp.attempt = wire.Attempt(c.nextSerial())
+		jp.attempt = wire.Attempt(c.membership.nextSerial())
 	}
 	allocation := jp.newAllocation(m, tasks)
 	if !jp.transaction.hasCapacityFor(0) || !jp.transaction.stageAllocation(m.zone, allocation) {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -191,7 +191,7 @@
 
 // nextSerial makes a number that no other process ever makes: the incarnation, then a
 // counter.
-func (c *Controller) nextSerial() uint64 {
-	c.membership.lastSerial++
-	return uint64(c.membership.incarnation)<<serialBits | c.membership.lastSerial
+func (m *membership) nextSerial() uint64 {
+	m.lastSerial++
+	return uint64(m.incarnation)<<serialBits | m.lastSerial
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -66,7 +66,7 @@
 			break
 		}
 		c.requestMachines(wire.ProvisionRequest{
-			Name:  fmt.Sprintf("%s-%d", c.settings.Label, c.nextSerial()),
+			Name:  fmt.Sprintf("%s-%d", c.settings.Label, c.membership.nextSerial()),
 			Type:  launch.Offer.Type.Name,
 			Zone:  launch.Offer.Zone,
 			Spot:  launch.Offer.Spot,
