--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -1,7 +1,6 @@
 package placement
 
 import (
-	"cmp"
 	"container/heap"
 	"math/rand/v2"
 	"slices"
@@ -9,253 +8,205 @@
 	"lilacrill/wire"
 )
 
-// Assignment is a number of tasks given to one machine.
+// Assignment is a number of a request's tasks assigned to one machine.
 type Assignment struct {
 	Machine wire.MachineID
 	Zone    string
 	Count   int
+	// Relaxed says that the machine does not meet the preferred rules.
 	Relaxed bool
 }
 
 // Options say how a choice is made.
 type Options struct {
-	// Excluded holds machines that count as locked.
+	// Excluded holds machines that are not candidates, such as those of a lost write. Rules
+	// still read the tasks on them.
 	Excluded map[wire.MachineID]bool
-	// Probes, if above 0, makes the choice among that many machines drawn with
-	// Rand: what a controller does after a lost write.
+	// Probes, if above 0, limits the candidates to that many machines drawn at random with
+	// Rand, so that controllers whose writes conflicted choose different machines.
 	Probes int
 	Rand   *rand.Rand
-	// Relax allows the Preferred rules to be ignored when no machine that
-	// meets them has room.
+	// Relax allows the preferred rules to be ignored when no candidate that meets them has
+	// room.
 	Relax bool
-	// AllOrNothing demands room for all tasks or places none.
+	// AllOrNothing demands room for all tasks, and places none otherwise.
 	AllOrNothing bool
-	// Usable, if set, filters machines that may not take this job for now.
+	// Usable, if set, filters machines that may not take this job's tasks for now.
 	Usable func(*Host) bool
-	// Ranking, if set, is what Rank made for a like search, since which room was
-	// only taken.
+	// Ranking, if set, is what Rank made for a search with an equal request and equal options.
+	// Since then hosts may only have lost room.
 	Ranking *Ranking
-	// JobHosts, if not nil, are the machines with the job's own tasks.
+	// JobHosts, if not nil, is the machines with tasks of the same job.
 	JobHosts []*Host
 }
 
-// Choose places up to count tasks of the request and books them on the hosts.
-// Zone, if not empty, is where the job's other tasks are (Together).
-func (f Fleet) Choose(r *Request, count int, zone string, o Options) []Assignment {
-	pool := o.Ranking
-	if pool == nil {
-		pool = f.pool(r, o)
-	}
-	if pool.len() == 0 {
+// search is one search for machines.
+type search struct {
+	request   *Request
+	evaluator *Evaluator
+	ranking   *Ranking
+	enforced  []Node // the request's, and the zone
+	// undo holds the hosts as they were before the search placed tasks on them.
+	undo map[*Host]Host
+}
+
+// Choose places up to count tasks of the request and reserves their room on the hosts.
+// Zone, if not empty, is where the job's other tasks are (for requests with SingleZone).
+//
+// It tries the candidates best first, at first those that also meet the preferred rules, and
+// fills each before the next (best fit, see score).
+func (f Fleet) Choose(request *Request, count int, zone string, options Options) []Assignment {
+	ranking := options.Ranking
+	if ranking == nil {
+		ranking = f.Rank(request, options)
+	}
+	if ranking.candidates() == 0 {
 		return nil
 	}
-	rd := f.NewEvaluator(o.JobHosts)
-	if r.SingleZone && zone == "" {
-		zone = rd.bestZone(r, pool, count)
+	s := &search{
+		request:   request,
+		evaluator: f.NewEvaluator(options.JobHosts),
+		ranking:   ranking,
+		enforced:  request.Enforced,
+		undo:      map[*Host]Host{},
+	}
+	if request.SingleZone {
+		if zone == "" {
+			zone = s.bestZone(count)
+		}
 		if zone == "" {
 			return nil
 		}
+		s.enforced = append(slices.Clip(s.enforced), InZone(zone))
 	}
-	enforced := r.Enforced
-	if r.SingleZone {
-		enforced = append(slices.Clip(enforced), InZone(zone))
-	}
-	undo := map[*Host]Host{}
-	choices := rd.fill(r, pool, enforced, r.Preferred, count, undo)
-	if left := count - totalCount(choices); left > 0 && o.Relax && len(r.Preferred) > 0 {
-		for _, c := range rd.fill(r, pool, enforced, nil, left, undo) {
-			c.Relaxed = true
-			choices = append(choices, c)
+	assignments := s.fill(request.Preferred, count)
+	if left := count - totalCount(assignments); left > 0 && options.Relax && len(request.Preferred) > 0 {
+		for _, assignment := range s.fill(nil, left) {
+			assignment.Relaxed = true
+			assignments = append(assignments, assignment)
 		}
 	}
-	if o.AllOrNothing && totalCount(choices) < count {
-		for h, was := range undo {
-			h.Free, h.TaskSlots, h.Groups = was.Free, was.TaskSlots, was.Groups
-		}
+	if options.AllOrNothing && totalCount(assignments) < count {
+		s.rollBack()
 		return nil
 	}
-	return choices
+	return assignments
 }
 
-func totalCount(cs []Assignment) int {
-	n := 0
-	for _, c := range cs {
-		n += c.Count
+func totalCount(assignments []Assignment) int {
+	count := 0
+	for _, assignment := range assignments {
+		count += assignment.Count
 	}
-	return n
-}
-
-// Ranking yields machines best first. Most searches are over after a few of them,
-// so it puts no more of them in order than it is asked for.
-type Ranking struct {
-	done []*Host
-	rest []candidate // a heap
-	from int         // those before have no room left
-}
-
-// Rank readies the machines for searches with like requests and options, one after
-// the other: where hundreds of jobs need the same, looking at every machine for
-// each of them costs more than all else.
-func (f Fleet) Rank(r *Request, o Options) *Ranking { return f.pool(r, o) }
-
-type candidate struct {
-	score
-	host *Host
+	return count
 }
 
-func (a *candidate) compare(b *candidate) int {
-	// Called very often: what comes later is not compared in vain.
-	switch {
-	case a.penalty != b.penalty:
-		return cmp.Compare(a.penalty, b.penalty)
-	case a.wasted != b.wasted:
-		return cmp.Compare(a.wasted, b.wasted)
-	case a.image != b.image:
-		return cmp.Compare(a.image, b.image)
-	case a.kind != b.kind:
-		return cmp.Compare(a.kind, b.kind)
-	case a.size != b.size:
-		return cmp.Compare(a.size, b.size)
-	case a.left != b.left:
-		return cmp.Compare(a.left, b.left)
+// fill places up to count tasks on the candidates that meet the enforced and the preferred
+// rules, best first.
+func (s *search) fill(preferred []Node, count int) []Assignment {
+	var assignments []Assignment
+	ranking := s.ranking
+	for i := ranking.firstWithRoom; i < ranking.candidates(); i++ {
+		host := ranking.at(i)
+		if i == ranking.firstWithRoom && !host.hasRoomFor(s.request.Need) {
+			ranking.firstWithRoom++
+			continue
+		}
+		if placed := s.fillHost(host, preferred, count); placed > 0 {
+			count -= placed
+			assignments = append(assignments, Assignment{Machine: host.ID, Zone: host.Labels[LabelZone], Count: placed})
+		}
+		if count == 0 {
+			break
+		}
 	}
-	return cmp.Compare(a.host.ID, b.host.ID)
+	return assignments
 }
 
-// Len implements heap.Interface.
-func (k *Ranking) Len() int { return len(k.rest) }
-
-// Less implements heap.Interface.
-func (k *Ranking) Less(a, b int) bool { return k.rest[a].compare(&k.rest[b]) < 0 }
-
-// Swap implements heap.Interface.
-func (k *Ranking) Swap(a, b int) { k.rest[a], k.rest[b] = k.rest[b], k.rest[a] }
-
-// Push implements heap.Interface.
-func (k *Ranking) Push(x any) { k.rest = append(k.rest, x.(candidate)) }
-
-// Pop implements heap.Interface.
-func (k *Ranking) Pop() any {
-	last := k.rest[len(k.rest)-1]
-	k.rest = k.rest[:len(k.rest)-1]
-	k.done = append(k.done, last.host)
-	return nil
+// fillHost places up to count tasks on a host and returns how many. The rules are evaluated
+// again before each step, as they may read the tasks that were just placed.
+func (s *search) fillHost(host *Host, preferred []Node, count int) int {
+	placed := 0
+	for placed < count && host.hasRoomFor(s.request.Need) &&
+		s.evaluator.Holds(s.enforced, s.request.Team, host) && s.evaluator.Holds(preferred, s.request.Team, host) {
+		step := 1
+		if !s.request.OneAtATime {
+			step = host.Free.Fits(s.request.Need, min(count-placed, host.TaskSlots))
+		}
+		if _, ok := s.undo[host]; !ok {
+			s.undo[host] = Host{Free: host.Free, TaskSlots: host.TaskSlots, Groups: slices.Clone(host.Groups)}
+		}
+		s.evaluator.Reserve(s.request, host, step)
+		placed += step
+	}
+	return placed
 }
 
-// len is how many machines there are.
-func (k *Ranking) len() int { return len(k.done) + len(k.rest) }
-
-// at is the machine in place i.
-func (k *Ranking) at(i int) *Host {
-	for len(k.done) <= i {
-		heap.Pop(k)
+// rollBack takes the tasks that the search placed off the hosts again.
+func (s *search) rollBack() {
+	for host, before := range s.undo {
+		host.Free, host.TaskSlots, host.Groups = before.Free, before.TaskSlots, before.Groups
 	}
-	return k.done[i]
 }
 
-// pool is the machines to look at, best first.
-func (f Fleet) pool(r *Request, o Options) *Ranking {
-	var pool []*Host
-	for _, h := range f {
-		if !h.Unschedulable && h.TaskSlots > 0 && h.Free.Covers(r.Need) && !o.Excluded[h.ID] && (o.Usable == nil || o.Usable(h)) {
-			pool = append(pool, h)
+// bestZone is the zone with room for most of count tasks; "" if none has room. The candidates
+// are in order of their score, so of zones with equal room the one whose machines score better
+// wins.
+func (s *search) bestZone(count int) string {
+	room := map[string]int{}
+	best := ""
+	for i := range s.ranking.candidates() {
+		host := s.ranking.at(i)
+		if !s.evaluator.Holds(s.request.Enforced, s.request.Team, host) {
+			continue
+		}
+		zone := host.Labels[LabelZone]
+		room[zone] = min(count, room[zone]+host.Free.Fits(s.request.Need, count))
+		if best == "" || room[zone] > room[best] {
+			best = zone
 		}
 	}
-	if o.Probes > 0 && len(pool) > 0 {
-		o.Rand.Shuffle(len(pool), func(i, k int) { pool[i], pool[k] = pool[k], pool[i] })
-		pool = pool[:min(o.Probes, len(pool))]
-	}
-	k := &Ranking{rest: make([]candidate, len(pool))}
-	for i, h := range pool {
-		k.rest[i] = candidate{scoreOf(r, h), h}
-	}
-	heap.Init(k)
-	return k
+	return best
 }
 
-// score orders machines: the smaller, the better, field by field.
-type score struct {
-	penalty float64
-	wasted  float64
-	image   int
-	kind    int
-	size    float64
-	left    float64
+// Ranking yields the candidates of a search, best first. Most searches are over after a few of
+// them, so it orders no more of them than are asked for.
+type Ranking struct {
+	ordered       []*Host
+	unordered     scoreHeap
+	firstWithRoom int // the candidates before it have no room left
 }
 
-// scoreOf prefers machines that did not fail lately, that do not lose
-// accelerators to work without any, that have the image or at least fetch no
-// other, that are cheap where
-// spot is allowed, and that are fuller already, so that large tasks find whole
-// machines. Replicas of services go to small machines first: each that is lost
-// takes fewer of them along.
-func scoreOf(r *Request, h *Host) score {
-	k := score{penalty: h.Penalty}
-	if r.Need.Accelerators == 0 && h.Total.Accelerators > 0 {
-		k.wasted = 1
-	}
-	if !h.Images[r.Image] {
-		k.image = 1 + h.PullingImages
+// Rank makes the ranking of the candidates for searches with equal requests and options, one
+// after the other: where hundreds of jobs need the same, scoring every machine for each of
+// them costs more than all else. A candidate is a machine that is open to new tasks and has
+// room for one.
+func (f Fleet) Rank(request *Request, options Options) *Ranking {
+	var hosts []*Host
+	for _, host := range f {
+		if !host.Unschedulable && host.hasRoomFor(request.Need) && !options.Excluded[host.ID] && (options.Usable == nil || options.Usable(host)) {
+			hosts = append(hosts, host)
+		}
 	}
-	if r.Spot && h.Labels[LabelSpot] != "true" {
-		k.kind = 1
+	if options.Probes > 0 && len(hosts) > 0 {
+		options.Rand.Shuffle(len(hosts), func(i, k int) { hosts[i], hosts[k] = hosts[k], hosts[i] })
+		hosts = hosts[:min(options.Probes, len(hosts))]
 	}
-	if r.OneAtATime {
-		k.size = h.Total.Cores
+	ranking := &Ranking{unordered: make(scoreHeap, len(hosts))}
+	for i, host := range hosts {
+		ranking.unordered[i] = candidate{scoreOf(request, host), host}
 	}
-	k.left = h.Free.Cores
-	return k
+	heap.Init(&ranking.unordered)
+	return ranking
 }
 
-func (r *Evaluator) fill(request *Request, pool *Ranking, enforced, preferred []Node, count int, undo map[*Host]Host) []Assignment {
-	var out []Assignment
-	for i := pool.from; i < pool.len(); i++ {
-		h := pool.at(i)
-		if i == pool.from && (h.TaskSlots <= 0 || !h.Free.Covers(request.Need)) {
-			pool.from++
-			continue
-		}
-		placed := 0
-		for count > 0 && h.TaskSlots > 0 && h.Free.Covers(request.Need) &&
-			r.Holds(enforced, request.Team, h) && r.Holds(preferred, request.Team, h) {
-			n := 1
-			if !request.OneAtATime {
-				n = h.Free.Fits(request.Need, min(count, h.TaskSlots))
-			}
-			if _, ok := undo[h]; !ok {
-				undo[h] = Host{Free: h.Free, TaskSlots: h.TaskSlots, Groups: slices.Clone(h.Groups)}
-			}
-			h.Add(request.Team, request.Tags, request.Need, n)
-			r.countAdded(request.Tags, h, n)
-			placed += n
-			count -= n
-		}
-		if placed > 0 {
-			out = append(out, Assignment{Machine: h.ID, Zone: h.Labels[LabelZone], Count: placed})
-		}
-		if count == 0 {
-			break
-		}
-	}
-	return out
-}
+// candidates is how many candidates there are.
+func (r *Ranking) candidates() int { return len(r.ordered) + len(r.unordered) }
 
-// bestZone is the zone with room for most of the tasks.
-func (r *Evaluator) bestZone(request *Request, pool *Ranking, count int) string {
-	room := map[string]int{}
-	best := ""
-	for i := range pool.len() {
-		h := pool.at(i)
-		if r.Holds(request.Enforced, request.Team, h) {
-			z := h.Labels[LabelZone]
-			before := room[z]
-			room[z] = min(count, before+h.Free.Fits(request.Need, count))
-			// The pool is in order of rank, so of zones with equal room the one
-			// whose machines rank better wins.
-			if best == "" || room[z] > room[best] {
-				best = z
-			}
-		}
+// at is the candidate at position i.
+func (r *Ranking) at(i int) *Host {
+	for len(r.ordered) <= i {
+		r.ordered = append(r.ordered, heap.Pop(&r.unordered).(*Host))
 	}
-	return best
+	return r.ordered[i]
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -65,11 +65,11 @@
 func plain(f Fleet, n Node, team string, h *Host) bool {
 	switch {
 	case n.AnyOf != nil:
-		any := false
+		anyHolds := false
 		for _, k := range n.AnyOf {
-			any = plain(f, k, team, h) || any
+			anyHolds = plain(f, k, team, h) || anyHolds
 		}
-		return any
+		return anyHolds
 	case n.AllOf != nil:
 		all := true
 		for _, k := range n.AllOf {
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -1,25 +1,22 @@
-// Package placement chooses machines for tasks: rules filter the machines that
-// fit, then a ranking orders them. It has no clock and no randomness of its
-// own.
 package placement
 
 import (
 	"lilacrill/wire"
 )
 
-// Subject says what a rule reads.
+// Subject is what a rule reads.
 type Subject int
 
-// The resources that rules read.
+// The subjects of rules.
 const (
 	// MachineLabels are the labels of the candidate machine.
 	MachineLabels Subject = iota
-	// TaskTags are the tags of the same team's tasks on the machine, or in its
-	// group.
+	// TaskTags are the tags of the same team's tasks on the machine, or on all machines of
+	// its group (see Rule.GroupedBy).
 	TaskTags
 )
 
-// Operator says whether a rule demands or forbids.
+// Operator says whether a rule requires or forbids its tags.
 type Operator int
 
 // The operators of rules.
@@ -47,22 +44,22 @@
 	AllOf []Node
 }
 
-// Rule asks for one condition on a candidate machine.
+// Rule is one condition on a candidate machine.
 type Rule struct {
 	Subject  Subject
 	Operator Operator
 	Tags     Tags
-	// GroupedBy names a label: the rule then reads the tasks on every machine
-	// that shares the candidate's value of it. A machine without it fails.
+	// GroupedBy names a label: the rule then reads the tasks on all machines with the same
+	// value of it as the candidate. A candidate without the label fails.
 	GroupedBy string
-	// Limit is how many matching tasks a HasNot still bears.
+	// Limit is how many matching tasks a rule that forbids still allows.
 	Limit int
-	// CountsStopping makes the rule count tasks that were told to stop too: for what
-	// must hold until they are gone.
+	// CountsStopping makes the rule count tasks that are being evicted as well: for what must
+	// hold until they are gone.
 	CountsStopping bool
 }
 
-// Group is a number of like tasks on one machine.
+// Group is a number of equal tasks on one machine.
 type Group struct {
 	Team     string
 	Tags     Tags
@@ -70,12 +67,12 @@
 	Stopping bool
 }
 
-// Resources is what a task takes of a machine, or what a machine has.
+// Resources is what a task needs of a machine, or what a machine has.
 type Resources struct {
 	Cores, Accelerators, MemGB float64
 }
 
-// roundingTolerance forgives rounding in sums of decimal amounts.
+// roundingTolerance forgives rounding in sums of decimal fractions.
 const roundingTolerance = 1e-6
 
 // Plus adds n times b.
@@ -83,22 +80,20 @@
 	return Resources{a.Cores + n*b.Cores, a.Accelerators + n*b.Accelerators, a.MemGB + n*b.MemGB}
 }
 
-// Covers reports whether a has room for b.
+// Covers reports whether a has at least as much as b.
 func (a Resources) Covers(b Resources) bool {
 	return a.Cores+roundingTolerance >= b.Cores && a.Accelerators+roundingTolerance >= b.Accelerators && a.MemGB+roundingTolerance >= b.MemGB
 }
 
-// Fits says how many times b fits into a, at most limit.
+// Fits is how many times b fits into a, at most limit.
 func (a Resources) Fits(b Resources, limit int) int {
-	n := limit
-	for _, p := range [3][2]float64{{a.Cores, b.Cores}, {a.Accelerators, b.Accelerators}, {a.MemGB, b.MemGB}} {
-		if p[1] > 0 {
-			if k := int((p[0] + roundingTolerance) / p[1]); k < n {
-				n = k
-			}
+	times := limit
+	for _, pair := range [3][2]float64{{a.Cores, b.Cores}, {a.Accelerators, b.Accelerators}, {a.MemGB, b.MemGB}} {
+		if available, needed := pair[0], pair[1]; needed > 0 {
+			times = min(times, int((available+roundingTolerance)/needed))
 		}
 	}
-	return max(n, 0)
+	return max(times, 0)
 }
 
 // Host is a machine as placement sees it.
@@ -107,35 +102,39 @@
 	Labels Tags
 	Total  Resources
 	Free   Resources
-	// Freeing is what tasks that were told to stop will give back.
+	// Freeing is what tasks that are being evicted will free.
 	Freeing Resources
 	Groups  []Group
-	// PreemptablePriorities has a bit for the rank of every task on it that could be stopped;
-	// Beyond says that some of them stand outside their team's guarantee.
+	// PreemptablePriorities has a bit (by wire.Priority's level) for the priority of every
+	// task on it that could be evicted; HasUnguaranteedTasks says that some of them are beyond
+	// their team's quota guarantee.
 	PreemptablePriorities uint8
 	HasUnguaranteedTasks  bool
-	// Unschedulable says that the machine may take no new tasks now.
+	// Unschedulable says that the machine takes no new tasks now.
 	Unschedulable bool
-	// TaskSlots is how many more tasks the machine may hold.
+	// TaskSlots is how many more tasks the machine may take.
 	TaskSlots int
 	// Images holds the images the machine is known to have.
 	Images map[string]bool
-	// PullingImages is how many images the machine is fetching: they share its rate.
+	// PullingImages is how many images the machine is pulling: they share its rate.
 	PullingImages int
-	// Price is what the machine costs an hour.
+	// Price is what the machine costs per hour.
 	Price float64
-	// Penalty worsens the rank of machines that did badly lately.
+	// Penalty worsens the score of a machine that did badly lately.
 	Penalty float64
 }
 
+// hasRoomFor reports whether the host has room for one more task.
+func (h *Host) hasRoomFor(need Resources) bool { return h.TaskSlots > 0 && h.Free.Covers(need) }
+
 // Add places count tasks on the host.
 func (h *Host) Add(team string, tags Tags, need Resources, count int) {
 	h.Free = h.Free.Plus(need, -float64(count))
 	h.TaskSlots -= count
 	for i := range h.Groups {
-		g := &h.Groups[i]
-		if g.Team == team && !g.Stopping && sameTags(g.Tags, tags) {
-			g.Count += count
+		group := &h.Groups[i]
+		if group.Team == team && !group.Stopping && sameTags(group.Tags, tags) {
+			group.Count += count
 			return
 		}
 	}
@@ -144,6 +143,7 @@
 
 func sameTags(a, b Tags) bool { return len(a) == len(b) && hasAll(a, b) }
 
+// hasAll reports whether tags has all pairs of want.
 func hasAll(tags, want Tags) bool {
 	for k, v := range want {
 		if got, ok := tags[k]; !ok || got != v {
@@ -153,191 +153,198 @@
 	return true
 }
 
-// Fleet is the set of machines that rules with Within read.
+// Fleet is the machines that a pass knows: the candidates, and the others that grouped rules
+// read.
 type Fleet []*Host
 
-// Holds evaluates the nodes (all must hold) for a team's task on a host.
-func (f Fleet) Holds(nodes []Node, team string, h *Host) bool {
-	return f.NewEvaluator(nil).Holds(nodes, team, h)
+// Holds reports whether all nodes hold for a team's task on a host.
+func (f Fleet) Holds(nodes []Node, team string, host *Host) bool {
+	return f.NewEvaluator(nil).Holds(nodes, team, host)
 }
 
-// Evaluator evaluates rules over a fleet and remembers what it counted, since
-// rules with Within read many machines for every candidate. It holds as long as
-// tasks are added through it alone.
+// Evaluator evaluates rules over a fleet and caches the tasks that it counted, since grouped
+// rules read many machines for every candidate. It is valid as long as tasks are added through
+// its Reserve alone.
 type Evaluator struct {
 	fleet    Fleet
 	jobHosts []*Host
-	counts   map[*Rule]map[string]int
+	counts   map[*Rule]map[string]int // matching tasks by the value of the rule's GroupedBy
 }
 
-// NewEvaluator starts one. Own, if not nil, are the machines with tasks of the job
-// that rules about a job's tag ask for.
-func (f Fleet) NewEvaluator(own []*Host) *Evaluator { return &Evaluator{fleet: f, jobHosts: own} }
+// NewEvaluator makes an evaluator. JobHosts, if not nil, is the machines with tasks of the job
+// that rules about a job's tag name.
+func (f Fleet) NewEvaluator(jobHosts []*Host) *Evaluator {
+	return &Evaluator{fleet: f, jobHosts: jobHosts}
+}
 
-// Holds evaluates the nodes (all must hold) for a team's task on a host.
-func (r *Evaluator) Holds(nodes []Node, team string, h *Host) bool {
+// Holds reports whether all nodes hold for a team's task on a host.
+func (e *Evaluator) Holds(nodes []Node, team string, host *Host) bool {
 	for i := range nodes {
-		if !r.holds(&nodes[i], team, h) {
+		if !e.nodeHolds(&nodes[i], team, host) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Evaluator) holds(n *Node, team string, h *Host) bool {
+func (e *Evaluator) nodeHolds(node *Node, team string, host *Host) bool {
 	switch {
-	case n.Rule != nil:
-		return r.ruleHolds(n.Rule, team, h)
-	case n.AnyOf != nil:
-		for i := range n.AnyOf {
-			if r.holds(&n.AnyOf[i], team, h) {
+	case node.Rule != nil:
+		return e.ruleHolds(node.Rule, team, host)
+	case node.AnyOf != nil:
+		for i := range node.AnyOf {
+			if e.nodeHolds(&node.AnyOf[i], team, host) {
 				return true
 			}
 		}
 		return false
 	}
-	return r.Holds(n.AllOf, team, h)
+	return e.Holds(node.AllOf, team, host)
 }
 
-func (r *Evaluator) ruleHolds(rule *Rule, team string, h *Host) bool {
+func (e *Evaluator) ruleHolds(rule *Rule, team string, host *Host) bool {
 	if rule.Subject == MachineLabels {
-		return hasAll(h.Labels, rule.Tags) == (rule.Operator == Requires)
+		return hasAll(host.Labels, rule.Tags) == (rule.Operator == Requires)
 	}
-	n := 0
+	var matching int
 	if rule.GroupedBy == "" {
-		n = h.matching(rule, team)
+		matching = host.matching(rule, team)
 	} else {
-		value, ok := h.Labels[rule.GroupedBy]
+		value, ok := host.Labels[rule.GroupedBy]
 		if !ok {
 			return false
 		}
-		n = r.matchingByLabel(rule, team)[value]
+		matching = e.matchingByLabel(rule, team)[value]
 	}
 	if rule.Operator == Requires {
-		return n > 0
+		return matching > 0
 	}
-	return n <= rule.Limit
+	return matching <= rule.Limit
 }
 
-// matchingByLabel counts the tasks that match a rule by the label that it names.
-func (r *Evaluator) matchingByLabel(rule *Rule, team string) map[string]int {
-	if counts := r.counts[rule]; counts != nil {
+// matchingByLabel counts the tasks that match a grouped rule by the value of its label.
+func (e *Evaluator) matchingByLabel(rule *Rule, team string) map[string]int {
+	if counts := e.counts[rule]; counts != nil {
 		return counts
 	}
-	hosts := r.fleet
-	if _, ofJob := rule.Tags[TagJob]; ofJob && r.jobHosts != nil {
-		hosts = r.jobHosts
+	hosts := e.fleet
+	if _, ofJob := rule.Tags[TagJob]; ofJob && e.jobHosts != nil {
+		hosts = e.jobHosts
 	}
 	counts := map[string]int{}
-	read := make(map[*Host]bool, len(r.jobHosts))
-	for _, o := range hosts {
-		if read[o] {
-			continue // own may name a machine more than once
+	counted := make(map[*Host]bool, len(e.jobHosts))
+	for _, host := range hosts {
+		if counted[host] {
+			continue // jobHosts may hold a host more than once
 		}
-		if r.jobHosts != nil {
-			read[o] = true
+		if e.jobHosts != nil {
+			counted[host] = true
 		}
-		if v, ok := o.Labels[rule.GroupedBy]; ok {
-			counts[v] += o.matching(rule, team)
+		if value, ok := host.Labels[rule.GroupedBy]; ok {
+			counts[value] += host.matching(rule, team)
 		}
 	}
-	if r.counts == nil {
-		r.counts = map[*Rule]map[string]int{}
+	if e.counts == nil {
+		e.counts = map[*Rule]map[string]int{}
 	}
-	r.counts[rule] = counts
+	e.counts[rule] = counts
 	return counts
 }
 
-// Reserve has a host stand for tasks that are to start there once there is room.
-func (r *Evaluator) Reserve(q *Request, h *Host, n int) {
-	h.Add(q.Team, q.Tags, q.Need, n)
-	r.countAdded(q.Tags, h, n)
-}
-
-// countAdded notes that tasks with these tags were placed on a host.
-func (r *Evaluator) countAdded(tags Tags, h *Host, n int) {
-	for rule, counts := range r.counts {
-		if hasAll(tags, rule.Tags) {
-			counts[h.Labels[rule.GroupedBy]] += n
+// Reserve places count tasks of a request on a host, and counts them for the rules.
+func (e *Evaluator) Reserve(request *Request, host *Host, count int) {
+	host.Add(request.Team, request.Tags, request.Need, count)
+	for rule, counts := range e.counts {
+		if hasAll(request.Tags, rule.Tags) {
+			counts[host.Labels[rule.GroupedBy]] += count
 		}
 	}
 }
 
-func (h *Host) matching(r *Rule, team string) int {
-	n := 0
+// matching counts a team's tasks on the host that match a rule.
+func (h *Host) matching(rule *Rule, team string) int {
+	count := 0
 	for i := range h.Groups {
-		g := &h.Groups[i]
-		if g.Team == team && (r.CountsStopping || !g.Stopping) && hasAll(g.Tags, r.Tags) {
-			n += g.Count
+		group := &h.Groups[i]
+		if group.Team == team && (rule.CountsStopping || !group.Stopping) && hasAll(group.Tags, rule.Tags) {
+			count += group.Count
 		}
 	}
-	return n
+	return count
 }
 
 // Request is what placement needs to know of a job.
 type Request struct {
 	Team  string
-	Tags  Tags
-	Need  Resources
+	Tags  Tags      // of each of its tasks
+	Need  Resources // of each of its tasks
 	Image string
 	// Enforced rules are never ignored.
 	Enforced []Node
-	// Preferred rules are ignored only when no machine that meets them has
-	// room.
+	// Preferred rules are ignored only when no machine that meets them has room.
 	Preferred []Node
 	// SingleZone keeps all tasks in the zone of the first.
 	SingleZone bool
-	// OneAtATime says that rules read the job's own tasks, so that they must be
-	// evaluated anew after each one.
+	// OneAtATime says that rules read the job's own tasks, so that they must be evaluated
+	// again after each one.
 	OneAtATime bool
 	// Spot says that spot machines are allowed, and so preferred.
 	Spot bool
 }
 
-// maxPerZone is the most of n tasks that one zone may hold of a job set apart.
-func maxPerZone(n int) int { return (n + 1) / 2 }
+// maxPerZone is how many of a job's tasks one zone may hold if the job is spread over zones.
+func maxPerZone(tasks int) int { return (tasks + 1) / 2 }
 
 // NewRequest turns a job's fields into rules.
-func NewRequest(j *wire.JobSpec) *Request {
-	r := &Request{
-		Team:       j.Team,
-		Tags:       Tags{TagJob: string(j.ID)},
-		Need:       Resources{j.Cores, j.Accelerators, j.MemGB},
-		Image:      j.Image,
-		SingleZone: j.SingleZone,
-		Spot:       j.Spot,
+func NewRequest(job *wire.JobSpec) *Request {
+	jobTag := Tags{TagJob: string(job.ID)}
+	request := &Request{
+		Team:       job.Team,
+		Tags:       Tags{TagJob: string(job.ID)},
+		Need:       Resources{job.Cores, job.Accelerators, job.MemGB},
+		Image:      job.Image,
+		SingleZone: job.SingleZone,
+		Spot:       job.Spot,
 	}
-	if len(j.Types) > 0 {
-		var any []Node
-		for _, t := range j.Types {
-			any = append(any, label(Requires, LabelType, t))
+	if len(job.Types) > 0 {
+		var ofType []Node
+		for _, machineType := range job.Types {
+			ofType = append(ofType, label(Requires, LabelType, machineType))
 		}
-		r.Enforced = append(r.Enforced, Node{AnyOf: any})
+		request.Enforced = append(request.Enforced, Node{AnyOf: ofType})
 	}
-	if j.Zone != "" {
-		r.Enforced = append(r.Enforced, label(Requires, LabelZone, j.Zone))
+	if job.Zone != "" {
+		request.Enforced = append(request.Enforced, InZone(job.Zone))
 	}
-	if !j.Spot {
-		r.Enforced = append(r.Enforced, label(Forbids, LabelSpot, "true"))
+	if !job.Spot {
+		request.Enforced = append(request.Enforced, label(Forbids, LabelSpot, "true"))
 	}
-	own := Tags{TagJob: string(j.ID)}
-	if j.SpreadZones {
-		// Tasks that are stopping still stand in their zone, so they count.
-		r.OneAtATime = true
-		r.Enforced = append(r.Enforced, Node{Rule: &Rule{Subject: TaskTags, Operator: Forbids, Tags: own,
-			GroupedBy: LabelZone, Limit: maxPerZone(j.Tasks) - 1, CountsStopping: true}})
+	if job.SpreadZones {
+		// Tasks that are being evicted are still in their zone, so they count.
+		request.OneAtATime = true
+		request.Enforced = append(request.Enforced, Node{Rule: &Rule{
+			Subject:        TaskTags,
+			Operator:       Forbids,
+			Tags:           jobTag,
+			GroupedBy:      LabelZone,
+			Limit:          maxPerZone(job.Tasks) - 1,
+			CountsStopping: true,
+		}})
 	}
-	if j.Shape == wire.ShapeService {
-		r.OneAtATime = true
-		r.Tags[TagService] = string(j.ID)
-		r.Preferred = append(r.Preferred, Node{Rule: &Rule{Subject: TaskTags, Operator: Forbids,
-			Tags: Tags{TagService: string(j.ID)}}})
+	if job.Shape == wire.ShapeService {
+		request.OneAtATime = true
+		request.Tags[TagService] = string(job.ID)
+		request.Preferred = append(request.Preferred, Node{Rule: &Rule{
+			Subject:  TaskTags,
+			Operator: Forbids,
+			Tags:     Tags{TagService: string(job.ID)},
+		}})
 	}
-	return r
+	return request
 }
 
-func label(op Operator, key, value string) Node {
-	return Node{Rule: &Rule{Subject: MachineLabels, Operator: op, Tags: Tags{key: value}}}
+func label(operator Operator, key, value string) Node {
+	return Node{Rule: &Rule{Subject: MachineLabels, Operator: operator, Tags: Tags{key: value}}}
 }
 
 // InZone is the rule that keeps a task in one zone.
