--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -18,7 +18,7 @@
 		Teams: []config.Team{{Name: "guest"}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(settings)
 	c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east"}}}
-	c.membership.ready, c.membership.loaded = true, true
+	c.membership.ready, c.cache.loadState = true, cacheLoaded
 	taken, last := 0, time.Duration(0)
 	for i := range 1000 {
 		spec := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Team: "guest", Shape: wire.ShapeArray,
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -45,11 +45,36 @@
 	// unreadable holds the keys of records that cannot be decoded, with the cause.
 	unreadable        map[string]error
 	lastStoreResponse Time
-	watching          bool // a watch request is open
+
+	loadState loadState
+	// catchUpRevision is the revision of the last page of a load: the cache is complete once its
+	// revision has reached it.
+	catchUpRevision wire.Revision
+	watching        bool // a watch request is open
+	nextWatch       Time
+	stale           bool // the state store was unreachable, and changes since then may be missing
+	catchingUp      bool // a read barrier for that is in flight
 
 	barrier readBarrier
 }
 
+// loadState is whether the keys of the state store have been loaded.
+type loadState int
+
+const (
+	cacheNotLoaded loadState = iota
+	cacheLoading
+	cacheLoaded
+)
+
+// complete reports whether the cache holds every change up to its revision.
+func (s *stateCache) complete() bool {
+	return s.loadState == cacheLoaded && !s.behind()
+}
+
+// behind reports whether changes from during the load are missing.
+func (s *stateCache) behind() bool { return s.revision < s.catchUpRevision }
+
 // pendingTermination says why a machine is to be terminated, and since which revision.
 type pendingTermination struct {
 	reason string
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -245,7 +245,7 @@
 	}
 	peer.ackedAt = max(peer.ackedAt, sentAt)
 	// A list that begins after what was read here leaves a gap: it proves nothing.
-	if c.cacheComplete() && c.cache.revision >= watermark.Since {
+	if c.cache.complete() && c.cache.revision >= watermark.Since {
 		peer.cancellationsKnownAt = max(peer.cancellationsKnownAt, sentAt)
 	}
 }
@@ -253,7 +253,7 @@
 // applySiblingCancellations applies the cancellations that are newer than the cache. The others
 // are known here already, or their records were archived since.
 func (c *Controller) applySiblingCancellations(cancellations []wire.Cancellation) {
-	if !c.membership.loaded {
+	if c.cache.loadState != cacheLoaded {
 		return
 	}
 	for _, cancellation := range cancellations {
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -19,7 +19,7 @@
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(set)
-	c.membership.loaded, c.cache.revision = true, 100
+	c.cache.loadState, c.cache.revision = cacheLoaded, 100
 	for i := range 5 {
 		c.now = Time(10+i) * Time(time.Second)
 		c.newWatermark()
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -17,7 +17,7 @@
 
 // tickCleanup archives completions and cleans up placement records.
 func (c *Controller) tickCleanup() {
-	if !c.cacheComplete() || !c.storeReachable() {
+	if !c.cache.complete() || !c.storeReachable() {
 		return
 	}
 	c.archiveCompletedJobs()
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -159,7 +159,7 @@
 		machine.reconciliation.orphanTasks[attempt] = c.now
 		return false
 	}
-	return !full && c.cacheComplete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod
+	return !full && c.cache.complete() && c.storeReachable() && c.now.Sub(max(since, c.resumedAt)) > orphanGracePeriod
 }
 
 // mayClear reports whether a worker may forget an exited attempt. A cleared attempt would
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -61,7 +61,7 @@
 // back gave it all of the time again.
 func (c *Controller) noteCompletedTasksOn(id wire.MachineID) {
 	since := c.cancellationsKnownAt()
-	if c.membership.loading {
+	if c.cache.loadState == cacheLoading {
 		since = c.now.Add(-config.Seconds(c.settings.Cluster.Workers.CancelS))
 	}
 	c.completedTasks.add(id, since)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -177,7 +177,7 @@
 	if c.calls.currentStartedAt < c.resumedAt {
 		return
 	}
-	c.membership.stale = c.membership.stale || c.membership.loaded && !c.storeReachable()
+	c.cache.stale = c.cache.stale || c.cache.loadState == cacheLoaded && !c.storeReachable()
 	c.cache.lastStoreResponse = c.now
 }
 
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -41,7 +41,7 @@
 // ensureServing reports whether requests can be decided now, and answers the request if not.
 func (c *Controller) ensureServing(request RequestID) bool {
 	switch {
-	case !c.membership.ready || !c.cacheComplete():
+	case !c.membership.ready || !c.cache.complete():
 		c.unavailable(request, reasonStarting)
 	case !c.storeReachable():
 		c.refuse(request, http.StatusServiceUnavailable, reasonStoreUnavailable, longRetryDelay)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -17,16 +17,11 @@
 	serialBits = 24
 )
 
-// membership is this process's place among the controllers: its cache of the records, its
-// lease, and its incarnation. It becomes ready once its cache holds the raise of the token
-// that made its incarnation, and everything that was written before that.
+// membership is this process's place among the controllers: its lease and its incarnation. It
+// becomes ready once its cache holds the raise of the token that made its incarnation, and
+// everything that was written before that.
 type membership struct {
-	loading, loaded bool
-	catchUpRevision wire.Revision // the cache is complete once it has reached it
-	nextAttempt     Time          // to load the cache, or to join
-	nextWatch       Time
-	stale           bool // the state store was out of reach, and what changed meanwhile is not known yet
-	catchingUp      bool
+	nextAttempt Time // to load the cache, or to join
 
 	incarnation wire.FencingToken // the token that this process raised when it started; 0 until then
 	joining     bool
@@ -40,11 +35,6 @@
 	enrolled          bool // our liveness record hangs on the present lease
 }
 
-// cacheComplete reports whether the cache is complete up to its revision.
-func (c *Controller) cacheComplete() bool {
-	return c.membership.loaded && c.cache.revision >= c.membership.catchUpRevision
-}
-
 func (c *Controller) tickMembership() {
 	c.keepCacheLoaded()
 	if !c.membership.leaseCallInFlight && c.isDue(c.membership.nextRenewal) {
@@ -57,31 +47,6 @@
 	c.checkReady()
 }
 
-// keepCacheLoaded loads the cache, or watches the state store for changes of it.
-func (c *Controller) keepCacheLoaded() {
-	switch {
-	case !c.membership.loaded:
-		if !c.membership.loading && c.isDue(c.membership.nextAttempt) {
-			c.membership.loading = true
-			c.reloadCache()
-		}
-	case !c.cache.watching && c.isDue(c.membership.nextWatch) && c.now.Sub(c.cancellations.cacheCurrentAt) > watchIdleDelay:
-		c.openWatch()
-	}
-}
-
-// catchUpAfterOutage reads what changed while the state store was out of reach.
-func (c *Controller) catchUpAfterOutage() {
-	if !c.membership.stale || c.membership.catchingUp || !c.storeReachable() {
-		return
-	}
-	c.membership.catchingUp = true
-	c.readBarrier(func(ok bool) {
-		c.membership.catchingUp = false
-		c.membership.stale = !ok
-	})
-}
-
 // keepEnrolled writes this controller's liveness record where it is missing or wrong: a late
 // copy of an earlier one may hang it on a lease that has since expired, or others should
 // know that this controller has lost the workers, or has them again.
@@ -90,7 +55,7 @@
 	if c.membership.enrolled && (c.cache.liveControllers[label] != c.membership.incarnation || c.cache.isolatedControllers[label] != c.isolated()) {
 		c.membership.enrolled = false
 	}
-	if c.cacheComplete() && c.membership.leaseID != 0 && !c.membership.enrolled && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
+	if c.cache.complete() && c.membership.leaseID != 0 && !c.membership.enrolled && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
 		c.join()
 	}
 }
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -95,7 +95,7 @@
 	if c.catalogueDue() {
 		c.readCatalogue()
 	}
-	if !c.cacheComplete() || !c.storeReachable() {
+	if !c.cache.complete() || !c.storeReachable() {
 		return
 	}
 	if !c.isProvisioner() {
@@ -107,7 +107,7 @@
 		c.resignProvisionerLeadership()
 		return
 	}
-	if c.membership.stale {
+	if c.cache.stale {
 		return // another controller may have become the leader meanwhile
 	}
 	if !c.provisioner.listInFlight && c.isDue(c.provisioner.nextList) {
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -39,7 +39,7 @@
 // call. It calls then(false) if the state store cannot show that: the cache is not loaded, the
 // store gives no answer, or it no longer has the changes since the cache's revision.
 func (c *Controller) readBarrier(then func(ok bool)) {
-	if !c.membership.loaded {
+	if c.cache.loadState != cacheLoaded {
 		then(false)
 		return
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -87,7 +87,7 @@
 func (c *Controller) tickRollout() {
 	settings := &c.settings.Features.Rollout
 	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || !c.isProvisioner() ||
-		!c.isDue(c.rollout.nextActivation) || !c.cacheComplete() || !c.storeReachable() {
+		!c.isDue(c.rollout.nextActivation) || !c.cache.complete() || !c.storeReachable() {
 		return
 	}
 	c.rollout.nextActivation = c.now.Add(activationInterval)
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -89,7 +89,7 @@
 // runScheduler runs one scheduling pass and commits what it placed, if there is reason to.
 // Non-critical jobs gather until this controller's write budget allows another transaction.
 func (c *Controller) runScheduler() {
-	if !c.membership.ready || !c.cacheComplete() || !c.storeReachable() || !c.isDue(c.scheduler.nextPass) {
+	if !c.membership.ready || !c.cache.complete() || !c.storeReachable() || !c.isDue(c.scheduler.nextPass) {
 		return
 	}
 	// Tasks of lost machines are placed again without delay.
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -89,7 +89,7 @@
 // tickShards commits the next change of the shards that is due, one at a time: the switch of
 // sharding first, then an acquisition for a job, then what the planner has.
 func (c *Controller) tickShards() {
-	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cacheComplete() || !c.storeReachable() || c.membership.stale {
+	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cache.complete() || !c.storeReachable() || c.cache.stale {
 		return
 	}
 	c.shards.nextReview = c.now.Add(shardReviewInterval)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -22,6 +22,31 @@
 	barrierRateFraction = 0.3
 )
 
+// keepCacheLoaded loads the cache, or watches the state store for changes of it.
+func (c *Controller) keepCacheLoaded() {
+	switch {
+	case c.cache.loadState != cacheLoaded:
+		if c.cache.loadState == cacheNotLoaded && c.isDue(c.membership.nextAttempt) {
+			c.cache.loadState = cacheLoading
+			c.reloadCache()
+		}
+	case !c.cache.watching && c.isDue(c.cache.nextWatch) && c.now.Sub(c.cancellations.cacheCurrentAt) > watchIdleDelay:
+		c.openWatch()
+	}
+}
+
+// catchUpAfterOutage reads what changed while the state store was unreachable.
+func (c *Controller) catchUpAfterOutage() {
+	if !c.cache.stale || c.cache.catchingUp || !c.storeReachable() {
+		return
+	}
+	c.cache.catchingUp = true
+	c.readBarrier(func(ok bool) {
+		c.cache.catchingUp = false
+		c.cache.stale = !ok
+	})
+}
+
 // reloadCache reads all keys: at the start, and when the state store has compacted the changes
 // that the cache is missing.
 func (c *Controller) reloadCache() {
@@ -34,7 +59,7 @@
 // last one's.
 func (c *Controller) applyLoadResult(result LoadResult) {
 	if result.Outcome != Succeeded {
-		c.membership.loading = false
+		c.cache.loadState = cacheNotLoaded
 		c.membership.nextAttempt = c.now.Add(storeRetryDelay)
 		return
 	}
@@ -45,8 +70,8 @@
 	}
 	c.cache.revision = result.First
 	c.cancellations.forget(result.First)
-	c.membership.catchUpRevision = result.Last
-	c.membership.loading, c.membership.loaded = false, true
+	c.cache.catchUpRevision = result.Last
+	c.cache.loadState = cacheLoaded
 	c.openWatch()
 }
 
@@ -69,12 +94,12 @@
 // openWatch keeps one watch request open. It does not block while the cache is known to be
 // behind.
 func (c *Controller) openWatch() {
-	if c.cache.watching || !c.membership.loaded {
+	if c.cache.watching || c.cache.loadState != cacheLoaded {
 		return
 	}
 	c.cache.watching = true
 	block := watchTimeout
-	if c.cache.revision < c.membership.catchUpRevision {
+	if c.cache.behind() {
 		block = 0
 	}
 	c.emit(Watch{Call: call(c, c.handleWatchResult), Priority: PriorityUrgent,
@@ -85,13 +110,13 @@
 func (c *Controller) handleWatchResult(result WatchResult) {
 	c.cache.watching = false
 	if !c.applyWatchResult(result) {
-		c.membership.nextWatch = c.now.Add(storeRetryDelay)
+		c.cache.nextWatch = c.now.Add(storeRetryDelay)
 		return
 	}
 	// A short pause lets changes gather: those of a busy store are needed within a second, not
 	// at once.
-	c.membership.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
-	if c.cache.revision < c.membership.catchUpRevision {
+	c.cache.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
+	if c.cache.behind() {
 		c.openWatch()
 	}
 }
@@ -109,9 +134,9 @@
 	switch result.Outcome {
 	case Succeeded:
 	case Compacted:
-		if c.membership.loaded {
+		if c.cache.loadState == cacheLoaded {
 			c.log.Info("watch compacted, reloading all keys", "revision", c.cache.revision)
-			c.membership.loaded, c.membership.loading = false, false
+			c.cache.loadState = cacheNotLoaded
 		}
 		return false
 	default:
@@ -126,7 +151,7 @@
 		}
 	}
 	c.cache.revision = max(c.cache.revision, result.Response.Revision)
-	if c.membership.loaded {
+	if c.cache.loadState == cacheLoaded {
 		// The answer holds every change from before the call, however late it came.
 		c.cancellations.noteCacheCurrent(c.calls.currentStartedAt)
 	}
@@ -137,7 +162,7 @@
 // keepCacheCurrent issues a read barrier if there was none for a while: an open watch shows
 // that something changed, never that nothing did.
 func (c *Controller) keepCacheCurrent() {
-	if c.cacheComplete() && c.storeReachable() && c.cache.barrier.idle() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval {
+	if c.cache.complete() && c.storeReachable() && c.cache.barrier.idle() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval {
 		c.refreshCache()
 	}
 }
