--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -260,7 +260,7 @@
 		p.state.GrantLease(output, complete[controller.LeaseResult](p, output.Call))
 	case controller.RenewLease:
 		p.state.RenewLease(output, complete[controller.LeaseResult](p, output.Call))
-	case controller.SetRateShare:
+	case controller.SetRateFraction:
 		p.state.SetRateFraction(output.Fraction)
 	case controller.ReadCatalogue:
 		p.cloud.ReadCatalogue(complete[controller.CatalogueResult](p, output.Call))
--- a/internal/controller/outputs.go
+++ b/internal/controller/outputs.go
@@ -68,9 +68,9 @@
 		Call    CallID
 		LeaseID wire.LeaseID
 	}
-	// SetRateShare says which fraction of the state store's rate limits this controller
+	// SetRateFraction says which fraction of the state store's rate limits this controller
 	// may use.
-	SetRateShare struct{ Fraction float64 }
+	SetRateFraction struct{ Fraction float64 }
 	// ReadCatalogue asks the cloud for its machine types; the result is a CatalogueResult.
 	ReadCatalogue struct{ Call CallID }
 	// ListMachines asks the cloud for all machines; the result is a MachinesResult.
@@ -137,7 +137,7 @@
 func (Commit) isOutput()            {}
 func (GrantLease) isOutput()        {}
 func (RenewLease) isOutput()        {}
-func (SetRateShare) isOutput()      {}
+func (SetRateFraction) isOutput()   {}
 func (ReadCatalogue) isOutput()     {}
 func (ListMachines) isOutput()      {}
 func (ProvisionMachines) isOutput() {}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -44,7 +44,7 @@
 	c.ownership.teamOwners = rendezvous.Assign(c.ownership.eligible, teams)
 	if fraction := c.computeRateFraction(); fraction != c.ownership.rateFraction {
 		c.ownership.rateFraction = fraction
-		c.emit(SetRateShare{fraction})
+		c.emit(SetRateFraction{fraction})
 	}
 }
 
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -186,7 +186,7 @@
 		c.Observed[Observation(o.Kind)]++
 	case controller.Shutdown:
 		c.shutDown(process, o.Cause)
-	case controller.SetRateShare: // the fakes of the store and the cloud limit no rates
+	case controller.SetRateFraction: // the fakes of the store and the cloud limit no rates
 	default:
 		panic(fmt.Sprintf("output %T", output))
 	}
