--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity decides which machines to rent. It has no clock and no
-// randomness.
+// Package capacity plans which machines to provision: it sets the demands against the machines
+// that are expected to join, and chooses the cheapest offer for what is left. It has no clock
+// and no randomness.
 package capacity
 
 import (
@@ -11,11 +12,11 @@
 	"lilacrill/wire"
 )
 
-// Demand is a number of like tasks without room.
+// Demand is a number of equal tasks without room.
 type Demand struct {
 	Request *placement.Request
 	Count   int
-	Zone    string // where they must be, or ""
+	Zone    string // where they must run; "" if anywhere
 }
 
 // Offer is a kind of machine in a zone that the cloud may have.
@@ -23,12 +24,12 @@
 	Type wire.MachineType
 	Zone string
 	Spot bool
-	// OverdueFraction is which part of what was rented of it and is not up yet is overdue,
-	// from 0 to 1.
+	// OverdueFraction is which part of the machines that were provisioned of it and have not
+	// joined yet is overdue, from 0 to 1.
 	OverdueFraction float64
 }
 
-// Price is what the offer costs an hour.
+// Price is what a machine of the offer costs per hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
 		return o.Type.SpotPrice
@@ -36,105 +37,128 @@
 	return o.Type.OnDemandPrice
 }
 
-// Key names an offer.
+// Key identifies an offer.
 type Key struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Key is the offer's name.
+// Key is the offer's key.
 func (o Offer) Key() Key { return Key{o.Type.Name, o.Zone, o.Spot} }
 
-// Host is an empty machine of the offer.
-func (o Offer) Host(id wire.MachineID, slots int) *placement.Host {
+// Host is an empty machine of the offer that takes up to taskSlots tasks.
+func (o Offer) Host(id wire.MachineID, taskSlots int) *placement.Host {
 	spot := "false"
 	if o.Spot {
 		spot = "true"
 	}
 	total := placement.Resources{Cores: o.Type.Cores, Accelerators: o.Type.Accelerators, MemGB: o.Type.MemGB}
 	return &placement.Host{
-		ID:     id,
-		Labels: placement.Tags{placement.LabelType: o.Type.Name, placement.LabelZone: o.Zone, placement.LabelSpot: spot},
-		Total:  total, Free: total, TaskSlots: slots, Price: o.Price(),
+		ID:        id,
+		Labels:    placement.Tags{placement.LabelType: o.Type.Name, placement.LabelZone: o.Zone, placement.LabelSpot: spot},
+		Total:     total,
+		Free:      total,
+		TaskSlots: taskSlots,
+		Price:     o.Price(),
 	}
 }
 
-// Launch is a number of machines to rent.
+// Launch is a number of machines to provision.
 type Launch struct {
 	Offer Offer
 	Count int
 }
 
-// Plan says what to rent for the demands, most urgent first, that the coming
-// machines (rented, but not up yet) will not satisfy. The coming machines are
-// filled in passing. Offers that were refused lately are left out by the
-// caller.
-func Plan(demands []Demand, coming placement.Fleet, offers []Offer, slots int) []Launch {
-	var out []Launch
-	for _, d := range demands {
-		left := d.Count
-		for _, ch := range coming.Choose(d.Request, left, d.Zone, placement.Options{Relax: true}) {
-			left -= ch.Count
+// Plan is what to provision for the demands, most urgent first, that the expected machines
+// (provisioned, but not joined yet) do not satisfy. It places the demands on the expected
+// machines in passing. The caller leaves out the offers that the cloud was short of lately.
+//
+// No offer is in the plan twice, and no launch is larger than the cloud allows for one call.
+func Plan(demands []Demand, expected placement.Fleet, offers []Offer, taskSlots int) []Launch {
+	var launches []Launch
+	for _, demand := range demands {
+		unplaced := demand.Count
+		for _, assignment := range expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true}) {
+			unplaced -= assignment.Count
 		}
-		if left <= 0 {
+		if unplaced <= 0 {
 			continue
 		}
-		best, number := cheapestOffer(d, left, offers, slots)
-		if number == 0 {
+		offer, count := cheapestOffer(demand, unplaced, offers, taskSlots)
+		if count == 0 {
 			continue
 		}
-		if k := slices.IndexFunc(out, func(p Launch) bool { return p.Offer.Key() == best.Key() }); k >= 0 {
-			number = min(number, wire.MaxProvision-out[k].Count)
-			out[k].Count += number
-		} else {
-			number = min(number, wire.MaxProvision)
-			out = append(out, Launch{best, number})
+		launches, count = addLaunch(launches, offer, count)
+		for range count {
+			expected = append(expected, offer.Host("", taskSlots))
 		}
-		for range number {
-			coming = append(coming, best.Host("", slots))
-		}
-		coming.Choose(d.Request, left, d.Zone, placement.Options{Relax: true})
+		expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true})
 	}
-	return out
+	return launches
 }
 
-// cheapestOffer finds the offer that serves the tasks at the lowest price, counting only
-// the machines' part that they will use where they use less than all of it.
-func cheapestOffer(d Demand, count int, offers []Offer, slots int) (Offer, int) {
-	type option struct {
-		offer  Offer
-		number int
-		cost   float64
+// addLaunch adds machines of an offer to the launches, up to what one call allows, and returns
+// how many it added.
+func addLaunch(launches []Launch, offer Offer, count int) ([]Launch, int) {
+	i := slices.IndexFunc(launches, func(launch Launch) bool { return launch.Offer.Key() == offer.Key() })
+	if i < 0 {
+		count = min(count, wire.MaxProvision)
+		return append(launches, Launch{offer, count}), count
 	}
+	count = min(count, wire.MaxProvision-launches[i].Count)
+	launches[i].Count += count
+	return launches, count
+}
+
+// option is an offer that can serve a demand.
+type option struct {
+	offer       Offer
+	count       int // machines
+	costPerTask float64
+}
+
+// cheapestOffer finds the offer that serves count tasks of a demand at the lowest cost, and how
+// many machines of it they need; 0 if no offer can serve them.
+func cheapestOffer(demand Demand, count int, offers []Offer, taskSlots int) (Offer, int) {
 	var options []option
-	for _, o := range offers {
-		h := o.Host("", slots)
-		if !(placement.Fleet{h}).Holds(d.Request.Enforced, d.Request.Team, h) {
-			continue
-		}
-		if d.Zone != "" && o.Zone != d.Zone {
-			continue
+	for _, offer := range offers {
+		if o, ok := optionFor(demand, count, offer, taskSlots); ok {
+			options = append(options, o)
 		}
-		per := h.Free.Fits(d.Request.Need, slots)
-		if per == 0 {
-			continue
-		}
-		number := (count + per - 1) / per
-		// A machine that is not filled will serve others too, but not surely.
-		filled := float64(count) / float64(per)
-		paid := (filled + float64(number)) / 2
-		// What may come late, or never, is worth less.
-		options = append(options, option{o, number, o.Price() * paid / float64(count) * (1 + o.OverdueFraction)})
 	}
 	if len(options) == 0 {
 		return Offer{}, 0
 	}
 	best := slices.MinFunc(options, func(a, b option) int {
-		return cmp.Or(cmp.Compare(roundCost(a.cost), roundCost(b.cost)), cmp.Compare(a.offer.Type.StartupS, b.offer.Type.StartupS),
+		return cmp.Or(
+			cmp.Compare(roundCost(a.costPerTask), roundCost(b.costPerTask)),
+			cmp.Compare(a.offer.Type.StartupS, b.offer.Type.StartupS),
 			cmp.Compare(a.offer.Zone, b.offer.Zone))
 	})
-	return best.offer, best.number
+	return best.offer, best.count
+}
+
+// optionFor estimates what it costs to serve count tasks of a demand with an offer, and reports
+// whether the offer can serve them. Of a machine that the tasks do not fill, half of the unused
+// part counts: it will serve other tasks too, but not surely. An offer whose machines are
+// overdue costs more: they may come late, or never.
+func optionFor(demand Demand, count int, offer Offer, taskSlots int) (option, bool) {
+	host := offer.Host("", taskSlots)
+	if !(placement.Fleet{host}).Holds(demand.Request.Enforced, demand.Request.Team, host) {
+		return option{}, false
+	}
+	if demand.Zone != "" && offer.Zone != demand.Zone {
+		return option{}, false
+	}
+	perMachine := host.Free.Fits(demand.Request.Need, taskSlots)
+	if perMachine == 0 {
+		return option{}, false
+	}
+	machines := (count + perMachine - 1) / perMachine
+	filled := float64(count) / float64(perMachine)
+	paid := (filled + float64(machines)) / 2
+	return option{offer, machines, offer.Price() * paid / float64(count) * (1 + offer.OverdueFraction)}, true
 }
 
-// roundCost makes costs that differ by rounding equal.
-func roundCost(f float64) float64 { return math.Round(f*1e9) / 1e9 }
+// roundCost makes costs equal that differ by rounding.
+func roundCost(cost float64) float64 { return math.Round(cost*1e9) / 1e9 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,5 @@
-// Package cloud calls the cloud that machines are rented from.
+// Package cloud calls the cloud that machines are provisioned from. Each call runs in a
+// goroutine of its own, which hands its result to a callback.
 package cloud
 
 import (
@@ -19,7 +20,7 @@
 	"lilacrill/wire"
 )
 
-// Client carries out the core's calls to the cloud.
+// Client carries out the controller's calls to the cloud, within its limit of the rate.
 type Client struct {
 	log    *slog.Logger
 	calls  *httpcall.Client
@@ -28,10 +29,12 @@
 
 const (
 	callTimeout = 4 * time.Second
-	tokenWait   = 2 * time.Second
-	idleTime    = 30 * time.Second
-	// rateLimitFraction is the part of the cloud's limit that one controller uses: only one
-	// buys at a time, the others rarely ask for anything.
+	// tokenTimeout is how long a call waits for the rate limit before it is given up.
+	tokenTimeout = 2 * time.Second
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 30 * time.Second
+	// rateLimitFraction is the part of the cloud's limit that one controller uses: only the
+	// leader for scaling calls often, the others read the catalogue.
 	rateLimitFraction = 0.7
 )
 
@@ -40,14 +43,16 @@
 	limit := set.Cluster.Cloud.RPS * rateLimitFraction
 	return &Client{
 		log:    log,
-		calls:  httpcall.New(set.Services.Cloud, sockets.NewBudget(set).Cloud, idleTime),
+		calls:  httpcall.New(set.Services.Cloud, sockets.NewBudget(set).Cloud, idleTimeout),
 		tokens: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
 	}
 }
 
-// call makes one call once there is a token for it.
+// call makes one call once the rate limit allows it, and decodes the response by its status into
+// the given values. The outcome says whether the call was carried out; an unexpected status
+// leaves that unknown.
 func (c *Client) call(method, path string, body any, into map[int]any) (int, controller.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), tokenWait)
+	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
 	if err := c.tokens.Wait(ctx); err != nil {
 		return 0, controller.NotExecuted
@@ -57,69 +62,72 @@
 	case errors.Is(err, httpcall.ErrNotSent):
 		return status, controller.NotExecuted
 	case err != nil:
-		c.log.Warn("cloud gave no answer", "call", path, "err", err)
+		c.log.Warn("cloud call failed", "call", path, "err", err)
 		return status, controller.Unknown
 	case status == http.StatusOK:
 		return status, controller.Succeeded
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable, status == http.StatusBadRequest:
-		c.log.Debug("cloud refused", "call", path, "status", status)
+		c.log.Debug("cloud call refused", "call", path, "status", status)
 		return status, controller.NotExecuted
 	}
-	c.log.Warn("cloud answered oddly", "call", path, "status", status)
+	c.log.Warn("cloud call returned unexpected status", "call", path, "status", status)
 	return status, controller.Unknown
 }
 
 // ReadCatalogue reads the machine types.
 func (c *Client) ReadCatalogue(then func(controller.CatalogueResult)) {
 	go func() {
-		var r controller.CatalogueResult
-		_, r.Outcome = c.call(http.MethodGet, "/catalog", nil, map[int]any{200: &r.Catalogue})
-		then(r)
+		var result controller.CatalogueResult
+		_, result.Outcome = c.call(http.MethodGet, "/catalog", nil, map[int]any{http.StatusOK: &result.Catalogue})
+		then(result)
 	}()
 }
 
-// ListMachines reads the whole machine list.
+// ListMachines reads the whole list of machines, page by page.
 func (c *Client) ListMachines(then func(controller.MachinesResult)) {
-	go func() {
-		var r controller.MachinesResult
-		after := ""
-		for {
-			q := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
-			if after != "" {
-				q.Set("after", after)
-			}
-			var page wire.MachineList
-			if _, r.Outcome = c.call(http.MethodGet, "/hosts?"+q.Encode(), nil, map[int]any{200: &page}); r.Outcome != controller.Succeeded {
-				break
-			}
-			r.Machines = append(r.Machines, page.Machines...)
-			if !page.More || len(page.Machines) == 0 {
-				break
-			}
-			after = string(page.Machines[len(page.Machines)-1].ID)
+	go func() { then(c.listAll()) }()
+}
+
+// listAll reads all pages of the list. If one cannot be read, the outcome is that of its call.
+func (c *Client) listAll() controller.MachinesResult {
+	var result controller.MachinesResult
+	query := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
+	for {
+		var page wire.MachineList
+		_, result.Outcome = c.call(http.MethodGet, "/hosts?"+query.Encode(), nil, map[int]any{http.StatusOK: &page})
+		if result.Outcome != controller.Succeeded {
+			return result
 		}
-		then(r)
-	}()
+		result.Machines = append(result.Machines, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return result
+		}
+		query.Set("after", string(page.Machines[len(page.Machines)-1].ID))
+	}
 }
 
-// noCapacity is the cloud's word for having no such machine left.
+// noCapacity is the error with which the cloud says that it has no such machine left.
 const noCapacity = "no capacity"
 
-// Provision rents machines.
-func (c *Client) Provision(h wire.ProvisionRequest, then func(controller.ProvisionResult)) {
+// Provision provisions machines. The request's name makes a repeated call safe.
+func (c *Client) Provision(request wire.ProvisionRequest, then func(controller.ProvisionResult)) {
 	go func() {
-		var names wire.MachineNames
-		var problem wire.ErrorResponse
-		status, outcome := c.call(http.MethodPost, "/hosts", h, map[int]any{200: &names, 503: &problem})
-		then(controller.ProvisionResult{Outcome: outcome, Machines: names.Names,
-			NoCapacity: status == http.StatusServiceUnavailable && problem.Error == noCapacity})
+		var provisioned wire.MachineNames
+		var failure wire.ErrorResponse
+		status, outcome := c.call(http.MethodPost, "/hosts", request,
+			map[int]any{http.StatusOK: &provisioned, http.StatusServiceUnavailable: &failure})
+		then(controller.ProvisionResult{
+			Outcome:    outcome,
+			Machines:   provisioned.Names,
+			NoCapacity: status == http.StatusServiceUnavailable && failure.Error == noCapacity,
+		})
 	}()
 }
 
-// Terminate gives machines back.
-func (c *Client) Terminate(names []wire.MachineID, then func(controller.TerminateResult)) {
+// Terminate terminates machines. Success means that they, and all tasks on them, are gone.
+func (c *Client) Terminate(ids []wire.MachineID, then func(controller.TerminateResult)) {
 	go func() {
-		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: names}, nil)
+		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: ids}, nil)
 		then(controller.TerminateResult{Outcome: outcome})
 	}()
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -32,7 +32,7 @@
 		"POST /hosts/return": `{}`,
 	}}
 	server := httptest.NewServer(recorder)
-	defer server.Close()
+	t.Cleanup(server.Close)
 	client := New(&config.Settings{
 		Services: config.Services{Cloud: strings.TrimPrefix(server.URL, "http://")},
 		Cluster:  config.Cluster{Cloud: config.Cloud{RPS: 100}, Quota: config.Quota{Sockets: 500}},
@@ -46,20 +46,21 @@
 	client.ListMachines(func(r controller.MachinesResult) { listed <- r })
 	require.Equal(t, controller.MachinesResult{Outcome: controller.Succeeded, Machines: machines.Machines}, <-listed)
 
-	var hire wire.ProvisionRequest
-	golden.NewFiller(2).Fill(&hire)
-	hired := make(chan controller.ProvisionResult, 1)
-	client.Provision(hire, func(r controller.ProvisionResult) { hired <- r })
-	require.Equal(t, controller.ProvisionResult{Outcome: controller.Succeeded, Machines: names.Names}, <-hired)
+	var request wire.ProvisionRequest
+	golden.NewFiller(2).Fill(&request)
+	provisioned := make(chan controller.ProvisionResult, 1)
+	client.Provision(request, func(r controller.ProvisionResult) { provisioned <- r })
+	require.Equal(t, controller.ProvisionResult{Outcome: controller.Succeeded, Machines: names.Names}, <-provisioned)
 
-	returned := make(chan controller.TerminateResult, 1)
-	client.Terminate(names.Names, func(r controller.TerminateResult) { returned <- r })
-	require.Equal(t, controller.TerminateResult{Outcome: controller.Succeeded}, <-returned)
+	terminated := make(chan controller.TerminateResult, 1)
+	client.Terminate(names.Names, func(r controller.TerminateResult) { terminated <- r })
+	require.Equal(t, controller.TerminateResult{Outcome: controller.Succeeded}, <-terminated)
 
 	golden.Compare(t, "requests.txt", recorder.Requests())
 }
 
 func encode(t *testing.T, v any) string {
+	t.Helper()
 	text, err := json.Marshal(v)
 	require.NoError(t, err)
 	return string(text)
