--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// shareIn is a share's record as it stands in the state service.
+// shareIn is a shard's record in the state store.
 func shareIn(store *simulation.Store, id wire.ShardID) record.Shard {
 	var out record.Shard
 	if value, _, ok := store.Get(record.ShardKey(id)); ok && json.Unmarshal(value, &out) != nil {
@@ -29,31 +29,31 @@
 	return out
 }
 
-// liveIn reports whether the record of a process among the living stands.
+// liveIn reports whether a process's liveness record is in the state store.
 func liveIn(store *simulation.Store, owner record.ShardOwner) bool {
 	var node record.Liveness
 	value, _, ok := store.Get(record.LivenessKey(owner.Label))
 	return ok && json.Unmarshal(value, &node) == nil && node.Incarnation == owner.Incarnation
 }
 
-// cluster is some controllers that share a store, each with a view that may lag.
+// cluster is controllers that share a state store, each with a cache that may lag.
 type cluster struct {
 	t       require.TestingT
 	store   *simulation.Store
 	now     shard.Time
 	boot    wire.FencingToken
 	nodes   []*node
-	late    []wire.Transaction // to be carried out later
-	changed int                // of hands
+	late    []wire.Transaction // that arrive later
+	changed int                // changes of owner
 }
 
 type node struct {
 	label   string
 	table   *shard.Table
 	planner *shard.Planner
-	read    wire.Revision // up to which it knows all changes
+	read    wire.Revision // up to which it has applied all changes
 	running bool
-	placing map[wire.ShardID]bool // the shares in which it has placements under way
+	placing map[wire.ShardID]bool // the shards in which it has placements under way
 }
 
 func newCluster(t require.TestingT, controllers int) *cluster {
@@ -70,7 +70,7 @@
 	c.store.Commit(wire.Transaction{Then: []wire.Change{{Put: key, Value: record.Encode(record.FormatSharding, key, v)}}})
 }
 
-// start starts a process of a controller in the place of the one before.
+// start starts a new process of a controller.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	c.boot++
@@ -82,10 +82,10 @@
 	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.boot})
 }
 
-// end ends a process; its record goes later, with its lease.
+// end ends a process; its liveness record goes when its lease expires.
 func (c *cluster) end(i int) { c.nodes[i].running = false }
 
-// expire has the leases of processes that have ended run out.
+// expire has the leases of processes that have ended expire.
 func (c *cluster) expire() {
 	for _, n := range c.nodes {
 		if !n.running {
@@ -94,7 +94,7 @@
 	}
 }
 
-// catchUpRevision has a controller read what was written.
+// catchUp has a controller apply all changes.
 func (c *cluster) catchUp(n *node) {
 	feed := c.store.Changes(record.RootKey, n.read)
 	for _, l := range feed.Events {
@@ -122,7 +122,7 @@
 	}
 }
 
-// act has a controller do the next thing; its transaction may be held up.
+// act has a controller take its next action; its transaction may arrive late.
 func (c *cluster) act(i int, heldUp bool) (shard.Action, bool) {
 	n := c.nodes[i]
 	if !n.running {
@@ -200,52 +200,15 @@
 	return owned
 }
 
-// TestGeneratedMoves has controllers with lagging views start, end, drain, move shares and
-// have writes carried out late, in generated orders. No share goes from one that lives
-// without its word, and once calm every share has one owner, as evenly as wished.
+// TestGeneratedMoves has controllers with lagging views start, end, drain, move shards and
+// have writes arrive late, in generated orders. No shard is taken from a live owner that has
+// not released it, and in the end every shard has one owner, within the tolerance.
 func TestGeneratedMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(1, 5).Draw(t, "controllers"))
 		drained := map[string]bool{}
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
-			c.now += shard.Time(rapid.IntRange(0, 2000).Draw(t, "ms")) * shard.Time(time.Millisecond)
-			i := rapid.IntRange(0, len(c.nodes)-1).Draw(t, "who")
-			n := c.nodes[i]
-			id := wire.ShardID(rapid.IntRange(0, shard.Count-1).Draw(t, "share"))
-			switch rapid.SampledFrom([]string{"act", "act", "act", "act", "read", "read", "read", "late", "carried out", "end", "start", "expire", "place", "move", "drain"}).Draw(t, "step") {
-			case "act":
-				c.act(i, false)
-			case "late":
-				c.act(i, true)
-			case "carried out":
-				if len(c.late) > 0 {
-					c.run(c.late[0])
-					c.late = c.late[1:]
-				}
-			case "read":
-				if n.running {
-					c.catchUp(n)
-				}
-			case "end":
-				c.end(i)
-			case "start":
-				c.expire()
-				c.start(i)
-			case "expire":
-				c.expire()
-			case "place":
-				n.placing[id] = !n.placing[id] && n.running && n.table.MaySchedule(id)
-			case "move":
-				if txn, err := n.table.Move(id, c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "to")].label, n.table.Epoch(id), 0); err == nil && n.running {
-					c.run(txn)
-				}
-			case "drain":
-				if txn, err := n.table.Drain(n.label, "drawn"); err == nil && c.store.Commit(txn).Outcome == controller.Succeeded {
-					drained[n.label] = true
-				} else if txn, err := n.table.EndDrain(n.label); err == nil && c.store.Commit(txn).Outcome == controller.Succeeded {
-					delete(drained, n.label)
-				}
-			}
+			c.generatedStep(t, drained)
 		}
 		for i := range c.nodes {
 			if !c.nodes[i].running {
@@ -255,23 +218,8 @@
 		}
 		c.expire()
 		c.calm()
-		owned := c.owned()
-		able := 0
-		for _, n := range c.nodes {
-			if !drained[n.label] {
-				able++
-			}
-		}
-		for _, n := range c.nodes {
-			switch {
-			case able == 0:
-			case drained[n.label]:
-				require.Zero(t, owned[n.label], "%s is drained", n.label)
-			default:
-				require.InDelta(t, float64(shard.Count)/float64(able), owned[n.label], shard.Tolerance)
-			}
-		}
-		for _, txn := range c.late { // whatever still comes finds nothing as it was, or does no harm
+		c.requireBalanced(t, drained)
+		for _, txn := range c.late { // what arrives now finds its conditions failed, or does no harm
 			c.run(txn)
 		}
 		c.calm()
@@ -279,7 +227,71 @@
 	})
 }
 
-// TestFewMoves: one that ends and one that returns move no more shares than they must.
+// generatedStep draws and does one step, and notes which controllers are drained.
+func (c *cluster) generatedStep(t *rapid.T, drained map[string]bool) {
+	c.now += shard.Time(rapid.IntRange(0, 2000).Draw(t, "ms")) * shard.Time(time.Millisecond)
+	i := rapid.IntRange(0, len(c.nodes)-1).Draw(t, "who")
+	n := c.nodes[i]
+	id := wire.ShardID(rapid.IntRange(0, shard.Count-1).Draw(t, "share"))
+	switch rapid.SampledFrom([]string{"act", "act", "act", "act", "read", "read", "read", "late", "carried out", "end", "start", "expire", "place", "move", "drain"}).Draw(t, "step") {
+	case "act":
+		c.act(i, false)
+	case "late":
+		c.act(i, true)
+	case "carried out":
+		if len(c.late) > 0 {
+			c.run(c.late[0])
+			c.late = c.late[1:]
+		}
+	case "read":
+		if n.running {
+			c.catchUp(n)
+		}
+	case "end":
+		c.end(i)
+	case "start":
+		c.expire()
+		c.start(i)
+	case "expire":
+		c.expire()
+	case "place":
+		n.placing[id] = !n.placing[id] && n.running && n.table.MaySchedule(id)
+	case "move":
+		if txn, err := n.table.Move(id, c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "to")].label, n.table.Epoch(id), 0); err == nil && n.running {
+			c.run(txn)
+		}
+	case "drain":
+		if txn, err := n.table.Drain(n.label, "drawn"); err == nil && c.store.Commit(txn).Outcome == controller.Succeeded {
+			drained[n.label] = true
+		} else if txn, err := n.table.EndDrain(n.label); err == nil && c.store.Commit(txn).Outcome == controller.Succeeded {
+			delete(drained, n.label)
+		}
+	}
+}
+
+// requireBalanced requires drained controllers to own no shard, and the others an equal
+// number within the tolerance.
+func (c *cluster) requireBalanced(t require.TestingT, drained map[string]bool) {
+	owned := c.owned()
+	able := 0
+	for _, n := range c.nodes {
+		if !drained[n.label] {
+			able++
+		}
+	}
+	for _, n := range c.nodes {
+		switch {
+		case able == 0:
+		case drained[n.label]:
+			require.Zero(t, owned[n.label], "%s is drained", n.label)
+		default:
+			require.InDelta(t, float64(shard.Count)/float64(able), owned[n.label], shard.Tolerance)
+		}
+	}
+}
+
+// TestFewMoves: a controller that ends and one that starts move no more shards than they
+// must.
 func TestFewMoves(t *testing.T) {
 	c := newCluster(t, 4)
 	c.calm()
@@ -302,8 +314,8 @@
 	require.Equal(t, c.owned()["rig-3"], c.changed-changed, "it takes its own again")
 }
 
-// TestMachinesSpread: a share follows from a machine's name alone, for ever, and shares of
-// any fleet are of about one size.
+// TestMachinesSpread: a shard depends on a machine's name alone, in all releases, and the
+// shards of any fleet are of about one size.
 func TestMachinesSpread(t *testing.T) {
 	require.Equal(t, []wire.ShardID{shard.Of("m-000000"), shard.Of("m-000231"), shard.Of("m-123456")}, []wire.ShardID{20, 30, 15})
 	for _, fleet := range []int{1000, 4000, 40000} {
@@ -317,8 +329,8 @@
 	}
 }
 
-// TestDamagedShareRecord: a record that cannot be understood belongs to nobody, and its
-// share is left alone.
+// TestDamagedShareRecord: a shard whose record cannot be decoded has no owner, and is left
+// alone.
 func TestDamagedShareRecord(t *testing.T) {
 	c := newCluster(t, 1)
 	c.calm()
