--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -16,9 +16,9 @@
 // own, each by one transaction that demands both keys as they were, so that a delayed copy of a
 // submission never finds both missing. What was moved stays known.
 func TestOldestCompletionsAreArchived(t *testing.T) {
-	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
+	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := newTestController(set)
+	c := newTestController(settings)
 	name := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", i)) }
 	for i := range maxCompletedInPlace + 2 {
 		c.apply(record.JobKey(name(i)), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusDone, Done: 1}}), wire.Revision(i+1))
@@ -38,9 +38,9 @@
 	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 9000})
 	require.Len(t, c.cache.completedJobs, maxCompletedInPlace)
 	for i := range maxCompletedInPlace + 2 {
-		f, ok := c.cache.completion(name(i))
+		completion, ok := c.cache.completion(name(i))
 		require.True(t, ok)
-		require.Equal(t, wire.StatusDone, f.Status)
+		require.Equal(t, wire.StatusDone, completion.Status)
 	}
 	c.now += Time(time.Minute)
 	c.archiveCompletedJobs()
--- /dev/null
+++ b/internal/controller/cache_test.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/config"
+	"lilacrill/internal/record"
+	"lilacrill/wire"
+)
+
+// TestCacheIgnoresOlderChanges: changes come from the watch and from transactions of our own, twice
+// and out of order. A key keeps its newest value, and a deleted one stays deleted until the watch
+// has passed its deletion, after which no older change can come.
+func TestCacheIgnoresOlderChanges(t *testing.T) {
+	var cache stateCache
+	cache.init()
+	require.True(t, cache.advance("key", 5, false))
+	require.False(t, cache.advance("key", 5, false), "the same change again")
+	require.False(t, cache.advance("key", 4, true), "an older deletion")
+	require.True(t, cache.advance("key", 7, true))
+	cache.revision = 6
+	cache.forgetDeletedKeys()
+	require.False(t, cache.advance("key", 6, false), "written before the deletion")
+	cache.revision = 7
+	cache.forgetDeletedKeys()
+	require.Empty(t, cache.keyVersions)
+	require.Empty(t, cache.deletedKeys)
+}
+
+// TestTokenIsTakenFromTheWatchOnly guards what makes a raised token a fence: a command that carries
+// the token is based on everything that was written before it was raised. A transaction of our own
+// shows the token, but not what others wrote before.
+func TestTokenIsTakenFromTheWatchOnly(t *testing.T) {
+	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100, WriteRPS: 50}}})
+	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.TokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
+	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 12})
+	require.Zero(t, c.cache.token)
+	require.Equal(t, wire.Revision(12), c.cache.ownRevision)
+	event := wire.ChangeEvent{Put: record.TokenKey, Value: []byte("3"), Version: 12}
+	require.True(t, c.applyWatchResult(WatchResult{Response: wire.WatchResponse{Revision: 12, Events: []wire.ChangeEvent{event}}}))
+	require.Equal(t, wire.FencingToken(3), c.cache.token)
+}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -15,10 +15,10 @@
 // newWatermarkSender makes a controller with two siblings whose cache was current at second 10, at
 // revision 100, and which has sent a watermark at each of the seconds 10 to 14; it is second 20.
 func newWatermarkSender() *Controller {
-	set := &config.Settings{Label: "rig-0", Siblings: []config.Sibling{{Label: "rig-1"}, {Label: "rig-2"}},
+	settings := &config.Settings{Label: "rig-0", Siblings: []config.Sibling{{Label: "rig-1"}, {Label: "rig-2"}},
 		Cluster: config.Cluster{Zones: []string{"east"}, Workers: config.Workers{ReportS: 10, LeaseS: 45, CancelS: 65},
 			State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := newTestController(set)
+	c := newTestController(settings)
 	c.cache.loadState, c.cache.revision = cacheLoaded, 100
 	for i := range 5 {
 		c.now = Time(10+i) * Time(time.Second)
@@ -69,9 +69,9 @@
 	c.newWatermark() // 9
 	c.handlePeerMessage(watermarkFrom(c, "rig-1", 7, 3, 9, 100, wire.Cancellation{Job: "wk-000001", Version: 101}))
 	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 3, 9, 140))
-	f, ok := c.cache.completion("wk-000001")
+	completion, ok := c.cache.completion("wk-000001")
 	require.True(t, ok)
-	require.Equal(t, wire.StatusCancelled, f.Status)
+	require.Equal(t, wire.StatusCancelled, completion.Status)
 	require.Equal(t, at(40), c.cancellationsKnownAt())
 	c.handlePeerMessage(watermarkFrom(c, "rig-2", 8, 4, 9, 100))
 	require.Equal(t, at(40+16.1), c.cancellationsKnownAt())
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -14,18 +14,18 @@
 // only staged and demanded: its next write would demand a version that never existed, and fail
 // until another controller wrote the page.
 func TestUnwrittenStagedPageKeepsItsVersion(t *testing.T) {
-	set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
-	c := newTestController(set)
-	p := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
-	c.replacePage(p)
-	c.cache.keyVersions[p.key] = p.version
-	r := c.newPlacementTransaction(c.cache.team("blue"))
-	r.stagePage(p)
-	r.placesTasks = true
-	c.commitPlacements(r)
+	settings := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
+	c := newTestController(settings)
+	head := &page{key: record.PlacementKey("blue", "east", 0), team: "blue", zone: "east", version: 5}
+	c.replacePage(head)
+	c.cache.keyVersions[head.key] = head.version
+	txn := c.newPlacementTransaction(c.cache.team("blue"))
+	txn.stagePage(head)
+	txn.placesTasks = true
+	c.commitPlacements(txn)
 	require.Empty(t, c.outputs, "nothing changed, so nothing is written")
-	r.conditions[p.key] = p.version
-	c.applyCommittedPages(r, 9)
-	require.Equal(t, wire.Revision(5), c.cache.keyVersions[p.key])
-	require.Equal(t, wire.Revision(5), c.cache.team("blue").pages[p.key].version)
+	txn.conditions[head.key] = head.version
+	c.applyCommittedPages(txn, 9)
+	require.Equal(t, wire.Revision(5), c.cache.keyVersions[head.key])
+	require.Equal(t, wire.Revision(5), c.cache.team("blue").pages[head.key].version)
 }
--- a/internal/controller/sums_test.go
+++ b/internal/controller/sums_test.go
@@ -12,33 +12,33 @@
 	"lilacrill/wire"
 )
 
-// TestSumsDoNotDependOnMaps guards the replay of a controller's inputs: sums of fractions
-// of cores come out alike every time, where operators see them and where they decide
-// whether a job is put off.
+// TestSumsDoNotDependOnMaps guards the replay of a controller's inputs: sums of fractions of cores
+// are the same every time, where operators see them and where they decide whether a job is
+// deferred.
 func TestSumsDoNotDependOnMaps(t *testing.T) {
-	set := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "north", "west"},
+	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "north", "west"},
 		Teams: []config.Team{{Name: "desk"}}, Workers: config.Workers{ReportS: 2, LeaseS: 15},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	sums := func(work float64) (used float64, late bool) {
-		c := newTestController(set)
-		for i, zone := range set.Cluster.Zones {
+		c := newTestController(settings)
+		for i, zone := range settings.Cluster.Zones {
 			c.replacePage(&page{key: record.PlacementKey("desk", zone, 0), team: "desk", zone: zone, allocations: []Allocation{{
 				AllocationHeader: record.AllocationHeader{Job: "wk-000001", Attempt: 1, Cores: float64(i+1) / 10}, Machine: "m-000001", Tasks: record.Span(0, 1)}}})
 		}
-		c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: set.Cluster.Zones}}
-		m := c.machine("m-000001")
-		m.machineType, m.zone, m.latestHeartbeat = "c4", "east", &wire.Heartbeat{}
-		require.True(t, c.acceptsTasks(m))
+		c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: settings.Cluster.Zones}}
+		machine := c.machine("m-000001")
+		machine.machineType, machine.zone, machine.latestHeartbeat = "c4", "east", &wire.Heartbeat{}
+		require.True(t, c.acceptsTasks(machine))
 		for i := range 8 {
-			j := c.newJob(wire.JobID(fmt.Sprintf("wk-%06d", 100+i)))
-			j.spec = wire.JobSpec{Shape: wire.ShapeService, Tasks: 1, Cores: float64(i+1) / 10}
-			j.request = placement.NewRequest(&j.spec)
+			service := c.newJob(wire.JobID(fmt.Sprintf("wk-%06d", 100+i)))
+			service.spec = wire.JobSpec{Shape: wire.ShapeService, Tasks: 1, Cores: float64(i+1) / 10}
+			service.request = placement.NewRequest(&service.spec)
 		}
-		w := []pendingJob{{job: &job{spec: wire.JobSpec{Tasks: 1, Cores: 1, RuntimeS: work}}, missing: record.Span(0, 1), deadline: 1000}}
-		late = c.deferLargestLateJobs(w)
+		pending := []pendingJob{{job: &job{spec: wire.JobSpec{Tasks: 1, Cores: 1, RuntimeS: work}}, missing: record.Span(0, 1), deadline: 1000}}
+		late = c.deferLargestLateJobs(pending)
 		return c.viewTeams()[0].CPUsUsed, late
 	}
-	// The most work for which a job is not put off, found by halving.
+	// The most work for which a job is not deferred, found by bisection.
 	low, high := 0.0, 4.0
 	for range 60 {
 		if _, late := sums((low + high) / 2); late {
