--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -96,88 +96,88 @@
 
 // noteTaskFailure notes that a task of a job failed on a machine: the job is backed off if it
 // fails on every machine, and the machine is quarantined if it looks faulty.
-func (c *Controller) noteTaskFailure(j *job, m *machine) {
-	j.crashLoop.noteFailure(m.id, c.now)
-	m.quarantine.failedJobs[j.id] = c.now
-	if j.crashLoop.failsEverywhere() && !c.inBackoff(j) {
-		j.crashLoop.backOff(c.now)
+func (c *Controller) noteTaskFailure(job *job, machine *machine) {
+	job.crashLoop.noteFailure(machine.id, c.now)
+	machine.quarantine.failedJobs[job.id] = c.now
+	if job.crashLoop.failsEverywhere() && !c.inBackoff(job) {
+		job.crashLoop.backOff(c.now)
 		c.scheduler.dirty = true
-		if j.crashLoop.consecutiveBackoffs == 1 {
+		if job.crashLoop.consecutiveBackoffs == 1 {
 			c.metrics.count(countCrashLoops, 1)
-			c.log.Info("job in crash-loop backoff", "job", j.id, "class", j.spec.Class,
-				"team", j.spec.Team, "failed_machines", len(j.crashLoop.failedMachines))
+			c.log.Info("job in crash-loop backoff", "job", job.id, "class", job.spec.Class,
+				"team", job.spec.Team, "failed_machines", len(job.crashLoop.failedMachines))
 		}
 	}
-	c.quarantineIfFaulty(m)
+	c.quarantineIfFaulty(machine)
 }
 
 // noteTaskSuccess notes that a task of a job completed, or ran for long enough.
-func (c *Controller) noteTaskSuccess(j *job) {
-	wasInCrashLoop := j.crashLoop.consecutiveBackoffs > 0
-	if j.crashLoop.noteSuccess() && wasInCrashLoop {
-		c.log.Info("job recovered from crash loop", "job", j.id, "class", j.spec.Class)
+func (c *Controller) noteTaskSuccess(job *job) {
+	wasInCrashLoop := job.crashLoop.consecutiveBackoffs > 0
+	if job.crashLoop.noteSuccess() && wasInCrashLoop {
+		c.log.Info("job recovered from crash loop", "job", job.id, "class", job.spec.Class)
 		c.scheduler.dirty = true
 	}
 }
 
 // limitToCanaries is how many of count tasks of a job may be placed now: of a job in a crash
 // loop a few canary tasks only, until they have run for a while. A gang is tried as a whole.
-func (c *Controller) limitToCanaries(j *job, count int) int {
-	if j.crashLoop.consecutiveBackoffs == 0 || j.spec.Shape == wire.ShapeGang {
+func (c *Controller) limitToCanaries(job *job, count int) int {
+	if job.crashLoop.consecutiveBackoffs == 0 || job.spec.Shape == wire.ShapeGang {
 		return count
 	}
-	return min(count, max(0, canaryTasks-c.placedTasks(j.id)))
+	return min(count, max(0, canaryTasks-c.placedTasks(job.id)))
 }
 
 // noteCanaryRunning notes that a task of a job in a crash loop was seen running. Once its
 // canary tasks have run for canaryPeriod, the job has recovered.
-func (c *Controller) noteCanaryRunning(j *job) {
-	if j.crashLoop.runningSince == 0 {
-		j.crashLoop.runningSince = c.now
-	} else if c.now.Sub(j.crashLoop.runningSince) > canaryPeriod {
-		c.noteTaskSuccess(j)
+func (c *Controller) noteCanaryRunning(job *job) {
+	if job.crashLoop.runningSince == 0 {
+		job.crashLoop.runningSince = c.now
+	} else if c.now.Sub(job.crashLoop.runningSince) > canaryPeriod {
+		c.noteTaskSuccess(job)
 	}
 }
 
 // quarantineIfFaulty quarantines a machine on which several jobs failed that do not fail
 // elsewhere. A job of which no task has succeeded yet may be faulty itself and counts half;
 // a cancelled job does not count.
-func (c *Controller) quarantineIfFaulty(m *machine) {
+func (c *Controller) quarantineIfFaulty(machine *machine) {
 	failedJobs := 0.0
-	for id, at := range m.quarantine.failedJobs {
-		j := c.cache.jobs[id]
+	for id, at := range machine.quarantine.failedJobs {
+		job := c.cache.jobs[id]
 		completion, _ := c.cache.completion(id)
 		switch {
 		case c.now.Sub(at) > faultyMachineLifetime:
-			delete(m.quarantine.failedJobs, id)
-		case j == nil && completion.Status == wire.StatusDone, j != nil && !j.crashLoop.failsEverywhere() && j.crashLoop.hasSucceeded:
+			delete(machine.quarantine.failedJobs, id)
+		case job == nil && completion.Status == wire.StatusDone, job != nil && !job.crashLoop.failsEverywhere() && job.crashLoop.hasSucceeded:
 			failedJobs++
-		case j != nil && !j.crashLoop.failsEverywhere():
+		case job != nil && !job.crashLoop.failsEverywhere():
 			failedJobs += unprovenJobWeight
 		}
 	}
-	if failedJobs >= faultyMachineThreshold && c.isDue(m.quarantine.faultyUntil) {
-		m.quarantine.faultyUntil = c.now.Add(faultyMachineLifetime)
-		c.log.Info("machine quarantined", "machine", m.id, "failed_jobs", failedJobs)
+	if failedJobs >= faultyMachineThreshold && c.isDue(machine.quarantine.faultyUntil) {
+		machine.quarantine.faultyUntil = c.now.Add(faultyMachineLifetime)
+		c.log.Info("machine quarantined", "machine", machine.id, "failed_jobs", failedJobs)
 	}
 }
 
 // noteTaskExit notes what a task's exit says about its machine and its job. All of this
 // steers the choice of machines only.
-func (c *Controller) noteTaskExit(m *machine, status *wire.TaskStatus) {
-	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", m.id, "cause", status.Cause, "checkpointed", status.Checkpointed)
-	j := c.cache.jobs[status.Task.Job]
-	if j == nil {
+func (c *Controller) noteTaskExit(machine *machine, status *wire.TaskStatus) {
+	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", machine.id, "cause", status.Cause, "checkpointed", status.Checkpointed)
+	job := c.cache.jobs[status.Task.Job]
+	if job == nil {
 		return
 	}
 	switch status.Cause {
 	case wire.CauseNoRoom, wire.CauseInUse:
-		j.crashLoop.avoidMachines[m.id] = c.now.Add(avoidFullMachineFor)
+		job.crashLoop.avoidMachines[machine.id] = c.now.Add(avoidFullMachineFor)
 	case wire.CauseUnknown:
-		j.crashLoop.retryAt = max(j.crashLoop.retryAt, c.now.Add(unknownCauseBackoff))
+		job.crashLoop.retryAt = max(job.crashLoop.retryAt, c.now.Add(unknownCauseBackoff))
 	case wire.CauseError:
-		c.noteTaskFailure(j, m)
+		c.noteTaskFailure(job, machine)
 	case wire.CauseDone:
-		c.noteTaskSuccess(j)
+		c.noteTaskSuccess(job)
 	}
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -78,30 +78,30 @@
 // it or, without offeredOnly, to one that could evict less urgent tasks for it. It reports
 // whether it did.
 func (c *Controller) forwardJob(pending *pendingJob, offeredOnly bool) bool {
-	j := pending.job
-	if !c.schedulesJob(j) || !c.isDue(j.nextForward) || len(c.forwarding.outgoing) >= maxForwardsPerMessage {
+	job := pending.job
+	if !c.schedulesJob(job) || !c.isDue(job.nextForward) || len(c.forwarding.outgoing) >= maxForwardsPerMessage {
 		return false
 	}
 	tried := []string{c.settings.Label}
-	if forwarded, ok := c.forwarding.current(j.id, c.now); ok {
+	if forwarded, ok := c.forwarding.current(job.id, c.now); ok {
 		tried = append(slices.Clone(forwarded.tried), c.settings.Label)
 	}
 	target := c.nextForwardTarget(pending, tried, offeredOnly)
-	owner := c.teamOwner(j.spec.Team)
+	owner := c.teamOwner(job.spec.Team)
 	switch {
 	case target != "":
 	case offeredOnly:
 		return false
 	case owner == c.settings.Label:
-		c.jobReturned(j)
+		c.jobReturned(job)
 		return false
 	default:
 		target = owner
 		tried = append(tried, owner) // this marks it as returned
 	}
-	j.nextForward = c.now.Add(criticalForwardBackoff)
-	c.forwarding.forward(j.id, target, tried, c.now)
-	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: j.id, To: target, Tried: tried})
+	job.nextForward = c.now.Add(criticalForwardBackoff)
+	c.forwarding.forward(job.id, target, tried, c.now)
+	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: job.id, To: target, Tried: tried})
 	c.metrics.count(countJobsForwarded, 1)
 	return true
 }
@@ -109,15 +109,15 @@
 // jobReturned handles a job of a team that this controller owns, once all controllers have
 // tried it. If it needs the capacity of several controllers at once, their shards are
 // acquired.
-func (c *Controller) jobReturned(j *job) {
+func (c *Controller) jobReturned(job *job) {
 	pause := forwardBackoff
-	if j.spec.Priority == wire.PriorityCritical {
+	if job.spec.Priority == wire.PriorityCritical {
 		pause = criticalForwardBackoff
 	}
-	j.nextForward = c.now.Add(pause)
-	delete(c.forwarding.forwarded, j.id)
-	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone) {
-		c.shards.acquireFor = j.id
+	job.nextForward = c.now.Add(pause)
+	delete(c.forwarding.forwarded, job.id)
+	if job.spec.Tasks > 1 && (job.spec.Shape == wire.ShapeGang || job.spec.SingleZone) {
+		c.shards.acquireFor = job.id
 	}
 }
 
@@ -143,14 +143,14 @@
 }
 
 // offersCapacity reports whether a peer offers capacity for a task of a job.
-func (c *Controller) offersCapacity(label string, j *job) bool {
+func (c *Controller) offersCapacity(label string, job *job) bool {
 	for _, offer := range c.forwarding.peerCapacity[label] {
 		free := placement.Resources{Cores: offer.Cores, Accelerators: offer.Accelerators, MemGB: offer.MemGB}
-		if !free.Covers(j.request.Need) {
+		if !free.Covers(job.request.Need) {
 			continue
 		}
 		host := &placement.Host{Labels: c.fleet.kindLabels(machineKind{offer.Type, offer.Zone, offer.Spot}), Free: free}
-		if (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) {
+		if (placement.Fleet{host}).Holds(job.request.Enforced, job.spec.Team, host) {
 			return true
 		}
 	}
@@ -167,10 +167,10 @@
 	message := c.newPeerMessage()
 	kept := c.forwarding.outgoing[:0]
 	for _, forwarded := range c.forwarding.outgoing {
-		j := c.cache.jobs[forwarded.Job]
+		job := c.cache.jobs[forwarded.Job]
 		switch {
-		case j == nil:
-		case c.cache.team(j.spec.Team).schedule.inFlight != nil:
+		case job == nil:
+		case c.cache.team(job.spec.Team).schedule.inFlight != nil:
 			kept = append(kept, forwarded)
 		default:
 			message.ForwardedJobs = append(message.ForwardedJobs, forwarded)
@@ -185,20 +185,20 @@
 // applyForwardedJobs applies a peer's message about the jobs that it forwards.
 func (c *Controller) applyForwardedJobs(jobs []wire.ForwardedJob) {
 	for _, forwarded := range jobs {
-		j := c.cache.jobs[forwarded.Job]
+		job := c.cache.jobs[forwarded.Job]
 		if slices.Contains(forwarded.Tried, forwarded.To) { // it returns to its team's owner
 			delete(c.forwarding.forwarded, forwarded.Job)
-			if j != nil && forwarded.To == c.settings.Label {
-				c.jobReturned(j)
+			if job != nil && forwarded.To == c.settings.Label {
+				c.jobReturned(job)
 			}
 			continue
 		}
 		c.forwarding.forward(forwarded.Job, forwarded.To, forwarded.Tried, c.now)
 		if forwarded.To == c.settings.Label {
 			c.scheduler.dirty = true
-			c.scheduler.criticalDirty = c.scheduler.criticalDirty || j != nil && j.spec.Priority == wire.PriorityCritical
-			if j != nil {
-				j.nextForward = 0
+			c.scheduler.criticalDirty = c.scheduler.criticalDirty || job != nil && job.spec.Priority == wire.PriorityCritical
+			if job != nil {
+				job.nextForward = 0
 			}
 		}
 	}
@@ -221,16 +221,16 @@
 func (c *Controller) capacityOffers() []wire.CapacityOffer {
 	mostFree := map[machineKind]placement.Resources{}
 	var kinds []machineKind
-	for _, m := range c.orderedMachines() {
-		t := c.machineTypeNamed(m.machineType)
-		if t == nil || !c.shards.table.MaySchedule(m.shard) || !c.acceptsTasks(m) {
+	for _, machine := range c.orderedMachines() {
+		machineType := c.machineTypeNamed(machine.machineType)
+		if machineType == nil || !c.shards.table.MaySchedule(machine.shard) || !c.acceptsTasks(machine) {
 			continue
 		}
-		free := machineResources(t)
-		for _, allocation := range m.allocations {
+		free := machineResources(machineType)
+		for _, allocation := range machine.allocations {
 			free = free.Plus(allocation.taskResources(), -float64(allocation.Tasks.Len()))
 		}
-		kind := machineKind{m.machineType, m.zone, m.spot}
+		kind := machineKind{machine.machineType, machine.zone, machine.spot}
 		most, known := mostFree[kind]
 		if !known {
 			kinds = append(kinds, kind)
@@ -253,38 +253,38 @@
 // this controller, have room for a job that needs it at once and that no controller can place
 // alone. It reports whether there is one to commit.
 func (c *Controller) acquireShards() (shard.Action, bool) {
-	j := c.cache.jobs[c.shards.acquireFor]
+	job := c.cache.jobs[c.shards.acquireFor]
 	c.shards.acquireFor = ""
-	if j == nil || c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
+	if job == nil || c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
 		return shard.Action{}, false
 	}
-	ids := c.shardsForJob(j)
+	ids := c.shardsForJob(job)
 	if len(ids) == 0 {
 		return shard.Action{}, false
 	}
 	action, due := c.shards.planner.Acquire(ids, c.wall)
 	if due {
 		c.shards.acquiredAt = c.now
-		c.log.Debug("acquiring shards", "job", j.id, "shards", action.Shards)
+		c.log.Debug("acquiring shards", "job", job.id, "shards", action.Shards)
 	}
 	return action, due
 }
 
 // shardsForJob finds the other controllers' shards whose machines a job needs beside those of
 // this controller's shards, in the zone that comes closest if it needs a single one.
-func (c *Controller) shardsForJob(j *job) []wire.ShardID {
+func (c *Controller) shardsForJob(job *job) []wire.ShardID {
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
 	fits := func(host *placement.Host) bool {
-		return (placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host)
+		return (placement.Fleet{host}).Holds(job.request.Enforced, job.spec.Team, host)
 	}
-	best := largestZone(capacityByZone(j, fleet, j.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
+	best := largestZone(capacityByZone(job, fleet, job.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
 		for _, allocation := range c.fleet.allocationsOn(host.ID) {
-			if allocation.Priority > j.spec.Priority.Level() {
+			if allocation.Priority > job.spec.Priority.Level() {
 				free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 			}
 		}
 		return free
-	}), j.spec.Tasks)
+	}), job.spec.Tasks)
 	if best == nil {
 		return nil
 	}
@@ -298,7 +298,7 @@
 	}
 	var ids []wire.ShardID
 	for _, capacity := range best.hosts {
-		if room >= j.spec.Tasks {
+		if room >= job.spec.Tasks {
 			break
 		}
 		id := shardOf(capacity)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -19,9 +19,9 @@
 // start again as a whole.
 func (c *Controller) evictBrokenGangs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
-		j := c.cache.jobs[id]
-		txn := transactions[j.spec.Team]
-		if j.spec.Shape != wire.ShapeGang || txn == nil || !c.ownsTeam(j.spec.Team) || !txn.hasCapacityFor(gangEvictionOperations) {
+		job := c.cache.jobs[id]
+		txn := transactions[job.spec.Team]
+		if job.spec.Shape != wire.ShapeGang || txn == nil || !c.ownsTeam(job.spec.Team) || !txn.hasCapacityFor(gangEvictionOperations) {
 			continue
 		}
 		if txn.completedJobs[id] || c.jobUnreadable(id) {
@@ -31,7 +31,7 @@
 		for _, located := range c.jobAllocations(txn, id) {
 			placed = placed.With(located.allocation.Tasks)
 		}
-		if n := placed.Len(); n > 0 && n < j.spec.Tasks {
+		if n := placed.Len(); n > 0 && n < job.spec.Tasks {
 			c.stageJobEviction(txn, id, record.EvictionImmediate)
 		}
 	}
@@ -54,9 +54,9 @@
 // start at once: by zone if the job needs a single zone, and under "" otherwise.
 // fits says whether the job may run on a host at all; addPreemptable adds to the free
 // resources of a host those of the tasks that may be evicted there.
-func capacityByZone(j *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
+func capacityByZone(job *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
 	addPreemptable func(*placement.Host, placement.Resources) placement.Resources) map[string]*zoneCapacity {
-	need := j.request.Need
+	need := job.request.Need
 	zones := map[string]*zoneCapacity{}
 	for _, host := range fleet {
 		if host.Unschedulable || !host.Total.Covers(need) || !fits(host) {
@@ -69,7 +69,7 @@
 			continue
 		}
 		zone := ""
-		if j.spec.SingleZone {
+		if job.spec.SingleZone {
 			zone = host.Labels[placement.LabelZone]
 		}
 		if zones[zone] == nil {
@@ -91,13 +91,13 @@
 // Capacity is gathered for one job per zone at a time, the most urgent: when several large
 // gangs each kept a part of what they need, a fifth of the machines stood idle.
 func (p *schedulingPass) gatherCapacity(pending *pendingJob, count int) (zone string, lacking int) {
-	j := pending.job
-	evaluator := p.fleet.NewEvaluator(p.jobHosts[j.id])
-	fits := func(host *placement.Host) bool { return evaluator.Holds(j.request.Enforced, j.spec.Team, host) }
-	zones := capacityByZone(j, p.fleet, count, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
+	job := pending.job
+	evaluator := p.fleet.NewEvaluator(p.jobHosts[job.id])
+	fits := func(host *placement.Host) bool { return evaluator.Holds(job.request.Enforced, job.spec.Team, host) }
+	zones := capacityByZone(job, p.fleet, count, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
 		return p.addPreemptable(pending, host, free)
 	})
-	best, gathers := p.bestGatheringZone(j, zones, count)
+	best, gathers := p.bestGatheringZone(job, zones, count)
 	if !gathers {
 		return best, count
 	}
@@ -123,9 +123,9 @@
 // bestGatheringZone is the zone that comes closest to having room for count tasks of a job:
 // by what is free, then by what could be freed, then by the machines that the cloud may have.
 // It reports false if capacity is being gathered for other jobs in all zones.
-func (p *schedulingPass) bestGatheringZone(j *job, capacities map[string]*zoneCapacity, count int) (string, bool) {
+func (p *schedulingPass) bestGatheringZone(job *job, capacities map[string]*zoneCapacity, count int) (string, bool) {
 	zones := []string{""}
-	if j.spec.SingleZone {
+	if job.spec.SingleZone {
 		zones = p.c.settings.Cluster.Zones
 	}
 	open := slices.DeleteFunc(slices.Clone(zones), func(zone string) bool { return p.gatheringZones[zone] })
@@ -143,7 +143,7 @@
 		return cmp.Or(
 			cmp.Compare(min(ca.now, count), min(cb.now, count)),
 			cmp.Compare(min(ca.preempted, count), min(cb.preempted, count)),
-			cmp.Compare(p.c.countOffers(j, a), p.c.countOffers(j, b)))
+			cmp.Compare(p.c.countOffers(job, a), p.c.countOffers(job, b)))
 	})
 	return best, len(open) > 0
 }
@@ -176,21 +176,21 @@
 const imagePullMargin = 4.0 / 3
 
 // imagePullTime is how long a machine may take to pull a job's image; 0 if it has the image.
-func (c *Controller) imagePullTime(m *machine, j *job) time.Duration {
-	t := c.machineTypeNamed(m.machineType)
-	if t == nil || t.PullGBPerS <= 0 || m.images.cached[j.spec.Image] {
+func (c *Controller) imagePullTime(machine *machine, job *job) time.Duration {
+	machineType := c.machineTypeNamed(machine.machineType)
+	if machineType == nil || machineType.PullGBPerS <= 0 || machine.images.cached[job.spec.Image] {
 		return 0
 	}
-	return config.Seconds(imagePullMargin * j.spec.ImageGB / t.PullGBPerS)
+	return config.Seconds(imagePullMargin * job.spec.ImageGB / machineType.PullGBPerS)
 }
 
 // gangImagePullTime is how long the slowest machine of a gang's attempt may take to pull the
 // image.
-func (c *Controller) gangImagePullTime(j *job, attempt wire.Attempt) time.Duration {
+func (c *Controller) gangImagePullTime(job *job, attempt wire.Attempt) time.Duration {
 	longest := time.Duration(0)
-	for _, allocation := range c.scheduler.allocationsByJob[j.id] {
-		if m := c.fleet.machines[allocation.Machine]; m != nil && allocation.Attempt == attempt {
-			longest = max(longest, c.imagePullTime(m, j))
+	for _, allocation := range c.scheduler.allocationsByJob[job.id] {
+		if machine := c.fleet.machines[allocation.Machine]; machine != nil && allocation.Attempt == attempt {
+			longest = max(longest, c.imagePullTime(machine, job))
 		}
 	}
 	return longest
@@ -200,29 +200,29 @@
 // its attempt have to pull the image for so long that the task would give up waiting for
 // them. The whole gang would then exit, its image pulls would be aborted, and it would start
 // anew, over and over. Its allocation is kept meanwhile.
-func (c *Controller) defersGangLaunch(m *machine, allocation *Allocation, j *job) bool {
-	if allocation.Shape != wire.ShapeGang || j.spec.Tasks < 2 {
+func (c *Controller) defersGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
+	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
 		return false
 	}
 	patience := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
-	slowest := c.gangImagePullTime(j, allocation.Attempt)
+	slowest := c.gangImagePullTime(job, allocation.Attempt)
 	if slowest <= patience {
 		return false
 	}
-	if j.launchingAttempt != allocation.Attempt {
-		j.launchingAttempt, j.launchStartedAt = allocation.Attempt, c.now
+	if job.launchingAttempt != allocation.Attempt {
+		job.launchingAttempt, job.launchStartedAt = allocation.Attempt, c.now
 	}
-	return c.now.Sub(j.launchStartedAt) < slowest-c.imagePullTime(m, j)-patience
+	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-patience
 }
 
 // countOffers counts the offers that a job can use in a zone ("" for any) and that the cloud
 // has not been short of lately.
-func (c *Controller) countOffers(j *job, zone string) int {
+func (c *Controller) countOffers(job *job, zone string) int {
 	n := 0
 	for _, offer := range c.offers() {
 		host := offer.Host("", 1)
-		if (zone == "" || offer.Zone == zone) && host.Total.Covers(j.request.Need) &&
-			(placement.Fleet{host}).Holds(j.request.Enforced, j.spec.Team, host) {
+		if (zone == "" || offer.Zone == zone) && host.Total.Covers(job.request.Need) &&
+			(placement.Fleet{host}).Holds(job.request.Enforced, job.spec.Team, host) {
 			n++
 		}
 	}
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -26,8 +26,8 @@
 		}
 		return
 	}
-	for _, m := range c.fleet.machines {
-		m.scaling.holdsHeadroom = false
+	for _, machine := range c.fleet.machines {
+		machine.scaling.holdsHeadroom = false
 	}
 	c.provisioner.missingHeadroom = 0
 	for _, demand := range c.headroomDemands() {
@@ -98,16 +98,16 @@
 func (c *Controller) headroomClasses() map[headroomKey]*headroomClass {
 	classes := map[headroomKey]*headroomClass{}
 	for _, id := range sortedKeys(c.cache.jobs) {
-		j := c.cache.jobs[id]
-		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
+		job := c.cache.jobs[id]
+		if job.crashLoop.consecutiveBackoffs > 0 || job.unreadable {
 			continue
 		}
-		key := headroomKey{j.spec.Class, j.spec.Image}
+		key := headroomKey{job.spec.Class, job.spec.Image}
 		if classes[key] == nil {
 			classes[key] = &headroomClass{}
 		}
-		classes[key].spec = &j.spec
-		classes[key].tasks += j.spec.Tasks - j.completed.Len()
+		classes[key].spec = &job.spec
+		classes[key].tasks += job.spec.Tasks - job.completed.Len()
 	}
 	return classes
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -15,11 +15,11 @@
 
 // noteImageUse notes that a machine has an image. Of more than maxCachedImages the one that
 // was seen in use the longest ago is forgotten.
-func (c *Controller) noteImageUse(m *machine, image string) {
-	if _, known := m.images.lastUsed[image]; !known && len(m.images.lastUsed) >= maxCachedImages {
-		m.images.forgetOldest(image)
+func (c *Controller) noteImageUse(machine *machine, image string) {
+	if _, known := machine.images.lastUsed[image]; !known && len(machine.images.lastUsed) >= maxCachedImages {
+		machine.images.forgetOldest(image)
 	}
-	m.images.lastUsed[image], m.images.cached[image] = c.now, true
+	machine.images.lastUsed[image], machine.images.cached[image] = c.now, true
 }
 
 // forgetOldest forgets the image that was seen in use the longest ago, except the given one.
@@ -53,8 +53,8 @@
 	c.fleet.imageBuckets[bucket] = recorded
 	for id, images := range recorded {
 		c.fleet.recordedImages[id] = images
-		if m := c.fleet.machines[id]; m != nil {
-			c.restoreRecordedImages(m)
+		if machine := c.fleet.machines[id]; machine != nil {
+			c.restoreRecordedImages(machine)
 		}
 	}
 	return nil
@@ -62,10 +62,10 @@
 
 // restoreRecordedImages adds the images that the records name to what is known of a machine,
 // as ones that were not seen in use.
-func (c *Controller) restoreRecordedImages(m *machine) {
-	for _, image := range c.fleet.recordedImages[m.id] {
-		if _, known := m.images.lastUsed[image]; !known && len(m.images.lastUsed) < maxCachedImages {
-			m.images.lastUsed[image], m.images.cached[image] = 0, true
+func (c *Controller) restoreRecordedImages(machine *machine) {
+	for _, image := range c.fleet.recordedImages[machine.id] {
+		if _, known := machine.images.lastUsed[image]; !known && len(machine.images.lastUsed) < maxCachedImages {
+			machine.images.lastUsed[image], machine.images.cached[image] = 0, true
 		}
 	}
 }
@@ -94,13 +94,13 @@
 // of the machines of a fleet beyond some 3,000 was left out altogether.
 func (c *Controller) imagesInBucket(bucket int) map[wire.MachineID][]string {
 	latestFirst := map[wire.MachineID][]string{}
-	for _, m := range c.orderedMachines() {
-		if m.latestHeartbeat == nil || m.scaling.terminated || imageBucketOf(m.id) != bucket || len(m.images.lastUsed) == 0 {
+	for _, machine := range c.orderedMachines() {
+		if machine.latestHeartbeat == nil || machine.scaling.terminated || imageBucketOf(machine.id) != bucket || len(machine.images.lastUsed) == 0 {
 			continue
 		}
-		images := sortedKeys(m.images.lastUsed)
-		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(m.images.lastUsed[a], m.images.lastUsed[b]) })
-		latestFirst[m.id] = images
+		images := sortedKeys(machine.images.lastUsed)
+		slices.SortStableFunc(images, func(a, b string) int { return -cmp.Compare(machine.images.lastUsed[a], machine.images.lastUsed[b]) })
+		latestFirst[machine.id] = images
 	}
 	for perMachine := maxRecordedImages; perMachine > 1; perMachine-- {
 		if images, complete := fitImages(latestFirst, perMachine, c.pageLimit()); complete {
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -22,21 +22,21 @@
 // placeJob places a pending job's missing tasks as far as its team's limit and the fleet have
 // room, and deals with the tasks that found none.
 func (p *schedulingPass) placeJob(pending *pendingJob) {
-	j := pending.job
-	count := p.c.limitToCanaries(j, p.tasksWithinLimit(pending))
+	job := pending.job
+	count := p.c.limitToCanaries(job, p.tasksWithinLimit(pending))
 	if count == 0 {
-		j.pendingReason = reasonTeamAtLimit
-		if j.crashLoop.consecutiveBackoffs > 0 {
-			j.pendingReason = reasonCanariesRunning
+		job.pendingReason = reasonTeamAtLimit
+		if job.crashLoop.consecutiveBackoffs > 0 {
+			job.pendingReason = reasonCanariesRunning
 		}
 		return
 	}
-	if p.jobHosts[j.id] == nil {
-		p.jobHosts[j.id] = []*placement.Host{} // no host, as opposed to hosts that are not known
+	if p.jobHosts[job.id] == nil {
+		p.jobHosts[job.id] = []*placement.Host{} // no host, as opposed to hosts that are not known
 	}
 	jp := p.newJobPlacement(pending)
 	options := jp.options()
-	j.pendingReason = reasonBeingPlaced
+	job.pendingReason = reasonBeingPlaced
 	assignments, unplaced := p.chooseMachines(pending, count, options)
 	for _, assignment := range assignments {
 		jp.place(assignment)
@@ -47,15 +47,15 @@
 }
 
 func (p *schedulingPass) newJobPlacement(pending *pendingJob) *jobPlacement {
-	c, j := p.c, pending.job
-	transaction := p.transactions[j.spec.Team]
-	schedule := &c.cache.team(j.spec.Team).schedule
+	c, job := p.c, pending.job
+	transaction := p.transactions[job.spec.Team]
+	schedule := &c.cache.team(job.spec.Team).schedule
 	return &jobPlacement{
 		pass:        p,
 		pending:     pending,
 		transaction: transaction,
-		stages: transaction != nil && (!transaction.criticalOnly || j.spec.Priority == wire.PriorityCritical) &&
-			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(j) && transaction.hasCapacityFor(0),
+		stages: transaction != nil && (!transaction.criticalOnly || job.spec.Priority == wire.PriorityCritical) &&
+			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(job) && transaction.hasCapacityFor(0),
 	}
 }
 
@@ -63,24 +63,24 @@
 // that write are excluded and a few others are probed at random, so that two controllers do
 // not contend for the same machines again.
 func (jp *jobPlacement) options() placement.Options {
-	c, p, j := jp.pass.c, jp.pass, jp.pending.job
+	c, p, job := jp.pass.c, jp.pass, jp.pending.job
 	options := placement.Options{
 		Relax:        c.operator.values.Affinity == config.AffinityPreferred,
-		AllOrNothing: j.spec.Shape == wire.ShapeGang,
+		AllOrNothing: job.spec.Shape == wire.ShapeGang,
 		Rand:         c.rand,
-		JobHosts:     p.jobHosts[j.id],
+		JobHosts:     p.jobHosts[job.id],
 	}
-	avoidsAccelerators := p.avoidsAccelerators(j)
+	avoidsAccelerators := p.avoidsAccelerators(job)
 	avoidsExpensive := c.avoidsExpensive(jp.pending)
-	if len(j.crashLoop.avoidMachines) > 0 || avoidsAccelerators || avoidsExpensive {
+	if len(job.crashLoop.avoidMachines) > 0 || avoidsAccelerators || avoidsExpensive {
 		options.Usable = func(host *placement.Host) bool {
-			until, avoided := j.crashLoop.avoidMachines[host.ID]
+			until, avoided := job.crashLoop.avoidMachines[host.ID]
 			return (!avoided || c.isDue(until)) &&
 				!(avoidsAccelerators && p.hasReservedAccelerators(host)) &&
 				!(avoidsExpensive && c.abovePriceLimit(c.fleet.machines[host.ID]))
 		}
 	}
-	if schedule := &c.cache.team(j.spec.Team).schedule; jp.stages && schedule.lostPlacements > 0 {
+	if schedule := &c.cache.team(job.spec.Team).schedule; jp.stages && schedule.lostPlacements > 0 {
 		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
@@ -89,53 +89,53 @@
 // place takes an assignment's tasks off the missing ones and stages allocations for them, in
 // as many parts as their size demands.
 func (jp *jobPlacement) place(assignment placement.Assignment) {
-	c, p, j := jp.pass.c, jp.pass, jp.pending.job
-	p.teamUsage[j.spec.Team] = p.teamUsage[j.spec.Team].Plus(j.request.Need, float64(assignment.Count))
-	m := c.fleet.machines[assignment.Machine]
+	c, p, job := jp.pass.c, jp.pass, jp.pending.job
+	p.teamUsage[job.spec.Team] = p.teamUsage[job.spec.Team].Plus(job.request.Need, float64(assignment.Count))
+	machine := c.fleet.machines[assignment.Machine]
 	for left := assignment.Count; left > 0; {
 		var tasks record.TaskSet
 		tasks, jp.pending.missing = jp.pending.missing.Take(min(left, c.maxTasksPerAllocation()))
 		left -= tasks.Len()
 		if jp.stages {
-			jp.stage(m, tasks)
+			jp.stage(machine, tasks)
 		}
 	}
 	if assignment.Relaxed && jp.stages {
 		c.metrics.count(countRelaxed, assignment.Count)
-		c.log.Debug("preferred rule relaxed", "job", j.id, "machine", m.id)
+		c.log.Debug("preferred rule relaxed", "job", job.id, "machine", machine.id)
 	}
 }
 
 // stage stages an allocation of tasks on a machine. Once the transaction is full, the rest of
 // the job is planned for only; a gang is then unstaged, as it is placed as a whole or not at
 // all.
-func (jp *jobPlacement) stage(m *machine, tasks record.TaskSet) {
-	c, j := jp.pass.c, jp.pending.job
+func (jp *jobPlacement) stage(machine *machine, tasks record.TaskSet) {
+	c, job := jp.pass.c, jp.pending.job
 	if jp.attempt == 0 {
 		jp.attempt = wire.Attempt(c.membership.nextSerial())
 	}
-	allocation := jp.newAllocation(m, tasks)
-	if !jp.transaction.hasCapacityFor(0) || !jp.transaction.stageAllocation(m.zone, allocation) {
+	allocation := jp.newAllocation(machine, tasks)
+	if !jp.transaction.hasCapacityFor(0) || !jp.transaction.stageAllocation(machine.zone, allocation) {
 		jp.stages = false
-		if j.spec.Shape == wire.ShapeGang {
+		if job.spec.Shape == wire.ShapeGang {
 			jp.transaction.unstageAttempt(jp.attempt)
 		}
 		return
 	}
 	jp.transaction.placesTasks = true
 	if c.sharded() {
-		jp.transaction.shards[m.shard] = true
+		jp.transaction.shards[machine.shard] = true
 	}
-	jp.transaction.urgent = jp.transaction.urgent || j.spec.Priority == wire.PriorityCritical
-	jp.transaction.conditions[record.JobKey(j.id)] = j.version
-	jp.transaction.usedMachines[m.id] = true
-	jp.transaction.notifyMachines[m.id] = true
+	jp.transaction.urgent = jp.transaction.urgent || job.spec.Priority == wire.PriorityCritical
+	jp.transaction.conditions[record.JobKey(job.id)] = job.version
+	jp.transaction.usedMachines[machine.id] = true
+	jp.transaction.notifyMachines[machine.id] = true
 	c.metrics.count(countPlaced, tasks.Len())
-	c.log.Debug("tasks placed", "job", j.id, "class", j.spec.Class, "machine", m.id, "attempt", jp.attempt, "tasks", tasks.Len(),
-		"image_cached", m.images.cached[j.spec.Image], "guaranteed", jp.pending.guaranteed)
+	c.log.Debug("tasks placed", "job", job.id, "class", job.spec.Class, "machine", machine.id, "attempt", jp.attempt, "tasks", tasks.Len(),
+		"image_cached", machine.images.cached[job.spec.Image], "guaranteed", jp.pending.guaranteed)
 }
 
-func (jp *jobPlacement) newAllocation(m *machine, tasks record.TaskSet) Allocation {
+func (jp *jobPlacement) newAllocation(machine *machine, tasks record.TaskSet) Allocation {
 	spec := &jp.pending.job.spec
 	return Allocation{
 		AllocationHeader: record.AllocationHeader{
@@ -148,8 +148,8 @@
 			Priority:     spec.Priority.Level(),
 			Shape:        spec.Shape,
 		},
-		Machine:    m.id,
-		AgentEpoch: m.latestHeartbeat.AgentEpoch,
+		Machine:    machine.id,
+		AgentEpoch: machine.latestHeartbeat.AgentEpoch,
 		Tasks:      tasks,
 	}
 }
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -30,32 +30,32 @@
 
 // hasPlainConstraints reports whether a search for room for the job depends on nothing but
 // its searchKey and the resources that it needs.
-func hasPlainConstraints(j *job) bool {
-	s := &j.spec
-	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(j.crashLoop.avoidMachines) == 0
+func hasPlainConstraints(job *job) bool {
+	s := &job.spec
+	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(job.crashLoop.avoidMachines) == 0
 }
 
 // knownUnsatisfiable reports whether a job that needs no more found no room in this pass.
-func (p *schedulingPass) knownUnsatisfiable(key searchKey, j *job) bool {
-	return hasPlainConstraints(j) && slices.ContainsFunc(p.unsatisfiable[key], j.request.Need.Covers)
+func (p *schedulingPass) knownUnsatisfiable(key searchKey, job *job) bool {
+	return hasPlainConstraints(job) && slices.ContainsFunc(p.unsatisfiable[key], job.request.Need.Covers)
 }
 
 // noteUnsatisfiable notes that a job found no room.
-func (p *schedulingPass) noteUnsatisfiable(key searchKey, j *job) {
-	if hasPlainConstraints(j) {
-		p.unsatisfiable[key] = append(p.unsatisfiable[key], j.request.Need)
+func (p *schedulingPass) noteUnsatisfiable(key searchKey, job *job) {
+	if hasPlainConstraints(job) {
+		p.unsatisfiable[key] = append(p.unsatisfiable[key], job.request.Need)
 	}
 }
 
 // shareRanking sets the ranking of a search to that of an earlier search with the same key,
 // or makes it.
-func (p *schedulingPass) shareRanking(key searchKey, j *job, cachedImageOnly bool, options *placement.Options) {
-	if !hasPlainConstraints(j) || options.Probes > 0 || options.AllOrNothing {
+func (p *schedulingPass) shareRanking(key searchKey, job *job, cachedImageOnly bool, options *placement.Options) {
+	if !hasPlainConstraints(job) || options.Probes > 0 || options.AllOrNothing {
 		return
 	}
-	shared := rankingKey{key, j.request.Need, j.spec.Image, j.request.OneAtATime, cachedImageOnly}
+	shared := rankingKey{key, job.request.Need, job.spec.Image, job.request.OneAtATime, cachedImageOnly}
 	if p.rankings[shared] == nil {
-		p.rankings[shared] = p.fleet.Rank(j.request, *options)
+		p.rankings[shared] = p.fleet.Rank(job.request, *options)
 	}
 	options.Ranking = p.rankings[shared]
 }
@@ -67,32 +67,32 @@
 // such machines, since pulling the image takes longer than evicting less urgent tasks. All
 // other machines come last.
 func (p *schedulingPass) chooseMachines(pending *pendingJob, count int, options placement.Options) (assignments []placement.Assignment, unplaced int) {
-	c, j := p.c, pending.job
-	key := searchKey{spot: j.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(j), avoidsExpensive: c.avoidsExpensive(pending)}
-	if p.knownUnsatisfiable(key, j) {
+	c, job := p.c, pending.job
+	key := searchKey{spot: job.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(job), avoidsExpensive: c.avoidsExpensive(pending)}
+	if p.knownUnsatisfiable(key, job) {
 		return nil, count
 	}
 	usable := options.Usable
-	hasImage := func(host *placement.Host) bool { return host.Images[j.spec.Image] && (usable == nil || usable(host)) }
+	hasImage := func(host *placement.Host) bool { return host.Images[job.spec.Image] && (usable == nil || usable(host)) }
 	cachedOptions := options
 	cachedOptions.Usable = hasImage
 	cachedOptions.Relax = false
-	p.shareRanking(key, j, true, &cachedOptions)
-	assignments = p.fleet.Choose(j.request, count, pending.zone, cachedOptions)
+	p.shareRanking(key, job, true, &cachedOptions)
+	assignments = p.fleet.Choose(job.request, count, pending.zone, cachedOptions)
 	unplaced = count - p.noteAssignments(pending, assignments)
 	if unplaced == 0 || p.cachedImageOnly {
 		return assignments, unplaced
 	}
-	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() && j.mayPreempt() && c.imagePullIsSlow(j) {
-		rules := slices.Concat(j.request.Enforced, j.request.Preferred)
+	if job.spec.Priority.Level() <= wire.PriorityHigh.Level() && job.mayPreempt() && c.imagePullIsSlow(job) {
+		rules := slices.Concat(job.request.Enforced, job.request.Preferred)
 		unplaced = p.awaitFreeingCapacity(pending, rules, unplaced, hasImage)
 	}
-	options.JobHosts = p.jobHosts[j.id]
-	p.shareRanking(key, j, false, &options)
-	others := p.fleet.Choose(j.request, unplaced, pending.zone, options)
+	options.JobHosts = p.jobHosts[job.id]
+	p.shareRanking(key, job, false, &options)
+	others := p.fleet.Choose(job.request, unplaced, pending.zone, options)
 	unplaced -= p.noteAssignments(pending, others)
 	if unplaced > 0 && options.Probes == 0 && options.Relax {
-		p.noteUnsatisfiable(key, j)
+		p.noteUnsatisfiable(key, job)
 	}
 	return append(assignments, others...), unplaced
 }
@@ -118,14 +118,14 @@
 
 // imagePullIsSlow reports whether pulling a job's image delays its start noticeably, even on
 // the machine type that pulls fastest.
-func (c *Controller) imagePullIsSlow(j *job) bool {
+func (c *Controller) imagePullIsSlow(job *job) bool {
 	best := 0.0
 	for i := range c.provisioner.catalogue {
-		if t := &c.provisioner.catalogue[i]; machineResources(t).Covers(j.request.Need) {
-			best = max(best, t.PullGBPerS)
+		if machineType := &c.provisioner.catalogue[i]; machineResources(machineType).Covers(job.request.Need) {
+			best = max(best, machineType.PullGBPerS)
 		}
 	}
-	return best == 0 || j.spec.ImageGB/best > slowImagePullS
+	return best == 0 || job.spec.ImageGB/best > slowImagePullS
 }
 
 // awaitFreeingCapacity reserves capacity that is being freed for tasks of a job, or evicts
@@ -134,16 +134,16 @@
 // The rules have to be those of the placement itself. Where they were laxer, tasks would be
 // evicted pass after pass for room that is never taken.
 func (p *schedulingPass) awaitFreeingCapacity(pending *pendingJob, rules []placement.Node, count int, usable func(*placement.Host) bool) int {
-	j := pending.job
+	job := pending.job
 	if pending.zone != "" {
 		rules = append(slices.Clip(rules), placement.InZone(pending.zone))
 	}
 	// The capacity for a gang, or for a single zone that is not chosen yet, cannot be had
 	// machine by machine: see gatherCapacity.
-	if (j.spec.SingleZone && pending.zone == "" || j.spec.Shape == wire.ShapeGang) && j.spec.Tasks > 1 {
+	if (job.spec.SingleZone && pending.zone == "" || job.spec.Shape == wire.ShapeGang) && job.spec.Tasks > 1 {
 		return count
 	}
-	evaluator := p.fleet.NewEvaluator(p.jobHosts[j.id])
+	evaluator := p.fleet.NewEvaluator(p.jobHosts[job.id])
 	for _, host := range p.fleet {
 		if count == 0 {
 			return 0
@@ -152,24 +152,24 @@
 			continue
 		}
 		room := host.Free.Plus(host.Freeing, 1)
-		if !room.Covers(j.request.Need) || !usable(host) || !evaluator.Holds(rules, j.spec.Team, host) {
+		if !room.Covers(job.request.Need) || !usable(host) || !evaluator.Holds(rules, job.spec.Team, host) {
 			continue
 		}
-		tasks := room.Fits(j.request.Need, count)
-		if j.request.OneAtATime {
+		tasks := room.Fits(job.request.Need, count)
+		if job.request.OneAtATime {
 			tasks = 1
 		}
-		p.reserveFreeingCapacity(evaluator, j, host, tasks)
+		p.reserveFreeingCapacity(evaluator, job, host, tasks)
 		count -= tasks
 	}
-	if count > 0 && p.c.schedulesJob(j) {
+	if count > 0 && p.c.schedulesJob(job) {
 		count = p.c.preempt(&preemption{pass: p, evaluator: evaluator, rules: rules, pending: pending, usable: usable}, count)
 	}
 	return count
 }
 
 // reserveFreeingCapacity reserves room that is being freed on a host for tasks of a job.
-func (p *schedulingPass) reserveFreeingCapacity(evaluator *placement.Evaluator, j *job, host *placement.Host, tasks int) {
-	evaluator.Reserve(j.request, host, tasks)
-	p.jobHosts[j.id] = append(p.jobHosts[j.id], host)
+func (p *schedulingPass) reserveFreeingCapacity(evaluator *placement.Evaluator, job *job, host *placement.Host, tasks int) {
+	evaluator.Reserve(job.request, host, tasks)
+	p.jobHosts[job.id] = append(p.jobHosts[job.id], host)
 }
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -76,19 +76,19 @@
 	}
 	var queue []pendingJob
 	for _, id := range sortedKeys(c.cache.jobs) {
-		j := c.cache.jobs[id]
+		job := c.cache.jobs[id]
 		switch {
-		case !p.includeNonCritical && j.spec.Priority != wire.PriorityCritical:
+		case !p.includeNonCritical && job.spec.Priority != wire.PriorityCritical:
 		case c.jobUnreadable(id):
-			j.pendingReason = reasonUnreadable
-		case c.inBackoff(j):
-			j.pendingReason = reasonCrashLoopBackoff
+			job.pendingReason = reasonUnreadable
+		case c.inBackoff(job):
+			job.pendingReason = reasonCrashLoopBackoff
 		default:
-			missing := p.missingTasks(j)
-			if missing.Empty() || j.spec.Shape == wire.ShapeGang && missing.Len() < j.spec.Tasks {
+			missing := p.missingTasks(job)
+			if missing.Empty() || job.spec.Shape == wire.ShapeGang && missing.Len() < job.spec.Tasks {
 				continue // a gang starts as a whole
 			}
-			queue = append(queue, p.newPendingJob(j, missing))
+			queue = append(queue, p.newPendingJob(job, missing))
 		}
 	}
 	slices.SortFunc(queue, comparePending)
@@ -100,32 +100,32 @@
 
 // missingTasks is a job's tasks that are neither completed nor placed, nor recorded as
 // completed by a transaction that is staged or in flight.
-func (p *schedulingPass) missingTasks(j *job) record.TaskSet {
-	missing := record.Span(0, j.spec.Tasks).Without(j.completed).Without(p.placed[j.id])
-	if txn := p.c.cache.team(j.spec.Team).schedule.inFlight; txn != nil {
-		return missing.Without(txn.completed[j.id])
+func (p *schedulingPass) missingTasks(job *job) record.TaskSet {
+	missing := record.Span(0, job.spec.Tasks).Without(job.completed).Without(p.placed[job.id])
+	if txn := p.c.cache.team(job.spec.Team).schedule.inFlight; txn != nil {
+		return missing.Without(txn.completed[job.id])
 	}
-	if txn := p.transactions[j.spec.Team]; txn != nil {
-		return missing.Without(txn.completed[j.id])
+	if txn := p.transactions[job.spec.Team]; txn != nil {
+		return missing.Without(txn.completed[job.id])
 	}
 	return missing
 }
 
-func (p *schedulingPass) newPendingJob(j *job, missing record.TaskSet) pendingJob {
+func (p *schedulingPass) newPendingJob(job *job, missing record.TaskSet) pendingJob {
 	c := p.c
-	pending := pendingJob{job: j, missing: missing, guaranteed: c.scheduler.guaranteedJobs[j.id]}
-	pending.deadline, pending.missesDeadline = c.deadlineOf(j)
+	pending := pendingJob{job: job, missing: missing, guaranteed: c.scheduler.guaranteedJobs[job.id]}
+	pending.deadline, pending.missesDeadline = c.deadlineOf(job)
 	// A job that fails on every machine has started; it must not go ahead of others for ever.
-	pending.overdue = c.pendingFor(j) > overdueAfter && missing.Len() == j.spec.Tasks && j.crashLoop.consecutiveBackoffs == 0
-	if j.spec.SingleZone {
-		pending.zone = p.jobZones[j.id]
+	pending.overdue = c.pendingFor(job) > overdueAfter && missing.Len() == job.spec.Tasks && job.crashLoop.consecutiveBackoffs == 0
+	if job.spec.SingleZone {
+		pending.zone = p.jobZones[job.id]
 	}
 	return pending
 }
 
 // pendingFor is how long ago a job was accepted.
-func (c *Controller) pendingFor(j *job) time.Duration {
-	return time.Duration(c.wall-j.acceptedAt) * time.Millisecond
+func (c *Controller) pendingFor(job *job) time.Duration {
+	return time.Duration(c.wall-job.acceptedAt) * time.Millisecond
 }
 
 // overdueAfter is how long a job may wait for its first start before it goes ahead of all but
@@ -178,17 +178,17 @@
 // services take.
 func (c *Controller) coresForFiniteJobs() float64 {
 	cores := 0.0
-	for _, m := range c.orderedMachines() {
-		if t := c.machineTypeNamed(m.machineType); t != nil && c.acceptsTasks(m) {
-			cores += t.Cores
+	for _, machine := range c.orderedMachines() {
+		if machineType := c.machineTypeNamed(machine.machineType); machineType != nil && c.acceptsTasks(machine) {
+			cores += machineType.Cores
 		}
 	}
 	// Summed up in a fixed order: a sum of fractions depends on it by little, which may still
 	// decide whether a job is deferred.
 	var serviceCores []float64
-	for _, j := range c.cache.jobs {
-		if j.spec.Shape == wire.ShapeService && j.crashLoop.consecutiveBackoffs == 0 && !j.unreadable {
-			serviceCores = append(serviceCores, j.spec.Cores*float64(j.spec.Tasks))
+	for _, job := range c.cache.jobs {
+		if job.spec.Shape == wire.ShapeService && job.crashLoop.consecutiveBackoffs == 0 && !job.unreadable {
+			serviceCores = append(serviceCores, job.spec.Cores*float64(job.spec.Tasks))
 		}
 	}
 	slices.Sort(serviceCores)
@@ -211,20 +211,20 @@
 // deadlineOf is when a job should be complete, in Unix milliseconds: by its own deadline or,
 // without one, by the objectives of its class. Of several it is the first that can still be
 // met; missed says that none can.
-func (c *Controller) deadlineOf(j *job) (deadline int64, missed bool) {
-	earliestEnd := c.wall + int64(j.spec.RuntimeS*1000)
-	if j.spec.DeadlineS > 0 {
-		deadline = j.acceptedAt + int64(j.spec.DeadlineS*1000)
+func (c *Controller) deadlineOf(job *job) (deadline int64, missed bool) {
+	earliestEnd := c.wall + int64(job.spec.RuntimeS*1000)
+	if job.spec.DeadlineS > 0 {
+		deadline = job.acceptedAt + int64(job.spec.DeadlineS*1000)
 		return deadline, deadline < earliestEnd
 	}
 	deadline = noDeadline
 	hasObjective := false
 	for _, objective := range c.settings.Cluster.Objectives {
-		if objective.Kind != objectiveFinished || objective.Class != j.spec.Class {
+		if objective.Kind != objectiveFinished || objective.Class != job.spec.Class {
 			continue
 		}
 		hasObjective = true
-		if at := j.acceptedAt + int64(objective.WithinS*1000); at >= earliestEnd && at < deadline {
+		if at := job.acceptedAt + int64(objective.WithinS*1000); at >= earliestEnd && at < deadline {
 			deadline = at
 		}
 	}
@@ -238,11 +238,11 @@
 // it together with the team's earlier jobs. Jobs in crash-loop backoff take up none of it.
 func (c *Controller) findGuaranteedJobs() map[wire.JobID]bool {
 	jobsByTeam := map[string][]*job{}
-	for _, j := range c.cache.jobs {
-		if j.crashLoop.consecutiveBackoffs > 0 || j.unreadable {
+	for _, job := range c.cache.jobs {
+		if job.crashLoop.consecutiveBackoffs > 0 || job.unreadable {
 			continue
 		}
-		jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
+		jobsByTeam[job.spec.Team] = append(jobsByTeam[job.spec.Team], job)
 	}
 	guaranteed := map[wire.JobID]bool{}
 	for name, jobs := range jobsByTeam {
@@ -252,10 +252,10 @@
 		}
 		slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(cmp.Compare(a.acceptedAt, b.acceptedAt), cmp.Compare(a.id, b.id)) })
 		var used placement.Resources
-		for _, j := range jobs {
-			used = used.Plus(j.request.Need, float64(j.spec.Tasks))
+		for _, job := range jobs {
+			used = used.Plus(job.request.Need, float64(job.spec.Tasks))
 			if used.Cores <= settings.CPUs+quotaTolerance && used.Accelerators <= settings.GPUs+quotaTolerance {
-				guaranteed[j.id] = true
+				guaranteed[job.id] = true
 			}
 		}
 	}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -240,14 +240,14 @@
 // nothing.
 func (c *Controller) applyMachineList(list []wire.CloudMachine) {
 	for _, listed := range list {
-		m := c.machine(listed.ID)
-		if m.latestHeartbeat == nil {
-			m.addr, m.machineType, m.zone, m.spot = listed.Addr, listed.Type, listed.Zone, listed.Spot
+		machine := c.machine(listed.ID)
+		if machine.latestHeartbeat == nil {
+			machine.addr, machine.machineType, machine.zone, machine.spot = listed.Addr, listed.Type, listed.Zone, listed.Spot
 		}
-		m.scaling.lastListedAt = c.now
-		m.scaling.status = listed.Status
-		if launched := c.now.Add(-config.Seconds(listed.AgeS)); m.scaling.launchedAt == 0 || launched < m.scaling.launchedAt {
-			m.scaling.launchedAt = launched
+		machine.scaling.lastListedAt = c.now
+		machine.scaling.status = listed.Status
+		if launched := c.now.Add(-config.Seconds(listed.AgeS)); machine.scaling.launchedAt == 0 || launched < machine.scaling.launchedAt {
+			machine.scaling.launchedAt = launched
 		}
 	}
 }
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -71,38 +71,38 @@
 }
 
 // expectedToJoin reports whether a provisioned machine may still be expected to join soon.
-func (c *Controller) expectedToJoin(m *machine) bool {
-	t := c.machineTypeNamed(m.machineType)
-	if t == nil || !m.isProvisioning() {
+func (c *Controller) expectedToJoin(machine *machine) bool {
+	machineType := c.machineTypeNamed(machine.machineType)
+	if machineType == nil || !machine.isProvisioning() {
 		return false
 	}
-	if _, terminating := c.cache.terminating[m.id]; terminating {
+	if _, terminating := c.cache.terminating[machine.id]; terminating {
 		return false
 	}
-	return c.now.Sub(m.scaling.launchedAt) < config.Seconds(expectedDelayFactor*t.StartupS)+expectedDelaySlack
+	return c.now.Sub(machine.scaling.launchedAt) < config.Seconds(expectedDelayFactor*machineType.StartupS)+expectedDelaySlack
 }
 
 // neverJoined reports whether a machine that has not joined is to be given up.
-func (c *Controller) neverJoined(m *machine) bool {
-	t := c.machineTypeNamed(m.machineType)
-	if t == nil {
+func (c *Controller) neverJoined(machine *machine) bool {
+	machineType := c.machineTypeNamed(machine.machineType)
+	if machineType == nil {
 		return false
 	}
-	factor := c.provisioner.delays.abandonFactor(m.machineType, m.scaling.launchedAt, c.now)
-	return c.now.Sub(m.scaling.launchedAt) > config.Seconds(factor*t.StartupS)+abandonSlack
+	factor := c.provisioner.delays.abandonFactor(machine.machineType, machine.scaling.launchedAt, c.now)
+	return c.now.Sub(machine.scaling.launchedAt) > config.Seconds(factor*machineType.StartupS)+abandonSlack
 }
 
 // noteJoined notes how long a machine took to join. Machines that were launched before this
 // controller was ready may have joined unseen, and do not count.
-func (c *Controller) noteJoined(m *machine) {
-	t := c.machineTypeNamed(m.machineType)
-	if t == nil || m.scaling.launchedAt == 0 || m.scaling.launchedAt < c.membership.readyAt {
+func (c *Controller) noteJoined(machine *machine) {
+	machineType := c.machineTypeNamed(machine.machineType)
+	if machineType == nil || machine.scaling.launchedAt == 0 || machine.scaling.launchedAt < c.membership.readyAt {
 		return
 	}
-	took := c.now.Sub(m.scaling.launchedAt)
-	late := took > config.Seconds(lateFactor*t.StartupS)
-	if c.provisioner.delays.noteJoined(m.machineType, m.scaling.launchedAt, late, c.now) {
-		c.log.Info("machines join late", "type", m.machineType, "zone", m.zone, "took", took)
+	took := c.now.Sub(machine.scaling.launchedAt)
+	late := took > config.Seconds(lateFactor*machineType.StartupS)
+	if c.provisioner.delays.noteJoined(machine.machineType, machine.scaling.launchedAt, late, c.now) {
+		c.log.Info("machines join late", "type", machine.machineType, "zone", machine.zone, "took", took)
 	}
 }
 
@@ -110,13 +110,13 @@
 // and have not joined yet is overdue: other offers are preferred.
 func (c *Controller) overdueFractions() map[capacity.Key]float64 {
 	provisioning, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
-	for _, m := range c.fleet.machines {
-		if _, terminating := c.cache.terminating[m.id]; terminating || !m.isProvisioning() || m.scaling.status != wire.MachineBooting {
+	for _, machine := range c.fleet.machines {
+		if _, terminating := c.cache.terminating[machine.id]; terminating || !machine.isProvisioning() || machine.scaling.status != wire.MachineBooting {
 			continue
 		}
-		key := capacity.Key{Type: m.machineType, Zone: m.zone, Spot: m.spot}
+		key := capacity.Key{Type: machine.machineType, Zone: machine.zone, Spot: machine.spot}
 		provisioning[key]++
-		if !c.expectedToJoin(m) {
+		if !c.expectedToJoin(machine) {
 			overdue[key]++
 		}
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -63,19 +63,19 @@
 // reviewMachines finds the machines to terminate: failed, silent, never joined, or idle.
 func (c *Controller) reviewMachines() {
 	review := c.reviewZones()
-	for _, m := range c.orderedMachines() {
-		_, terminating := c.cache.terminating[m.id]
-		terminating = terminating || c.provisioner.toTerminate[m.id] != ""
-		if c.isUnrecordedTermination(m, terminating) {
-			c.markForTermination(m, reasonAlreadyTerminated)
+	for _, machine := range c.orderedMachines() {
+		_, terminating := c.cache.terminating[machine.id]
+		terminating = terminating || c.provisioner.toTerminate[machine.id] != ""
+		if c.isUnrecordedTermination(machine, terminating) {
+			c.markForTermination(machine, reasonAlreadyTerminated)
 			continue
 		}
-		if terminating || m.scaling.terminated || m.isTerminated() && len(m.allocations) == 0 {
+		if terminating || machine.scaling.terminated || machine.isTerminated() && len(machine.allocations) == 0 {
 			continue
 		}
-		c.updateIdleTime(m)
-		if reason := c.terminationReason(m, review); reason != "" {
-			c.markForTermination(m, reason)
+		c.updateIdleTime(machine)
+		if reason := c.terminationReason(machine, review); reason != "" {
+			c.markForTermination(machine, reason)
 		}
 	}
 }
@@ -83,8 +83,8 @@
 // isUnrecordedTermination reports whether a machine is gone, still has allocations, and is not
 // recorded as terminated: it was terminated while that could not be recorded, or a controller
 // that did not know placed tasks on it. All have to learn that those tasks are gone.
-func (c *Controller) isUnrecordedTermination(m *machine, terminating bool) bool {
-	return m.scaling.terminated && len(m.allocations) > 0 && !terminating && !slices.Contains(c.cache.terminations.Confirmed, m.id)
+func (c *Controller) isUnrecordedTermination(machine *machine, terminating bool) bool {
+	return machine.scaling.terminated && len(machine.allocations) > 0 && !terminating && !slices.Contains(c.cache.terminations.Confirmed, machine.id)
 }
 
 // reviewZones counts the machines that are heard and that are silent, and looks for
@@ -92,23 +92,23 @@
 func (c *Controller) reviewZones() *terminationReview {
 	silence := config.Seconds(c.operator.values.UnresponsiveS)
 	review := &terminationReview{zones: map[string]*zoneReview{}}
-	for id, m := range c.fleet.machines {
+	for id, machine := range c.fleet.machines {
 		// A machine that is being terminated falls silent, which says nothing about the
 		// network.
-		if _, terminating := c.cache.terminating[id]; m.latestHeartbeat == nil || m.isTerminated() || terminating {
+		if _, terminating := c.cache.terminating[id]; machine.latestHeartbeat == nil || machine.isTerminated() || terminating {
 			continue
 		}
 		review.reporting++
-		zone := review.zone(m.zone)
-		zone.lastHeardAt = max(zone.lastHeardAt, m.liveness.lastHeartbeatAt)
+		zone := review.zone(machine.zone)
+		zone.lastHeardAt = max(zone.lastHeardAt, machine.liveness.lastHeartbeatAt)
 		// Heartbeats may be further apart than the silence that is tolerated: only what was
 		// probed and did not answer is silent, or should have been probed by somebody long
 		// ago. Where all that had no reason to report counted, a partitioned zone was never
 		// seen to be, and with one peer out of hearing no machine was given up.
-		switch quiet := c.now.Sub(c.lastSeen(m)); {
+		switch quiet := c.now.Sub(c.lastSeen(machine)); {
 		case quiet <= silence/2:
 			zone.heard++
-		case m.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(m)+probeGracePeriod:
+		case machine.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(machine)+probeGracePeriod:
 			zone.silent++
 			review.silent++
 		}
@@ -123,59 +123,59 @@
 }
 
 // updateIdleTime notes since when a machine has had no tasks and held no headroom.
-func (c *Controller) updateIdleTime(m *machine) {
-	if len(m.allocations) > 0 || m.scaling.holdsHeadroom || m.latestHeartbeat == nil || c.runsUnreadableTasks(m) {
-		m.scaling.idleSince = 0
-	} else if m.scaling.idleSince == 0 {
-		m.scaling.idleSince = c.now
+func (c *Controller) updateIdleTime(machine *machine) {
+	if len(machine.allocations) > 0 || machine.scaling.holdsHeadroom || machine.latestHeartbeat == nil || c.runsUnreadableTasks(machine) {
+		machine.scaling.idleSince = 0
+	} else if machine.scaling.idleSince == 0 {
+		machine.scaling.idleSince = c.now
 	}
 }
 
 // runsUnreadableTasks reports whether a machine reports tasks whose records cannot be read: it
 // may be busy though it has no allocations.
-func (c *Controller) runsUnreadableTasks(m *machine) bool {
-	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(m.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
+func (c *Controller) runsUnreadableTasks(machine *machine) bool {
+	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(machine.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
 }
 
 // terminationReason is why a machine is to be terminated; "" if it is not. The first reason
 // that applies counts, and also suppresses those after it while its own bound holds the
 // termination back.
-func (c *Controller) terminationReason(m *machine, review *terminationReview) string {
+func (c *Controller) terminationReason(machine *machine, review *terminationReview) string {
 	switch {
-	case m.scaling.status == wire.MachineFailed:
+	case machine.scaling.status == wire.MachineFailed:
 		return reasonFailed
-	case m.latestHeartbeat == nil && m.scaling.status != wire.MachineRunning && len(m.allocations) == 0:
-		if c.neverJoined(m) {
+	case machine.latestHeartbeat == nil && machine.scaling.status != wire.MachineRunning && len(machine.allocations) == 0:
+		if c.neverJoined(machine) {
 			return reasonNeverJoined
 		}
-	case c.holdsCompletedTasks(m.id, c.completedTaskTolerance(review.isolationPossible)) && m.liveness.unansweredCalls >= unreachableThreshold:
+	case c.holdsCompletedTasks(machine.id, c.completedTaskTolerance(review.isolationPossible)) && machine.liveness.unansweredCalls >= unreachableThreshold:
 		// Tasks of completed jobs must be gone in time, and the machine cannot be told:
 		// it is terminated whatever the bounds.
 		return reasonHoldsCompletedWork
-	case c.isSilent(m, review):
-		if c.admitSilentTermination(m, review) {
+	case c.isSilent(machine, review):
+		if c.admitSilentTermination(machine, review) {
 			return reasonSilent
 		}
-	case c.losesLeaseUnseen(m) && !review.isolationPossible:
-		if c.admitSilentTermination(m, review) {
+	case c.losesLeaseUnseen(machine) && !review.isolationPossible:
+		if c.admitSilentTermination(machine, review) {
 			return reasonUnreachable
 		}
-	case c.idleTooLong(m):
+	case c.idleTooLong(machine):
 		return reasonIdle
 	}
 	return ""
 }
 
 // isSilent reports whether a machine has been silent for so long that it is given up.
-func (c *Controller) isSilent(m *machine, review *terminationReview) bool {
-	quiet := c.now.Sub(c.lastSeen(m))
-	tolerance := c.silenceTolerance(m)
+func (c *Controller) isSilent(machine *machine, review *terminationReview) bool {
+	quiet := c.now.Sub(c.lastSeen(machine))
+	tolerance := c.silenceTolerance(machine)
 	if quiet <= tolerance || review.isolationPossible {
 		return false
 	}
-	probedInVain := m.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(m, quiet)
-	matters := len(m.allocations) > 0 || c.now.Sub(m.scaling.lastListedAt) < forgetMachineAfter
-	return probedInVain && !c.maybePartitioned(m, review.zone(m.zone).lastHeardAt, quiet-tolerance) && matters
+	probedInVain := machine.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(machine, quiet)
+	matters := len(machine.allocations) > 0 || c.now.Sub(machine.scaling.lastListedAt) < forgetMachineAfter
+	return probedInVain && !c.maybePartitioned(machine, review.zone(machine.zone).lastHeardAt, quiet-tolerance) && matters
 }
 
 // losesLeaseUnseen reports whether a machine's heartbeats come, but it hears nothing: its
@@ -184,27 +184,27 @@
 // A machine whose heartbeats do not come either is silent, and may be in a partitioned zone:
 // once all machines of such a zone were terminated this way, and later one whose heartbeat
 // had come just after the first call that the partition swallowed.
-func (c *Controller) losesLeaseUnseen(m *machine) bool {
-	return m.unreachable() && m.liveness.lastHeartbeatAt > m.liveness.unreachableSince && c.heartbeatsOnTime(m) && !c.fleet.outboundSuspect &&
-		c.now.Sub(m.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
+func (c *Controller) losesLeaseUnseen(machine *machine) bool {
+	return machine.unreachable() && machine.liveness.lastHeartbeatAt > machine.liveness.unreachableSince && c.heartbeatsOnTime(machine) && !c.fleet.outboundSuspect &&
+		c.now.Sub(machine.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
 }
 
 // idleTooLong reports whether a machine is to be terminated as idle: there is enough headroom,
 // and no pending job can use the machine.
-func (c *Controller) idleTooLong(m *machine) bool {
+func (c *Controller) idleTooLong(machine *machine) bool {
 	limit := config.Seconds(c.operator.values.IdleS)
-	if m.scaling.idleSince == 0 || c.provisioner.missingHeadroom != 0 {
+	if machine.scaling.idleSince == 0 || c.provisioner.missingHeadroom != 0 {
 		return false
 	}
-	idle := c.now.Sub(m.scaling.idleSince)
-	return idle > limit && (len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(m) || idle > 2*limit)
+	idle := c.now.Sub(machine.scaling.idleSince)
+	return idle > limit && (len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(machine) || idle > 2*limit)
 }
 
 // hadTimeToReport reports whether a machine that only the records name has had the time to be
 // listed, or to be heard by somebody. A provisioner that had just started once gave up dozens
 // of machines before it had read the list, while their workers were about to report.
-func (c *Controller) hadTimeToReport(m *machine, quiet time.Duration) bool {
-	return m.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+func (c *Controller) hadTimeToReport(machine *machine, quiet time.Duration) bool {
+	return machine.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
 
 // holdsCompletedTasks reports whether a machine has held tasks of completed jobs for longer
@@ -226,19 +226,19 @@
 // silenceTolerance is how long a machine may be silent before it is given up. A machine that
 // hangs often recovers after a while: where no urgent tasks run on it, waiting costs less
 // than starting its tasks anew on a machine that has yet to be provisioned.
-func (c *Controller) silenceTolerance(m *machine) time.Duration {
+func (c *Controller) silenceTolerance(machine *machine) time.Duration {
 	silence := config.Seconds(c.operator.values.UnresponsiveS)
 	workers := &c.settings.Cluster.Workers
-	if hasPriority(m, wire.PriorityCritical) {
-		if c.provisioner.partitions.silentMachines(m.zone) >= minPartitionedMachines {
+	if hasPriority(machine, wire.PriorityCritical) {
+		if c.provisioner.partitions.silentMachines(machine.zone) >= minPartitionedMachines {
 			// A partitioned zone works on, and its workers' leases last for a while: so long
 			// none of its tasks are lost, unless the machine is terminated.
 			return max(silence, config.Seconds(workers.LeaseS-heartbeatTolerance*workers.ReportS))
 		}
 		return silence
 	}
-	if t := c.machineTypeNamed(m.machineType); t != nil && t.Accelerators > 0 {
-		if c.isPartitioned(m.zone) {
+	if machineType := c.machineTypeNamed(machine.machineType); machineType != nil && machineType.Accelerators > 0 {
+		if c.isPartitioned(machine.zone) {
 			// Machines with accelerators could not be replaced in their zone, and are the
 			// scarcest: once the partition is over, they are there with their images.
 			return partitionLeases * config.Seconds(workers.LeaseS)
@@ -246,24 +246,24 @@
 		// Until all machines of the zone had to report, it may be partitioned.
 		silence += config.Seconds(allReportedFactor * workers.ReportS)
 	}
-	if hasPriority(m, wire.PriorityHigh) {
+	if hasPriority(machine, wire.PriorityHigh) {
 		return silence
 	}
 	return max(silence, 2*config.Seconds(workers.ReportS))
 }
 
 // hasPriority reports whether tasks of a priority are placed on a machine.
-func hasPriority(m *machine, priority wire.Priority) bool {
-	return slices.ContainsFunc(m.allocations, func(allocation *Allocation) bool { return allocation.Priority == priority.Level() })
+func hasPriority(machine *machine, priority wire.Priority) bool {
+	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool { return allocation.Priority == priority.Level() })
 }
 
 // maybePartitioned reports whether there is no evidence yet that a silent machine fell silent
 // by itself: no machine of its zone was heard after it first left a call unanswered. Where
 // few machines of a zone are probed early, a partition is seen only once the others should
 // have reported; the first of them was terminated meanwhile.
-func (c *Controller) maybePartitioned(m *machine, zoneHeardAt Time, overdue time.Duration) bool {
+func (c *Controller) maybePartitioned(machine *machine, zoneHeardAt Time, overdue time.Duration) bool {
 	othersReport := config.Seconds(allReportedFactor*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
-	return m.liveness.unansweredCalls > 0 && zoneHeardAt <= m.liveness.unreachableSince && overdue < othersReport
+	return machine.liveness.unansweredCalls > 0 && zoneHeardAt <= machine.liveness.unreachableSince && overdue < othersReport
 }
 
 // allPeersHeard reports whether all other live controllers are heard.
@@ -280,13 +280,13 @@
 }
 
 // admitSilentTermination bounds how many silent machines are terminated at once.
-func (c *Controller) admitSilentTermination(m *machine, review *terminationReview) bool {
-	return c.provisioner.silentTerminations.admit(review.reporting, m.hasCriticalTasks(), c.now)
+func (c *Controller) admitSilentTermination(machine *machine, review *terminationReview) bool {
+	return c.provisioner.silentTerminations.admit(review.reporting, machine.hasCriticalTasks(), c.now)
 }
 
 // markForTermination notes that a machine is to be terminated; recordTerminations records it
 // together with others.
-func (c *Controller) markForTermination(m *machine, reason string) {
-	c.provisioner.toTerminate[m.id] = reason
-	c.log.Info("machine marked for termination", "machine", m.id, "reason", reason, "silent_for", c.now.Sub(c.lastSeen(m)), "unanswered_calls", m.liveness.unansweredCalls)
+func (c *Controller) markForTermination(machine *machine, reason string) {
+	c.provisioner.toTerminate[machine.id] = reason
+	c.log.Info("machine marked for termination", "machine", machine.id, "reason", reason, "silent_for", c.now.Sub(c.lastSeen(machine)), "unanswered_calls", machine.liveness.unansweredCalls)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -148,8 +148,8 @@
 }
 
 // remainingTolerance is how long a job's tasks may still be left pending.
-func (c *Controller) remainingTolerance(j *job) time.Duration {
-	return max(c.waitTolerance(j)-c.pendingFor(j), minWaitTolerance)
+func (c *Controller) remainingTolerance(job *job) time.Duration {
+	return max(c.waitTolerance(job)-c.pendingFor(job), minWaitTolerance)
 }
 
 // updatePriceLimit finds the price of a core up to which machines are needed for jobs that
@@ -197,35 +197,35 @@
 // services take, by the price of a core.
 func (c *Controller) finiteCoresByPrice() map[float64]float64 {
 	coresByPrice := map[float64]float64{}
-	for _, m := range c.orderedMachines() {
-		t := c.machineTypeNamed(m.machineType)
-		if t == nil || !c.acceptsTasks(m) {
+	for _, machine := range c.orderedMachines() {
+		machineType := c.machineTypeNamed(machine.machineType)
+		if machineType == nil || !c.acceptsTasks(machine) {
 			continue
 		}
-		cores := t.Cores
-		for _, allocation := range m.allocations {
+		cores := machineType.Cores
+		for _, allocation := range machine.allocations {
 			if allocation.Shape == wire.ShapeService {
 				cores -= allocation.Cores * float64(allocation.Tasks.Len())
 			}
 		}
-		coresByPrice[pricePerCore(t, m.spot)] += cores
+		coresByPrice[pricePerCore(machineType, machine.spot)] += cores
 	}
 	return coresByPrice
 }
 
 // pricePerCore is the price of a core for an hour.
-func pricePerCore(t *wire.MachineType, spot bool) float64 {
+func pricePerCore(machineType *wire.MachineType, spot bool) float64 {
 	if spot {
-		return t.SpotPrice / max(t.Cores, 1)
+		return machineType.SpotPrice / max(machineType.Cores, 1)
 	}
-	return t.OnDemandPrice / max(t.Cores, 1)
+	return machineType.OnDemandPrice / max(machineType.Cores, 1)
 }
 
 // abovePriceLimit reports whether a machine is so expensive that jobs that tolerate a wait
 // leave it alone.
-func (c *Controller) abovePriceLimit(m *machine) bool {
-	t := c.machineTypeNamed(m.machineType)
-	return t != nil && c.provisioner.priceLimit > 0 && pricePerCore(t, m.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !m.hasCriticalTasks()
+func (c *Controller) abovePriceLimit(machine *machine) bool {
+	machineType := c.machineTypeNamed(machine.machineType)
+	return machineType != nil && c.provisioner.priceLimit > 0 && pricePerCore(machineType, machine.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !machine.hasCriticalTasks()
 }
 
 // avoidsExpensive reports whether a job leaves machines above the price limit alone.
@@ -236,18 +236,18 @@
 // finiteWork is the cores that finite jobs (all but services) have at their disposal, and how
 // many core-seconds of work their running tasks still have, half of them on average.
 func (c *Controller) finiteWork() (cores, work float64) {
-	for _, m := range c.orderedMachines() {
-		t := c.machineTypeNamed(m.machineType)
-		if t == nil || !c.acceptsTasks(m) {
+	for _, machine := range c.orderedMachines() {
+		machineType := c.machineTypeNamed(machine.machineType)
+		if machineType == nil || !c.acceptsTasks(machine) {
 			continue // machines that have yet to join are set against the demands by scaleOut
 		}
-		cores += t.Cores
-		for _, allocation := range m.allocations {
+		cores += machineType.Cores
+		for _, allocation := range machine.allocations {
 			used := allocation.Cores * float64(allocation.Tasks.Len())
 			if allocation.Shape == wire.ShapeService {
 				cores -= used
-			} else if j := c.cache.jobs[allocation.Job]; j != nil {
-				work += used * j.spec.RuntimeS / 2
+			} else if job := c.cache.jobs[allocation.Job]; job != nil {
+				work += used * job.spec.RuntimeS / 2
 			}
 		}
 	}
@@ -256,19 +256,19 @@
 
 // waitTolerance is how long after its submission a job's tasks may be left pending: a part of
 // what its objectives and its deadline leave. Urgent jobs tolerate no wait.
-func (c *Controller) waitTolerance(j *job) time.Duration {
-	if j.spec.Priority.Level() <= wire.PriorityHigh.Level() {
+func (c *Controller) waitTolerance(job *job) time.Duration {
+	if job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		return 0
 	}
-	slackS := c.objectiveSlackS(j)
+	slackS := c.objectiveSlackS(job)
 	if math.IsInf(slackS, 1) {
 		// It has neither a deadline nor an objective. It is to start soon, and to complete in
 		// some proportion to its length, but machines are not provisioned for it as if it
 		// were urgent.
-		if !j.started && c.pendingFor(j) > noObjectiveFirstStart {
+		if !job.started && c.pendingFor(job) > noObjectiveFirstStart {
 			return 0
 		}
-		slackS = noObjectiveRuntimes*j.spec.RuntimeS + noObjectiveMinS
+		slackS = noObjectiveRuntimes*job.spec.RuntimeS + noObjectiveMinS
 	}
 	return config.Seconds(max(0, waitToleranceFraction*slackS))
 }
@@ -276,20 +276,20 @@
 // objectiveSlackS is how many seconds a job's objectives and deadline leave beside its run
 // time; infinite if it has none. Run times count twice: estimates are often wrong by half or
 // more.
-func (c *Controller) objectiveSlackS(j *job) float64 {
+func (c *Controller) objectiveSlackS(job *job) float64 {
 	slackS := math.Inf(1)
-	if j.spec.DeadlineS > 0 {
-		slackS = (j.spec.DeadlineS - 2*j.spec.RuntimeS) * deadlineWaitFraction / waitToleranceFraction
+	if job.spec.DeadlineS > 0 {
+		slackS = (job.spec.DeadlineS - 2*job.spec.RuntimeS) * deadlineWaitFraction / waitToleranceFraction
 	}
 	for _, objective := range c.settings.Cluster.Objectives {
-		if objective.Class != j.spec.Class {
+		if objective.Class != job.spec.Class {
 			continue
 		}
 		switch objective.Kind {
 		case objectiveWait:
 			slackS = min(slackS, objective.WithinS)
 		case objectiveFinished:
-			slackS = min(slackS, objective.WithinS-2*j.spec.RuntimeS)
+			slackS = min(slackS, objective.WithinS-2*job.spec.RuntimeS)
 		}
 	}
 	return slackS
@@ -325,13 +325,13 @@
 func (c *Controller) offers() []capacity.Offer {
 	var offers []capacity.Offer
 	overdue := c.overdueFractions()
-	for _, t := range c.provisioner.catalogue {
-		for _, zone := range t.Zones {
+	for _, machineType := range c.provisioner.catalogue {
+		for _, zone := range machineType.Zones {
 			if !slices.Contains(c.settings.Cluster.Zones, zone) || c.isPartitioned(zone) {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
-				offer := capacity.Offer{Type: t, Zone: zone, Spot: spot}
+				offer := capacity.Offer{Type: machineType, Zone: zone, Spot: spot}
 				offer.OverdueFraction = overdue[offer.Key()]
 				if !c.provisioner.shortages.isShort(offer.Key(), c.now) {
 					offers = append(offers, offer)
@@ -373,10 +373,10 @@
 	c.metrics.count(countProvisioned, len(machines))
 	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "provisioned", len(machines))
 	for _, id := range machines {
-		m := c.machine(id)
-		if m.latestHeartbeat == nil {
-			m.machineType, m.zone, m.spot, m.scaling.status = request.Type, request.Zone, request.Spot, wire.MachineBooting
+		machine := c.machine(id)
+		if machine.latestHeartbeat == nil {
+			machine.machineType, machine.zone, machine.spot, machine.scaling.status = request.Type, request.Zone, request.Spot, wire.MachineBooting
 		}
-		m.scaling.launchedAt, m.scaling.lastListedAt = c.now, c.now
+		machine.scaling.launchedAt, machine.scaling.lastListedAt = c.now, c.now
 	}
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -177,17 +177,17 @@
 func (c *Controller) startTransactions() map[string]*placementTransaction {
 	transactions := map[string]*placementTransaction{}
 	for _, name := range c.teamsByTurn() {
-		t := c.cache.teams[name]
-		if t.schedule.inFlight != nil || !c.isDue(t.schedule.nextTransaction) {
+		team := c.cache.teams[name]
+		if team.schedule.inFlight != nil || !c.isDue(team.schedule.nextTransaction) {
 			continue
 		}
-		txn := c.newPlacementTransaction(t)
+		txn := c.newPlacementTransaction(team)
 		c.collectTaskExits(txn)
 		if !c.mayRecordExits(txn) || txn.empty() && !c.teamNeedsWork(name) {
 			continue
 		}
 		transactions[name] = txn
-		t.schedule.lastTurn = c.now
+		team.schedule.lastTurn = c.now
 		if !c.scheduler.machinesLost {
 			c.scheduler.dirty = true // other teams may wait for their turn
 			break
@@ -226,9 +226,9 @@
 // turn it is not: critical jobs wait for no turn.
 func (c *Controller) startCriticalTransactions(transactions map[string]*placementTransaction) {
 	for _, name := range sortedKeys(c.cache.teams) {
-		t := c.cache.teams[name]
-		if transactions[name] == nil && t.schedule.inFlight == nil && c.isDue(t.schedule.nextTransaction) {
-			transactions[name] = c.newPlacementTransaction(t)
+		team := c.cache.teams[name]
+		if transactions[name] == nil && team.schedule.inFlight == nil && c.isDue(team.schedule.nextTransaction) {
+			transactions[name] = c.newPlacementTransaction(team)
 			transactions[name].criticalOnly = true
 		}
 	}
@@ -255,14 +255,14 @@
 // tasks, to complete a job, or to evict tasks from machines with a preemption notice.
 func (c *Controller) teamNeedsWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
-	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(m *machine) bool { return m.scaling.preemptionAt != 0 }) {
+	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(machine *machine) bool { return machine.scaling.preemptionAt != 0 }) {
 		return true
 	}
-	for _, j := range c.cache.jobs {
-		if j.spec.Team != team {
+	for _, job := range c.cache.jobs {
+		if job.spec.Team != team {
 			continue
 		}
-		if ownsTeam && j.completed.Len() >= j.spec.Tasks || c.hasTasksToPlace(j) {
+		if ownsTeam && job.completed.Len() >= job.spec.Tasks || c.hasTasksToPlace(job) {
 			return true
 		}
 	}
@@ -270,8 +270,8 @@
 }
 
 // hasTasksToPlace reports whether a job has tasks that this controller is to place now.
-func (c *Controller) hasTasksToPlace(j *job) bool {
-	return !c.inBackoff(j) && j.completed.Len()+c.placedTasks(j.id) < j.spec.Tasks && c.schedulesJob(j)
+func (c *Controller) hasTasksToPlace(job *job) bool {
+	return !c.inBackoff(job) && job.completed.Len()+c.placedTasks(job.id) < job.spec.Tasks && c.schedulesJob(job)
 }
 
 // needsSchedulingPass reports whether this controller has jobs to schedule. The provisioner
@@ -282,8 +282,8 @@
 
 // hasPendingJobs reports whether there are pending jobs that this controller schedules.
 func (c *Controller) hasPendingJobs(includeNonCritical bool) bool {
-	for _, j := range c.cache.jobs {
-		if (includeNonCritical || j.spec.Priority == wire.PriorityCritical) && c.hasTasksToPlace(j) {
+	for _, job := range c.cache.jobs {
+		if (includeNonCritical || job.spec.Priority == wire.PriorityCritical) && c.hasTasksToPlace(job) {
 			return true
 		}
 	}
@@ -293,14 +293,14 @@
 // schedulesJob reports whether this controller is responsible for a job's placement: for a
 // new job's first placement the controller that accepted it, for everything else the owner
 // of its team. While sharding is in use, a job may have been forwarded to another.
-func (c *Controller) schedulesJob(j *job) bool {
-	if to, forwarded := c.forwardedTo(j.id); forwarded && c.sharded() {
+func (c *Controller) schedulesJob(job *job) bool {
+	if to, forwarded := c.forwardedTo(job.id); forwarded && c.sharded() {
 		return to == c.settings.Label
 	}
-	if c.now.Sub(j.firstSeen) < acceptorPriorityPeriod && c.isAlive(j.acceptedBy) {
-		return j.acceptedBy == c.membership.incarnation && !c.isolated()
+	if c.now.Sub(job.firstSeen) < acceptorPriorityPeriod && c.isAlive(job.acceptedBy) {
+		return job.acceptedBy == c.membership.incarnation && !c.isolated()
 	}
-	return c.ownsTeam(j.spec.Team)
+	return c.ownsTeam(job.spec.Team)
 }
 
 // passPause is the least time between passes, whose cost is in proportion to the fleet.
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -175,17 +175,17 @@
 // This is done before anything is placed: less urgent jobs within a guarantee come before
 // urgent jobs beyond one, and would take those machines although they need no accelerator.
 func (p *schedulingPass) reserveAcceleratorsFor(pending *pendingJob) {
-	j := pending.job
-	if j.request.Need.Accelerators > 0 && j.mayPreempt() && p.tasksWithinLimit(pending) > 0 {
+	job := pending.job
+	if job.request.Need.Accelerators > 0 && job.mayPreempt() && p.tasksWithinLimit(pending) > 0 {
 		p.reserveAccelerators = true
-		p.reserveSpotAccelerators = p.reserveSpotAccelerators || j.spec.Spot
+		p.reserveSpotAccelerators = p.reserveSpotAccelerators || job.spec.Spot
 	}
 }
 
 // avoidsAccelerators reports whether a job has to avoid the machines whose accelerators are
 // reserved.
-func (p *schedulingPass) avoidsAccelerators(j *job) bool {
-	return p.reserveAccelerators && j.request.Need.Accelerators == 0 && j.spec.Priority.Level() > wire.PriorityHigh.Level()
+func (p *schedulingPass) avoidsAccelerators(job *job) bool {
+	return p.reserveAccelerators && job.request.Need.Accelerators == 0 && job.spec.Priority.Level() > wire.PriorityHigh.Level()
 }
 
 // hasReservedAccelerators reports whether a machine is reserved for jobs that need
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -166,15 +166,15 @@
 // redirectToOwner redirects a worker to the controller that owns its machine's shard. It
 // reports whether the request was answered.
 func (c *Controller) redirectToOwner(in HeartbeatReceived) bool {
-	m := c.machine(in.Heartbeat.Machine)
-	if !c.sharded() || m.directHeartbeat == nil || !in.Heartbeat.Newer(m.directHeartbeat) || len(c.stopCommands(m)) > 0 {
+	machine := c.machine(in.Heartbeat.Machine)
+	if !c.sharded() || machine.directHeartbeat == nil || !in.Heartbeat.Newer(machine.directHeartbeat) || len(c.stopCommands(machine)) > 0 {
 		return false
 	}
-	owner := c.shards.table.Owner(m.shard)
-	if !c.mayRedirectTo(owner, m) || !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1) {
+	owner := c.shards.table.Owner(machine.shard)
+	if !c.mayRedirectTo(owner, machine) || !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return false
 	}
-	m.liveness.redirectedToOwnerAt = c.now
+	machine.liveness.redirectedToOwnerAt = c.now
 	c.metrics.count(countOwnerRedirects, 1)
 	c.applyHeartbeat(in.Heartbeat, true)
 	c.reply(in.Request, http.StatusMisdirectedRequest, wire.Redirect{Controller: owner.Label})
@@ -184,12 +184,12 @@
 // mayRedirectTo reports whether a worker can be redirected to a shard's owner without missing
 // a renewal of its lease: its lease was renewed here a moment ago, the owner is well, and the
 // worker was not redirected there lately.
-func (c *Controller) mayRedirectTo(owner record.ShardOwner, m *machine) bool {
+func (c *Controller) mayRedirectTo(owner record.ShardOwner, machine *machine) bool {
 	peer := c.gossip.peers[owner.Label]
 	ownerIsWell := c.shards.table.Alive(owner) && !c.cache.isolatedControllers[owner.Label] &&
 		peer != nil && peer.storeReachable && c.now.Sub(peer.lastHeardAt) <= 2*peerHeartbeatInterval
-	renewedLately := c.now.Sub(m.liveness.lastDirectAt) <= config.Seconds(2*c.settings.Cluster.Workers.ReportS)
-	redirectedLately := m.liveness.redirectedToOwnerAt != 0 && c.now.Sub(m.liveness.redirectedToOwnerAt) < redirectCooldown
+	renewedLately := c.now.Sub(machine.liveness.lastDirectAt) <= config.Seconds(2*c.settings.Cluster.Workers.ReportS)
+	redirectedLately := machine.liveness.redirectedToOwnerAt != 0 && c.now.Sub(machine.liveness.redirectedToOwnerAt) < redirectCooldown
 	return owner.Label != c.settings.Label && ownerIsWell && renewedLately && !redirectedLately
 }
 
@@ -201,13 +201,13 @@
 // shardsView is the shards with their machines and the cores that tasks use on them.
 func (c *Controller) shardsView() wire.AdminShards {
 	view := c.shards.table.View(c.wall)
-	for _, m := range c.orderedMachines() { // in order: a sum of fractions depends on it
-		if m.isTerminated() || int(m.shard) >= len(view.Shards) {
+	for _, machine := range c.orderedMachines() { // in order: a sum of fractions depends on it
+		if machine.isTerminated() || int(machine.shard) >= len(view.Shards) {
 			continue
 		}
-		shardView := &view.Shards[m.shard]
+		shardView := &view.Shards[machine.shard]
 		shardView.Machines++
-		for _, allocation := range m.allocations {
+		for _, allocation := range machine.allocations {
 			shardView.CoresUsed += allocation.Cores * float64(allocation.Tasks.Len())
 		}
 	}
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -74,13 +74,13 @@
 func (c *Controller) carryOverTerminations(draft *terminationsDraft) (changed bool) {
 	for _, id := range sortedKeys(c.cache.terminating) {
 		pending := c.cache.terminating[id]
-		switch m := c.machine(id); {
-		case m.scaling.terminated:
+		switch machine := c.machine(id); {
+		case machine.scaling.terminated:
 			changed = true
-			if len(m.allocations) > 0 {
+			if len(machine.allocations) > 0 {
 				draft.confirm(id)
 			}
-		case c.keepsRegainedMachine(m, pending):
+		case c.keepsRegainedMachine(machine, pending):
 			changed = true
 		default:
 			draft.addPending(pending.reason, id)
@@ -98,8 +98,8 @@
 
 // keepsRegainedMachine reports whether an idle machine is kept: tasks were placed on it before
 // its termination was recorded.
-func (c *Controller) keepsRegainedMachine(m *machine, pending pendingTermination) bool {
-	return pending.reason == reasonIdle && len(m.allocations) > 0 && !c.provisioner.terminateRequested[m.id]
+func (c *Controller) keepsRegainedMachine(machine *machine, pending pendingTermination) bool {
+	return pending.reason == reasonIdle && len(machine.allocations) > 0 && !c.provisioner.terminateRequested[machine.id]
 }
 
 // addMarkedMachines adds the machines that are marked for termination to the draft, as far as
@@ -128,8 +128,8 @@
 	var ids []wire.MachineID
 	for _, id := range sortedKeys(c.cache.terminating) {
 		pending := c.cache.terminating[id]
-		m := c.machine(id)
-		if m.scaling.terminated || pending.since > c.cache.revision || len(ids) == wire.MaxTerminate || c.keepsRegainedMachine(m, pending) {
+		machine := c.machine(id)
+		if machine.scaling.terminated || pending.since > c.cache.revision || len(ids) == wire.MaxTerminate || c.keepsRegainedMachine(machine, pending) {
 			continue
 		}
 		ids = append(ids, id)
@@ -138,9 +138,9 @@
 	if len(ids) == 0 {
 		return
 	}
-	c.callTerminate(ids, func(m *machine) {
-		c.metrics.count(countTerminated+c.cache.terminating[m.id].reason, 1)
-		delete(c.provisioner.terminateRequested, m.id)
+	c.callTerminate(ids, func(machine *machine) {
+		c.metrics.count(countTerminated+c.cache.terminating[machine.id].reason, 1)
+		delete(c.provisioner.terminateRequested, machine.id)
 	})
 }
 
@@ -155,10 +155,10 @@
 			return
 		}
 		for _, id := range ids {
-			m := c.machine(id)
-			m.scaling.terminated, m.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
-			m.markForReview()
-			terminated(m)
+			machine := c.machine(id)
+			machine.scaling.terminated, machine.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
+			machine.markForReview()
+			terminated(machine)
 		}
 	}), ids})
 }
--- a/internal/controller/unmet_demand.go
+++ b/internal/controller/unmet_demand.go
@@ -33,23 +33,23 @@
 // that is being freed is reserved for them, or less urgent tasks are evicted. What is left is
 // demand for the provisioner.
 func (p *schedulingPass) handleUnmetDemand(pending *pendingJob, count int) {
-	j := pending.job
-	if !j.mayPreempt() {
-		j.pendingReason = reasonCrashLoopIdle
+	job := pending.job
+	if !job.mayPreempt() {
+		job.pendingReason = reasonCrashLoopIdle
 		return
 	}
 	if p.ownShards && p.c.forwardJob(pending, true) {
-		j.pendingReason = reasonForwarded
+		job.pendingReason = reasonForwarded
 		return
 	}
-	if j.spec.Tasks > 1 && (j.spec.Shape == wire.ShapeGang || j.spec.SingleZone && pending.zone == "") {
+	if job.spec.Tasks > 1 && (job.spec.Shape == wire.ShapeGang || job.spec.SingleZone && pending.zone == "") {
 		zone, lacking := p.gatherCapacity(pending, count)
-		j.pendingReason = reasonNoGangCapacity
+		job.pendingReason = reasonNoGangCapacity
 		p.addUnmetDemand(pending, lacking, zone)
 		return
 	}
 	if lacking := p.freeCapacity(pending, count); lacking > 0 {
-		j.pendingReason = reasonNoCapacity
+		job.pendingReason = reasonNoCapacity
 		p.addUnmetDemand(pending, lacking, "")
 	}
 }
@@ -57,28 +57,28 @@
 // freeCapacity reserves or frees capacity for single tasks and returns how many still have
 // none.
 func (p *schedulingPass) freeCapacity(pending *pendingJob, count int) int {
-	j := pending.job
+	job := pending.job
 	key := searchKey{
-		team:       j.spec.Team,
-		priority:   j.spec.Priority.Level(),
-		spot:       j.spec.Spot,
+		team:       job.spec.Team,
+		priority:   job.spec.Priority.Level(),
+		spot:       job.spec.Spot,
 		guaranteed: pending.guaranteed,
 		preempts:   true,
 	}
-	if p.knownUnsatisfiable(key, j) {
+	if p.knownUnsatisfiable(key, job) {
 		return count
 	}
 	usable := func(*placement.Host) bool { return true }
-	if p.avoidsAccelerators(j) {
+	if p.avoidsAccelerators(job) {
 		usable = func(host *placement.Host) bool { return !p.hasReservedAccelerators(host) }
 	}
-	rules := j.request.Enforced
+	rules := job.request.Enforced
 	if p.c.operator.values.Affinity == config.AffinityEnforced {
-		rules = slices.Concat(rules, j.request.Preferred)
+		rules = slices.Concat(rules, job.request.Preferred)
 	}
 	count = p.awaitFreeingCapacity(pending, rules, count, usable)
 	if count > 0 {
-		p.noteUnsatisfiable(key, j)
+		p.noteUnsatisfiable(key, job)
 	}
 	return count
 }
