--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -49,8 +49,7 @@
 	return bodies
 }
 
-// TestGoldenAdminCommands runs every admin command and holds what it asks the controller
-// and what it prints.
+// TestGoldenAdminCommands runs every admin command and compares its requests and its output.
 func TestGoldenAdminCommands(t *testing.T) {
 	t.Setenv(admin.TokenVariable, "secret")
 	answers := adminAnswers()
--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -135,7 +135,7 @@
 	return err
 }
 
-// run runs a controller until it is told to stop, by a signal or by its own decision.
+// run runs a controller until a signal or its own decision stops it.
 func run(ctx context.Context, files configFiles) error {
 	settings, err := loadFiles(files)
 	if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,4 @@
-// Package admin is the administration API: its routes, and the client that the
-// command line uses.
+// Package admin is the administration API: its routes, and the client for the command line.
 package admin
 
 import (
@@ -15,7 +14,7 @@
 	"lilacrill/wire"
 )
 
-// Prefix is where the API stands on the public listener.
+// Prefix is the path of the API on the public listener.
 const Prefix = "/admin/v1"
 
 // TokenVariable is the environment variable that holds the bearer token.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,4 @@
-// Package server is the public HTTP interface: users, workers and health
-// checks.
+// Package server is the public HTTP interface, for users, workers and health checks.
 package server
 
 import (
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// shareIn is a shard's record in the state store.
-func shareIn(store *simulation.Store, id wire.ShardID) record.Shard {
+// shardIn is a shard's record in the state store.
+func shardIn(store *simulation.Store, id wire.ShardID) record.Shard {
 	var out record.Shard
 	if value, _, ok := store.Get(record.ShardKey(id)); ok && json.Unmarshal(value, &out) != nil {
 		panic("share record")
@@ -38,29 +38,29 @@
 
 // cluster is controllers that share a state store, each with a cache that may lag.
 type cluster struct {
-	t       require.TestingT
-	store   *simulation.Store
-	now     shard.Time
-	boot    wire.FencingToken
-	nodes   []*node
-	late    []wire.Transaction // that arrive later
-	changed int                // changes of owner
+	t                require.TestingT
+	store            *simulation.Store
+	now              shard.Time
+	lastIncarnation  wire.FencingToken
+	processes        []*process
+	lateTransactions []wire.Transaction // that arrive later
+	ownerChanges     int                // changes of owner
 }
 
-type node struct {
-	label   string
-	table   *shard.Table
-	planner *shard.Planner
-	read    wire.Revision // up to which it has applied all changes
-	running bool
-	placing map[wire.ShardID]bool // the shards in which it has placements under way
+type process struct {
+	label      string
+	table      *shard.Table
+	planner    *shard.Planner
+	revision   wire.Revision // up to which it has applied all changes
+	running    bool
+	scheduling map[wire.ShardID]bool // the shards in which it has placements under way
 }
 
 func newCluster(t require.TestingT, controllers int) *cluster {
 	c := &cluster{t: t, store: simulation.NewStore()}
 	c.put(record.ShardPolicyKey, record.ShardPolicy{Enabled: true})
 	for i := range controllers {
-		c.nodes = append(c.nodes, &node{label: fmt.Sprint("rig-", i)})
+		c.processes = append(c.processes, &process{label: fmt.Sprint("rig-", i)})
 		c.start(i)
 	}
 	return c
@@ -72,22 +72,22 @@
 
 // start starts a new process of a controller.
 func (c *cluster) start(i int) {
-	n := c.nodes[i]
-	c.boot++
-	n.table, n.read, n.running, n.placing = shard.New(n.label), 0, true, map[wire.ShardID]bool{}
+	n := c.processes[i]
+	c.lastIncarnation++
+	n.table, n.revision, n.running, n.scheduling = shard.New(n.label), 0, true, map[wire.ShardID]bool{}
 	n.planner = shard.NewPlanner(n.table, 6)
 	n.table.ApplyFormat(record.FormatSharding)
-	n.table.SetIncarnation(c.boot)
-	c.put(record.RegistrationKey(n.label), record.Registration{Incarnation: c.boot, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Sharding: true})
-	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.boot})
+	n.table.SetIncarnation(c.lastIncarnation)
+	c.put(record.RegistrationKey(n.label), record.Registration{Incarnation: c.lastIncarnation, Formats: record.FormatRange{Oldest: 1, Newest: 3}, Sharding: true})
+	c.put(record.LivenessKey(n.label), record.Liveness{Incarnation: c.lastIncarnation})
 }
 
 // end ends a process; its liveness record goes when its lease expires.
-func (c *cluster) end(i int) { c.nodes[i].running = false }
+func (c *cluster) end(i int) { c.processes[i].running = false }
 
 // expire has the leases of processes that have ended expire.
 func (c *cluster) expire() {
-	for _, n := range c.nodes {
+	for _, n := range c.processes {
 		if !n.running {
 			c.store.Commit(wire.Transaction{Then: []wire.Change{{Delete: record.LivenessKey(n.label)}}})
 		}
@@ -95,82 +95,82 @@
 }
 
 // catchUp has a controller apply all changes.
-func (c *cluster) catchUp(n *node) {
-	feed := c.store.Changes(record.RootKey, n.read)
+func (c *cluster) catchUp(n *process) {
+	feed := c.store.Changes(record.RootKey, n.revision)
 	for _, l := range feed.Events {
 		c.apply(n.table, l)
 	}
-	n.read = feed.Revision
+	n.revision = feed.Revision
 }
 
-func (c *cluster) apply(t *shard.Table, l wire.ChangeEvent) {
-	key := l.Put + l.Delete
+func (c *cluster) apply(table *shard.Table, event wire.ChangeEvent) {
+	key := event.Put + event.Delete
 	label := key[strings.LastIndexByte(key, '/')+1:]
 	switch {
 	case key == record.ShardPolicyKey:
-		require.NoError(c.t, t.ApplyPolicy(l.Value, l.Version))
+		require.NoError(c.t, table.ApplyPolicy(event.Value, event.Version))
 	case strings.HasPrefix(key, record.ShardPrefix):
-		require.NoError(c.t, t.ApplyShard(key, l.Value, l.Version))
+		require.NoError(c.t, table.ApplyShard(key, event.Value, event.Version))
 	case strings.HasPrefix(key, record.RegistrationPrefix):
-		t.ApplyRegistration(label, l.Value, l.Version)
+		table.ApplyRegistration(label, event.Value, event.Version)
 	default:
-		var n record.Liveness
-		if l.Put != "" {
-			require.NoError(c.t, json.Unmarshal(l.Value, &n))
+		var liveness record.Liveness
+		if event.Put != "" {
+			require.NoError(c.t, json.Unmarshal(event.Value, &liveness))
 		}
-		t.ApplyLiveness(label, n, l.Version, c.now)
+		table.ApplyLiveness(label, liveness, event.Version, c.now)
 	}
 }
 
 // act has a controller take its next action; its transaction may arrive late.
 func (c *cluster) act(i int, heldUp bool) (shard.Action, bool) {
-	n := c.nodes[i]
+	n := c.processes[i]
 	if !n.running {
 		return shard.Action{}, false
 	}
-	a, due := n.planner.Next(c.now, int64(time.Duration(c.now)/time.Millisecond), func(id wire.ShardID) bool { return n.placing[id] }, false)
+	action, due := n.planner.Next(c.now, int64(time.Duration(c.now)/time.Millisecond), func(id wire.ShardID) bool { return n.scheduling[id] }, false)
 	if !due {
-		return a, false
+		return action, false
 	}
 	if heldUp {
-		c.late = append(c.late, a.Txn)
+		c.lateTransactions = append(c.lateTransactions, action.Txn)
 	} else {
-		c.run(a.Txn)
+		c.commit(action.Txn)
 	}
-	return a, true
+	return action, true
 }
 
-// run carries a change out and holds it against what must hold of it.
-func (c *cluster) run(txn wire.Transaction) {
+// commit commits a transaction and checks each change of owner.
+func (c *cluster) commit(txn wire.Transaction) {
 	before := map[wire.ShardID]record.Shard{}
 	alive := map[wire.ShardID]bool{}
 	for id := range wire.ShardID(shard.Count) {
-		before[id] = shareIn(c.store, id)
+		before[id] = shardIn(c.store, id)
 		alive[id] = liveIn(c.store, before[id].Owner)
 	}
 	if c.store.Commit(txn).Outcome != controller.Succeeded {
 		return
 	}
 	for id, old := range before {
-		now := shareIn(c.store, id)
+		now := shardIn(c.store, id)
 		if now.Owner == old.Owner {
 			require.Equal(c.t, old.Epoch, now.Epoch)
 			continue
 		}
-		c.changed++
+		c.ownerChanges++
 		require.Equal(c.t, old.Epoch+1, now.Epoch)
 		released := old.Move != nil && old.Move.Phase == record.MoveReleased && old.Move.To == now.Owner
-		require.True(c.t, released || !alive[id], "share %d taken from %v, which lives", id, old.Owner)
+		require.True(c.t, released || !alive[id], "shard %d taken from %v, which is alive", id, old.Owner)
 	}
 }
 
-// calm has all read and act until nothing is left to do, and wants that to come.
-func (c *cluster) calm() {
+// converge has all controllers read and act until nothing is left to do, and requires that to happen.
+func (c *cluster) converge() {
 	quiet := 0
 	for range 2000 {
 		c.now += shard.Time(100 * time.Millisecond)
 		done := true
-		for i, n := range c.nodes {
+		for i, n := range c.processes {
 			if n.running {
 				c.catchUp(n)
 				if _, acted := c.act(i, false); acted {
@@ -185,15 +185,15 @@
 			return
 		}
 	}
-	require.Fail(c.t, "shares never come to rest")
+	require.Fail(c.t, "the shards are moved without end")
 }
 
-// owned counts the shares of each controller, all of which must live and be at rest.
-func (c *cluster) owned() map[string]int {
+// ownedCounts counts the shards of each controller. All owners must be alive, and no shard being moved.
+func (c *cluster) ownedCounts() map[string]int {
 	owned := map[string]int{}
 	for id := range wire.ShardID(shard.Count) {
-		s := shareIn(c.store, id)
-		require.True(c.t, liveIn(c.store, s.Owner), "share %d is with %v", id, s.Owner)
+		s := shardIn(c.store, id)
+		require.True(c.t, liveIn(c.store, s.Owner), "shard %d is with %v", id, s.Owner)
 		require.Nil(c.t, s.Move, "share %d", id)
 		owned[s.Owner.Label]++
 	}
@@ -210,28 +210,28 @@
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			c.generatedStep(t, drained)
 		}
-		for i := range c.nodes {
-			if !c.nodes[i].running {
+		for i := range c.processes {
+			if !c.processes[i].running {
 				c.start(i)
 			}
-			clear(c.nodes[i].placing)
+			clear(c.processes[i].scheduling)
 		}
 		c.expire()
-		c.calm()
+		c.converge()
 		c.requireBalanced(t, drained)
-		for _, txn := range c.late { // what arrives now finds its conditions failed, or does no harm
-			c.run(txn)
+		for _, txn := range c.lateTransactions { // what arrives now finds its conditions failed, or does no harm
+			c.commit(txn)
 		}
-		c.calm()
-		c.owned()
+		c.converge()
+		c.ownedCounts()
 	})
 }
 
 // generatedStep draws and does one step, and notes which controllers are drained.
 func (c *cluster) generatedStep(t *rapid.T, drained map[string]bool) {
 	c.now += shard.Time(rapid.IntRange(0, 2000).Draw(t, "ms")) * shard.Time(time.Millisecond)
-	i := rapid.IntRange(0, len(c.nodes)-1).Draw(t, "who")
-	n := c.nodes[i]
+	i := rapid.IntRange(0, len(c.processes)-1).Draw(t, "who")
+	n := c.processes[i]
 	id := wire.ShardID(rapid.IntRange(0, shard.Count-1).Draw(t, "share"))
 	switch rapid.SampledFrom([]string{"act", "act", "act", "act", "read", "read", "read", "late", "carried out", "end", "start", "expire", "place", "move", "drain"}).Draw(t, "step") {
 	case "act":
@@ -239,9 +239,9 @@
 	case "late":
 		c.act(i, true)
 	case "carried out":
-		if len(c.late) > 0 {
-			c.run(c.late[0])
-			c.late = c.late[1:]
+		if len(c.lateTransactions) > 0 {
+			c.commit(c.lateTransactions[0])
+			c.lateTransactions = c.lateTransactions[1:]
 		}
 	case "read":
 		if n.running {
@@ -255,10 +255,10 @@
 	case "expire":
 		c.expire()
 	case "place":
-		n.placing[id] = !n.placing[id] && n.running && n.table.MaySchedule(id)
+		n.scheduling[id] = !n.scheduling[id] && n.running && n.table.MaySchedule(id)
 	case "move":
-		if txn, err := n.table.Move(id, c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "to")].label, n.table.Epoch(id), 0); err == nil && n.running {
-			c.run(txn)
+		if txn, err := n.table.Move(id, c.processes[rapid.IntRange(0, len(c.processes)-1).Draw(t, "to")].label, n.table.Epoch(id), 0); err == nil && n.running {
+			c.commit(txn)
 		}
 	case "drain":
 		if txn, err := n.table.Drain(n.label, "drawn"); err == nil && c.store.Commit(txn).Outcome == controller.Succeeded {
@@ -272,14 +272,14 @@
 // requireBalanced requires drained controllers to own no shard, and the others an equal
 // number within the tolerance.
 func (c *cluster) requireBalanced(t require.TestingT, drained map[string]bool) {
-	owned := c.owned()
+	owned := c.ownedCounts()
 	able := 0
-	for _, n := range c.nodes {
+	for _, n := range c.processes {
 		if !drained[n.label] {
 			able++
 		}
 	}
-	for _, n := range c.nodes {
+	for _, n := range c.processes {
 		switch {
 		case able == 0:
 		case drained[n.label]:
@@ -294,24 +294,24 @@
 // must.
 func TestFewMoves(t *testing.T) {
 	c := newCluster(t, 4)
-	c.calm()
-	require.Equal(t, shard.Count, c.changed)
-	before := c.owned()
+	c.converge()
+	require.Equal(t, shard.Count, c.ownerChanges)
+	before := c.ownedCounts()
 	c.end(3)
-	c.calm()
-	require.Equal(t, shard.Count, c.changed, "its lease has not run out")
+	c.converge()
+	require.Equal(t, shard.Count, c.ownerChanges, "its lease has not run out")
 	c.expire()
-	c.calm()
-	require.Equal(t, shard.Count+before["rig-3"], c.changed)
+	c.converge()
+	require.Equal(t, shard.Count+before["rig-3"], c.ownerChanges)
 	c.start(3)
-	changed := c.changed
-	c.calm()
-	require.GreaterOrEqual(t, c.owned()["rig-3"], shard.Count/4-shard.Tolerance)
-	require.Equal(t, c.owned()["rig-3"], c.changed-changed, "none went to and fro")
-	changed = c.changed
+	changed := c.ownerChanges
+	c.converge()
+	require.GreaterOrEqual(t, c.ownedCounts()["rig-3"], shard.Count/4-shard.Tolerance)
+	require.Equal(t, c.ownedCounts()["rig-3"], c.ownerChanges-changed, "none went to and fro")
+	changed = c.ownerChanges
 	c.start(3) // back at once
-	c.calm()
-	require.Equal(t, c.owned()["rig-3"], c.changed-changed, "it takes its own again")
+	c.converge()
+	require.Equal(t, c.ownedCounts()["rig-3"], c.ownerChanges-changed, "it takes its own again")
 }
 
 // TestMachinesSpread: a shard depends on a machine's name alone, in all releases, and the
@@ -333,8 +333,8 @@
 // alone.
 func TestDamagedShareRecord(t *testing.T) {
 	c := newCluster(t, 1)
-	c.calm()
-	table := c.nodes[0].table
+	c.converge()
+	table := c.processes[0].table
 	require.True(t, table.MaySchedule(3))
 	require.Error(t, table.ApplyShard(record.ShardKey(3), []byte(`{"owner":7}`), 999))
 	require.False(t, table.MaySchedule(3))
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -190,7 +190,7 @@
 }
 
 // decodeStrict decodes a JSON object and refuses fields that the target does not have: the
-// senders are operators, who want to be told of a misspelt one.
+// senders are operators, who should learn of a misspelt one.
 func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -144,7 +144,7 @@
 }
 
 // TestGoldenIsComplete requires every exported struct type of the package to have a
-// golden message, and every exported constant that is a word to be among the golden values.
+// golden message, and every exported string constant to be among the golden values.
 func TestGoldenIsComplete(t *testing.T) {
 	var covered []string
 	for _, m := range messages {
--- a/wire/job.go
+++ b/wire/job.go
@@ -9,7 +9,7 @@
 	"lilacrill/internal/apierror"
 )
 
-// jobSubmission mirrors JobSpec with pointers, so that a missing field is told
+// jobSubmission mirrors JobSpec with pointers, to tell a missing field
 // from a zero one.
 type jobSubmission struct {
 	ID                  *JobID    `json:"id"`
@@ -34,7 +34,7 @@
 	DeadlineS           *float64  `json:"due_s"`
 }
 
-// Bounds of what a submission may say; beyond them it is a mistake.
+// Bounds of the fields of a submission; a value beyond them is a mistake.
 const (
 	maxAmount = 1e9
 	maxName   = 100
