--- a/cmd/lilacrill/load_bench_test.go
+++ b/cmd/lilacrill/load_bench_test.go
@@ -157,7 +157,7 @@
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: size.zones},
 		{Name: "c16", Cores: 16, MemGB: 64, OnDemandPrice: 1.1, SpotPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: size.zones},
 	}
-	l.state = simulation.NewStateServer()
+	l.state = simulation.NewStoreServer()
 	l.state.RecordPlacements(l.history)
 	state := httptest.NewServer(l.state)
 	cloud := httptest.NewServer(simulation.CloudServer{Types: types, Machines: func() []wire.CloudMachine { return l.workers.CloudMachines() },
--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -52,7 +52,7 @@
 
 func startClusterWith(t *testing.T, token string, features config.Features) *cluster {
 	t.Setenv(admin.TokenVariable, token)
-	started := &cluster{state: simulation.NewStateServer()}
+	started := &cluster{state: simulation.NewStoreServer()}
 	state := httptest.NewServer(started.state)
 	cloud := httptest.NewServer(simulation.CloudServer{Types: []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 16, OnDemandPrice: 1, SpotPrice: 0.5, StartupS: 1, Zones: []string{"east"}}}})
--- /dev/null
+++ b/internal/simulation/cloud_server.go
@@ -0,0 +1,57 @@
+package simulation
+
+import (
+	"cmp"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"lilacrill/wire"
+)
+
+// CloudServer is a fake of the cloud over HTTP, with a catalogue and no capacity.
+type CloudServer struct {
+	Types []wire.MachineType
+	// Machines, unless nil, lists the machines that were provisioned before, in any order.
+	Machines func() []wire.CloudMachine
+	// Terminate, unless nil, ends machines and everything on them.
+	Terminate func([]wire.MachineID)
+}
+
+// ServeHTTP implements http.Handler.
+func (s CloudServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.URL.Path == "/catalog":
+		writeJSON(w, http.StatusOK, wire.Catalogue{Types: s.Types})
+	case r.URL.Path == "/hosts" && r.Method == http.MethodGet:
+		writeJSON(w, http.StatusOK, s.machinePage(r))
+	case r.URL.Path == "/hosts":
+		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
+	default:
+		var names wire.MachineNames
+		if json.NewDecoder(r.Body).Decode(&names) == nil && s.Terminate != nil {
+			s.Terminate(names.Names)
+		}
+		writeJSON(w, http.StatusOK, struct{}{})
+	}
+}
+
+// machinePage is the part of the machine list that a request asks for.
+func (s CloudServer) machinePage(r *http.Request) wire.MachineList {
+	list := wire.MachineList{Machines: []wire.CloudMachine{}}
+	if s.Machines == nil {
+		return list
+	}
+	after := wire.MachineID(r.URL.Query().Get("after"))
+	for _, machine := range s.Machines() {
+		if machine.ID > after {
+			list.Machines = append(list.Machines, machine)
+		}
+	}
+	slices.SortFunc(list.Machines, func(a, b wire.CloudMachine) int { return cmp.Compare(a.ID, b.ID) })
+	if size, err := strconv.Atoi(r.URL.Query().Get("page")); err == nil && size < len(list.Machines) {
+		list.Machines, list.More = list.Machines[:size], true
+	}
+	return list
+}
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,12 +2,15 @@
 
 import "lilacrill/internal/controller"
 
+// event is something that happens at a time; order sets apart events of one time, so that
+// a seed gives one course of events.
 type event struct {
 	at    controller.Time
 	order int
 	run   func()
 }
 
+// events is a heap of events, the next one first.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- /dev/null
+++ b/internal/simulation/history_check.go
@@ -0,0 +1,177 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"lilacrill/internal/config"
+	"lilacrill/wire"
+)
+
+// Check lists the violations of these rules. A task runs on one machine at a time, and
+// where its job allows it. A team stays within its limit. No task of a job runs for
+// longer than cancelTimeout after its user was told that it is cancelled. A terminal
+// status is final, and true: a job is done when its tasks are, and cancelled only if
+// somebody asked. Every accepted job ends. No two processes place on a machine under one
+// epoch of its shard, and none under an earlier epoch after a later one.
+func (h *History) Check(teams []config.Team, cancelTimeout time.Duration) []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := newHistoryCheck(h.specs, teams, cancelTimeout)
+	for _, event := range h.events {
+		c.check(event)
+	}
+	for id, last := range c.reported {
+		if !last.Status.IsTerminal() {
+			c.violation("%s was accepted and is %s in the end", id, last.Status)
+		}
+	}
+	for task, start := range c.running {
+		c.checkCancelled(task, start.Machine, c.reported[task.Job], h.events[len(h.events)-1].At)
+	}
+	return c.sortedViolations()
+}
+
+// historyCheck goes through a history.
+type historyCheck struct {
+	specs         map[wire.JobID]wire.JobSpec
+	teams         []config.Team
+	cancelTimeout time.Duration
+
+	running    map[wire.TaskID]HistoryEvent // the tasks on machines, with their starts
+	completed  map[wire.JobID]map[int]bool
+	reported   map[wire.JobID]HistoryEvent // the last answers, or the first terminal ones
+	cancelled  map[wire.JobID]bool
+	cores      map[string]float64              // that each team uses
+	placements map[wire.MachineID]HistoryEvent // the last placements
+	violations []string
+}
+
+func newHistoryCheck(specs map[wire.JobID]wire.JobSpec, teams []config.Team, cancelTimeout time.Duration) *historyCheck {
+	return &historyCheck{
+		specs:         specs,
+		teams:         teams,
+		cancelTimeout: cancelTimeout,
+		running:       map[wire.TaskID]HistoryEvent{},
+		completed:     map[wire.JobID]map[int]bool{},
+		reported:      map[wire.JobID]HistoryEvent{},
+		cancelled:     map[wire.JobID]bool{},
+		cores:         map[string]float64{},
+		placements:    map[wire.MachineID]HistoryEvent{},
+	}
+}
+
+func (c *historyCheck) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+func (c *historyCheck) sortedViolations() []string {
+	slices.Sort(c.violations)
+	return c.violations
+}
+
+func (c *historyCheck) check(event HistoryEvent) {
+	switch event.Kind {
+	case TaskStarted:
+		c.checkStart(event)
+	case TaskCompleted, TaskStopped:
+		c.checkEnd(event)
+	case CancelRequested:
+		c.cancelled[event.Job] = true
+	case StatusReported:
+		c.checkStatus(event)
+	case TaskPlaced:
+		c.checkPlacement(event)
+	case MachineTerminated: // its tasks' ends are events of their own
+	}
+}
+
+// checkPlacement checks a placement under an epoch against the one before on its machine.
+func (c *historyCheck) checkPlacement(event HistoryEvent) {
+	if event.Epoch == 0 {
+		return
+	}
+	before := c.placements[event.Machine]
+	switch {
+	case event.Epoch < before.Epoch:
+		c.violation("%v placed on %s under epoch %d, after one under epoch %d", event.Task, event.Machine, event.Epoch, before.Epoch)
+	case event.Epoch == before.Epoch && event.Launcher != before.Launcher:
+		c.violation("%v placed on %s by two processes, %d and %d, under epoch %d", event.Task, event.Machine, before.Launcher, event.Launcher, event.Epoch)
+	}
+	c.placements[event.Machine] = event
+}
+
+func (c *historyCheck) checkStart(event HistoryEvent) {
+	spec, known := c.specs[event.Task.Job]
+	if !known {
+		c.violation("%v started on %s, and nobody submitted it", event.Task, event.Machine)
+		return
+	}
+	if other, twice := c.running[event.Task]; twice {
+		c.violation("%v started on %s while on %s", event.Task, event.Machine, other.Machine)
+	}
+	if spec.Zone != "" && spec.Zone != event.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, event.Type) {
+		c.violation("%v started on %s, a %s in %s", event.Task, event.Machine, event.Type, event.Zone)
+	}
+	c.checkCancelled(event.Task, event.Machine, c.reported[event.Task.Job], event.At)
+	c.running[event.Task] = event
+	c.cores[spec.Team] += spec.Cores
+	c.checkLimit(spec.Team, event.Task)
+}
+
+// checkLimit checks a team's cores against its limit as a task of its starts.
+func (c *historyCheck) checkLimit(team string, task wire.TaskID) {
+	for i := range c.teams {
+		if limit, _ := c.teams[i].Limits(); c.teams[i].Name == team && c.cores[team] > limit+quotaTolerance {
+			c.violation("%s uses %v cores of %v as %v starts", team, c.cores[team], limit, task)
+		}
+	}
+}
+
+func (c *historyCheck) checkEnd(event HistoryEvent) {
+	start, running := c.running[event.Task]
+	if !running || start.Machine != event.Machine {
+		return
+	}
+	delete(c.running, event.Task)
+	id := event.Task.Job
+	c.cores[c.specs[id].Team] -= c.specs[id].Cores
+	c.checkCancelled(event.Task, event.Machine, c.reported[id], event.At)
+	if event.Kind == TaskCompleted {
+		if c.completed[id] == nil {
+			c.completed[id] = map[int]bool{}
+		}
+		c.completed[id][event.Task.Index] = true
+	}
+}
+
+// checkCancelled checks a task that is on a machine at some moment against what its user
+// was told last.
+func (c *historyCheck) checkCancelled(task wire.TaskID, machine wire.MachineID, reported HistoryEvent, at time.Time) {
+	if since := at.Sub(reported.At); reported.Status == wire.StatusCancelled && since > c.cancelTimeout {
+		c.violation("%v is on %s %v after its user was told that it is cancelled", task, machine, since)
+	}
+}
+
+func (c *historyCheck) checkStatus(event HistoryEvent) {
+	before := c.reported[event.Job]
+	switch {
+	case before.Status.IsTerminal():
+		if event.Status != before.Status && (event.RequestedAt.IsZero() || event.RequestedAt.After(before.At)) {
+			c.violation("%s was called %s, and then %s", event.Job, before.Status, event.Status)
+		}
+		return
+	case event.Status == wire.StatusCancelled && !c.cancelled[event.Job]:
+		c.violation("%s was called cancelled, and nobody asked for that", event.Job)
+	case event.Status == wire.StatusDone && !c.isComplete(event.Job):
+		c.violation("%s was called done with %d tasks of %d done", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
+	}
+	c.reported[event.Job] = event
+}
+
+// isComplete reports whether all tasks of a job have completed; a gang's do together.
+func (c *historyCheck) isComplete(id wire.JobID) bool {
+	spec, completed := c.specs[id], len(c.completed[id])
+	return completed == spec.Tasks || spec.Shape == wire.ShapeGang && completed > 0
+}
--- /dev/null
+++ b/internal/simulation/history_check_once.go
@@ -0,0 +1,104 @@
+package simulation
+
+import (
+	"lilacrill/wire"
+)
+
+// machineAttempt is an attempt at a task on a machine.
+type machineAttempt struct {
+	task    wire.TaskID
+	attempt wire.Attempt
+	machine wire.MachineID
+}
+
+// CheckOnce lists the violations of the rule that every task runs exactly once, which
+// must hold where no machine fails and nothing is preempted: a task of a job that nobody
+// cancelled that started or was placed twice, was stopped, or never completed, and a
+// start without a placement. Tasks that were placed on a machine that was terminated may
+// run again elsewhere, and must complete all the same.
+func (h *History) CheckOnce() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := onceCheck{
+		historyCheck: newHistoryCheck(h.specs, nil, 0),
+		terminated:   map[wire.MachineID]bool{},
+		lost:         map[wire.TaskID]bool{},
+		placed:       map[machineAttempt]bool{},
+		counts:       map[HistoryKind]map[wire.TaskID]int{},
+	}
+	for _, event := range h.events {
+		c.prepare(event)
+	}
+	for _, event := range h.events {
+		c.count(event)
+	}
+	for id, spec := range h.specs {
+		if c.cancelled[id] {
+			continue
+		}
+		for index := range spec.Tasks {
+			c.checkCounts(wire.TaskID{Job: id, Index: index})
+		}
+	}
+	return c.sortedViolations()
+}
+
+// onceCheck counts what happened to each task of a history.
+type onceCheck struct {
+	*historyCheck
+	terminated map[wire.MachineID]bool // at any time
+	lost       map[wire.TaskID]bool    // placed on a machine that was terminated
+	placed     map[machineAttempt]bool
+	counts     map[HistoryKind]map[wire.TaskID]int
+}
+
+// expectedCounts is how often each event of a task must have happened.
+var expectedCounts = []struct {
+	kind  HistoryKind
+	count int
+	name  string
+}{
+	{TaskPlaced, 1, "placed"},
+	{TaskStarted, 1, "started"},
+	{TaskCompleted, 1, "completed"},
+	{TaskStopped, 0, "stopped"},
+}
+
+// prepare takes what bears on events before it too.
+func (c *onceCheck) prepare(event HistoryEvent) {
+	switch event.Kind {
+	case CancelRequested:
+		c.cancelled[event.Job] = true
+	case MachineTerminated:
+		c.terminated[event.Machine] = true
+	}
+}
+
+func (c *onceCheck) count(event HistoryEvent) {
+	attempt := machineAttempt{event.Task, event.Attempt, event.Machine}
+	if event.Kind == TaskPlaced {
+		c.placed[attempt] = true
+		c.lost[event.Task] = c.lost[event.Task] || c.terminated[event.Machine]
+	}
+	if event.Kind == TaskStarted && !c.placed[attempt] {
+		c.violation("%v started on %s without a placement there", event.Task, event.Machine)
+	}
+	if c.counts[event.Kind] == nil {
+		c.counts[event.Kind] = map[wire.TaskID]int{}
+	}
+	c.counts[event.Kind][event.Task]++
+}
+
+func (c *onceCheck) checkCounts(task wire.TaskID) {
+	if c.lost[task] {
+		if c.counts[TaskCompleted][task] == 0 {
+			c.violation("%v never completed after a machine of its was terminated", task)
+		}
+		return
+	}
+	for _, expected := range expectedCounts {
+		if count := c.counts[expected.kind][task]; count != expected.count {
+			c.violation("%v %s %d times, not %d", task, expected.name, count, expected.count)
+		}
+	}
+}
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback_workers.go
@@ -15,8 +15,8 @@
 	"lilacrill/wire"
 )
 
-// LoopbackWorkers are workers on the real clock: each has a loopback address of its
-// own, reports to one controller over one connection, and runs what it is told to.
+// LoopbackWorkers are fakes of workers on the real clock: each has a loopback address of
+// its own, sends heartbeats to one controller over one connection, and executes commands.
 // All share one listener, which tells them apart by the address that was called.
 type LoopbackWorkers struct {
 	settings LoopbackSettings
@@ -25,59 +25,70 @@
 	workers  map[string]*loopbackWorker // by address; not changed once they run
 }
 
-// LoopbackSettings sizes the workers.
+// LoopbackSettings are the settings of all workers.
 type LoopbackSettings struct {
 	Controllers       []string // public addresses
 	HeartbeatInterval time.Duration
 	Zones             []string
 	Types             []wire.MachineType
-	// History, if set, notes what the workers' tasks do.
+	// History, if set, records what the workers' tasks do.
 	History *History
 }
 
-// loopbackPullTime is how long a worker takes to fetch an image.
-const loopbackPullTime = 200 * time.Millisecond
-
-// minHeartbeatPause is the least time between two reports of a worker.
-const minHeartbeatPause = 500 * time.Millisecond
+const (
+	// loopbackPullTime is how long a worker takes to pull an image.
+	loopbackPullTime = 200 * time.Millisecond
+	// minHeartbeatPause is the least time between two heartbeats of a worker.
+	minHeartbeatPause = 500 * time.Millisecond
+	// failoverPause is the time from a heartbeat that failed to the next, which goes to
+	// another controller.
+	failoverPause = time.Second
+)
 
 // StartLoopbackWorkers starts count workers that run until ctx ends.
 func StartLoopbackWorkers(ctx context.Context, settings LoopbackSettings, count int) (*LoopbackWorkers, error) {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listen for calls to %d workers: %w", count, err)
 	}
 	w := &LoopbackWorkers{settings: settings, port: listener.Addr().(*net.TCPAddr).Port, workers: map[string]*loopbackWorker{}}
+	for i := range count {
+		worker := w.newWorker(i)
+		w.workers[worker.addr] = worker
+	}
 	server := &http.Server{Handler: w}
 	go func() { _ = server.Serve(listener) }()
 	go func() {
 		<-ctx.Done()
-		server.Close()
+		_ = server.Close() // nobody waits for what is under way
 	}()
-	for i := range count {
-		kind := settings.Types[i%len(settings.Types)]
-		worker := &loopbackWorker{
-			fleet:       w,
-			id:          wire.MachineID(fmt.Sprintf("m-%06d", i+1)),
-			addr:        fmt.Sprintf("127.1.%d.%d:%d", i/200, i%200+1, w.port),
-			machineType: kind.Name,
-			zone:        settings.Zones[i/len(settings.Types)%len(settings.Zones)],
-			controller:  i % len(settings.Controllers),
-			changed:     make(chan struct{}, 1),
-			tasks:       map[taskKey]*wire.TaskStatus{},
-		}
-		w.workers[worker.addr] = worker
+	for _, worker := range w.workers {
 		go worker.heartbeatLoop(ctx)
 	}
 	return w, nil
 }
 
-// SetRuntime tells the workers how long a task of a job runs; 0 is until it is stopped.
+// newWorker makes the worker with a number: types, zones and controllers take turns.
+func (w *LoopbackWorkers) newWorker(i int) *loopbackWorker {
+	types, zones := w.settings.Types, w.settings.Zones
+	return &loopbackWorker{
+		fleet:       w,
+		id:          wire.MachineID(fmt.Sprintf("m-%06d", i+1)),
+		addr:        fmt.Sprintf("127.1.%d.%d:%d", i/200, i%200+1, w.port),
+		machineType: types[i%len(types)].Name,
+		zone:        zones[i/len(types)%len(zones)],
+		controller:  i % len(w.settings.Controllers),
+		changed:     make(chan struct{}, 1),
+		tasks:       map[taskKey]*wire.TaskStatus{},
+	}
+}
+
+// SetRuntime sets how long a task of a job runs; 0 is until it is stopped.
 func (w *LoopbackWorkers) SetRuntime(id wire.JobID, runtime time.Duration) {
 	w.runtimes.Store(id, runtime)
 }
 
-// CloudMachines is the machine list that a cloud would show of the workers.
+// CloudMachines is the workers' machines as a cloud lists them.
 func (w *LoopbackWorkers) CloudMachines() []wire.CloudMachine {
 	var list []wire.CloudMachine
 	for _, worker := range w.workers {
@@ -89,7 +100,7 @@
 	return list
 }
 
-// Terminate ends workers and all their tasks, as a cloud does that takes machines back.
+// Terminate ends workers and all their tasks, as a cloud does that terminates machines.
 func (w *LoopbackWorkers) Terminate(names []wire.MachineID) {
 	for _, worker := range w.workers {
 		if slices.Contains(names, worker.id) {
@@ -98,12 +109,12 @@
 	}
 }
 
-// PartitionZone makes the workers of a zone unreachable: they neither report nor answer.
-func (w *LoopbackWorkers) PartitionZone(zone string, cut bool) {
+// PartitionZone partitions the workers of a zone from all controllers, or ends that.
+func (w *LoopbackWorkers) PartitionZone(zone string, partitioned bool) {
 	for _, worker := range w.workers {
 		if worker.zone == zone {
 			worker.mu.Lock()
-			worker.partitioned = cut || worker.terminated
+			worker.partitioned = partitioned || worker.terminated
 			worker.mu.Unlock()
 		}
 	}
@@ -131,18 +142,18 @@
 	writeJSON(out, status, worker.heartbeat())
 }
 
-// loopbackWorker is one of them.
+// loopbackWorker is one of the LoopbackWorkers.
 type loopbackWorker struct {
 	fleet             *LoopbackWorkers
 	id                wire.MachineID
 	addr              string
 	machineType, zone string
 	controller        int
-	changed           chan struct{} // holds an element if a report is due at once
+	changed           chan struct{} // holds an element if a heartbeat is due at once
 
 	mu          sync.Mutex
-	partitioned bool // unreachable, perhaps for good
-	terminated  bool // returned
+	partitioned bool // for good if terminated
+	terminated  bool
 	sequence    wire.Sequence
 	token       wire.FencingToken
 	tasks       map[taskKey]*wire.TaskStatus
@@ -154,14 +165,14 @@
 	return w.partitioned
 }
 
-// isTerminated reports whether the worker's machine was returned.
+// isTerminated reports whether the worker's machine was terminated.
 func (w *loopbackWorker) isTerminated() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.terminated
 }
 
-// terminate has the worker and its tasks be gone for good.
+// terminate ends the worker and its tasks for good.
 func (w *loopbackWorker) terminate() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,7 +202,7 @@
 	return heartbeat
 }
 
-// handleCommands obeys a direct command unless its token is too low.
+// handleCommands executes a direct call's commands unless its fencing token is too low.
 func (w *loopbackWorker) handleCommands(body wire.CommandRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,7 +214,8 @@
 	return true
 }
 
-// heartbeatLoop sends reports until ctx ends.
+// heartbeatLoop sends heartbeats until ctx ends; after one that failed it goes to the next
+// controller.
 func (w *loopbackWorker) heartbeatLoop(ctx context.Context) {
 	every := float64(w.fleet.settings.HeartbeatInterval)
 	timer := time.NewTimer(time.Duration(rand.Float64() * every))
@@ -222,7 +234,7 @@
 			client.Close()
 			w.controller = (w.controller + 1) % len(w.fleet.settings.Controllers)
 			client = w.client()
-			pause = time.Second
+			pause = failoverPause
 		}
 		timer.Reset(pause)
 		time.Sleep(minHeartbeatPause)
@@ -235,7 +247,7 @@
 
 func (w *loopbackWorker) sendHeartbeat(client *httpcall.Client) bool {
 	var response wire.HeartbeatResponse
-	status, err := client.Call(http.MethodPost, "/hello", w.heartbeat(), 4*time.Second, map[int]any{http.StatusOK: &response})
+	status, err := client.Call(http.MethodPost, "/hello", w.heartbeat(), heartbeatTimeout, map[int]any{http.StatusOK: &response})
 	if err != nil || status != http.StatusOK {
 		return false
 	}
@@ -248,9 +260,9 @@
 	return true
 }
 
-// execute is called with the lock held.
-func (w *loopbackWorker) execute(orders []wire.Command) {
-	for _, command := range orders {
+// execute executes commands. It is called with the lock held.
+func (w *loopbackWorker) execute(commands []wire.Command) {
+	for _, command := range commands {
 		key := taskKey{command.Task, command.Attempt}
 		status := w.tasks[key]
 		switch {
@@ -275,15 +287,15 @@
 	}
 }
 
-// record adds what a task does to the history. It is called with the lock held, so that
-// the order of a machine's events is theirs.
+// record records what a task does in the history. It is called with the lock held, so
+// that the events of a machine are in their order.
 func (w *loopbackWorker) record(kind HistoryKind, key taskKey) {
 	if h := w.fleet.settings.History; h != nil {
 		h.Record(HistoryEvent{Kind: kind, Job: key.id.Job, Machine: w.id, Type: w.machineType, Zone: w.zone, Task: key.id, Attempt: key.attempt})
 	}
 }
 
-// transition takes a task from one state to another and has that reported soon.
+// transition takes a task from one state to another, and has a heartbeat sent at once.
 func (w *loopbackWorker) transition(key taskKey, from, to wire.TaskState, cause wire.Cause) {
 	w.mu.Lock()
 	status := w.tasks[key]
--- a/internal/simulation/http_history.go
+++ b/internal/simulation/placement_log.go
@@ -9,12 +9,12 @@
 	"lilacrill/wire"
 )
 
-// placementLog notes in a history which controller places what, by the transactions that a
-// state service has carried out.
+// placementLog records in a history which process places what, by the transactions that a
+// store has committed.
 type placementLog struct {
 	history  *History
 	attempts map[wire.Attempt]bool
-	// epochs is under which epoch each process last owned a share.
+	// epochs are those in which each process last owned a shard, by its incarnation.
 	epochs map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch
 }
 
@@ -22,13 +22,13 @@
 	return &placementLog{history: h, attempts: map[wire.Attempt]bool{}, epochs: map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch{}}
 }
 
-// committed takes a transaction that the store has carried out.
+// committed takes a transaction that the store has committed.
 func (l *placementLog) committed(s *Store, txn wire.Transaction) {
 	var policy record.ShardPolicy
 	if value, _, ok := s.Get(record.ShardPolicyKey); ok && json.Unmarshal(value, &policy) != nil {
 		return
 	}
-	fresh := map[wire.Attempt]bool{}
+	added := map[wire.Attempt]bool{}
 	for _, change := range txn.Then {
 		switch {
 		case strings.HasPrefix(change.Put, record.ShardPrefix):
@@ -36,47 +36,40 @@
 		case strings.HasPrefix(change.Put, record.PlacementPrefix):
 			for _, group := range decodePage(change.Value).Groups {
 				if !l.attempts[group.Attempt] {
-					fresh[group.Attempt] = true
+					added[group.Attempt] = true
 					l.recordPlacements(s, &group, policy.Enabled)
 				}
 			}
 		}
 	}
-	for attempt := range fresh {
+	for attempt := range added {
 		l.attempts[attempt] = true
 	}
 }
 
-// recordOwner notes who owns a share from now on.
+// recordOwner records the owner of a shard, with its epoch.
 func (l *placementLog) recordOwner(change wire.Change) {
-	var now record.Shard
-	if json.Unmarshal(change.Value, &now) != nil {
+	var state record.Shard
+	if json.Unmarshal(change.Value, &state) != nil {
 		return
 	}
 	for id := range wire.ShardID(shard.Count) {
-		if record.ShardKey(id) == change.Put {
-			if l.epochs[id] == nil {
-				l.epochs[id] = map[wire.FencingToken]wire.ShardEpoch{}
-			}
-			l.epochs[id][now.Owner.Incarnation] = now.Epoch
+		if record.ShardKey(id) != change.Put {
+			continue
+		}
+		if l.epochs[id] == nil {
+			l.epochs[id] = map[wire.FencingToken]wire.ShardEpoch{}
 		}
+		l.epochs[id][state.Owner.Incarnation] = state.Epoch
 	}
 }
 
-// recordPlacements notes the tasks of a group, under the epoch in which its launcher last owned the
-// machine's share: a later one than it may know of is not its own.
+// recordPlacements records the tasks of a group.
 func (l *placementLog) recordPlacements(s *Store, group *record.AllocationGroup, sharded bool) {
 	for i, machine := range group.Machines {
-		id := shard.Of(machine)
 		var epoch wire.ShardEpoch
 		if sharded {
-			var owner record.Shard
-			value, _, _ := s.Get(record.ShardKey(id))
-			_ = json.Unmarshal(value, &owner)
-			epoch = owner.Epoch
-			if own, ever := l.epochs[id][group.Launcher]; ever {
-				epoch = own
-			}
+			epoch = l.epochOf(s, shard.Of(machine), group.Launcher)
 		}
 		for index := range group.Tasks[i].All {
 			l.history.Record(HistoryEvent{Kind: TaskPlaced, Job: group.Job, Machine: machine, Task: wire.TaskID{Job: group.Job, Index: index},
@@ -84,3 +77,15 @@
 		}
 	}
 }
+
+// epochOf is the epoch in which a process last owned a shard: the present one may be
+// another's, which it need not know of. It is the present one if it never owned it.
+func (l *placementLog) epochOf(s *Store, id wire.ShardID, launcher wire.FencingToken) wire.ShardEpoch {
+	if epoch, owned := l.epochs[id][launcher]; owned {
+		return epoch
+	}
+	var state record.Shard
+	value, _, _ := s.Get(record.ShardKey(id))
+	_ = json.Unmarshal(value, &state) // no record is no epoch
+	return state.Epoch
+}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,10 +1,7 @@
-// Package simulation holds stand-ins for everything outside lilacrill, written
-// from its protocol: a state service, a cloud, workers and users, and a world
-// in which they and several cores live on one virtual clock. The world checks
-// the protocol's rules itself. It serves tests only.
 package simulation
 
 import (
+	"cmp"
 	"encoding/json"
 	"maps"
 	"slices"
@@ -14,8 +11,8 @@
 	"lilacrill/wire"
 )
 
-// Store is the state service: a key-value store with revisions, leases and a
-// feed. Its clock is the caller's.
+// Store is a fake of the state store: a key-value store with revisions, leases and
+// watches. Its clock is the caller's.
 type Store struct {
 	revision wire.Revision
 	values   map[string]storedValue
@@ -31,7 +28,7 @@
 type storedValue struct {
 	value   json.RawMessage
 	version wire.Revision
-	leaseID wire.LeaseID
+	leaseID wire.LeaseID // deletes the key when it ends; 0 if none does
 }
 
 type lease struct {
@@ -47,7 +44,7 @@
 // Revision is the present revision.
 func (s *Store) Revision() wire.Revision { return s.revision }
 
-// Get reads one key.
+// Get reads one key, with its version.
 func (s *Store) Get(key string) (json.RawMessage, wire.Revision, bool) {
 	stored, ok := s.values[key]
 	return stored.value, stored.version, ok
@@ -55,23 +52,23 @@
 
 // List reads all keys with a prefix, in order.
 func (s *Store) List(prefix string) []wire.Entry {
-	var out []wire.Entry
+	var entries []wire.Entry
 	for key, stored := range s.values {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, wire.Entry{Key: key, Value: stored.value, Version: stored.version})
+			entries = append(entries, wire.Entry{Key: key, Value: stored.value, Version: stored.version})
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return out
+	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
 }
 
-// Changes is all changes under a prefix after a revision.
+// Changes are all changes under a prefix after a revision, as a watch gets them.
 func (s *Store) Changes(prefix string, after wire.Revision) wire.WatchResponse {
 	changes := wire.WatchResponse{Revision: s.revision}
-	i, _ := slices.BinarySearchFunc(s.log, after+1, func(logged wire.ChangeEvent, a wire.Revision) int {
-		return int(int64(logged.Version) - int64(a))
+	first, _ := slices.BinarySearchFunc(s.log, after+1, func(logged wire.ChangeEvent, revision wire.Revision) int {
+		return cmp.Compare(logged.Version, revision)
 	})
-	for _, logged := range s.log[i:] {
+	for _, logged := range s.log[first:] {
 		if strings.HasPrefix(logged.Put+logged.Delete, prefix) {
 			changes.Events = append(changes.Events, logged)
 		}
@@ -79,14 +76,13 @@
 	return changes
 }
 
-// Compact drops the changes so far from the feed: who has not read them has to read
-// the keys again.
+// Compact drops the changes so far: whoever has not read them has to load the keys again.
 func (s *Store) Compact() { s.log, s.compactedRevision = nil, s.revision }
 
-// Compacted reports whether the feed no longer goes back to a revision.
+// Compacted reports whether changes after a revision were dropped.
 func (s *Store) Compacted(after wire.Revision) bool { return after < s.compactedRevision }
 
-// Commit runs a transaction.
+// Commit commits a transaction if its conditions hold and its leases exist.
 func (s *Store) Commit(txn wire.Transaction) controller.CommitResult {
 	var failed []string
 	for _, condition := range txn.If {
@@ -103,9 +99,15 @@
 		}
 	}
 	if len(txn.Then) > 0 {
-		s.revision++
+		s.apply(txn.Then)
 	}
-	for _, change := range txn.Then {
+	return controller.CommitResult{Outcome: controller.Succeeded, Revision: s.revision}
+}
+
+// apply makes changes at the next revision.
+func (s *Store) apply(changes []wire.Change) {
+	s.revision++
+	for _, change := range changes {
 		if change.Put != "" {
 			s.values[change.Put] = storedValue{change.Value, s.revision, change.LeaseID}
 			s.log = append(s.log, wire.ChangeEvent{Put: change.Put, Value: change.Value, Version: s.revision})
@@ -114,10 +116,9 @@
 			s.log = append(s.log, wire.ChangeEvent{Delete: change.Delete, Version: s.revision})
 		}
 	}
-	if s.OnChange != nil && len(txn.Then) > 0 {
+	if s.OnChange != nil {
 		s.OnChange()
 	}
-	return controller.CommitResult{Outcome: controller.Succeeded, Revision: s.revision}
 }
 
 // Grant makes a lease.
@@ -127,39 +128,43 @@
 	return s.leaseID
 }
 
-// Renew renews a lease and reports whether it still was.
+// Renew gives a lease its full time again, and reports whether it still existed.
 func (s *Store) Renew(now controller.Time, id wire.LeaseID) bool {
-	l := s.leases[id]
-	if l != nil {
-		l.ends = now + l.ttl
+	renewed := s.leases[id]
+	if renewed != nil {
+		renewed.ends = now + renewed.ttl
 	}
-	return l != nil
+	return renewed != nil
 }
 
-// Expire ends the leases that were not renewed in time.
+// RenewAll gives every lease its full time again, as after an outage.
+func (s *Store) RenewAll(now controller.Time) {
+	for id := range s.leases {
+		s.Renew(now, id)
+	}
+}
+
+// Expire ends the leases that were not renewed in time, and deletes their keys.
 func (s *Store) Expire(now controller.Time) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		l := s.leases[id]
-		if now < l.ends {
+		if now < s.leases[id].ends {
 			continue
 		}
 		delete(s.leases, id)
-		var drops []wire.Change
-		for key, stored := range s.values {
-			if stored.leaseID == id {
-				drops = append(drops, wire.Change{Delete: key})
-			}
-		}
-		slices.SortFunc(drops, func(a, b wire.Change) int { return strings.Compare(a.Delete, b.Delete) })
-		if len(drops) > 0 {
-			s.Commit(wire.Transaction{Then: drops})
+		if deletions := s.deletionsOf(id); len(deletions) > 0 {
+			s.apply(deletions)
 		}
 	}
 }
 
-// RenewAll gives every lease its full time, as after an outage.
-func (s *Store) RenewAll(now controller.Time) {
-	for _, l := range s.leases {
-		l.ends = now + l.ttl
+// deletionsOf are the changes that delete the keys of a lease, in order.
+func (s *Store) deletionsOf(id wire.LeaseID) []wire.Change {
+	var deletions []wire.Change
+	for key, stored := range s.values {
+		if stored.leaseID == id {
+			deletions = append(deletions, wire.Change{Delete: key})
+		}
 	}
+	slices.SortFunc(deletions, func(a, b wire.Change) int { return strings.Compare(a.Delete, b.Delete) })
+	return deletions
 }
