--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -27,8 +27,8 @@
 		Cores: cores, Accelerators: accelerators, MemGB: 1, Spot: spot}), Count: count}
 }
 
-// TestPlanServesAllAndAsksOnce: what is rented has room for every demand, no
-// offer is asked for twice in one plan, and none that a job may not use.
+// TestPlanServesAllAndAsksOnce: the machines of a plan have room for every demand; no offer
+// is in it twice, and none that a job may not use.
 func TestPlanServesAllAndAsksOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
@@ -51,24 +51,26 @@
 			h := p.Offer.Host("", 300)
 			room = room.Plus(h.Total, float64(p.Count))
 		}
-		require.True(t, room.Covers(need), "need %v, rented %v", need, room)
+		require.True(t, room.Covers(need), "need %v, provisioned %v", need, room)
 	})
 }
 
-func TestPlanPrefersCheapAndLeavesComingAlone(t *testing.T) {
+// TestPlanPrefersCheapAndUsesExpected: a plan takes the cheapest offer that the job may use,
+// and nothing if the expected machines have room.
+func TestPlanPrefersCheapAndUsesExpected(t *testing.T) {
 	plan := Plan([]Demand{demand(1, 0, true, 4)}, nil, offers(), 300)
 	require.Len(t, plan, 1)
 	require.Equal(t, Key{"small", "a", true}, plan[0].Offer.Key())
 	plan = Plan([]Demand{demand(1, 0, false, 4)}, nil, offers(), 300)
 	require.False(t, plan[0].Offer.Spot)
-	coming := placement.Fleet{offers()[0].Host("m-1", 300)}
-	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, coming, offers(), 300))
+	expected := placement.Fleet{offers()[0].Host("m-1", 300)}
+	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, expected, offers(), 300))
 	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, nil, nil, 300))
 }
 
-// TestDoubtfulOffersLast: where machines are overdue, others at a like price are
-// rented first.
-func TestDoubtfulOffersLast(t *testing.T) {
+// TestOverdueOffersLast: where machines are overdue, other offers at a similar price are
+// preferred.
+func TestOverdueOffersLast(t *testing.T) {
 	all := offers()
 	for i := range all {
 		if all[i].Zone == "a" {
--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -165,7 +165,8 @@
 // noteTaskExit notes what a task's exit says about its machine and its job. All of this
 // steers the choice of machines only.
 func (c *Controller) noteTaskExit(machine *machine, status *wire.TaskStatus) {
-	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", machine.id, "cause", status.Cause, "checkpointed", status.Checkpointed)
+	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", machine.id,
+		"cause", status.Cause, "checkpointed", status.Checkpointed)
 	job := c.cache.jobs[status.Task.Job]
 	if job == nil {
 		return
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestImagesOfALargeFleetFit: however many machines there are, some images of each are
-// noted, and no value is too large.
+// recorded, and no value is too large.
 func TestImagesOfALargeFleetFit(t *testing.T) {
 	for _, machines := range []int{100, 4200, 9000} {
 		set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
@@ -26,10 +26,10 @@
 		}
 		total := 0
 		for bucket := range imageBuckets {
-			noted := c.imagesInBucket(bucket)
-			total += len(noted)
-			require.LessOrEqual(t, len(encodePlain(noted)), c.pageLimit())
-			for id, images := range noted {
+			recorded := c.imagesInBucket(bucket)
+			total += len(recorded)
+			require.LessOrEqual(t, len(encodePlain(recorded)), c.pageLimit())
+			for id, images := range recorded {
 				require.NotEmpty(t, images, id)
 				require.Contains(t, images, "image-07", "the latest")
 			}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -134,7 +134,9 @@
 // runsUnreadableTasks reports whether a machine reports tasks whose records cannot be read: it
 // may be busy though it has no allocations.
 func (c *Controller) runsUnreadableTasks(machine *machine) bool {
-	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(machine.latestHeartbeat.Tasks, func(t wire.TaskStatus) bool { return c.jobUnreadable(t.Task.Job) })
+	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(machine.latestHeartbeat.Tasks, func(status wire.TaskStatus) bool {
+		return c.jobUnreadable(status.Task.Job)
+	})
 }
 
 // terminationReason is why a machine is to be terminated; "" if it is not. The first reason
@@ -185,7 +187,8 @@
 // once all machines of such a zone were terminated this way, and later one whose heartbeat
 // had come just after the first call that the partition swallowed.
 func (c *Controller) losesLeaseUnseen(machine *machine) bool {
-	return machine.unreachable() && machine.liveness.lastHeartbeatAt > machine.liveness.unreachableSince && c.heartbeatsOnTime(machine) && !c.fleet.outboundSuspect &&
+	return machine.unreachable() && machine.liveness.lastHeartbeatAt > machine.liveness.unreachableSince &&
+		c.heartbeatsOnTime(machine) && !c.fleet.outboundSuspect &&
 		c.now.Sub(machine.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
 }
 
@@ -204,7 +207,8 @@
 // listed, or to be heard by somebody. A provisioner that had just started once gave up dozens
 // of machines before it had read the list, while their workers were about to report.
 func (c *Controller) hadTimeToReport(machine *machine, quiet time.Duration) bool {
-	return machine.addr == "" && c.provisioner.listsSinceElected > 0 && quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+	return machine.addr == "" && c.provisioner.listsSinceElected > 0 &&
+		quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
 }
 
 // holdsCompletedTasks reports whether a machine has held tasks of completed jobs for longer
@@ -288,5 +292,6 @@
 // together with others.
 func (c *Controller) markForTermination(machine *machine, reason string) {
 	c.provisioner.toTerminate[machine.id] = reason
-	c.log.Info("machine marked for termination", "machine", machine.id, "reason", reason, "silent_for", c.now.Sub(c.lastSeen(machine)), "unanswered_calls", machine.liveness.unansweredCalls)
+	c.log.Info("machine marked for termination", "machine", machine.id, "reason", reason,
+		"silent_for", c.now.Sub(c.lastSeen(machine)), "unanswered_calls", machine.liveness.unansweredCalls)
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -225,7 +225,8 @@
 // leave it alone.
 func (c *Controller) abovePriceLimit(machine *machine) bool {
 	machineType := c.machineTypeNamed(machine.machineType)
-	return machineType != nil && c.provisioner.priceLimit > 0 && pricePerCore(machineType, machine.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !machine.hasCriticalTasks()
+	return machineType != nil && c.provisioner.priceLimit > 0 &&
+		pricePerCore(machineType, machine.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !machine.hasCriticalTasks()
 }
 
 // avoidsExpensive reports whether a job leaves machines above the price limit alone.
@@ -371,7 +372,8 @@
 // applyProvisioned notes the machines that the cloud provisioned.
 func (c *Controller) applyProvisioned(request wire.ProvisionRequest, machines []wire.MachineID) {
 	c.metrics.count(countProvisioned, len(machines))
-	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "provisioned", len(machines))
+	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"requested", request.Count, "provisioned", len(machines))
 	for _, id := range machines {
 		machine := c.machine(id)
 		if machine.latestHeartbeat == nil {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -61,7 +61,7 @@
 	return f
 }
 
-// plain evaluates a node word by word as the paper describes it, task by task.
+// plain evaluates a node by the definitions of the rules, task by task and without caches.
 func plain(f Fleet, n Node, team string, h *Host) bool {
 	switch {
 	case n.AnyOf != nil:
@@ -111,9 +111,9 @@
 	return (r.Operator == Requires && count > 0) || (r.Operator == Forbids && count <= r.Limit)
 }
 
-// TestRulesAgainstPlainReading compares the evaluation with a plain reading of
-// the paper's definitions.
-func TestRulesAgainstPlainReading(t *testing.T) {
+// TestRulesAgainstDefinitions compares the evaluator with a plain evaluation of the rules'
+// definitions.
+func TestRulesAgainstDefinitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := genFleet(t)
 		n := genNode(t, 3)
@@ -123,8 +123,8 @@
 	})
 }
 
-// TestChooseKeepsTheRules places generated jobs and holds every choice against
-// what the job's fields say, read without rules.
+// TestChooseKeepsTheRules places generated jobs and checks every assignment against the job's
+// fields, without rules.
 func TestChooseKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Fleet
@@ -153,9 +153,9 @@
 		for _, h := range f {
 			before[h.ID], byID[h.ID] = h.Free, h
 		}
-		choices := f.Choose(NewRequest(j), j.Tasks, "", o)
+		assignments := f.Choose(NewRequest(j), j.Tasks, "", o)
 		inZone, onHost, sum := map[string]int{}, map[wire.MachineID]int{}, 0
-		for _, c := range choices {
+		for _, c := range assignments {
 			h := byID[c.Machine]
 			inZone[c.Zone] += c.Count
 			sum += c.Count
@@ -174,16 +174,16 @@
 		for _, n := range inZone {
 			require.True(t, !j.SpreadZones || n <= (j.Tasks+1)/2, "too many in one zone")
 		}
-		require.True(t, !j.SingleZone || len(inZone) <= 1, "not together")
+		require.True(t, !j.SingleZone || len(inZone) <= 1, "not in a single zone")
 		for id, h := range byID {
-			require.InDelta(t, before[id].Cores-float64(onHost[id])*j.Cores, h.Free.Cores, 1e-9, "booked wrongly")
+			require.InDelta(t, before[id].Cores-float64(onHost[id])*j.Cores, h.Free.Cores, 1e-9, "reserved wrongly")
 			require.GreaterOrEqual(t, h.Free.Cores, 0.0)
 		}
 	})
 }
 
-// TestPreferredIsRelaxedOnlyForRoom: replicas share a machine when no other has
-// room, but not when the others merely count as locked.
+// TestPreferredIsRelaxedOnlyForRoom: replicas share a machine when no other has room, but not
+// when the others are merely excluded.
 func TestPreferredIsRelaxedOnlyForRoom(t *testing.T) {
 	fleet := func() Fleet {
 		var f Fleet
@@ -193,18 +193,18 @@
 		return f
 	}
 	j := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeService, Tasks: 3, Cores: 1, MemGB: 1}
-	choices := fleet().Choose(NewRequest(j), 3, "", Options{Relax: true})
-	require.Len(t, choices, 3)
-	require.True(t, choices[2].Relaxed)
+	assignments := fleet().Choose(NewRequest(j), 3, "", Options{Relax: true})
+	require.Len(t, assignments, 3)
+	require.True(t, assignments[2].Relaxed)
 	require.Equal(t, 2, totalCount(fleet().Choose(NewRequest(j), 3, "", Options{})))
-	locked := fleet().Choose(NewRequest(j), 3, "", Options{Excluded: map[wire.MachineID]bool{"m2": true}})
-	require.Equal(t, 1, totalCount(locked), "a locked machine made replicas share")
+	excluded := fleet().Choose(NewRequest(j), 3, "", Options{Excluded: map[wire.MachineID]bool{"m2": true}})
+	require.Equal(t, 1, totalCount(excluded), "an excluded machine made replicas share")
 }
 
 func labels(zone string) Tags { return Tags{LabelZone: zone, LabelSpot: "false", LabelType: "x"} }
 
-// TestSharedRanking: searches for the same need that share a ranking place as many
-// tasks as ones that look at every machine anew, and overbook none.
+// TestSharedRanking: searches for the same resources that share a ranking place as many tasks
+// as ones that score every machine anew, and no machine is overcommitted.
 func TestSharedRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := func() Fleet {
