--- a/cmd/lilacrill/load_bench_test.go
+++ b/cmd/lilacrill/load_bench_test.go
@@ -88,7 +88,7 @@
 		l.runPhase("ordinary", func() { l.submitArrays(phaseTime) })
 		l.runPhase("burst", func() {
 			for range 100 {
-				go l.submit(l.arrayJob(8), 10*time.Second)
+				l.startUser(l.arrayJob(8), 10*time.Second)
 			}
 			time.Sleep(10 * time.Second)
 		})
@@ -143,7 +143,7 @@
 	// submissionLatency includes the retries of a submission.
 	pollsUnanswered                atomic.Int64
 	submissionLatency, pollLatency latencyHistogram
-	users                          sync.WaitGroup
+	users                          sync.WaitGroup // every goroutine that calls the controllers
 }
 
 func startLoadCluster(b testing.TB, size loadSize) *loadCluster {
--- a/cmd/lilacrill/load_shards_test.go
+++ b/cmd/lilacrill/load_shards_test.go
@@ -69,6 +69,8 @@
 		select {
 		case <-stop:
 			return
+		case <-s.ctx.Done():
+			return
 		case <-time.After(time.Duration(random.IntN(60)) * time.Millisecond):
 		}
 		v, err := s.shardsView(asked)
@@ -104,7 +106,8 @@
 func (s *shuffledCluster) run(t testing.TB, jobs int, pause time.Duration, disturbances int) {
 	stop := make(chan struct{})
 	for i := range s.size.controllers {
-		go s.shuffle(stop, i, s.rand.Uint64())
+		seed := s.rand.Uint64()
+		s.users.Go(func() { s.shuffle(stop, i, seed) })
 	}
 	submitted := make(chan struct{})
 	go func() {
@@ -114,9 +117,9 @@
 			if n%6 == 5 {
 				spec.Shape, spec.Tasks = wire.ShapeGang, 2
 			}
-			go s.submit(spec, time.Duration(500+n%9*400)*time.Millisecond)
+			s.startUser(spec, time.Duration(500+n%9*400)*time.Millisecond)
 			if n%10 == 3 {
-				time.AfterFunc(time.Duration(n%8)*400*time.Millisecond, func() { s.cancel(spec.ID) })
+				s.startCancel(spec.ID, time.Duration(n%8)*400*time.Millisecond)
 			}
 			time.Sleep(pause)
 		}
--- a/cmd/lilacrill/load_users_test.go
+++ b/cmd/lilacrill/load_users_test.go
@@ -15,14 +15,14 @@
 	for n := range l.size.services {
 		spec := l.job(wire.ShapeService, wire.PriorityCritical, []int{3, 6, 8, 9}[n%4])
 		spec.Image = fmt.Sprint("service-", n%12)
-		go l.submit(spec, 0)
+		l.startUser(spec, 0)
 	}
 }
 
 // submitArrays submits arrays for a while.
 func (l *loadCluster) submitArrays(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(l.size.arrayInterval) {
-		go l.submit(l.arrayJob(l.size.arrayTasks), 25*time.Second)
+		l.startUser(l.arrayJob(l.size.arrayTasks), 25*time.Second)
 	}
 }
 
@@ -38,11 +38,22 @@
 		Tasks: tasks, Cores: 1, MemGB: 2, ImageGB: 1, RuntimeS: 25}
 }
 
+// startUser starts a user of a job, whose tasks run for so long.
+func (l *loadCluster) startUser(spec wire.JobSpec, runtime time.Duration) {
+	l.users.Go(func() { l.submit(spec, runtime) })
+}
+
+// startCancel starts a user that cancels a job after a delay.
+func (l *loadCluster) startCancel(id wire.JobID, delay time.Duration) {
+	l.users.Go(func() {
+		l.sleep(delay)
+		l.cancel(id)
+	})
+}
+
 // submit is a user: it submits a job until that is accepted, and then polls it until it is
-// finished. Nobody waits for it but finishAndCheck and the cleanup, by l.users.
+// finished.
 func (l *loadCluster) submit(spec wire.JobSpec, runtime time.Duration) {
-	l.users.Add(1)
-	defer l.users.Done()
 	l.workers.SetRuntime(spec.ID, runtime)
 	l.history.RecordSubmission(spec)
 	submitted := time.Now()
@@ -92,8 +103,6 @@
 
 // cancel is a user that cancels a job until that is confirmed or the job is done.
 func (l *loadCluster) cancel(id wire.JobID) {
-	l.users.Add(1)
-	defer l.users.Done()
 	l.history.Record(simulation.HistoryEvent{Kind: simulation.CancelRequested, Job: id})
 	for l.ctx.Err() == nil {
 		client := httpcall.New(l.addrs[rand.IntN(len(l.addrs))], 1, time.Minute)
--- a/cmd/lilacrill/shards_bench_test.go
+++ b/cmd/lilacrill/shards_bench_test.go
@@ -37,7 +37,7 @@
 		on.awaitServices()
 		on.runMeasuredPhase("shares on")
 		stop := make(chan struct{})
-		go on.shuffle(stop, 0, 1)
+		on.users.Go(func() { on.shuffle(stop, 0, 1) })
 		on.runMeasuredPhase("moving")
 		close(stop)
 		on.awaitStableShards()
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -34,7 +34,7 @@
 		for seed := range uint64(3) {
 			u := startUpgradedCluster(b, upgradeLoad, build{program: previous}, seed)
 			stop := make(chan struct{})
-			go u.submitJobs(stop, 8*time.Second)
+			u.users.Go(func() { u.submitJobs(stop, 8*time.Second) })
 			refused := 0
 			for range 8 {
 				b.Log(u.randomStep())
@@ -76,7 +76,7 @@
 		u := startUpgradedCluster(b, wideUpgradeLoad, build{features: olderFeatures(b)}, 1)
 		time.Sleep(settleTime)
 		stop := make(chan struct{})
-		go u.submitJobs(stop, 20*time.Second)
+		u.users.Go(func() { u.submitJobs(stop, 20*time.Second) })
 		time.Sleep(settleTime)
 
 		u.takeUserLatency(time.Now())
--- a/cmd/lilacrill/upgrade_mixed_bench_test.go
+++ b/cmd/lilacrill/upgrade_mixed_bench_test.go
@@ -24,7 +24,7 @@
 		for seed := range uint64(3) {
 			u := startUpgradedCluster(b, upgradeLoad, build{program: previous}, seed)
 			stop := make(chan struct{})
-			go u.submitJobs(stop, 8*time.Second)
+			u.users.Go(func() { u.submitJobs(stop, 8*time.Second) })
 			for range 4 {
 				b.Log(u.randomStep())
 			}
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -114,6 +114,8 @@
 		select {
 		case <-stop:
 			return
+		case <-u.ctx.Done():
+			return
 		case <-time.After(u.size.arrayInterval):
 		}
 		spec := u.arrayJob(1 + n%u.size.arrayTasks)
@@ -121,9 +123,9 @@
 			spec.Shape, spec.Priority, spec.Tasks = wire.ShapeGang, wire.PriorityHigh, 1+n%3
 		}
 		spec.Zone = []string{"", "", u.size.zones[0]}[n%3]
-		go u.submit(spec, time.Second+time.Duration(n%7)*longest/7)
+		u.startUser(spec, time.Second+time.Duration(n%7)*longest/7)
 		if n%5 == 2 {
-			time.AfterFunc(time.Duration(n%9)*500*time.Millisecond, func() { u.cancel(spec.ID) })
+			u.startCancel(spec.ID, time.Duration(n%9)*500*time.Millisecond)
 		}
 	}
 }
@@ -201,11 +203,10 @@
 // finishAndCheck lets all jobs finish, cancels the services, and checks the history.
 func (u *upgradedCluster) finishAndCheck(t testing.TB) {
 	for n := range u.size.services {
-		go u.cancel(wire.JobID(fmt.Sprintf("wk-%06d", n+1)))
+		u.startCancel(wire.JobID(fmt.Sprintf("wk-%06d", n+1)), 0)
 	}
 	finished := make(chan struct{})
 	go func() {
-		time.Sleep(time.Second)
 		u.users.Wait()
 		close(finished)
 	}()
@@ -227,7 +228,7 @@
 	spans := filepath.Join(t.TempDir(), "spans.jsonl")
 	u.newer = build{features: featuresFile(t, fmt.Sprintf("[tracing]\nfile = %q\n", spans))}
 	stop := make(chan struct{})
-	go u.submitJobs(stop, 8*time.Second)
+	u.users.Go(func() { u.submitJobs(stop, 8*time.Second) })
 	for range 8 {
 		t.Log(u.randomStep())
 		if !u.allUpgraded() {
