--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -49,6 +49,13 @@
 	faultyMachineLifetime = 5 * time.Minute
 )
 
+func newCrashLoopBackoff() crashLoopBackoff {
+	return crashLoopBackoff{
+		failedMachines: map[wire.MachineID]Time{},
+		avoidMachines:  map[wire.MachineID]Time{},
+	}
+}
+
 // failsEverywhere reports whether the job's tasks failed on so many machines that the job, and
 // not the machines, looks faulty.
 func (b *crashLoopBackoff) failsEverywhere() bool { return len(b.failedMachines) >= minFailedMachines }
@@ -104,7 +111,7 @@
 		c.scheduler.dirty = true
 		if job.crashLoop.consecutiveBackoffs == 1 {
 			c.metrics.count(countCrashLoops, 1)
-			c.log.Info("job in crash-loop backoff", "job", job.id, "class", job.spec.Class,
+			c.log.Info("job in crash-loop backoff", "job_id", job.id, "class", job.spec.Class,
 				"team", job.spec.Team, "failed_machines", len(job.crashLoop.failedMachines))
 		}
 	}
@@ -115,7 +122,7 @@
 func (c *Controller) noteTaskSuccess(job *job) {
 	wasInCrashLoop := job.crashLoop.consecutiveBackoffs > 0
 	if job.crashLoop.noteSuccess() && wasInCrashLoop {
-		c.log.Info("job recovered from crash loop", "job", job.id, "class", job.spec.Class)
+		c.log.Info("job recovered from crash loop", "job_id", job.id, "class", job.spec.Class)
 		c.scheduler.dirty = true
 	}
 }
@@ -158,14 +165,14 @@
 	}
 	if failedJobs >= faultyMachineThreshold && c.isDue(machine.quarantine.faultyUntil) {
 		machine.quarantine.faultyUntil = c.now.Add(faultyMachineLifetime)
-		c.log.Info("machine quarantined", "machine", machine.id, "failed_jobs", failedJobs)
+		c.log.Info("machine quarantined", "machine_id", machine.id, "failed_jobs", failedJobs)
 	}
 }
 
 // noteTaskExit notes what a task's exit says about its machine and its job. All of this
 // steers the choice of machines only.
 func (c *Controller) noteTaskExit(machine *machine, status *wire.TaskStatus) {
-	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine", machine.id,
+	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "machine_id", machine.id,
 		"cause", status.Cause, "checkpointed", status.Checkpointed)
 	job := c.cache.jobs[status.Task.Job]
 	if job == nil {
--- a/internal/controller/crash_loop_test.go
+++ b/internal/controller/crash_loop_test.go
@@ -19,7 +19,7 @@
 		State: config.State{ValueKB: 8, TxnOps: 12},
 	}})
 	j := &job{id: "wk-000001", spec: wire.JobSpec{Shape: wire.ShapeArray, Tasks: 200}}
-	j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+	j.crashLoop = newCrashLoopBackoff()
 	c.cache.jobs[j.id] = j
 	require.Equal(t, 200, c.limitToCanaries(j, 200))
 	for i, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -265,7 +265,7 @@
 	action, due := c.shards.planner.Acquire(ids, c.wall)
 	if due {
 		c.shards.acquiredAt = c.now
-		c.log.Debug("acquiring shards", "job", job.id, "shards", action.Shards)
+		c.log.Debug("acquiring shards", "job_id", job.id, "shards", action.Shards)
 	}
 	return action, due
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -36,7 +36,7 @@
 // newJob adds a job to the cache.
 func (c *Controller) newJob(id wire.JobID) *job {
 	added := &job{id: id, firstSeen: c.now}
-	added.crashLoop.failedMachines, added.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+	added.crashLoop = newCrashLoopBackoff()
 	c.cache.jobs[id] = added
 	return added
 }
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -102,7 +102,7 @@
 	}
 	if assignment.Relaxed && jp.stages {
 		c.metrics.count(countRelaxed, assignment.Count)
-		c.log.Debug("preferred rule relaxed", "job", job.id, "machine", machine.id)
+		c.log.Debug("preferred rule relaxed", "job_id", job.id, "machine_id", machine.id)
 	}
 }
 
@@ -131,7 +131,7 @@
 	jp.transaction.usedMachines[machine.id] = true
 	jp.transaction.notifyMachines[machine.id] = true
 	c.metrics.count(countPlaced, tasks.Len())
-	c.log.Debug("tasks placed", "job", job.id, "class", job.spec.Class, "machine", machine.id, "attempt", jp.attempt, "tasks", tasks.Len(),
+	c.log.Debug("tasks placed", "job_id", job.id, "class", job.spec.Class, "machine_id", machine.id, "attempt", jp.attempt, "tasks", tasks.Len(),
 		"image_cached", machine.images.cached[job.spec.Image], "guaranteed", jp.pending.guaranteed)
 }
 
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -25,7 +25,7 @@
 		j := &job{id: id, acceptedAt: acceptedAt, spec: wire.JobSpec{ID: id, Team: team, Class: class, Shape: wire.ShapeArray,
 			Priority: wire.PriorityNormal, Tasks: tasks, Cores: 1, RuntimeS: 5}}
 		j.request = placement.NewRequest(&j.spec)
-		j.crashLoop.failedMachines, j.crashLoop.avoidMachines = map[wire.MachineID]Time{}, map[wire.MachineID]Time{}
+		j.crashLoop = newCrashLoopBackoff()
 		c.cache.jobs[id] = j
 		return j
 	}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -45,12 +45,12 @@
 	nextMachineReview     Time
 }
 
-func (v *provisioner) init() {
-	v.shortages = capacityShortages{}
-	v.delays = provisioningDelays{}
-	v.partitions.zones = map[string]partition{}
-	v.toTerminate = map[wire.MachineID]string{}
-	v.terminateRequested = map[wire.MachineID]bool{}
+func (p *provisioner) init() {
+	p.shortages = capacityShortages{}
+	p.delays = provisioningDelays{}
+	p.partitions.zones = map[string]partition{}
+	p.toTerminate = map[wire.MachineID]string{}
+	p.terminateRequested = map[wire.MachineID]bool{}
 }
 
 const (
@@ -92,7 +92,7 @@
 // tickCloud carries out what is due in the cloud. Only the leader for scaling lists, reviews,
 // provisions and terminates machines.
 func (c *Controller) tickCloud() {
-	if c.catalogueDue() {
+	if c.provisioner.catalogueDue(c.now) {
 		c.readCatalogue()
 	}
 	if !c.cache.complete() || !c.storeReachable() {
@@ -127,10 +127,9 @@
 }
 
 // catalogueDue reports whether the catalogue is to be read.
-func (c *Controller) catalogueDue() bool {
-	v := &c.provisioner
-	outdated := len(v.catalogue) == 0 || c.now.Sub(v.catalogueReadAt) > catalogueInterval
-	return !v.catalogueReadInFlight && outdated && c.isDue(v.catalogueReadAt)
+func (p *provisioner) catalogueDue(now Time) bool {
+	outdated := len(p.catalogue) == 0 || now.Sub(p.catalogueReadAt) > catalogueInterval
+	return !p.catalogueReadInFlight && outdated && now >= p.catalogueReadAt
 }
 
 // readCatalogue reads the machine types that the cloud has.
@@ -220,20 +219,28 @@
 
 // gossipMachineList sends peers what is new in the list: most of it never changes.
 func (c *Controller) gossipMachineList(list []wire.CloudMachine) {
+	changed := c.provisioner.takeChanged(list)
+	if len(changed) == 0 {
+		return
+	}
+	message := c.newPeerMessage()
+	message.CloudMachines = changed
+	c.broadcast(message)
+}
+
+// takeChanged is the listed machines whose status differs from the one that was last gossiped,
+// and notes their status as gossiped.
+func (p *provisioner) takeChanged(list []wire.CloudMachine) []wire.CloudMachine {
 	statuses := make(map[wire.MachineID]wire.MachineStatus, len(list))
 	var changed []wire.CloudMachine
 	for _, listed := range list {
 		statuses[listed.ID] = listed.Status
-		if c.provisioner.gossipedStatus[listed.ID] != listed.Status {
+		if p.gossipedStatus[listed.ID] != listed.Status {
 			changed = append(changed, listed)
 		}
 	}
-	c.provisioner.gossipedStatus = statuses
-	if len(changed) > 0 {
-		message := c.newPeerMessage()
-		message.CloudMachines = changed
-		c.broadcast(message)
-	}
+	p.gossipedStatus = statuses
+	return changed
 }
 
 // applyMachineList applies the cloud's list. The list lags, so the absence of a machine proves
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -292,6 +292,6 @@
 // together with others.
 func (c *Controller) markForTermination(machine *machine, reason string) {
 	c.provisioner.toTerminate[machine.id] = reason
-	c.log.Info("machine marked for termination", "machine", machine.id, "reason", reason,
+	c.log.Info("machine marked for termination", "machine_id", machine.id, "reason", reason,
 		"silent_for", c.now.Sub(c.lastSeen(machine)), "unanswered_calls", machine.liveness.unansweredCalls)
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -326,11 +326,11 @@
 	case !c.scheduler.lagging && c.scheduler.lag > lagThreshold:
 		c.scheduler.lagging = true
 		c.metrics.count(countLagging, 1)
-		c.log.Info("controller lags, deferrable work is slowed down; cluster.quota.core_share may be too small",
+		c.log.Info("ticks late, deferrable work slowed down", "hint", "cluster.quota.core_share may be too small",
 			"tick_delay", time.Duration(c.scheduler.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
 	case c.scheduler.lagging && c.scheduler.lag < lagRecovered:
 		c.scheduler.lagging = false
-		c.log.Info("controller lag recovered")
+		c.log.Info("ticks on time again")
 	}
 }
 
