--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -155,7 +155,7 @@
 		return machine.liveness.unansweredCalls >= unreachableThreshold
 	}
 	listeningSince := max(machine.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
-	return c.now.Sub(listeningSince) > config.Seconds(1.25*c.settings.Cluster.Workers.ReportS)+time.Second && !c.isolationSuspected()
+	return c.now.Sub(listeningSince) > c.maxHeartbeatInterval()+time.Second && !c.isolationSuspected()
 }
 
 // isResponsibleFor reports whether this controller repeats the commands to a machine: it owns a
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"lilacrill/internal/config"
 	"lilacrill/internal/placement"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
@@ -163,9 +162,5 @@
 
 // heartbeatsOnTime reports whether the last heartbeat of a machine came within its interval.
 func (c *Controller) heartbeatsOnTime(machine *machine) bool {
-	interval := config.Seconds(heartbeatTolerance * c.settings.Cluster.Workers.ReportS)
-	return c.now.Sub(machine.liveness.lastHeartbeatAt) < interval+heartbeatSlack
+	return c.now.Sub(machine.liveness.lastHeartbeatAt) < c.maxHeartbeatInterval()+heartbeatSlack
 }
-
-// heartbeatTolerance is how many heartbeat intervals may pass until a heartbeat is late.
-const heartbeatTolerance = 1.25
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -208,7 +208,7 @@
 // of machines before it had read the list, while their workers were about to report.
 func (c *Controller) hadTimeToReport(machine *machine, quiet time.Duration) bool {
 	return machine.addr == "" && c.provisioner.listsSinceElected > 0 &&
-		quiet > config.Seconds(heartbeatTolerance*c.settings.Cluster.Workers.ReportS)+heartbeatSlack
+		quiet > c.maxHeartbeatInterval()+heartbeatSlack
 }
 
 // holdsCompletedTasks reports whether a machine has held tasks of completed jobs for longer
@@ -237,7 +237,7 @@
 		if c.provisioner.partitions.silentMachines(machine.zone) >= minPartitionedMachines {
 			// A partitioned zone works on, and its workers' leases last for a while: so long
 			// none of its tasks are lost, unless the machine is terminated.
-			return max(silence, config.Seconds(workers.LeaseS-heartbeatTolerance*workers.ReportS))
+			return max(silence, config.Seconds(workers.LeaseS-heartbeatJitter*workers.ReportS))
 		}
 		return silence
 	}
