--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,10 +1,13 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"lilacrill/internal/apierror"
 )
 
 const good = `
@@ -64,6 +67,18 @@
 sockets = 5000
 `
 
+// requireField requires an error that names a field, unless the text is not TOML.
+func requireField(t *testing.T, err error, field string) {
+	t.Helper()
+	var fieldErr *apierror.FieldError
+	if errors.As(err, &fieldErr) {
+		require.Equal(t, field, fieldErr.Field)
+	} else {
+		require.ErrorContains(t, err, "line ")
+	}
+}
+
+// TestSettings: good settings are accepted, and each wrong field is named, on one line.
 func TestSettings(t *testing.T) {
 	s, err := Parse([]byte(good))
 	require.NoError(t, err)
@@ -93,13 +108,14 @@
 		require.NotEqual(t, good, text, c.old)
 		_, err := Parse([]byte(text))
 		require.ErrorContains(t, err, c.field)
+		requireField(t, err, c.field)
 		require.NotContains(t, err.Error(), "\n")
 	}
 	_, err = Load(t.TempDir() + "/none.toml")
 	require.ErrorContains(t, err, "none.toml")
 }
 
-// TestNoLimit: guests are listed with 0 for every amount, which is no limit.
+// TestNoLimit: a limit of 0, as guests have, is no limit.
 func TestNoLimit(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(good, `cpus_max = 48.0`, `cpus_max = 0.0`, 1)))
 	require.NoError(t, err)
@@ -108,6 +124,7 @@
 	require.Equal(t, Unlimited, gpus)
 }
 
+// TestOperatorSettings: a change keeps the other settings, and each wrong field is named.
 func TestOperatorSettings(t *testing.T) {
 	d := DefaultOperator()
 	require.NoError(t, d.check())
@@ -120,10 +137,11 @@
 		`{"colour":1}`: "colour", `{"affinity":"maybe"}`: "affinity", `{"silence_s":1e9}`: "silence_s", `[]`: "settings", `null`: "settings", `{`: "settings"} {
 		_, err := d.With([]byte(text))
 		require.ErrorContains(t, err, field, text)
+		requireField(t, err, field)
 	}
 }
 
-// TestWarnings: settings that can be used but will cost something are named.
+// TestWarnings: settings that are valid but will cost users something are named.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct {
 		change   func(*Settings)
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFeatures takes what is right, also what stands under deploy, and names the field
+// TestFeatures accepts good files, the one under deploy among them, and names the field
 // of what is unknown, wrong or contradicts itself.
 func TestFeatures(t *testing.T) {
 	f, err := ParseFeatures(nil)
@@ -47,7 +47,7 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestSettingsOfLaterRelease: fields of a later release outlive a change that is made
+// TestSettingsOfLaterRelease: fields of a later release are kept by a change that is made
 // through this one; a value that this one does not allow is not taken.
 func TestSettingsOfLaterRelease(t *testing.T) {
 	stored, err := ReadOperator(json.RawMessage(`{"idle_s":50,"later":{"x":[1,2]},"other":null}`))
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,8 +9,8 @@
 	"lilacrill/internal/golden"
 )
 
-// TestGoldenSettings reads a settings file and a features file that name every field, and
-// holds what is read out of them.
+// TestGoldenSettings decodes a settings file and a features file that have every field, and
+// compares the values.
 func TestGoldenSettings(t *testing.T) {
 	features, err := LoadFeatures(golden.Path("features.toml"))
 	require.NoError(t, err)
@@ -23,8 +23,8 @@
 	golden.Compare(t, "settings-values.json", golden.Values(t, settings))
 }
 
-// TestGoldenOperatorSettings writes operators' settings with all fields set, by default
-// and with none set, and reads the first back in each way that there is.
+// TestGoldenOperatorSettings encodes operators' settings with all fields set, by default and
+// with none set, and decodes the first in each way that there is.
 func TestGoldenOperatorSettings(t *testing.T) {
 	var filled Operator
 	filler := golden.NewFiller(1)
@@ -50,7 +50,7 @@
 	require.Equal(t, stored, again)
 }
 
-// TestGoldenWords holds the words that fields of the files may have.
+// TestGoldenWords compares the values that enumerated fields of the files may have.
 func TestGoldenWords(t *testing.T) {
 	compareJSON(t, "words.json", map[string]any{
 		"activation": []Activation{ActivationManual, ActivationAutomatic},
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -49,7 +49,7 @@
 	require.Empty(t, Highest(nil, "team-0"))
 }
 
-// TestHighestAsEver: controllers of builds that run side by side agree.
+// TestHighestAsEver: controllers of different builds that run side by side agree on owners.
 func TestHighestAsEver(t *testing.T) {
 	owners := []string{"rig-0", "rig-1", "rig-2", "rig-3", "rig-4"}
 	var got []string
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -16,7 +16,7 @@
 	"lilacrill/internal/golden"
 )
 
-// TestGoldenAnswers holds what users, workers and health checks are answered.
+// TestGoldenAnswers compares the answers to users, workers and health checks.
 func TestGoldenAnswers(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Quota.Sockets = 500
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// TestShareFits guards against kinds of connections whose bounds add up to more
+// TestBudgetFitsQuota guards against bounds of the kinds of connections that add up to more
 // than the process may hold.
-func TestShareFits(t *testing.T) {
+func TestBudgetFitsQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var set config.Settings
 		set.Cluster.Quota.Sockets = rapid.IntRange(64, 100_000).Draw(t, "sockets")
@@ -31,7 +31,7 @@
 	})
 }
 
-// failing is a listener whose first calls find no free socket.
+// failing is a listener that is out of sockets at first.
 type failing struct {
 	net.Listener
 	left int
@@ -45,8 +45,7 @@
 	return nil, net.ErrClosed
 }
 
-// TestOutOfSockets guards against a server that ends because it had no socket
-// for a moment.
+// TestOutOfSockets guards against a server that ends because it was briefly out of sockets.
 func TestOutOfSockets(t *testing.T) {
 	f := &failing{left: 2}
 	_, err := NewRetryingListener(f, slog.New(slog.NewTextHandler(io.Discard, nil))).Accept()
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -94,8 +94,8 @@
 	"limits": []int{wire.MaxTasks, wire.MaxBody, wire.MaxProvision, wire.MaxTerminate, wire.MaxMachinesPerPage},
 }
 
-// TestGoldenMessages writes every message with all fields set and reads it back with both
-// decoders; then it writes it with none set.
+// TestGoldenMessages encodes every message with all fields set and decodes it with both
+// decoders; then it encodes it with none set.
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGoldenParsers gives golden messages to the functions that check what they read.
+// TestGoldenParsers gives golden messages to the functions that decode and check.
 func TestGoldenParsers(t *testing.T) {
 	var spec wire.JobSpec
 	golden.NewFiller(2).Fill(&spec)
@@ -136,7 +136,7 @@
 	require.Equal(t, &report, parsedReport)
 }
 
-// TestGoldenEnumValues holds the words of enumerated fields, and the limits.
+// TestGoldenEnumValues compares the values of enumerated fields, and the limits.
 func TestGoldenEnumValues(t *testing.T) {
 	text, err := json.MarshalIndent(enumValues, "", "  ")
 	require.NoError(t, err)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"lilacrill/internal/apierror"
 )
 
 const example = `{"id":"wk-000412","jobclass":"train","crew":"vision","shape":"group","rank":"high","loads":16,
@@ -14,6 +16,7 @@
  "rigtypes":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,
  "runtime_s":240.0,"savepoint_s":30.0,"stash_s":4.0,"due_s":900.0,"later":{"x":[1]}}`
 
+// TestParseJobTakesTheExample decodes the example of the protocol.
 func TestParseJobTakesTheExample(t *testing.T) {
 	j, err := ParseJob([]byte(example))
 	require.NoError(t, err)
@@ -22,8 +25,7 @@
 		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}, j)
 }
 
-// TestParseJobNamesTheField takes one field away, or makes it wrong, and wants
-// it named.
+// TestParseJobNamesTheField removes a field, or makes it wrong: the error names it.
 func TestParseJobNamesTheField(t *testing.T) {
 	nullable := map[string]bool{"rigtypes": true, "yard": true, "due_s": true}
 	wrong := map[string][]string{
@@ -64,11 +66,13 @@
 			continue
 		}
 		require.ErrorContains(t, err, name)
+		requireField(t, name, err)
 	}
 	for name, values := range wrong {
 		for _, v := range values {
 			_, err := ParseJob(with(name, v))
 			require.ErrorContains(t, err, name, "%s = %s", name, v)
+			requireField(t, name, err)
 		}
 	}
 	for _, body := range []string{"", "nothing", "[]", `"x"`, "null", "{", example[:100], `{"id":NaN}`} {
@@ -77,7 +81,15 @@
 	}
 }
 
-// TestFormatsRoundTrip writes generated messages and reads them back.
+// requireField requires an error that names a field.
+func requireField(t *testing.T, field string, err error) {
+	t.Helper()
+	var fieldErr *apierror.FieldError
+	require.ErrorAs(t, err, &fieldErr)
+	require.Equal(t, field, fieldErr.Field)
+}
+
+// TestFormatsRoundTrip encodes generated heartbeats and decodes them.
 func TestFormatsRoundTrip(t *testing.T) {
 	task := rapid.Custom(func(t *rapid.T) TaskStatus {
 		r := TaskStatus{Task: TaskID{JobID("wk-" + rapid.StringMatching("[0-9]{1,18}").Draw(t, "job")), rapid.IntRange(0, MaxTasks-1).Draw(t, "index")},
@@ -104,9 +116,9 @@
 	})
 }
 
-// TestReportsAreChecked cuts and spoils a report; none may be taken, and none
-// may stop the reader.
-func TestReportsAreChecked(t *testing.T) {
+// TestHeartbeatsAreChecked truncates and corrupts a heartbeat: none may be accepted, and none
+// may make the decoder panic.
+func TestHeartbeatsAreChecked(t *testing.T) {
 	good := `{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,"loads":[{"load":"wk-000412/3","try":2,"status":"running"}]}`
 	_, err := ParseHeartbeat([]byte(good))
 	require.NoError(t, err)
