--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -33,7 +33,7 @@
 		StoreLagS:        c.now.Sub(c.cancellations.cacheCurrentAt).Seconds(),
 		CancellationLagS: c.now.Sub(c.cancellationsKnownAt()).Seconds(),
 		RenewsLeases:     c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness(),
-		TimerLagS:        c.scheduler.lag * TickEvery.Seconds(),
+		TimerLagS:        c.scheduler.lag.ticks * TickEvery.Seconds(),
 	}
 }
 
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -23,9 +23,7 @@
 	nextNonCritical    Time
 	nextCriticalOnly   Time // no pass over critical jobs alone before, while submissions are crowded
 	nextDemandEstimate Time
-	lastTick           Time
-	lag                float64 // how late ticks have come lately, in ticks
-	lagging            bool
+	lag                lagMeter
 
 	// The index of the placement records: of committed allocations for commands, and with
 	// those of transactions in flight for scheduling.
@@ -303,49 +301,8 @@
 	return c.ownsTeam(job.spec.Team)
 }
 
-// passPause is the least time between passes, whose cost is in proportion to the fleet.
-func (c *Controller) passPause() time.Duration {
-	return c.stretchPause(passInterval+time.Duration(len(c.fleet.machines))*passIntervalPerMachine, maxPassPause)
-}
-
-// stretchPause stretches the pause before work that can be deferred, where this process has a
-// small share of a processor, and further while it lags: leases, responses and what waits
-// for them come first. The pause is not stretched beyond longest.
-func (c *Controller) stretchPause(pause, longest time.Duration) time.Duration {
-	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag)
-	return max(pause, min(longest, time.Duration(float64(pause)*stretch)))
-}
-
-// measureLag measures, at every tick, how late ticks come: this shows whether the process has
-// enough of the processor.
-func (c *Controller) measureLag() {
-	late := min(c.now.Sub(c.scheduler.lastTick)-TickEvery, stallThreshold)
-	c.scheduler.lag += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - c.scheduler.lag)
-	c.scheduler.lastTick = c.now
-	switch {
-	case !c.scheduler.lagging && c.scheduler.lag > lagThreshold:
-		c.scheduler.lagging = true
-		c.metrics.count(countLagging, 1)
-		c.log.Info("ticks late, deferrable work slowed down", "hint", "cluster.quota.core_share may be too small",
-			"tick_delay", time.Duration(c.scheduler.lag*float64(TickEvery)).Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
-	case c.scheduler.lagging && c.scheduler.lag < lagRecovered:
-		c.scheduler.lagging = false
-		c.log.Info("ticks on time again")
-	}
-}
-
-const (
-	// TickEvery is how often the controller is to be given a Tick.
-	TickEvery = 50 * time.Millisecond
-	// referenceCoreShare is the share of a processor that the pauses are dimensioned for.
-	referenceCoreShare = 0.18
-	maxPassPause       = time.Second
-	lagSmoothing       = 0.1 // the weight of the last tick in the moving average
-	// lagThreshold and lagRecovered are the lags, in ticks, above which a process counts as
-	// lagging, and below which it has recovered.
-	lagThreshold, lagRecovered = 3.0, 0.5
-)
-
+// sortedKeys is the keys of a map in order: what depends on a map's own order differs from run
+// to run.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
