--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -102,7 +102,7 @@
 // placedTasks counts a job's tasks that are placed by the records.
 func (c *Controller) placedTasks(id wire.JobID) int {
 	count := 0
-	for _, allocation := range c.scheduler.allocationsByJob[id] {
+	for _, allocation := range c.cache.allocationsByJob[id] {
 		count += allocation.Tasks.Len()
 	}
 	return count
--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -6,9 +6,9 @@
 	"lilacrill/wire"
 )
 
-// index adds a page's allocations to the indexes: by machine, by job, and the count of critical
-// ones by machine. unindex removes them again.
-func (c *Controller) index(page *page) {
+// indexPage adds a page's allocations to the indexes: by machine, by job, and the count of critical
+// ones by machine. unindexPage removes them again.
+func (c *Controller) indexPage(page *page) {
 	page.needsReview = true
 	for i := range page.allocations {
 		allocation := &page.allocations[i]
@@ -16,7 +16,7 @@
 		allocation.page, allocation.host = page, host
 		host.reconciliation.reconciledHeartbeat = nil
 		host.allocations = append(host.allocations, allocation)
-		c.scheduler.allocationsByJob[allocation.Job] = append(c.scheduler.allocationsByJob[allocation.Job], allocation)
+		c.cache.allocationsByJob[allocation.Job] = append(c.cache.allocationsByJob[allocation.Job], allocation)
 		if c.cache.jobs[allocation.Job] == nil {
 			c.noteCompletedTasksOn(allocation.Machine)
 		}
@@ -26,14 +26,14 @@
 	}
 }
 
-func (c *Controller) unindex(page *page) {
+func (c *Controller) unindexPage(page *page) {
 	onPage := func(a *Allocation) bool { return a.page == page }
 	for i := range page.allocations {
 		allocation := &page.allocations[i]
 		host := allocation.host
 		host.reconciliation.reconciledHeartbeat = nil
 		host.allocations = slices.DeleteFunc(host.allocations, onPage)
-		deleteWhere(c.scheduler.allocationsByJob, allocation.Job, onPage)
+		deleteWhere(c.cache.allocationsByJob, allocation.Job, onPage)
 		if allocation.isCritical() {
 			host.criticalAllocations--
 		}
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	for _, allocation := range c.scheduler.allocationsByJob[id] {
+	for _, allocation := range c.cache.allocationsByJob[id] {
 		search(allocation.page)
 	}
 	for _, key := range sortedKeys(txn.pages) {
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -36,7 +36,10 @@
 	completedJobs map[wire.JobID]record.Completion
 	archivedJobs  map[wire.JobID]record.Completion
 
-	teams                  map[string]*team
+	teams map[string]*team
+	// allocationsByJob indexes the allocations on the teams' pages.
+	allocationsByJob map[wire.JobID][]*Allocation
+
 	liveControllers        map[string]wire.FencingToken // incarnations by label
 	isolatedControllers    map[string]bool
 	terminations           record.Terminations
@@ -92,6 +95,7 @@
 	s.archivedJobs = map[wire.JobID]record.Completion{}
 	s.completedJobs = map[wire.JobID]record.Completion{}
 	s.teams = map[string]*team{}
+	s.allocationsByJob = map[wire.JobID][]*Allocation{}
 	s.liveControllers = map[string]wire.FencingToken{}
 	s.isolatedControllers = map[string]bool{}
 	s.unreadable = map[string]error{}
--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -98,7 +98,7 @@
 
 // sendCommandsForJob sends the machines of a job's allocations what has just been decided.
 func (c *Controller) sendCommandsForJob(id wire.JobID) {
-	for _, allocation := range c.scheduler.allocationsByJob[id] {
+	for _, allocation := range c.cache.allocationsByJob[id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
 			c.sendCommandsNow(machine)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,7 +75,6 @@
 	c.ownership.init()
 	c.fleet.init(sockets.NewBudget(settings).Workers)
 	c.provisioner.init()
-	c.scheduler.init()
 	c.metrics.init()
 	c.cancellations.init(c.rand.Uint64())
 	c.completedTasks.init()
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -188,7 +188,7 @@
 // image.
 func (c *Controller) gangImagePullTime(job *job, attempt wire.Attempt) time.Duration {
 	longest := time.Duration(0)
-	for _, allocation := range c.scheduler.allocationsByJob[job.id] {
+	for _, allocation := range c.cache.allocationsByJob[job.id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil && allocation.Attempt == attempt {
 			longest = max(longest, c.imagePullTime(machine, job))
 		}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -44,7 +44,7 @@
 // applyJob takes a job's record, or nil if it was deleted, into the cache.
 func (c *Controller) applyJob(id wire.JobID, value json.RawMessage, version wire.Revision) error {
 	c.scheduler.dirty = true
-	for _, allocation := range c.scheduler.allocationsByJob[id] {
+	for _, allocation := range c.cache.allocationsByJob[id] {
 		allocation.host.reconciliation.reconciledHeartbeat, allocation.page.needsReview = nil, true
 	}
 	if value == nil {
@@ -76,7 +76,7 @@
 		c.noteCancellation(wire.Cancellation{Job: id, Version: version, Done: completion.Done})
 	}
 	c.cache.completedJobs[id] = completion
-	for _, allocation := range c.scheduler.allocationsByJob[id] {
+	for _, allocation := range c.cache.allocationsByJob[id] {
 		c.noteCompletedTasksOn(allocation.Machine)
 	}
 	return nil
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -138,7 +138,7 @@
 // status is the status of a job that is not complete.
 func (c *Controller) status(job *job) wire.JobStatus {
 	status := wire.JobStatus{ID: job.id, Status: wire.StatusPending, Done: job.completed.Len()}
-	for _, allocation := range c.scheduler.allocationsByJob[job.id] {
+	for _, allocation := range c.cache.allocationsByJob[job.id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
 			status.Running += machine.running(allocation)
 		}
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -154,13 +154,13 @@
 func (c *Controller) replacePage(replacement *page) {
 	team := c.cache.team(replacement.team)
 	if earlier := team.pages[replacement.key]; earlier != nil {
-		c.unindex(earlier)
+		c.unindexPage(earlier)
 	} else {
 		team.orderedKeys = nil
 	}
 	team.pages[replacement.key] = replacement
 	team.pageCount[replacement.zone] = max(team.pageCount[replacement.zone], replacement.number+1)
-	c.index(replacement)
+	c.indexPage(replacement)
 	for id, tasks := range replacement.completed {
 		if job := c.cache.jobs[id]; job != nil {
 			job.completed = job.completed.With(tasks)
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -25,10 +25,7 @@
 	nextDemandEstimate Time
 	lag                lagMeter
 
-	// The index of the placement records: of committed allocations for commands, and with
-	// those of transactions in flight for scheduling.
-	allocationsByJob map[wire.JobID][]*Allocation
-	guaranteedJobs   map[wire.JobID]bool // the jobs within their teams' quota guarantees
+	guaranteedJobs map[wire.JobID]bool // the jobs within their teams' quota guarantees
 }
 
 // teamSchedule is the scheduler's state of a team.
@@ -43,10 +40,6 @@
 	contendedMachines  map[wire.MachineID]bool // the machines of the lost writes
 }
 
-func (s *scheduler) init() {
-	s.allocationsByJob = map[wire.JobID][]*Allocation{}
-}
-
 const (
 	// passInterval and passIntervalPerMachine bound the processor time of passes.
 	passInterval           = 30 * time.Millisecond
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -88,7 +88,6 @@
 	for _, machine := range c.fleet.machines {
 		machine.allocations, machine.criticalAllocations = nil, 0
 	}
-	clear(c.scheduler.allocationsByJob)
 }
 
 // openWatch keeps one watch request open. It does not block while the cache is known to be
