--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -42,7 +42,7 @@
 	{name: "launches under way", cancelWhileLaunching: true},
 	{name: "launches under way, direct commands lost", cancelWhileLaunching: true, dropDirectCalls: true},
 	{name: "siblings do not hear it", dropDirectCalls: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true }},
-	{name: "lines lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeerMessageLoss = 0.7 }},
+	{name: "lines lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.PeerMessageLoss = 0.7 }},
 	{name: "confirming controllers end", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) {
 		for i := range cluster.controllers {
 			if i != refused {
--- a/internal/simulation/setup_test.go
+++ b/internal/simulation/setup_test.go
@@ -36,7 +36,7 @@
 	}}
 }
 
-func newCluster(t interface{ Logf(string, ...any) }, seed uint64, controllers int) *Cluster {
+func newCluster(_ interface{ Logf(string, ...any) }, seed uint64, controllers int) *Cluster {
 	return newClusterWith(testSettings(), seed, controllers)
 }
 
