--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -175,7 +175,7 @@
 		c.log.Info("lease renewals resumed")
 	} else {
 		c.metrics.count(countRenewalsSuspended, 1)
-		c.log.Info("lease renewals suspended: cancellations may be unknown here",
+		c.log.Info("lease renewals suspended", "reason", "cancellations may be unknown here",
 			"cancellations_age", staleness, "cache_age", c.now.Sub(c.cancellations.cacheCurrentAt))
 	}
 	return ok
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -187,8 +187,8 @@
 // completed tasks, is terminated once more with a record.
 func (c *Controller) terminateUnrecorded(machines []wire.MachineID) {
 	for _, id := range machines {
-		c.log.Info("machine terminated without a record: it holds completed tasks and does not respond",
-			"machine", id, "completed_for", c.now.Sub(c.completedTasks.since[id]))
+		c.log.Info("machine terminated without a record", "reason", "holds completed tasks and does not respond",
+			"machine_id", id, "completed_for", c.now.Sub(c.completedTasks.since[id]))
 	}
 	c.callTerminate(machines, func(*machine) { c.metrics.count(countTerminatedUnrecorded, 1) })
 }
