--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -9,29 +9,6 @@
 	"lilacrill/wire"
 )
 
-// clusterSetup is the cluster that a benchmark's world begins with.
-type clusterSetup struct {
-	settings    config.Settings
-	types       []wire.MachineType
-	pattern     []int // the types of the machines, by number, over and over
-	controllers int
-	machines    int
-	capacity    int
-}
-
-// start makes the machines and starts the controllers.
-func (f clusterSetup) start() *Cluster {
-	cluster := NewCluster(f.settings, f.types, f.controllers, 1)
-	cluster.Capacity = f.capacity
-	for i := range f.machines {
-		cluster.AddMachine(f.types[f.pattern[i%len(f.pattern)]], zones[i%len(zones)], false, 0)
-	}
-	for i := range f.controllers {
-		cluster.Start(i)
-	}
-	return cluster
-}
-
 // benchmarkCluster runs a world for so long, again and again; no rule may break.
 func benchmarkCluster(b *testing.B, length time.Duration, world func() *Cluster) {
 	for b.Loop() {
@@ -96,7 +73,8 @@
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, OnDemandPrice: 11, SpotPrice: 4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, capacity: 3}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, seed: 1}.start()
+	cluster.Capacity = 3
 	for n := range 60 {
 		spec, run := testJob(n, []int{0, 3, 0, 1}[n%4])
 		if spec.Shape == wire.ShapeArray {
@@ -121,7 +99,8 @@
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "c8", Cores: 8, MemGB: 32, OnDemandPrice: 0.36, SpotPrice: 0.1, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, capacity: 400}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, seed: 1}.start()
+	cluster.Capacity = 400
 	for n := range 430 {
 		spec, run := testJob(n, 1)
 		spec.Tasks, spec.MemGB, spec.SpreadZones = []int{3, 4, 16}[n%3], 3.4, true
@@ -149,7 +128,8 @@
 	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: 0.3, MemMB: 320, Sockets: 2600}
-	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: 3, machines: 1860, capacity: 250}.start()
+	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: 3, machines: 1860, seed: 1}.start()
+	cluster.Capacity = 250
 	for n := range 420 {
 		spec, run := mixedJob(n, []int{1, 1, 1, 1, 2, 0, 3}[n%7], 150+n*2, 150*time.Second)
 		cluster.At(2*time.Second+time.Duration(n)*80*time.Millisecond, func() { cluster.Submit(spec, run) })
@@ -176,7 +156,8 @@
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0}, controllers: 5, machines: 1500}.start()
+	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0}, controllers: 5, machines: 1500, seed: 1}.start()
+	cluster.Capacity = 0
 	for n := range 1500 {
 		spec, _ := testJob(n, 0)
 		spec.Team, spec.Tasks, spec.Cores, spec.Priority = "guest", 1, 0.25, wire.PriorityBestEffort
@@ -198,7 +179,8 @@
 	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: share, MemMB: 114, Sockets: 1500}
-	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: controllers, machines: machines, capacity: 100}.start()
+	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: controllers, machines: machines, seed: 1}.start()
+	cluster.Capacity = 100
 	for n := range 160 {
 		spec, run := mixedJob(n, []int{1, 1, 2, 0, 3, 0, 2}[n%7], 20+n, 50*time.Second)
 		cluster.At(2*time.Second+time.Duration(n)*300*time.Millisecond, func() { cluster.Submit(spec, run) })
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -228,7 +228,7 @@
 // took itself for cut off, since more than a third of the machines were silent.
 func TestCancelledTasksStopInPartitionedZone(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		for n := range 5 {
 			cluster.AddMachine(machineTypes[0], zones[n%3], false, 0)
 		}
@@ -262,7 +262,7 @@
 // world holds every record against the jobs there are when it is written.
 func TestNoPlacementOfCancelledJob(t *testing.T) {
 	for seed := range uint64(8) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		cluster.StoreDelay = 300 * time.Millisecond
 		for n := range 40 {
 			spec, run := testJob(n, 0)
--- a/internal/simulation/direct_calls_test.go
+++ b/internal/simulation/direct_calls_test.go
@@ -27,13 +27,8 @@
 	settings := testSettings()
 	settings.Cluster.Teams[0].CPUsMax, settings.Cluster.Teams[1].CPUsMax = 400, 400
 	settings.Cluster.Quota.Sockets = 160
-	cluster := NewCluster(settings, machineTypes, 2, seed)
+	cluster := clusterSetup{settings: settings, machines: 90, controllers: 2, seed: seed}.start()
 	cluster.Capacity = 60
-	for i := range 90 {
-		cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-	}
-	cluster.Start(0)
-	cluster.Start(1)
 	for n := range 30 {
 		spec, run := testJob(2*n, 0)
 		spec.Tasks = 16
@@ -76,14 +71,8 @@
 	for seed := range uint64(4) {
 		settings := testSettings()
 		settings.Cluster.Teams[1].CPUsMax = 200
-		cluster := NewCluster(settings, machineTypes, 3, seed)
+		cluster := clusterSetup{settings: settings, machines: 80, controllers: 3, seed: seed}.start()
 		cluster.Capacity = 60
-		for i := range 80 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 30
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
--- a/internal/simulation/failing_jobs_test.go
+++ b/internal/simulation/failing_jobs_test.go
@@ -16,7 +16,7 @@
 // blamed for them, also once they were withdrawn, and what is well is served.
 func TestAlwaysFailingJobsBackOff(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		for i := range 12 {
 			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
@@ -70,7 +70,7 @@
 // TestFaultyMachineIsQuarantined: what fails while others run the same jobs well is the
 // machine, also beside jobs that fail everywhere.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
-	cluster := newCluster(t, 5, 2)
+	cluster := newCluster(5, 2)
 	cluster.Capacity = 0
 	cluster.machines[1].faulty = true
 	mistaken, _ := testJob(400, 0)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -4,128 +4,186 @@
 	"time"
 )
 
-// fault is one thing that goes wrong for a while.
+// faultKind says what a fault is.
+type faultKind string
+
+// The kinds of faults.
+const (
+	faultCrash             faultKind = "controller crashes"
+	faultCrashAll          faultKind = "all controllers crash"
+	faultDoubleRestart     faultKind = "controller restarts twice"
+	faultDoubleRestartAll  faultKind = "all controllers restart twice"
+	faultStall             faultKind = "controller stalls"
+	faultIsolation         faultKind = "controller partitioned from store and peers"
+	faultStorePartition    faultKind = "controller partitioned from store"
+	faultWorkerPartition   faultKind = "controller partitioned from workers"
+	faultZonePartition     faultKind = "zone partitioned with a controller"
+	faultStoreUnavailable  faultKind = "store unavailable"
+	faultSlowStore         faultKind = "slow store"
+	faultCloudUnavailable  faultKind = "cloud unavailable"
+	faultProvisioningDelay faultKind = "provisioning delay"
+	faultPollStorm         faultKind = "poll storm"
+	faultMachineHangs      faultKind = "machine hangs"
+	faultMachineDies       faultKind = "machine dies"
+	faultPreemption        faultKind = "preemption notice"
+	faultFaultyMachine     faultKind = "faulty machine"
+	faultInboundPartition  faultKind = "inbound partition of a machine"
+	faultOutboundPartition faultKind = "outbound partition of a machine"
+)
+
+// faultKinds are all kinds. Their order stands in rapid's failure files.
+var faultKinds = []faultKind{
+	faultCrash, faultCrashAll, faultDoubleRestart, faultStoreUnavailable, faultStorePartition, faultWorkerPartition, faultCloudUnavailable,
+	faultMachineHangs, faultMachineDies, faultPreemption, faultSlowStore, faultFaultyMachine, faultInboundPartition, faultIsolation,
+	faultDoubleRestartAll, faultZonePartition, faultStall, faultProvisioningDelay, faultPollStorm, faultOutboundPartition,
+}
+
+const (
+	// crashTime is how long a controller that crashed is away.
+	crashTime = 3 * time.Second
+	// preemptionNotice is how long before its end a machine has a preemption notice.
+	preemptionNotice = 8 * time.Second
+)
+
+// fault is one fault at a time, for a duration if it passes. The target is a number that
+// chooses the controller, the machine or the zone.
 type fault struct {
-	kind     string
+	kind     faultKind
 	at       time.Duration
 	duration time.Duration
 	target   int
 }
 
-var faultKinds = []string{"crash", "crash all", "flicker", "state down", "state cut", "worker cut", "cloud down",
-	"hang", "die", "notice", "slow state", "faulty", "deaf", "alone", "flicker all", "zone cut", "freeze",
-	"boots", "polls", "mute"}
-
-func (tr fault) inject(cluster *Cluster) {
-	n := tr.target % len(cluster.controllers)
-	machine := func() *fakeMachine {
-		for i := range cluster.machines {
-			if machine := cluster.machines[(i+tr.target)%len(cluster.machines)]; machine.up && !machine.terminated && !machine.hung {
-				return machine
-			}
+// inject brings the fault about now, whatever its time.
+func (f fault) inject(c *Cluster) {
+	if machineFault := f.machineFault(c); machineFault != nil {
+		if machine := f.machine(c); machine != nil {
+			machineFault(machine)
 		}
-		return nil
+		return
 	}
-	switch tr.kind {
-	case "crash":
-		cluster.Stop(n)
-		cluster.At(3*time.Second, func() { cluster.Start(n) })
-	case "crash all":
-		for i := range cluster.controllers {
-			cluster.Stop(i)
-			cluster.At(3*time.Second+time.Duration(i)*200*time.Millisecond, func() { cluster.Start(i) })
+	i := f.target % len(c.controllers)
+	switch f.kind {
+	case faultCrash:
+		c.Stop(i)
+		c.At(crashTime, func() { c.Start(i) })
+	case faultCrashAll:
+		for i := range c.controllers {
+			c.Stop(i)
+			c.At(crashTime+time.Duration(i)*200*time.Millisecond, func() { c.Start(i) })
 		}
-	case "flicker":
-		cluster.Start(n)
-		cluster.At(300*time.Millisecond, func() { cluster.Start(n) })
-	case "flicker all":
+	case faultDoubleRestart:
+		c.Start(i)
+		c.At(300*time.Millisecond, func() { c.Start(i) })
+	case faultDoubleRestartAll:
 		// All are back within a fraction of a second, and some again while the
-		// others still choose owners, buyer and launchers.
-		for i := range cluster.controllers {
-			cluster.Start(i)
-			cluster.At(time.Duration(200+150*i)*time.Millisecond, func() { cluster.Start(i) })
+		// others still elect owners, the provisioner and launchers.
+		for i := range c.controllers {
+			c.Start(i)
+			c.At(time.Duration(200+150*i)*time.Millisecond, func() { c.Start(i) })
+		}
+	case faultStall:
+		c.Stall(i, 2*f.duration)
+	case faultZonePartition:
+		c.PartitionZone(zones[f.target%len(zones)], i, 2*f.duration)
+	case faultPollStorm:
+		c.PollStorm(2 * f.duration)
+	case faultProvisioningDelay:
+		// Workers join late, never, or within a moment.
+		delay := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[f.target%3]
+		c.ProvisioningDelay = func(string, string) time.Duration { return delay }
+		c.At(2*f.duration, func() { c.ProvisioningDelay = nil })
+	default:
+		f.injectPartition(c, i)
+	}
+}
+
+// injectPartition brings about partitions of a controller, and outages.
+func (f fault) injectPartition(c *Cluster, i int) {
+	switch f.kind {
+	case faultIsolation:
+		c.StorePartitioned[i], c.PeersPartitioned[i] = true, true
+		c.At(f.duration, func() { delete(c.StorePartitioned, i); delete(c.PeersPartitioned, i) })
+	case faultStorePartition:
+		c.partitionFromStore(i, f.duration)
+	case faultWorkerPartition:
+		c.WorkersPartitioned[i] = true
+		c.At(f.duration, func() { delete(c.WorkersPartitioned, i) })
+	case faultStoreUnavailable:
+		c.storeOutage(f.duration)
+	case faultCloudUnavailable:
+		c.CloudUnavailable = true
+		c.At(f.duration, func() { c.CloudUnavailable = false })
+	case faultSlowStore:
+		c.StoreDelay = 500 * time.Millisecond
+		c.At(f.duration, func() { c.StoreDelay = 0 })
+	default:
+		panic("no such fault: " + f.kind)
+	}
+}
+
+// machineFault is what a fault of a machine does to it; nil for other faults.
+func (f fault) machineFault(c *Cluster) func(*fakeMachine) {
+	switch f.kind {
+	case faultMachineHangs:
+		return func(machine *fakeMachine) { machine.hangFor(f.duration) }
+	case faultMachineDies:
+		return (*fakeMachine).terminate
+	case faultPreemption:
+		return func(machine *fakeMachine) {
+			machine.preemptionAt = c.now.Add(preemptionNotice)
+			c.At(preemptionNotice, machine.terminate)
 		}
-	case "alone":
-		cluster.StorePartitioned[n], cluster.PeersPartitioned[n] = true, true
-		cluster.At(tr.duration, func() { delete(cluster.StorePartitioned, n); delete(cluster.PeersPartitioned, n) })
-	case "freeze":
-		cluster.Stall(n, 2*tr.duration)
-	case "boots":
-		// Machines come up late, never, or within a moment.
-		boot := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[tr.target%3]
-		cluster.ProvisioningDelay = func(string, string) time.Duration { return boot }
-		cluster.At(2*tr.duration, func() { cluster.ProvisioningDelay = nil })
-	case "polls":
-		cluster.PollStorm(2 * tr.duration)
-	case "zone cut":
-		cluster.PartitionZone(zones[tr.target%len(zones)], n, 2*tr.duration)
-	case "deaf":
-		if machine := machine(); machine != nil {
+	case faultFaultyMachine:
+		return func(machine *fakeMachine) { machine.faulty = true }
+	case faultInboundPartition:
+		return func(machine *fakeMachine) {
 			machine.inboundPartitioned = true
-			cluster.At(2*tr.duration, func() { machine.inboundPartitioned = false })
+			c.At(2*f.duration, func() { machine.inboundPartitioned = false })
 		}
-	case "mute":
-		if machine := machine(); machine != nil {
+	case faultOutboundPartition:
+		return func(machine *fakeMachine) {
 			machine.outboundPartitioned = true
-			cluster.At(2*tr.duration, func() { machine.outboundPartitioned = false })
-		}
-	case "state down":
-		cluster.StoreUnavailable = true
-		cluster.At(tr.duration, func() { cluster.StoreUnavailable = false; cluster.store.RenewAll(cluster.now) })
-	case "state cut":
-		cluster.StorePartitioned[n] = true
-		cluster.At(tr.duration, func() { delete(cluster.StorePartitioned, n) })
-	case "worker cut":
-		cluster.WorkersPartitioned[n] = true
-		cluster.At(tr.duration, func() { delete(cluster.WorkersPartitioned, n) })
-	case "cloud down":
-		cluster.CloudUnavailable = true
-		cluster.At(tr.duration, func() { cluster.CloudUnavailable = false })
-	case "slow state":
-		cluster.StoreDelay = 500 * time.Millisecond
-		cluster.At(tr.duration, func() { cluster.StoreDelay = 0 })
-	case "hang":
-		if machine := machine(); machine != nil {
-			machine.hung = true
-			cluster.At(tr.duration, machine.resume)
+			c.At(2*f.duration, func() { machine.outboundPartitioned = false })
 		}
-	case "die":
-		if machine := machine(); machine != nil {
-			machine.terminate()
-		}
-	case "notice":
-		if machine := machine(); machine != nil {
-			machine.preemptionAt = cluster.now + 8_000_000_000
-			cluster.At(8*time.Second, machine.terminate)
-		}
-	case "faulty":
-		if machine := machine(); machine != nil {
-			machine.faulty = true
+	}
+	return nil
+}
+
+// machine is the machine that a fault strikes: the first from the target on that is well.
+func (f fault) machine(c *Cluster) *fakeMachine {
+	for i := range c.machines {
+		if machine := c.machines[(i+f.target)%len(c.machines)]; machine.up && !machine.terminated && !machine.hung {
+			return machine
 		}
 	}
+	return nil
 }
 
-// restart ends a controller and has it back after a while.
+// restart stops a controller and starts it again after a while.
 func (c *Cluster) restart(i int, after time.Duration) {
 	c.Observed[controllerRestarted]++
 	c.Stop(i)
 	c.At(after, func() { c.Start(i) })
 }
 
-// restartProvisioner ends the controller that buys, or another if there is none.
+// restartProvisioner restarts the controller that provisions, or another if there is none.
 func (c *Cluster) restartProvisioner(after time.Duration) { c.restart(max(0, c.provisioner()), after) }
 
+// storeOutage has the state store unavailable for a while. Every lease has its full time
+// when it is back.
 func (c *Cluster) storeOutage(d time.Duration) {
 	c.StoreUnavailable = true
 	c.At(d, func() { c.StoreUnavailable = false; c.store.RenewAll(c.now) })
 }
 
+// partitionFromStore partitions a controller from the state store for a while.
 func (c *Cluster) partitionFromStore(i int, d time.Duration) {
 	c.StorePartitioned[i] = true
 	c.At(d, func() { delete(c.StorePartitioned, i) })
 }
 
-// eachBusyMachine has something happen to all machines with tasks whose number divides.
+// eachBusyMachine calls f for the machines with tasks whose number is a multiple of every.
 func (c *Cluster) eachBusyMachine(every int, f func(*fakeMachine)) {
 	for i, machine := range c.machines {
 		if len(machine.tasks) > 0 && !machine.terminated && i%every == 0 {
@@ -134,7 +192,7 @@
 	}
 }
 
-// everyOtherBusyMachine has something happen to every other machine with tasks.
+// everyOtherBusyMachine calls f for every other machine with tasks.
 func (c *Cluster) everyOtherBusyMachine(f func(*fakeMachine)) {
 	n := 0
 	for _, machine := range c.machines {
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -335,7 +335,7 @@
 // while another machine dies; then a slow state service.
 func TestOverlappingFaults(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		cluster.MessageLoss = 0.02
 		for n := range 24 {
 			spec, run := testJob(n, n%8)
@@ -345,13 +345,13 @@
 			}
 		}
 		for _, planned := range []fault{
-			{"state down", 15 * time.Second, 20 * time.Second, 0},
-			{"crash all", 20 * time.Second, 0, 0},
-			{"hang", 22 * time.Second, 25 * time.Second, 1},
-			{"state cut", 50 * time.Second, 20 * time.Second, 1},
-			{"die", 52 * time.Second, 0, 2},
-			{"slow state", 75 * time.Second, 20 * time.Second, 0},
-			{"cloud down", 75 * time.Second, 15 * time.Second, 0},
+			{faultStoreUnavailable, 15 * time.Second, 20 * time.Second, 0},
+			{faultCrashAll, 20 * time.Second, 0, 0},
+			{faultMachineHangs, 22 * time.Second, 25 * time.Second, 1},
+			{faultStorePartition, 50 * time.Second, 20 * time.Second, 1},
+			{faultMachineDies, 52 * time.Second, 0, 2},
+			{faultSlowStore, 75 * time.Second, 20 * time.Second, 0},
+			{faultCloudUnavailable, 75 * time.Second, 15 * time.Second, 0},
 		} {
 			cluster.At(planned.at, func() { planned.inject(cluster) })
 		}
--- a/internal/simulation/heartbeat_test.go
+++ b/internal/simulation/heartbeat_test.go
@@ -15,7 +15,7 @@
 // controllers that have forgotten which report was the last.
 func TestDuplicatedHeartbeatsAreIgnored(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		cluster.DuplicatedHeartbeats = 0.5
 		for n := range 24 {
 			spec, run := testJob(n, n%8)
@@ -25,11 +25,11 @@
 			}
 		}
 		for _, planned := range []fault{
-			{"hang", 15 * time.Second, 20 * time.Second, 1}, // well over a lease: a new session
-			{"die", 20 * time.Second, 0, 2},
-			{"crash all", 28 * time.Second, 0, 0},
-			{"hang", 45 * time.Second, 20 * time.Second, 0},
-			{"flicker all", 50 * time.Second, 0, 0},
+			{faultMachineHangs, 15 * time.Second, 20 * time.Second, 1}, // well over a lease: a new session
+			{faultMachineDies, 20 * time.Second, 0, 2},
+			{faultCrashAll, 28 * time.Second, 0, 0},
+			{faultMachineHangs, 45 * time.Second, 20 * time.Second, 0},
+			{faultDoubleRestartAll, 50 * time.Second, 0, 0},
 		} {
 			cluster.At(planned.at, func() { planned.inject(cluster) })
 		}
@@ -47,7 +47,7 @@
 // its reports go on coming, and its replicas must run elsewhere all the same.
 func TestDuplicatedHeartbeatsOfDeadMachine(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 2)
+		cluster := newCluster(seed, 2)
 		cluster.DuplicatedHeartbeats = 1
 		for n := range 4 {
 			cluster.AddMachine(machineTypes[0], zones[n%3], false, 0) // room to go to
@@ -80,13 +80,7 @@
 	for seed := range uint64(6) {
 		settings := testSettings()
 		settings.Cluster.Workers = config.Workers{ReportS: 20, LeaseS: 60, GangWaitS: 35, GangPeerS: 6, CancelS: 80}
-		cluster := NewCluster(settings, machineTypes, 3, seed)
-		for i := range 30 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
+		cluster := clusterSetup{settings: settings, machines: 30, controllers: 3, seed: seed}.start()
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 10
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
--- a/internal/simulation/overhead_test.go
+++ b/internal/simulation/overhead_test.go
@@ -36,13 +36,7 @@
 		settings := testSettings()
 		settings.Cluster.Quota.CoreShare = share
 		settings.Cluster.Teams[1].CPUsMax = 400
-		cluster := NewCluster(settings, machineTypes, 3, 1)
-		for i := range 120 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
+		cluster := clusterSetup{settings: settings, machines: 120, controllers: 3, seed: 1}.start()
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 300
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
@@ -62,7 +56,7 @@
 // TestUnchangedHeartbeatAllocations bounds what a worker's report costs that says nothing
 // new: hundreds come every second.
 func TestUnchangedHeartbeatAllocations(t *testing.T) {
-	cluster := newCluster(t, 1, 1)
+	cluster := newCluster(1, 1)
 	spec, _ := testJob(1, 1)
 	spec.Tasks = 8
 	cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -14,7 +14,7 @@
 // must run elsewhere, no new work may go there, and it must not be kept.
 func TestInboundPartitionedMachineIsReplaced(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 4
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
@@ -54,13 +54,7 @@
 func newBusyFleet(machines int) *Cluster {
 	settings := testSettings()
 	settings.Cluster.Teams[1].CPUsMax = 1000
-	cluster := NewCluster(settings, machineTypes, 3, 1)
-	for i := range machines {
-		cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-	}
-	for i := range cluster.controllers {
-		cluster.Start(i)
-	}
+	cluster := clusterSetup{settings: settings, machines: machines, controllers: 3, seed: 1}.start()
 	spec, _ := testJob(1, 0)
 	spec.Tasks = 2 * machines
 	cluster.At(2*time.Second, func() { cluster.Submit(spec, time.Hour) })
@@ -90,7 +84,7 @@
 // service and its siblings but not its workers: what ends there cannot be
 // written down, so its workers must find the others while it lasts.
 func TestIsolatedControllerRedirectsWorkers(t *testing.T) {
-	cluster := newCluster(t, 3, 3)
+	cluster := newCluster(3, 3)
 	cluster.Lease = 25 * time.Second
 	cluster.Settings.Cluster.Workers.LeaseS = 25
 	for i := range cluster.controllers {
@@ -127,13 +121,7 @@
 	for reporting := range 3 {
 		settings := testSettings()
 		settings.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 60}}
-		cluster := NewCluster(settings, machineTypes, 3, 1)
-		for i := range 10 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
+		cluster := clusterSetup{settings: settings, machines: 10, controllers: 3, seed: 1}.start()
 		cluster.Capacity = 0
 		cluster.Run(5 * time.Second)
 		for _, machine := range cluster.machines {
@@ -163,7 +151,7 @@
 // place the same task in different zones while the state service is slow.
 func TestConcurrentPlacementsInDifferentZones(t *testing.T) {
 	for seed := range uint64(8) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		cluster.StoreDelay = 700 * time.Millisecond
 		for i := range cluster.controllers {
 			cluster.PeersPartitioned[i] = true
@@ -190,7 +178,7 @@
 // and replicas of what then really dies come back.
 func TestProvisionerWithoutWorkersKeepsMachines(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		for i := range 20 {
 			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
--- a/internal/simulation/provisioning_test.go
+++ b/internal/simulation/provisioning_test.go
@@ -59,7 +59,7 @@
 // TestCapacityShortageDoesNotHideOtherOffers guards against a buyer that asks for the same
 // sold-out offer for every job that waits, and never gets to one that is left.
 func TestCapacityShortageDoesNotHideOtherOffers(t *testing.T) {
-	cluster := newCluster(t, 1, 1)
+	cluster := newCluster(1, 1)
 	cluster.Settings.Cluster.Teams[1].CPUsMax = 400
 	cluster.Settings.Cluster.Objectives[0].Class = "batch" // somebody waits for it
 	for n := range 30 {
@@ -79,7 +79,7 @@
 // can start in time on the cheap machines, though they cannot quite keep up,
 // dear ones are left alone and returned.
 func TestExpensiveMachinesAreTerminated(t *testing.T) {
-	cluster := newCluster(t, 7, 2)
+	cluster := newCluster(7, 2)
 	cluster.Capacity = 0
 	clusterSettings := &cluster.Settings.Cluster
 	clusterSettings.Teams = []config.Team{{Name: "blue", CPUs: 0, CPUsMax: 200}, {Name: "red", CPUs: 0, CPUsMax: 200}}
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -16,7 +16,7 @@
 // long, and tasks of a job that was withdrawn outlived their time.
 func TestStalledControllerDoesNotTrustBufferedAnswers(t *testing.T) {
 	for seed := range uint64(6) {
-		cluster := newCluster(t, seed, 2)
+		cluster := newCluster(seed, 2)
 		spec, _ := testJob(1, 1)
 		spec.Tasks, spec.Zone = 2, zones[0]
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
@@ -45,13 +45,7 @@
 		settings := testSettings()
 		settings.Cluster.Teams[1].CPUsMax = 200
 		settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
-		cluster := NewCluster(settings, machineTypes, 3, seed)
-		for i := range 60 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
+		cluster := clusterSetup{settings: settings, machines: 60, controllers: 3, seed: seed}.start()
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 48
 		cluster.At(13*time.Second, func() { cluster.Submit(spec, 0) })
@@ -76,7 +70,7 @@
 // after every controller started anew, each finished job is still answered, and
 // so is a repeat of its submission.
 func TestCompletedJobsAnsweredAfterRestart(t *testing.T) {
-	cluster := newCluster(t, 6, 2)
+	cluster := newCluster(6, 2)
 	for n := range 10 {
 		spec, run := testJob(n, 0)
 		cluster.At(time.Second, func() { cluster.Submit(spec, run) })
--- a/internal/simulation/rollout_helpers_test.go
+++ b/internal/simulation/rollout_helpers_test.go
@@ -85,12 +85,5 @@
 	for i := range settings.Cluster.Teams {
 		settings.Cluster.Teams[i].CPUsMax = 60
 	}
-	cluster := NewCluster(settings, machineTypes, controllers, seed)
-	for i := range 12 {
-		cluster.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
-	}
-	for i := range controllers {
-		start(cluster, i)
-	}
-	return cluster
+	return clusterSetup{settings: settings, machines: 12, controllers: controllers, seed: seed, startController: start}.start()
 }
--- a/internal/simulation/scheduling_test.go
+++ b/internal/simulation/scheduling_test.go
@@ -17,7 +17,7 @@
 // pass after pass, and it never started.
 func TestPreemptionOnlyForUsableCapacity(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 2)
+		cluster := newCluster(seed, 2)
 		cluster.Capacity = 0
 		cluster.machineTypes = slices.Clone(cluster.machineTypes)
 		cluster.machineTypes[0].PullGBPerS, cluster.machineTypes[1].PullGBPerS = 0.1, 0.1 // images are slow to come
@@ -87,7 +87,7 @@
 // with the fetches in it, and the next, and the next.
 func TestGangWaitsForSlowImagePulls(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 2)
+		cluster := newCluster(seed, 2)
 		cluster.Capacity = 0
 		cluster.ImagePullTime = 30 * time.Second // gangs wait for 20 s
 		cluster.machineTypes = slices.Clone(cluster.machineTypes)
@@ -114,7 +114,7 @@
 // stream of small jobs takes more than there is, all of them could be in time,
 // and the objectives make it look best to leave the large ones for later.
 func TestLargeJobsAreNotStarved(t *testing.T) {
-	cluster := newCluster(t, 5, 2)
+	cluster := newCluster(5, 2)
 	cluster.Capacity = 0 // nothing to rent
 	clusterSettings := &cluster.Settings.Cluster
 	clusterSettings.Teams = []config.Team{{Name: "blue", CPUs: 4, CPUsMax: 100}, {Name: "red", CPUs: 4, CPUsMax: 100}}
@@ -145,7 +145,7 @@
 // go on: tasks that save before they stop still use what they use.
 func TestQuotaCountsCheckpointingTasks(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 2)
+		cluster := newCluster(seed, 2)
 		cluster.Settings.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 4, CPUsMax: 8}}
 		for i := range cluster.controllers {
 			cluster.Start(i)
@@ -174,12 +174,7 @@
 	for seed := range uint64(3) {
 		settings := testSettings()
 		settings.Cluster.Teams = append(settings.Cluster.Teams, config.Team{Name: "guest"})
-		cluster := NewCluster(settings, machineTypes, 2, seed)
-		for i := range 6 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		cluster.Start(0)
-		cluster.Start(1)
+		cluster := clusterSetup{settings: settings, machines: 6, controllers: 2, seed: seed}.start()
 		for n := range 20 {
 			spec, run := testJob(n, 0)
 			spec.Team, spec.Tasks, spec.Priority = "guest", 1+n%3*20, wire.PriorityBestEffort
@@ -201,7 +196,7 @@
 // but does not reach the worker, which reports to another controller.
 func TestConcurrentCompletionsAreAllRecorded(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		for n := range 8 {
 			cluster.AddMachine(machineTypes[0], zones[n%3], false, 0)
 		}
--- a/internal/simulation/setup_test.go
+++ b/internal/simulation/setup_test.go
@@ -14,13 +14,16 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
+// zones are those of the test clusters.
 var zones = []string{"east", "north", "west"}
 
+// machineTypes are those that the cloud offers the test clusters.
 var machineTypes = []wire.MachineType{
 	{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.08, StartupS: 4, Zones: zones},
 	{Name: "g8", Cores: 8, Accelerators: 2, MemGB: 64, OnDemandPrice: 2, SpotPrice: 0.7, StartupS: 5, Zones: zones},
 }
 
+// testSettings are the settings that tests begin with.
 func testSettings() config.Settings {
 	return config.Settings{Cluster: config.Cluster{
 		Zones: zones,
@@ -36,29 +39,60 @@
 	}}
 }
 
-func newCluster(_ interface{ Logf(string, ...any) }, seed uint64, controllers int) *Cluster {
-	return newClusterWith(testSettings(), seed, controllers)
-}
-
-func newClusterWith(settings config.Settings, seed uint64, controllers int) *Cluster {
-	return newClusterStartedBy(settings, seed, controllers, (*Cluster).Start)
+// clusterSetup is what a test's cluster starts with: first its machines are added, then its
+// controllers are started.
+type clusterSetup struct {
+	settings    config.Settings
+	types       []wire.MachineType // machineTypes if nil
+	pattern     []int              // the types of the machines, by number, over and over; the first if nil
+	machines    int                // in all zones in turn
+	controllers int
+	seed        uint64
+	// startController starts each controller; (*Cluster).Start if nil.
+	startController func(cluster *Cluster, i int)
 }
 
-func newClusterStartedBy(settings config.Settings, seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
-	cluster := NewCluster(settings, machineTypes, controllers, seed)
+// start makes the cluster, with everything running.
+func (s clusterSetup) start() *Cluster {
+	if s.types == nil {
+		s.types = machineTypes
+	}
+	if s.pattern == nil {
+		s.pattern = []int{0}
+	}
+	if s.startController == nil {
+		s.startController = (*Cluster).Start
+	}
+	cluster := NewCluster(s.settings, s.types, s.controllers, s.seed)
 	if os.Getenv("WORLD_LOG") != "" {
 		cluster.Log(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}
-	for i := range 4 {
-		cluster.AddMachine(machineTypes[0], zones[i%len(zones)], false, 0)
+	for i := range s.machines {
+		cluster.AddMachine(s.types[s.pattern[i%len(s.pattern)]], zones[i%len(zones)], false, 0)
 	}
-	for i := range controllers {
-		start(cluster, i)
+	for i := range s.controllers {
+		s.startController(cluster, i)
 	}
 	return cluster
 }
 
-// testJob makes a job of one of the shapes from a number.
+// newCluster is a running cluster of four machines, with the settings of testSettings.
+func newCluster(seed uint64, controllers int) *Cluster {
+	return newClusterWith(testSettings(), seed, controllers)
+}
+
+// newClusterWith is a running cluster of four machines.
+func newClusterWith(settings config.Settings, seed uint64, controllers int) *Cluster {
+	return newClusterStartedBy(settings, seed, controllers, (*Cluster).Start)
+}
+
+// newClusterStartedBy is newClusterWith for controllers that are started by a function.
+func newClusterStartedBy(settings config.Settings, seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
+	return clusterSetup{settings: settings, machines: 4, controllers: controllers, seed: seed, startController: start}.start()
+}
+
+// testJob is a job of one of the kinds 0 to 7, with a size by its number, and the time for
+// which its tasks run.
 func testJob(n, kind int) (wire.JobSpec, time.Duration) {
 	s := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: "batch", Team: []string{"blue", "red"}[n%2],
 		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1 + n%7, Cores: 1, MemGB: 2, Image: "img", ImageGB: 1,
--- a/internal/simulation/shard_schedule_test.go
+++ b/internal/simulation/shard_schedule_test.go
@@ -11,12 +11,12 @@
 	"lilacrill/wire"
 )
 
-// shardSteps is what may happen while shares move.
-var shardSteps = []string{"move", "move", "move", "drain", "end drain", "restart", "stop", "freeze", "state cut", "state down", "worker cut", "alone",
-	"machine hangs", "machine dies", "notice", "rent"}
+// shardSteps are what may happen while shards move, some of them faults.
+var shardSteps = []faultKind{"move", "move", "move", "drain", "end drain", "restart", "stop", "stall", faultStorePartition,
+	"store outage", faultWorkerPartition, faultIsolation, faultMachineHangs, faultMachineDies, faultPreemption, "provision"}
 
-// shardStep does one of them; last is how long what passes lasts.
-func (c *Cluster) shardStep(kind string, who int, last time.Duration) {
+// shardStep takes one of them; last is how long what passes lasts.
+func (c *Cluster) shardStep(kind faultKind, who int, last time.Duration) {
 	i := who % len(c.controllers)
 	switch kind {
 	case "move":
@@ -24,29 +24,26 @@
 	case "drain":
 		c.changeShards(who/3%len(c.controllers), wire.AdminShardChange{Drain: controllerLabel(i), Reason: "drawn"})
 		c.At(last, func() { c.changeShards(who/3%len(c.controllers), wire.AdminShardChange{EndDrain: controllerLabel(i)}) })
+	case "end drain": // nothing: a drain ends by itself, above
 	case "restart":
 		c.restart(i, last/10)
 	case "stop":
 		c.restart(i, last)
-	case "freeze":
+	case "stall":
 		c.Stall(i, last)
-	case "rent":
+	case "provision":
 		c.AddMachine(machineTypes[who%2], zones[who%len(zones)], false, last/10)
-	case "state down":
+	case "store outage":
 		c.storeOutage(last / 2)
-	case "machine hangs":
-		fault{"hang", 0, last, who}.inject(c)
-	case "machine dies":
-		fault{"die", 0, last, who}.inject(c)
 	default:
 		fault{kind, 0, last, who}.inject(c)
 	}
 }
 
-// TestInvariantsHoldWhileShardsMove moves shares by operators' words, drains, ends, freezes and cuts
-// controllers in generated orders while jobs run. The world's rules hold, nothing is placed
-// on a machine but by the owner of its share, every job ends, and every share has an owner
-// in the end.
+// TestInvariantsHoldWhileShardsMove moves shards on operators' requests, drains, stops, stalls
+// and partitions controllers in generated orders while jobs run. The cluster's rules hold,
+// nothing is placed on a machine but by the owner of its shard, every job ends, and every
+// shard has an owner in the end.
 func TestInvariantsHoldWhileShardsMove(t *testing.T) {
 	t.Parallel()
 	seen := map[Observation]int{}
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -218,7 +218,7 @@
 	t.Parallel()
 	refused := 0
 	for seed := range uint64(8) {
-		cluster := newCluster(t, 300+seed, 3)
+		cluster := newCluster(300+seed, 3)
 		cluster.Capacity = 0
 		cluster.Run(5 * time.Second)
 		cluster.changeSettings(`{"idle_s":8}`)
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -35,7 +35,7 @@
 // hears another for a third of that. Longer than that cannot be told from being
 // cut off while others withdraw jobs.
 func TestStoreOutageWithoutPeersKeepsWorkerLeases(t *testing.T) {
-	cluster := newCluster(t, 4, 3)
+	cluster := newCluster(4, 3)
 	cluster.Lease = 25 * time.Second
 	cluster.Settings.Cluster.Workers.LeaseS = 25
 	for i := range cluster.controllers {
--- a/internal/simulation/zone_partition_test.go
+++ b/internal/simulation/zone_partition_test.go
@@ -14,7 +14,7 @@
 // found in incident inc-449b, where some 500 machines went that way.
 func TestNoProvisioningInPartitionedZone(t *testing.T) {
 	for seed := range uint64(4) {
-		cluster := newCluster(t, seed, 3)
+		cluster := newCluster(seed, 3)
 		cluster.Capacity = 12
 		cluster.Settings.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 100, CPUsMax: 400}, {Name: "red", CPUs: 100, CPUsMax: 400}}
 		for i := range cluster.controllers {
@@ -88,13 +88,7 @@
 	for seed := range uint64(40) {
 		settings := testSettings()
 		settings.Cluster.Teams[1].CPUsMax = 200
-		cluster := NewCluster(settings, machineTypes, 3, seed)
-		for i := range 60 {
-			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
-		}
-		for i := range cluster.controllers {
-			cluster.Start(i)
-		}
+		cluster := clusterSetup{settings: settings, machines: 60, controllers: 3, seed: seed}.start()
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 48
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 0) })
