--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"lilacrill/internal/placement"
-	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
@@ -248,80 +247,3 @@
 	}
 	return offers
 }
-
-// acquireShards is the action that acquires the shards whose machines, together with those of
-// this controller, have room for a job that needs it at once and that no controller can place
-// alone. It reports whether there is one to commit.
-func (c *Controller) acquireShards() (shard.Action, bool) {
-	job := c.cache.jobs[c.shards.acquireFor]
-	c.shards.acquireFor = ""
-	if job == nil || c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
-		return shard.Action{}, false
-	}
-	ids := c.shardsForJob(job)
-	if len(ids) == 0 {
-		return shard.Action{}, false
-	}
-	action, due := c.shards.planner.Acquire(ids, c.wall)
-	if due {
-		c.shards.acquiredAt = c.now
-		c.log.Debug("acquiring shards", "job_id", job.id, "shards", action.Shards)
-	}
-	return action, due
-}
-
-// shardsForJob finds the other controllers' shards whose machines a job needs beside those of
-// this controller's shards, in the zone that comes closest if it needs a single one.
-func (c *Controller) shardsForJob(job *job) []wire.ShardID {
-	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
-	fits := func(host *placement.Host) bool {
-		return (placement.Fleet{host}).Holds(job.request.Enforced, job.spec.Team, host)
-	}
-	best := largestZone(capacityByZone(job, fleet, job.spec.Tasks, fits, func(host *placement.Host, free placement.Resources) placement.Resources {
-		for _, allocation := range c.fleet.allocationsOn(host.ID) {
-			if allocation.Priority > job.spec.Priority.Level() {
-				free = free.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
-			}
-		}
-		return free
-	}), job.spec.Tasks)
-	if best == nil {
-		return nil
-	}
-	slices.SortStableFunc(best.hosts, func(a, b hostCapacity) int { return b.now - a.now })
-	shardOf := func(capacity hostCapacity) wire.ShardID { return c.fleet.machines[capacity.host.ID].shard }
-	room := 0
-	for _, capacity := range best.hosts {
-		if c.shards.table.MaySchedule(shardOf(capacity)) {
-			room += capacity.preempted
-		}
-	}
-	var ids []wire.ShardID
-	for _, capacity := range best.hosts {
-		if room >= job.spec.Tasks {
-			break
-		}
-		id := shardOf(capacity)
-		if c.shards.table.MaySchedule(id) {
-			continue
-		}
-		if !slices.Contains(ids, id) {
-			ids = append(ids, id)
-		}
-		room += capacity.preempted
-	}
-	return ids
-}
-
-// largestZone is the zone with the most free room of those that have room for count tasks if
-// less urgent ones are evicted; nil if there is none.
-func largestZone(zones map[string]*zoneCapacity, count int) *zoneCapacity {
-	var best *zoneCapacity
-	for _, name := range sortedKeys(zones) {
-		zone := zones[name]
-		if zone.preempted >= count && (best == nil || zone.now > best.now || zone.now == best.now && zone.preempted > best.preempted) {
-			best = zone
-		}
-	}
-	return best
-}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -3,9 +3,7 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
-	"lilacrill/internal/config"
 	"lilacrill/internal/placement"
 	"lilacrill/internal/record"
 	"lilacrill/wire"
@@ -37,51 +35,6 @@
 	}
 }
 
-// hostCapacity is how many tasks of a job a host has room for: free or being freed, and if
-// less urgent tasks are evicted as well.
-type hostCapacity struct {
-	host           *placement.Host
-	now, preempted int
-}
-
-// zoneCapacity is the capacity of a zone's hosts for the tasks of a job.
-type zoneCapacity struct {
-	hosts          []hostCapacity
-	now, preempted int
-}
-
-// capacityByZone sums up the capacity of the hosts for up to count tasks of a job that must
-// start at once: by zone if the job needs a single zone, and under "" otherwise.
-// fits says whether the job may run on a host at all; addPreemptable adds to the free
-// resources of a host those of the tasks that may be evicted there.
-func capacityByZone(job *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
-	addPreemptable func(*placement.Host, placement.Resources) placement.Resources) map[string]*zoneCapacity {
-	need := job.request.Need
-	zones := map[string]*zoneCapacity{}
-	for _, host := range fleet {
-		if host.Unschedulable || !host.Total.Covers(need) || !fits(host) {
-			continue
-		}
-		free := host.Free.Plus(host.Freeing, 1)
-		capacity := hostCapacity{host: host, now: free.Fits(need, count)}
-		capacity.preempted = addPreemptable(host, free).Fits(need, count)
-		if capacity.preempted == 0 {
-			continue
-		}
-		zone := ""
-		if job.spec.SingleZone {
-			zone = host.Labels[placement.LabelZone]
-		}
-		if zones[zone] == nil {
-			zones[zone] = &zoneCapacity{}
-		}
-		zones[zone].hosts = append(zones[zone].hosts, capacity)
-		zones[zone].now += capacity.now
-		zones[zone].preempted += capacity.preempted
-	}
-	return zones
-}
-
 // gatherCapacity gathers capacity for tasks that start at once or share a zone, and so cannot
 // be placed one by one. In the zone (for jobs that need a single one) that comes closest it
 // reserves what is free or being freed, so that smaller jobs do not take it bit by bit, and
@@ -172,49 +125,6 @@
 	return left
 }
 
-// imagePullMargin is how many times its estimated time an image pull may take.
-const imagePullMargin = 4.0 / 3
-
-// imagePullTime is how long a machine may take to pull a job's image; 0 if it has the image.
-func (c *Controller) imagePullTime(machine *machine, job *job) time.Duration {
-	machineType := c.machineTypeNamed(machine.machineType)
-	if machineType == nil || machineType.PullGBPerS <= 0 || machine.images.cached[job.spec.Image] {
-		return 0
-	}
-	return config.Seconds(imagePullMargin * job.spec.ImageGB / machineType.PullGBPerS)
-}
-
-// gangImagePullTime is how long the slowest machine of a gang's attempt may take to pull the
-// image.
-func (c *Controller) gangImagePullTime(job *job, attempt wire.Attempt) time.Duration {
-	longest := time.Duration(0)
-	for _, allocation := range c.cache.allocationsByJob[job.id] {
-		if machine := c.fleet.machines[allocation.Machine]; machine != nil && allocation.Attempt == attempt {
-			longest = max(longest, c.imagePullTime(machine, job))
-		}
-	}
-	return longest
-}
-
-// defersGangLaunch reports whether the launch of a gang's task is deferred: other machines of
-// its attempt have to pull the image for so long that the task would give up waiting for
-// them. The whole gang would then exit, its image pulls would be aborted, and it would start
-// anew, over and over. Its allocation is kept meanwhile.
-func (c *Controller) defersGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
-	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
-		return false
-	}
-	patience := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
-	slowest := c.gangImagePullTime(job, allocation.Attempt)
-	if slowest <= patience {
-		return false
-	}
-	if job.launchingAttempt != allocation.Attempt {
-		job.launchingAttempt, job.launchStartedAt = allocation.Attempt, c.now
-	}
-	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-patience
-}
-
 // countOffers counts the offers that a job can use in a zone ("" for any) and that the cloud
 // has not been short of lately.
 func (c *Controller) countOffers(job *job, zone string) int {
--- /dev/null
+++ b/internal/controller/image_pulls.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"time"
+
+	"lilacrill/internal/config"
+	"lilacrill/wire"
+)
+
+// imagePullMargin is how many times its estimated time an image pull may take.
+const imagePullMargin = 4.0 / 3
+
+// imagePullTime is how long a machine may take to pull a job's image; 0 if it has the image.
+func (c *Controller) imagePullTime(machine *machine, job *job) time.Duration {
+	machineType := c.machineTypeNamed(machine.machineType)
+	if machineType == nil || machineType.PullGBPerS <= 0 || machine.images.cached[job.spec.Image] {
+		return 0
+	}
+	return config.Seconds(imagePullMargin * job.spec.ImageGB / machineType.PullGBPerS)
+}
+
+// gangImagePullTime is how long the slowest machine of a gang's attempt may take to pull the
+// image.
+func (c *Controller) gangImagePullTime(job *job, attempt wire.Attempt) time.Duration {
+	longest := time.Duration(0)
+	for _, allocation := range c.cache.allocationsByJob[job.id] {
+		if machine := c.fleet.machines[allocation.Machine]; machine != nil && allocation.Attempt == attempt {
+			longest = max(longest, c.imagePullTime(machine, job))
+		}
+	}
+	return longest
+}
+
+// defersGangLaunch reports whether the launch of a gang's task is deferred: other machines of
+// its attempt have to pull the image for so long that the task would give up waiting for
+// them. The whole gang would then exit, its image pulls would be aborted, and it would start
+// anew, over and over. Its allocation is kept meanwhile.
+func (c *Controller) defersGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
+	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
+		return false
+	}
+	patience := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
+	slowest := c.gangImagePullTime(job, allocation.Attempt)
+	if slowest <= patience {
+		return false
+	}
+	if job.launchingAttempt != allocation.Attempt {
+		job.launchingAttempt, job.launchStartedAt = allocation.Attempt, c.now
+	}
+	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-patience
+}
+
+// slowImagePullS is how long an image may take to pull, in seconds, before it is worth
+// evicting other tasks to avoid the pull.
+const slowImagePullS = 0.5
+
+// imagePullIsSlow reports whether pulling a job's image delays its start noticeably, even on
+// the machine type that pulls fastest.
+func (c *Controller) imagePullIsSlow(job *job) bool {
+	best := 0.0
+	for i := range c.provisioner.catalogue {
+		if machineType := &c.provisioner.catalogue[i]; machineResources(machineType).Covers(job.request.Need) {
+			best = max(best, machineType.PullGBPerS)
+		}
+	}
+	return best == 0 || job.spec.ImageGB/best > slowImagePullS
+}
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -112,22 +112,6 @@
 	return count
 }
 
-// slowImagePullS is how long an image may take to pull, in seconds, before it is worth
-// evicting other tasks to avoid the pull.
-const slowImagePullS = 0.5
-
-// imagePullIsSlow reports whether pulling a job's image delays its start noticeably, even on
-// the machine type that pulls fastest.
-func (c *Controller) imagePullIsSlow(job *job) bool {
-	best := 0.0
-	for i := range c.provisioner.catalogue {
-		if machineType := &c.provisioner.catalogue[i]; machineResources(machineType).Covers(job.request.Need) {
-			best = max(best, machineType.PullGBPerS)
-		}
-	}
-	return best == 0 || job.spec.ImageGB/best > slowImagePullS
-}
-
 // awaitFreeingCapacity reserves capacity that is being freed for tasks of a job, or evicts
 // less urgent tasks to free some, and returns how many tasks still have no room.
 //
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"lilacrill/internal/capacity"
-	"lilacrill/internal/config"
 	"lilacrill/internal/placement"
 	"lilacrill/wire"
 )
@@ -75,6 +74,9 @@
 	}
 }
 
+// minCoresPerTask keeps the count of tasks that need next to no cores finite.
+const minCoresPerTask = 0.01
+
 // demandKey is what demands have in common that are provisioned for together.
 type demandKey struct {
 	spot       bool
@@ -147,180 +149,6 @@
 		!hasPlainConstraints(unmet.job) && waited > tolerance
 }
 
-// remainingTolerance is how long a job's tasks may still be left pending.
-func (c *Controller) remainingTolerance(job *job) time.Duration {
-	return max(c.waitTolerance(job)-c.pendingFor(job), minWaitTolerance)
-}
-
-// updatePriceLimit finds the price of a core up to which machines are needed for jobs that
-// tolerate a wait to be expected to start in time. Such jobs then leave more expensive
-// machines alone, unless services keep them anyway, so that those become idle and are
-// terminated, while the jobs wait a little longer.
-func (c *Controller) updatePriceLimit(queue []pendingJob) {
-	c.provisioner.priceLimit = math.Inf(1)
-	cores, anyTolerant := c.coresNeeded(queue)
-	if !anyTolerant {
-		return
-	}
-	coresByPrice := c.finiteCoresByPrice()
-	for _, price := range sortedKeys(coresByPrice) {
-		if cores -= coresByPrice[price]; cores <= 0 {
-			c.provisioner.priceLimit = price
-			return
-		}
-	}
-}
-
-// coresNeeded is how many cores the finite jobs need for all to be expected to start in time,
-// and whether any of the pending ones tolerates a wait.
-func (c *Controller) coresNeeded(queue []pendingJob) (cores float64, anyTolerant bool) {
-	_, work := c.finiteWork()
-	for i := range queue {
-		pending := &queue[i]
-		spec := &pending.job.spec
-		if spec.Shape == wire.ShapeService {
-			continue
-		}
-		work += float64(pending.missing.Len()) * spec.Cores * (spec.RuntimeS + startOverheadS)
-		tolerance := c.waitTolerance(pending.job)
-		if pending.guaranteed || tolerance == 0 {
-			tolerance = 0
-		} else {
-			anyTolerant = true
-		}
-		cores = max(cores, capacityMargin*work/max(tolerance-c.pendingFor(pending.job), minWaitTolerance).Seconds())
-	}
-	return cores, anyTolerant
-}
-
-// finiteCoresByPrice is the cores of the machines that accept tasks, without those that
-// services take, by the price of a core.
-func (c *Controller) finiteCoresByPrice() map[float64]float64 {
-	coresByPrice := map[float64]float64{}
-	for _, machine := range c.orderedMachines() {
-		machineType := c.machineTypeNamed(machine.machineType)
-		if machineType == nil || !c.acceptsTasks(machine) {
-			continue
-		}
-		cores := machineType.Cores
-		for _, allocation := range machine.allocations {
-			if allocation.Shape == wire.ShapeService {
-				cores -= allocation.Cores * float64(allocation.Tasks.Len())
-			}
-		}
-		coresByPrice[pricePerCore(machineType, machine.spot)] += cores
-	}
-	return coresByPrice
-}
-
-// pricePerCore is the price of a core for an hour.
-func pricePerCore(machineType *wire.MachineType, spot bool) float64 {
-	if spot {
-		return machineType.SpotPrice / max(machineType.Cores, 1)
-	}
-	return machineType.OnDemandPrice / max(machineType.Cores, 1)
-}
-
-// abovePriceLimit reports whether a machine is so expensive that jobs that tolerate a wait
-// leave it alone.
-func (c *Controller) abovePriceLimit(machine *machine) bool {
-	machineType := c.machineTypeNamed(machine.machineType)
-	return machineType != nil && c.provisioner.priceLimit > 0 &&
-		pricePerCore(machineType, machine.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !machine.hasCriticalTasks()
-}
-
-// avoidsExpensive reports whether a job leaves machines above the price limit alone.
-func (c *Controller) avoidsExpensive(pending *pendingJob) bool {
-	return !pending.guaranteed && !math.IsInf(c.provisioner.priceLimit, 1) && c.waitTolerance(pending.job) > 0
-}
-
-// finiteWork is the cores that finite jobs (all but services) have at their disposal, and how
-// many core-seconds of work their running tasks still have, half of them on average.
-func (c *Controller) finiteWork() (cores, work float64) {
-	for _, machine := range c.orderedMachines() {
-		machineType := c.machineTypeNamed(machine.machineType)
-		if machineType == nil || !c.acceptsTasks(machine) {
-			continue // machines that have yet to join are set against the demands by scaleOut
-		}
-		cores += machineType.Cores
-		for _, allocation := range machine.allocations {
-			used := allocation.Cores * float64(allocation.Tasks.Len())
-			if allocation.Shape == wire.ShapeService {
-				cores -= used
-			} else if job := c.cache.jobs[allocation.Job]; job != nil {
-				work += used * job.spec.RuntimeS / 2
-			}
-		}
-	}
-	return cores, work
-}
-
-// waitTolerance is how long after its submission a job's tasks may be left pending: a part of
-// what its objectives and its deadline leave. Urgent jobs tolerate no wait.
-func (c *Controller) waitTolerance(job *job) time.Duration {
-	if job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
-		return 0
-	}
-	slackS := c.objectiveSlackS(job)
-	if math.IsInf(slackS, 1) {
-		// It has neither a deadline nor an objective. It is to start soon, and to complete in
-		// some proportion to its length, but machines are not provisioned for it as if it
-		// were urgent.
-		if !job.started && c.pendingFor(job) > noObjectiveFirstStart {
-			return 0
-		}
-		slackS = noObjectiveRuntimes*job.spec.RuntimeS + noObjectiveMinS
-	}
-	return config.Seconds(max(0, waitToleranceFraction*slackS))
-}
-
-// objectiveSlackS is how many seconds a job's objectives and deadline leave beside its run
-// time; infinite if it has none. Run times count twice: estimates are often wrong by half or
-// more.
-func (c *Controller) objectiveSlackS(job *job) float64 {
-	slackS := math.Inf(1)
-	if job.spec.DeadlineS > 0 {
-		slackS = (job.spec.DeadlineS - 2*job.spec.RuntimeS) * deadlineWaitFraction / waitToleranceFraction
-	}
-	for _, objective := range c.settings.Cluster.Objectives {
-		if objective.Class != job.spec.Class {
-			continue
-		}
-		switch objective.Kind {
-		case objectiveWait:
-			slackS = min(slackS, objective.WithinS)
-		case objectiveFinished:
-			slackS = min(slackS, objective.WithinS-2*job.spec.RuntimeS)
-		}
-	}
-	return slackS
-}
-
-const (
-	// waitToleranceFraction is the part of an objective's slack, and deadlineWaitFraction of
-	// a deadline's, that may be spent pending.
-	waitToleranceFraction = 0.4
-	deadlineWaitFraction  = 0.15
-	minWaitTolerance      = 15 * time.Second
-	// overdueToleranceFactor times its tolerance is when a wait is too long.
-	overdueToleranceFactor = 2
-	// noObjectiveRuntimes times its run time, and noObjectiveMinS seconds, is what a job
-	// without any objective or deadline may take; noObjectiveFirstStart is how long it waits
-	// for its first start before machines are provisioned for it at once.
-	noObjectiveRuntimes   = 4
-	noObjectiveMinS       = 240.0
-	noObjectiveFirstStart = 60 * time.Second
-	// startOverheadS is how many seconds a task occupies a machine beside its run time.
-	startOverheadS = 5.0
-	// capacityMargin is how much more work than is known of the machines within the price
-	// limit should be able to do.
-	capacityMargin = 1.25
-	// priceTolerance forgives rounding in prices, relative to them.
-	priceTolerance = 1e-9
-	// minCoresPerTask keeps the count of tasks that need next to no cores finite.
-	minCoresPerTask = 0.01
-)
-
 // offers is all that the cloud may have in the zones that are not partitioned, less what it
 // has been short of lately.
 func (c *Controller) offers() []capacity.Offer {
--- /dev/null
+++ b/internal/controller/zone_capacity.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"lilacrill/internal/placement"
+)
+
+// hostCapacity is how many tasks of a job a host has room for: free or being freed, and if
+// less urgent tasks are evicted as well.
+type hostCapacity struct {
+	host           *placement.Host
+	now, preempted int
+}
+
+// zoneCapacity is the capacity of a zone's hosts for the tasks of a job.
+type zoneCapacity struct {
+	hosts          []hostCapacity
+	now, preempted int
+}
+
+// capacityByZone sums up the capacity of the hosts for up to count tasks of a job that must
+// start at once: by zone if the job needs a single zone, and under "" otherwise.
+// fits says whether the job may run on a host at all; addPreemptable adds to the free
+// resources of a host those of the tasks that may be evicted there.
+func capacityByZone(job *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
+	addPreemptable func(*placement.Host, placement.Resources) placement.Resources) map[string]*zoneCapacity {
+	need := job.request.Need
+	zones := map[string]*zoneCapacity{}
+	for _, host := range fleet {
+		if host.Unschedulable || !host.Total.Covers(need) || !fits(host) {
+			continue
+		}
+		free := host.Free.Plus(host.Freeing, 1)
+		capacity := hostCapacity{host: host, now: free.Fits(need, count)}
+		capacity.preempted = addPreemptable(host, free).Fits(need, count)
+		if capacity.preempted == 0 {
+			continue
+		}
+		zone := ""
+		if job.spec.SingleZone {
+			zone = host.Labels[placement.LabelZone]
+		}
+		if zones[zone] == nil {
+			zones[zone] = &zoneCapacity{}
+		}
+		zones[zone].hosts = append(zones[zone].hosts, capacity)
+		zones[zone].now += capacity.now
+		zones[zone].preempted += capacity.preempted
+	}
+	return zones
+}
+
+// largestZone is the zone with the most free room of those that have room for count tasks if
+// less urgent ones are evicted; nil if there is none.
+func largestZone(zones map[string]*zoneCapacity, count int) *zoneCapacity {
+	var best *zoneCapacity
+	for _, name := range sortedKeys(zones) {
+		zone := zones[name]
+		if zone.preempted >= count && (best == nil || zone.now > best.now || zone.now == best.now && zone.preempted > best.preempted) {
+			best = zone
+		}
+	}
+	return best
+}
