--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -9,7 +9,7 @@
 	"lilacrill/wire"
 )
 
-// benchmarkCluster runs a world for so long, again and again; no rule may break.
+// benchmarkCluster runs a cluster for so long, again and again; no rule may be violated.
 func benchmarkCluster(b *testing.B, length time.Duration, world func() *Cluster) {
 	for b.Loop() {
 		cluster := world()
@@ -118,8 +118,8 @@
 
 // BenchmarkLargestFleet is a minute of three controllers with some 1,900 machines, 240
 // services, gangs of up to 16 and arrays of up to 1,200 tasks, half as large
-// again as the largest site that was scored. Meanwhile a zone is cut off, 150
-// machines hang, and a controller stands still.
+// again as the largest site that was scored. Meanwhile a zone is partitioned,
+// 150 machines hang, and a controller stalls.
 func BenchmarkLargestFleet(b *testing.B) { benchmarkCluster(b, time.Minute, mixedFleetCluster) }
 
 func mixedFleetCluster() *Cluster {
@@ -168,7 +168,7 @@
 
 // BenchmarkSmallCoreShare is a minute of three controllers with a twentieth of a core each,
 // 720 machines, 60 services, and gangs and arrays that come all the time: an ordinary
-// minute of a small share. Profile it with -cpuprofile, focused on internal/controller.
+// minute of a small core share. Profile it with -cpuprofile, focused on internal/controller.
 func BenchmarkSmallCoreShare(b *testing.B) {
 	benchmarkCluster(b, time.Minute, func() *Cluster { return smallShareCluster(720, 3, 0.054) })
 }
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -23,27 +23,27 @@
 	return settings
 }
 
-// partitionThenOutage is a variant of the gap: the state service refuses the controller that the
-// workers report to, another confirms withdrawals, and then the state service is
-// away for all for longer than cancel_s.
+// partitionThenOutage is a variant of this: the state store rejects the controller that the
+// workers send heartbeats to, another confirms cancellations, and then the state store is
+// unavailable for all for longer than cancel_s.
 type partitionThenOutage struct {
 	name string
-	// onPartition happens as the refusal begins: refused is the controller that is refused.
+	// onPartition happens as the rejections begin: refused is the controller that is rejected.
 	onPartition func(cluster *Cluster, refused int)
-	// onOutage happens once withdrawals were confirmed, just before the outage.
+	// onOutage happens once cancellations were confirmed, just before the outage.
 	onOutage             func(cluster *Cluster, refused int)
-	dropDirectCalls      bool // no direct command reaches a worker
-	cancelWhileLaunching bool // jobs are withdrawn while their tasks are being launched
+	dropDirectCalls      bool // no direct call reaches a worker
+	cancelWhileLaunching bool // jobs are cancelled while their tasks are being launched
 }
 
 var partitionsThenOutages = []partitionThenOutage{
 	{name: "plain"},
-	{name: "direct commands lost", dropDirectCalls: true},
+	{name: "direct calls dropped", dropDirectCalls: true},
 	{name: "launches under way", cancelWhileLaunching: true},
-	{name: "launches under way, direct commands lost", cancelWhileLaunching: true, dropDirectCalls: true},
-	{name: "siblings do not hear it", dropDirectCalls: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true }},
-	{name: "lines lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.PeerMessageLoss = 0.7 }},
-	{name: "confirming controllers end", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) {
+	{name: "launches under way, direct calls dropped", cancelWhileLaunching: true, dropDirectCalls: true},
+	{name: "partitioned from peers", dropDirectCalls: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true }},
+	{name: "peer messages lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.PeerMessageLoss = 0.7 }},
+	{name: "confirming controllers restart", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) {
 		for i := range cluster.controllers {
 			if i != refused {
 				cluster.Stop(i)
@@ -51,7 +51,7 @@
 			}
 		}
 	}},
-	{name: "confirming controllers end, siblings do not hear it", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true },
+	{name: "confirming controllers restart, partitioned from peers", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true },
 		onOutage: func(cluster *Cluster, refused int) {
 			for i := range cluster.controllers {
 				if i != refused {
@@ -63,31 +63,31 @@
 	{name: "machines hang", onOutage: func(cluster *Cluster, _ int) {
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.hung = true })
 	}},
-	{name: "machines hang on", onPartition: func(cluster *Cluster, _ int) {
+	{name: "machines hang and resume", onPartition: func(cluster *Cluster, _ int) {
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.hung = true; cluster.At(40*time.Second, machine.resume) })
 	}},
-	{name: "machines deaf", onPartition: func(cluster *Cluster, _ int) {
+	{name: "inbound partitions", onPartition: func(cluster *Cluster, _ int) {
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.inboundPartitioned = true })
 	}},
-	{name: "machines mute", onPartition: func(cluster *Cluster, _ int) {
+	{name: "outbound partitions", onPartition: func(cluster *Cluster, _ int) {
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.outboundPartitioned = true })
 	}},
-	{name: "machines mute, direct commands lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) {
+	{name: "outbound partitions, direct calls dropped", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) {
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.outboundPartitioned = true })
 	}},
-	{name: "cloud away", dropDirectCalls: true, onOutage: func(cluster *Cluster, _ int) { cluster.CloudUnavailable = true }},
-	{name: "cloud away, machines hang on", onOutage: func(cluster *Cluster, _ int) {
+	{name: "cloud unavailable", dropDirectCalls: true, onOutage: func(cluster *Cluster, _ int) { cluster.CloudUnavailable = true }},
+	{name: "cloud unavailable, machines hang and resume", onOutage: func(cluster *Cluster, _ int) {
 		cluster.CloudUnavailable = true
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.hung = true; cluster.At(40*time.Second, machine.resume) })
 		cluster.At(9*time.Second, func() { cluster.CloudUnavailable = false })
 	}},
-	{name: "refused stands still", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) { cluster.Stall(refused, 50*time.Second) }},
-	{name: "late copies", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.DuplicatedHeartbeats = 0.3 }},
+	{name: "partitioned controller stalls", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) { cluster.Stall(refused, 50*time.Second) }},
+	{name: "duplicated heartbeats", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.DuplicatedHeartbeats = 0.3 }},
 }
 
-// TestCancelledTasksStopAcrossPartitionAndOutage guards the rule that a withdrawn task is gone in time against the meeting
-// of a refusal and an outage: the refused controller went on answering workers, and
-// kept alive what it did not know to be withdrawn.
+// TestCancelledTasksStopAcrossPartitionAndOutage guards the rule that a cancelled task
+// stops in time where a partition meets an outage: the partitioned controller went on
+// answering workers, and kept alive what it did not know to be cancelled.
 func TestCancelledTasksStopAcrossPartitionAndOutage(t *testing.T) {
 	for _, g := range partitionsThenOutages {
 		t.Run(g.name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 			for seed := range uint64(4) {
 				confirmed += g.run(t, seed, true)
 			}
-			require.Greater(t, confirmed, 8, "withdrawals that others confirmed in the gap")
+			require.Greater(t, confirmed, 8, "cancellations that others confirmed between partition and outage")
 		})
 	}
 }
@@ -156,8 +156,7 @@
 
 func (c *Cluster) jobID(n int) wire.JobID { spec, _ := testJob(n, 0); return spec.ID }
 
-// cancelledBetween counts the jobs whose users were told in that time that they are
-// withdrawn.
+// cancelledBetween counts the jobs that were reported cancelled in that time.
 func (c *Cluster) cancelledBetween(from, to time.Duration) int {
 	n := 0
 	for _, job := range c.jobs {
@@ -168,10 +167,10 @@
 	return n
 }
 
-// TestDelayedLaunchOfCancelledJob guards against a launch that is held up on its way for longer than
-// cancel_s, while nobody can raise a fence: its job was withdrawn before the worker had
-// it, and in the outage that follows the worker's lease must not be renewed for so long
-// that the launch still finds its session.
+// TestDelayedLaunchOfCancelledJob guards against a launch that is delayed on its way for
+// longer than cancel_s while nobody can raise a fencing token: its job was cancelled before
+// the worker had it, and in the outage that follows the worker's lease must not be renewed
+// for so long that the launch still finds its agent epoch.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
 	executedLate := 0
 	for seed := range uint64(6) {
@@ -187,7 +186,7 @@
 			cluster.At(0, func() { cluster.Submit(spec, 200*time.Second) })
 			cluster.At(1500*time.Millisecond, func() { cluster.CancelJob(spec.ID) })
 		}
-		// The launches as they were sent: under the token of then, for the session of then.
+		// The launches as they were sent: with the token of then, for the agent epoch of then.
 		type launch struct {
 			machine *fakeMachine
 			body    wire.CommandRequest
@@ -204,7 +203,7 @@
 				}
 			}
 		})
-		cluster.Run(1530 * time.Millisecond) // withdrawn, and no fence raised yet
+		cluster.Run(1530 * time.Millisecond) // cancelled, and no token raised yet
 		cluster.StoreUnavailable, cluster.DropDirectCalls = true, false
 		cluster.At(cluster.CancelTimeout+5*time.Second, func() {
 			for _, delayed := range delayedLaunches {
@@ -221,11 +220,11 @@
 	require.Greater(t, executedLate, 10, "launches that came late")
 }
 
-// TestCancelledTasksStopInPartitionedZone guards against tasks that a cut-off controller keeps
-// alive although others have told users that their jobs are withdrawn, while the
-// cloud is away so that their machines cannot be returned. It was found on a
-// rough day: a zone was cut off, and the one controller outside that was well
-// took itself for cut off, since more than a third of the machines were silent.
+// TestCancelledTasksStopInPartitionedZone guards against tasks that a partitioned
+// controller keeps alive although others have reported their jobs cancelled, while the
+// cloud is unavailable so that their machines cannot be terminated. It was found on a rough
+// day: a zone was partitioned, and the one controller outside that was well suspected
+// itself of isolation, since more than a third of the machines were unresponsive.
 func TestCancelledTasksStopInPartitionedZone(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -257,9 +256,9 @@
 	}
 }
 
-// TestNoPlacementOfCancelledJob guards a placement's condition on its job: users
-// cancel while placements of the job are under way to a slow state service. The
-// world holds every record against the jobs there are when it is written.
+// TestNoPlacementOfCancelledJob guards a placement's condition on its job: users cancel
+// while placements of the job are on their way to a slow state store. The cluster checks
+// every placement page against the jobs there are when it is committed.
 func TestNoPlacementOfCancelledJob(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newCluster(seed, 3)
--- a/internal/simulation/direct_calls_test.go
+++ b/internal/simulation/direct_calls_test.go
@@ -11,12 +11,12 @@
 	"lilacrill/wire"
 )
 
-// TestDirectCallsAreBounded guards against calls that pile up, with a socket each,
-// when many machines hang at once and each leaves its orders and questions
-// unanswered for seconds. Replicas still come back soon, and all work ends.
+// TestDirectCallsAreBounded guards against calls that pile up, with a socket each, when
+// many machines hang at once and each leaves its commands and probes unanswered for
+// seconds. Replicas are still replaced soon, and all work ends.
 //
-// It also guards against asking in the order of names: the first few that hang were
-// asked over and over, and one with replicas that came later was found silent late.
+// It also guards against probing in the order of names: the first few that hang were probed
+// over and over, and one with replicas that came later was found unresponsive late.
 func TestDirectCallsAreBounded(t *testing.T) {
 	for seed := range uint64(12) {
 		checkDirectCallsBounded(t, seed)
@@ -64,9 +64,10 @@
 	require.Empty(t, cluster.Unfinished())
 }
 
-// TestReplicasReplacedFirstWhenManyMachinesHang guards replicas on machines that hang along with
-// many others: these were silent first, and once used up the bound on how many
-// machines go at a time, so that the replicas were missing for as long as it lasts.
+// TestReplicasReplacedFirstWhenManyMachinesHang guards replicas on machines that hang along
+// with many others: these were unresponsive first, and once used up the bound on how many
+// machines are terminated at a time, so that the replicas were missing for as long as it
+// lasted.
 func TestReplicasReplacedFirstWhenManyMachinesHang(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
--- a/internal/simulation/failing_jobs_test.go
+++ b/internal/simulation/failing_jobs_test.go
@@ -11,16 +11,17 @@
 	"lilacrill/wire"
 )
 
-// TestAlwaysFailingJobsBackOff guards everybody else against jobs that fail on every machine
-// until they are cancelled: they are tried seldom and with few tasks, no machine is
-// blamed for them, also once they were withdrawn, and what is well is served.
+// TestAlwaysFailingJobsBackOff guards everybody else against jobs that fail on every
+// machine until they are cancelled: they are retried seldom and with few canary tasks, no
+// machine is quarantined for them, also once they were cancelled, and healthy jobs are
+// served.
 func TestAlwaysFailingJobsBackOff(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
 		for i := range 12 {
 			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
-		var mistaken []wire.JobID
+		var failing []wire.JobID
 		for n := range 4 {
 			spec, _ := testJob(2*n, 0)
 			spec.ID, spec.Tasks = wire.JobID(fmt.Sprintf("wk-1%05d", n)), 40
@@ -30,7 +31,7 @@
 			if n == 3 {
 				spec.Shape, spec.Priority, spec.Tasks, spec.Cores = wire.ShapeGang, wire.PriorityHigh, 4, 2
 			}
-			mistaken = append(mistaken, spec.ID)
+			failing = append(failing, spec.ID)
 			cluster.At(time.Duration(3+n)*time.Second, func() { cluster.SubmitFailing(spec) })
 			if n == 0 {
 				cluster.At(60*time.Second, func() { cluster.CancelJob(spec.ID) })
@@ -41,7 +42,7 @@
 			cluster.At(time.Duration(2+3*n)*time.Second, func() { cluster.Submit(spec, run) })
 		}
 		cluster.Run(150 * time.Second)
-		for n, id := range mistaken {
+		for n, id := range failing {
 			job := cluster.jobs[id]
 			require.True(t, job.accepted)
 			// A first wave, then trials with growing pauses.
@@ -51,12 +52,12 @@
 				require.Less(t, cluster.now.Sub(job.answeredAt), 20*time.Second)
 			}
 		}
-		require.Equal(t, wire.StatusCancelled, cluster.jobs[mistaken[0]].lastStatus)
+		require.Equal(t, wire.StatusCancelled, cluster.jobs[failing[0]].lastStatus)
 		for _, n := range cluster.controllers {
 			n.lastRequest++
 			n.replyHandlers[n.lastRequest] = func(reply controller.Reply) {
 				for _, machine := range reply.Body.([]wire.AdminMachine) {
-					require.False(t, machine.Faulty, "seed %d: %s is blamed", seed, machine.ID)
+					require.False(t, machine.Faulty, "seed %d: %s is quarantined", seed, machine.ID)
 				}
 			}
 			cluster.step(n, controller.ViewRequested{Request: n.lastRequest, View: wire.ViewMachines})
@@ -67,15 +68,15 @@
 	}
 }
 
-// TestFaultyMachineIsQuarantined: what fails while others run the same jobs well is the
-// machine, also beside jobs that fail everywhere.
+// TestFaultyMachineIsQuarantined checks that what fails while others run the same jobs well
+// is the machine, also beside jobs that fail everywhere.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	cluster := newCluster(5, 2)
 	cluster.Capacity = 0
 	cluster.machines[1].faulty = true
-	mistaken, _ := testJob(400, 0)
-	mistaken.Tasks = 6
-	cluster.At(3*time.Second, func() { cluster.SubmitFailing(mistaken) })
+	failing, _ := testJob(400, 0)
+	failing.Tasks = 6
+	cluster.At(3*time.Second, func() { cluster.SubmitFailing(failing) })
 	for n := range 40 {
 		spec, run := testJob(n, 0)
 		cluster.At(time.Duration(2+n)*time.Second, func() { cluster.Submit(spec, run) })
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -12,9 +12,9 @@
 	"lilacrill/wire"
 )
 
-// faultPair is two troubles that meet. play brings them about within 100 seconds, on a
-// world of nine to thirteen machines on which work runs; seen is what the world must
-// have counted for the meeting to have taken place, summed over the seeds.
+// faultPair is two faults that meet. inject brings them about within 100 seconds, on a
+// cluster of nine to thirteen machines on which work runs; observed is what the cluster
+// must have counted for them to have met, summed over the seeds.
 type faultPair struct {
 	name      string
 	configure func(*config.Settings)
@@ -22,7 +22,7 @@
 	observed  map[Observation]int
 }
 
-// lowerTeamLimits has teams reach their limits with what there is to do.
+// lowerTeamLimits has teams reach their limits with the jobs that there are.
 func lowerTeamLimits(set *config.Settings) {
 	for i := range set.Cluster.Teams {
 		set.Cluster.Teams[i].CPUsMax = 12
@@ -30,24 +30,24 @@
 }
 
 var faultPairs = []faultPair{
-	{name: "late writes and leaders that end", observed: map[Observation]int{unansweredCommit: 15, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "delayed commits and provisioner restarts", observed: map[Observation]int{unansweredCommit: 15, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits = 0.3
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(15*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(32*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "answers of writes lost while all ask", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "answers of commits lost during bursts of requests", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits, cluster.LoseAnswersOnly, cluster.RequestBursts = 0.3, true, true
 		submitMixedJobs(cluster, 60, 5)
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "late writes while all ask", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "delayed commits during bursts of requests", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits, cluster.RequestBursts = 0.2, true
 		submitMixedJobs(cluster, 60, 5)
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "old reports as a leader begins", observed: map[Observation]int{replayToNewController: 100, controllerRestarted: 12}, inject: func(cluster *Cluster) {
+	{name: "heartbeats replayed as a provisioner starts", observed: map[Observation]int{replayToNewController: 100, controllerRestarted: 12}, inject: func(cluster *Cluster) {
 		cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0.2, 0.1
 		submitMixedJobs(cluster, 60, 4)
 		for i := range 3 {
@@ -55,7 +55,7 @@
 		}
 		cluster.At(60*time.Second, func() { cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0, 0 })
 	}},
-	{name: "reports of earlier sessions as a leader begins", observed: map[Observation]int{replayOfEarlierEpoch: 20}, inject: func(cluster *Cluster) {
+	{name: "heartbeats of earlier agent epochs replayed as controllers start", observed: map[Observation]int{replayOfEarlierEpoch: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(10*time.Second, func() { cluster.ReplayedHeartbeats = 0.5 })
 		cluster.At(20*time.Second, func() {
@@ -65,20 +65,20 @@
 		})
 		cluster.At(70*time.Second, func() { cluster.ReplayedHeartbeats = 0 })
 	}},
-	{name: "called off and asked about at the end", observed: map[Observation]int{cancelledOnCompletion: 100, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "cancelled and polled on completion", observed: map[Observation]int{cancelledOnCompletion: 100, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.CancelOnCompletion, cluster.RequestBursts = 0.7, true
 		submitMixedJobs(cluster, 80, 0)
 	}},
-	{name: "small jobs, a quarter called off", observed: map[Observation]int{jobCancelled: 100}, inject: func(cluster *Cluster) {
+	{name: "small jobs, a quarter cancelled", observed: map[Observation]int{jobCancelled: 100}, inject: func(cluster *Cluster) {
 		submitSmallJobs(cluster, 240)
 	}},
-	{name: "small jobs, called off, looked at, and a leader that ends", observed: map[Observation]int{jobCancelled: 50, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "small jobs, cancelled, bursts of requests, provisioner restarts", observed: map[Observation]int{jobCancelled: 50, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		submitSmallJobs(cluster, 200)
 		cluster.RequestBursts = true
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(36*time.Second, func() { cluster.restartProvisioner(200 * time.Millisecond) })
 	}},
-	{name: "a leader cut off with users and workers, jobs called off by another", observed: map[Observation]int{jobCancelled: 20, provisionerPartitioned: 4}, inject: func(cluster *Cluster) {
+	{name: "provisioner partitioned with users and workers, jobs cancelled at another", observed: map[Observation]int{jobCancelled: 20, provisionerPartitioned: 4}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 21*time.Second)
 		cluster.At(20*time.Second, func() {
 			n := max(0, cluster.provisioner())
@@ -91,19 +91,19 @@
 			cluster.At(45*time.Second, func() { delete(cluster.PeersPartitioned, n) })
 		})
 	}},
-	{name: "called off while work changes hands", observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "cancelled during failovers", observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 20500*time.Millisecond)
 		cluster.At(20*time.Second, func() { cluster.restart(0, 6*time.Second) })
 		cluster.At(21*time.Second, func() { cluster.restart(1, 400*time.Millisecond) })
 	}},
-	{name: "at the limit, machines hang at their cancellation, leaders change", configure: lowerTeamLimits, observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, machines hang on cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 25 * time.Second
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, cluster.countTeamsAtLimit)
 		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(45*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "at the limit, machines deaf at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, inbound partitions at cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, func() {
 			cluster.countTeamsAtLimit()
@@ -114,12 +114,12 @@
 		})
 		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
 	}},
-	{name: "at the limit, machines cut off at a cancellation, leaders change", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, zone partitioned at cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, func() { cluster.countTeamsAtLimit(); cluster.PartitionZone(zones[0], 2, 35*time.Second) })
 		cluster.At(20500*time.Millisecond, func() { cluster.restart(0, 3*time.Second) })
 	}},
-	{name: "hand over and back, all end, one is back at once", observed: map[Observation]int{controllerRestarted: 20}, inject: func(cluster *Cluster) {
+	{name: "provisioner changes twice, all restart, one at once", observed: map[Observation]int{controllerRestarted: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(12*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
@@ -129,7 +129,7 @@
 			}
 		})
 	}},
-	{name: "a leader ends while machines with long tasks hang or are deaf", observed: map[Observation]int{controllerRestarted: 4, machineUnreachable: 8}, inject: func(cluster *Cluster) {
+	{name: "provisioner restarts while machines with long tasks hang or are unreachable", observed: map[Observation]int{controllerRestarted: 4, machineUnreachable: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 30*time.Second)
 		cluster.At(20*time.Second, func() {
 			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
@@ -145,7 +145,7 @@
 			cluster.restartProvisioner(3 * time.Second)
 		})
 	}},
-	{name: "mute machines, jobs called off", observed: map[Observation]int{machineUnreachable: 8, jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "outbound partitions, jobs cancelled", observed: map[Observation]int{machineUnreachable: 8, jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 21*time.Second)
 		cluster.At(20*time.Second, func() {
 			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
@@ -155,7 +155,7 @@
 			})
 		})
 	}},
-	{name: "all away for longer than a lease", observed: map[Observation]int{controllerRestarted: 12, jobCancelled: 10}, inject: func(cluster *Cluster) {
+	{name: "all controllers down for longer than a lease", observed: map[Observation]int{controllerRestarted: 12, jobCancelled: 10}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(20*time.Second, func() {
 			for i := range cluster.controllers {
@@ -163,18 +163,18 @@
 			}
 		})
 	}},
-	{name: "leaders change ten times, also in an outage", observed: map[Observation]int{controllerRestarted: 40, jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "provisioner changes ten times, also in an outage", observed: map[Observation]int{controllerRestarted: 40, jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 80, 4)
 		for i := range 10 {
 			cluster.At(time.Duration(10+8*i)*time.Second, func() { cluster.restartProvisioner(time.Duration(200+700*(i%4)) * time.Millisecond) })
 		}
 		cluster.At(40*time.Second, func() { cluster.storeOutage(25 * time.Second) })
 	}},
-	{name: "a zone cut off with a controller", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "zone partitioned with a controller", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 3)
 		cluster.At(15*time.Second, func() { cluster.PartitionZone(zones[1], 1, cluster.Lease+20*time.Second) })
 	}},
-	{name: "ends far apart across a change of leader", observed: map[Observation]int{controllerRestarted: 12}, inject: func(cluster *Cluster) {
+	{name: "completions far apart across provisioner changes", observed: map[Observation]int{controllerRestarted: 12}, inject: func(cluster *Cluster) {
 		for n := range 12 {
 			spec, _ := testJob(n, 0)
 			spec.Tasks = 2 + n%2
@@ -186,12 +186,12 @@
 			cluster.At(time.Duration(10+10*i)*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		}
 	}},
-	{name: "more work than room over slow links", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "more work than capacity over slow links", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		cluster.StoreDelay, cluster.MessageLoss = 700*time.Millisecond, 0.02
 		submitMixedJobs(cluster, 120, 4)
 		cluster.At(70*time.Second, func() { cluster.StoreDelay, cluster.MessageLoss = 0, 0 })
 	}},
-	{name: "a slow state service, then refused, then away, while users call off", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "store slow, then partitioned, then unavailable, while users cancel", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		cluster.RequestBursts = true
 		submitLongJobs(cluster, 12, 24*time.Second)
 		cluster.At(15*time.Second, func() { cluster.StoreDelay = 600 * time.Millisecond })
@@ -218,12 +218,12 @@
 			})
 		}
 	}},
-	{name: "commands and answers held up", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
-		cluster.MessageLoss = 0.15 // half of what is not lost outright comes late
+	{name: "commands and answers delayed", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+		cluster.MessageLoss = 0.15 // half of what is not lost outright is delayed
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(60*time.Second, func() { cluster.MessageLoss = 0 })
 	}},
-	{name: "machines up at once, writes lag, the leader ends", observed: map[Observation]int{unansweredCommit: 12, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "machines join at once, commits lag, provisioner restarts", observed: map[Observation]int{unansweredCommit: 12, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.ProvisioningDelay = func(string, string) time.Duration { return time.Second }
 		cluster.DelayedCommits, cluster.StoreDelay = 0.2, 300*time.Millisecond
 		submitMixedJobs(cluster, 60, 4)
@@ -231,13 +231,13 @@
 		cluster.At(22*time.Second, func() { cluster.restartProvisioner(500 * time.Millisecond) })
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits, cluster.StoreDelay = 0, 0 })
 	}},
-	{name: "machines hang at a cancellation in an outage", observed: map[Observation]int{machineHungOnCancellation: 8}, inject: func(cluster *Cluster) {
+	{name: "machines hang on cancellations in an outage", observed: map[Observation]int{machineHungOnCancellation: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 60 * time.Second
 		submitLongJobs(cluster, 10, 19500*time.Millisecond)
 		cluster.At(20600*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 5*time.Second) })
 		cluster.At(40*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "all end while machines hang with withdrawn work", observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 12, jobCancelled: 8}, inject: func(cluster *Cluster) {
+	{name: "all restart while machines hang with cancelled work", observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 12, jobCancelled: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 60 * time.Second
 		submitLongJobs(cluster, 10, 18*time.Second)
 		cluster.At(21*time.Second, func() {
@@ -252,7 +252,7 @@
 			cluster.storeOutage(22 * time.Second)
 		})
 	}},
-	{name: "odd requests while leaders change", observed: map[Observation]int{unschedulableJobRejected: 20, submissionRepeated: 100, cancelledAfterCompletion: 100, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "repeated and unschedulable requests while the provisioner changes", observed: map[Observation]int{unschedulableJobRejected: 20, submissionRepeated: 100, cancelledAfterCompletion: 100, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.machineTypes = append(slices.Clone(cluster.machineTypes), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, OnDemandPrice: 3, SpotPrice: 1, StartupS: 5, Zones: zones[:1]})
 		submitMixedJobs(cluster, 60, 6)
 		for i := range 20 {
@@ -274,18 +274,18 @@
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(40*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
 	}},
-	{name: "everything is read anew while users ask", observed: map[Observation]int{storeCompacted: 4, requestBurst: 500}, inject: func(cluster *Cluster) {
+	{name: "all keys loaded anew during bursts of requests", observed: map[Observation]int{storeCompacted: 4, requestBurst: 500}, inject: func(cluster *Cluster) {
 		cluster.RequestBursts = true
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(20*time.Second, func() {
-			// The feed goes back no further than that, as after very many changes.
+			// The watch goes back no further than that, as after very many changes.
 			cluster.partitionFromStore(0, 8*time.Second)
 			cluster.At(7500*time.Millisecond, func() { cluster.store.Compact(); cluster.Observed[storeCompacted]++ })
 		})
 	}},
 }
 
-// countTeamsAtLimit counts that a team uses all that it may.
+// countTeamsAtLimit counts the teams that use all that they may.
 func (c *Cluster) countTeamsAtLimit() {
 	used := map[string]float64{}
 	c.eachActiveTask(func(_ *fakeMachine, t *fakeTask) { spec := &c.jobs[t.id.Job].spec; used[spec.Team] += spec.Cores })
@@ -296,7 +296,7 @@
 	}
 }
 
-// TestFaultPairs holds the rules where two troubles meet, one meeting at a time.
+// TestFaultPairs checks the rules where two faults meet, one pair at a time.
 func TestFaultPairs(t *testing.T) {
 	for _, pair := range faultPairs {
 		t.Run(pair.name, func(t *testing.T) {
@@ -330,9 +330,9 @@
 	}
 }
 
-// TestOverlappingFaults is a day that crosses troubles: the state service is away while
-// all controllers restart and a machine hangs; then one controller is refused
-// while another machine dies; then a slow state service.
+// TestOverlappingFaults is a day of overlapping faults: the state store is unavailable
+// while all controllers restart and a machine hangs; then one controller is partitioned
+// from the store while another machine dies; then the store is slow.
 func TestOverlappingFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
--- a/internal/simulation/heartbeat_test.go
+++ b/internal/simulation/heartbeat_test.go
@@ -10,9 +10,9 @@
 	"lilacrill/wire"
 )
 
-// TestDuplicatedHeartbeatsAreIgnored guards against taking an old report for a new one: copies come
-// up to three leases late, across new sessions, returned machines and
-// controllers that have forgotten which report was the last.
+// TestDuplicatedHeartbeatsAreIgnored guards against taking an old heartbeat for a new one:
+// copies arrive up to three leases late, across new agent epochs, terminated machines and
+// controllers that have forgotten which heartbeat was the last.
 func TestDuplicatedHeartbeatsAreIgnored(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestDuplicatedHeartbeatsOfDeadMachine guards against keeping a dead machine alive: copies of
-// its reports go on coming, and its replicas must run elsewhere all the same.
+// TestDuplicatedHeartbeatsOfDeadMachine guards against keeping a dead machine alive: copies
+// of its heartbeats go on arriving, and its replicas must run elsewhere all the same.
 func TestDuplicatedHeartbeatsOfDeadMachine(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 2)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestDeadMachineDetectedWithLongHeartbeatInterval guards against counting machines as silent that only
-// have no reason to report yet: where reports are far apart most are, at any
-// time. With one sibling out of hearing no machine was given up then.
+// TestDeadMachineDetectedWithLongHeartbeatInterval guards against counting machines as
+// unresponsive that only have no reason yet to send a heartbeat: where heartbeats are far
+// apart most are, at any time. With one peer partitioned no machine was given up then.
 func TestDeadMachineDetectedWithLongHeartbeatInterval(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -14,14 +14,15 @@
 // runGeneratedSchedule runs one generated day and then a quiet time in which all must end.
 func runGeneratedSchedule(t *rapid.T) *Cluster { return runGeneratedScheduleWith(t, (*Cluster).Start) }
 
-// runGeneratedScheduleWith is play with controllers that are started so.
+// runGeneratedScheduleWith is runGeneratedSchedule with a function that starts the
+// controllers.
 func runGeneratedScheduleWith(t *rapid.T, start func(cluster *Cluster, i int)) *Cluster {
 	settings := testSettings()
 	settings.Cluster.Teams = append(settings.Cluster.Teams, config.Team{Name: "guest"})
 	cluster := newClusterStartedBy(settings, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 3).Draw(t, "controllers"), start)
 	cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0.02, 0.08}).Draw(t, "loss")
 	cluster.DuplicatedHeartbeats = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late")
-	// What meets what: each is there on some days and not on others.
+	// Which faults meet: each is there on some days and not on others.
 	cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "late writes")
 	cluster.LoseAnswersOnly = rapid.Bool().Draw(t, "at once")
 	cluster.ReplayedHeartbeats = rapid.SampledFrom([]float64{0, 0, 0.2}).Draw(t, "kept reports")
@@ -39,7 +40,7 @@
 		} else {
 			cluster.At(at, func() { cluster.Submit(spec, run) })
 		}
-		// Some services are left running, so that there is something to ask about.
+		// Some services are left running, so that there is something to poll.
 		cancelled := rapid.IntRange(0, 5).Draw(t, "cancelled")
 		if spec.Shape == wire.ShapeService && cancelled < 4 || cancelled == 0 {
 			cluster.At(at+time.Duration(rapid.IntRange(0, 90).Draw(t, "cancel"))*time.Second, func() { cluster.CancelJob(spec.ID) })
@@ -54,15 +55,14 @@
 	cluster.At(30*time.Second, func() { cluster.PollUnknown("wk-999999") })
 	cluster.Run(130 * time.Second)
 	cluster.MessageLoss, cluster.DelayedCommits, cluster.ReplayedHeartbeats, cluster.HangOnCancel, cluster.RequestBursts, cluster.CancelOnCompletion = 0, 0, 0, 0, false, 0
-	cluster.Run(50 * time.Second) // the last late copies and the last trouble
+	cluster.Run(50 * time.Second) // the last late copies and the last fault
 	cluster.FaultsOverAt = cluster.Now()
 	cluster.Run(250 * time.Second)
 	return cluster
 }
 
-// TestInvariantsHold drives several cores through generated days of losses, delays,
-// duplicates, outages and restarts, and holds what happens against the
-// protocol's rules.
+// TestInvariantsHold drives several controllers through generated days of losses, delays,
+// duplicates, outages and restarts, and checks what happens against the protocol's rules.
 func TestInvariantsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := runGeneratedSchedule(t)
@@ -71,7 +71,7 @@
 	})
 }
 
-// TestInvariantsHoldWithShards is TestInvariantsHold with shares in use from early on.
+// TestInvariantsHoldWithShards is TestInvariantsHold with shards in use from early on.
 func TestInvariantsHoldWithShards(t *testing.T) {
 	t.Parallel()
 	placed := 0
@@ -84,7 +84,8 @@
 	require.Greater(t, placed, 1000)
 }
 
-// requireAllFinished lets everything end and wants that nothing broke a rule on the way.
+// requireAllFinished lets everything end, and requires that no rule was violated on the
+// way.
 func requireAllFinished(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	cluster.Run(60 * time.Second)
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -14,13 +14,14 @@
 const largeFleet = 4200
 
 // TestLargeFleet guards against bounds that a fleet of 4,200 machines meets: it is
-// rented, heard and placed on, survives all controllers restarting, and is returned.
+// provisioned, sends its heartbeats, gets its tasks, survives all controllers restarting,
+// and is terminated.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	runLargeFleet(t, (*Cluster).Start)
 }
 
-// TestLargeFleetWithShards is TestLargeFleet with shares in use.
+// TestLargeFleetWithShards is TestLargeFleet with shards in use.
 func TestLargeFleetWithShards(t *testing.T) {
 	t.Parallel()
 	cluster := runLargeFleet(t, (*Cluster).startWithShards)
@@ -75,9 +76,9 @@
 	}
 	cluster.Run(30 * time.Second)
 	require.Equal(t, largeFleet, running(), "all controllers restarted")
-	require.Less(t, len(cluster.machines)-before, largeFleet/50, "well machines were given up and rented anew")
+	require.Less(t, len(cluster.machines)-before, largeFleet/50, "healthy machines were given up and provisioned anew")
 	until("all jobs are done", 12*time.Minute, func() bool { return len(cluster.Unfinished()) == 0 })
-	until("nearly all are returned", 5*time.Minute, func() bool { return up() < largeFleet/20 })
+	until("nearly all are terminated", 5*time.Minute, func() bool { return up() < largeFleet/20 })
 	require.Empty(t, cluster.Violations)
 	return cluster
 }
--- a/internal/simulation/load_test.go
+++ b/internal/simulation/load_test.go
@@ -6,8 +6,8 @@
 	"lilacrill/wire"
 )
 
-// submitMixedJobs submits arrays, gangs and services, one job each half second, some of them
-// called off after a while.
+// submitMixedJobs submits arrays, gangs and services, one job each half second, some of
+// them cancelled after a while.
 func submitMixedJobs(cluster *Cluster, jobs int, cancelEvery int) {
 	for n := range jobs {
 		spec, run := testJob(n, n%8)
@@ -19,7 +19,8 @@
 	}
 }
 
-// submitSmallJobs submits jobs of one task each, four a second, a quarter of them called off.
+// submitSmallJobs submits jobs of one task each, four a second, a quarter of them
+// cancelled.
 func submitSmallJobs(cluster *Cluster, jobs int) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
@@ -32,8 +33,8 @@
 	}
 }
 
-// submitLongJobs submits jobs of long tasks that fill what their teams may use, and calls every
-// other off at the given moment.
+// submitLongJobs submits jobs of long tasks that fill what their teams may use, and cancels
+// every other at the given moment.
 func submitLongJobs(cluster *Cluster, jobs int, cancelAt time.Duration) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
@@ -45,7 +46,8 @@
 	}
 }
 
-// submitBusyLoad submits arrays, gangs and services for a minute and a half, some called off.
+// submitBusyLoad submits arrays, gangs and services for a minute and a half, some of them
+// cancelled.
 func submitBusyLoad(cluster *Cluster) {
 	submitMixedJobs(cluster, 120, 7)
 	for n := range 4 {
--- a/internal/simulation/mixed_versions_test.go
+++ b/internal/simulation/mixed_versions_test.go
@@ -44,7 +44,7 @@
 	require.Len(t, corrupted, 2)
 	lost := cluster.Observed[conflictingCommit]
 	cluster.Run(15 * time.Second)
-	require.Less(t, cluster.Observed[conflictingCommit]-lost, 30, "writes that are lost over and over")
+	require.Less(t, cluster.Observed[conflictingCommit]-lost, 30, "commits that conflict over and over")
 	for i := range cluster.controllers { // also where nothing is remembered from before
 		cluster.restart(i, 2*time.Second)
 	}
--- a/internal/simulation/overhead_test.go
+++ b/internal/simulation/overhead_test.go
@@ -29,8 +29,9 @@
 	return sum
 }
 
-// TestIdleClusterDoesLittleWork counts the work of half a minute in which nothing but unchanged
-// reports comes: what small shares were gained by must not be lost unnoticed.
+// TestIdleClusterDoesLittleWork counts the work of half a minute in which nothing but
+// unchanged heartbeats arrives: what made small core shares possible must not be lost
+// unnoticed.
 func TestIdleClusterDoesLittleWork(t *testing.T) {
 	for _, share := range []float64{0.05, 1} {
 		settings := testSettings()
@@ -46,15 +47,15 @@
 		after := cluster.controllerCounts()
 		work := func(name string) int { return int(after[name] - before[name]) }
 		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged reports prove nothing new, share %v", share)
-		// The buyer looks at what waits now and then, slower with a small share.
+		// The provisioner looks at unmet demand now and then, more rarely with a small share.
 		require.Less(t, work("planning_passes"), map[float64]int{0.05: 35, 1: 65}[share], "share %v", share)
 		require.Less(t, work("commits"), 30, "share %v", share)
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestUnchangedHeartbeatAllocations bounds what a worker's report costs that says nothing
-// new: hundreds come every second.
+// TestUnchangedHeartbeatAllocations bounds what a worker's heartbeat costs that says
+// nothing new: hundreds arrive every second.
 func TestUnchangedHeartbeatAllocations(t *testing.T) {
 	cluster := newCluster(1, 1)
 	spec, _ := testJob(1, 1)
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -9,9 +9,9 @@
 	"lilacrill/internal/config"
 )
 
-// TestInboundPartitionedMachineIsReplaced guards against a machine whose reports arrive while nothing
-// reaches it: it looks well, and its lease runs out unseen. What stood on it
-// must run elsewhere, no new work may go there, and it must not be kept.
+// TestInboundPartitionedMachineIsReplaced guards against a machine whose heartbeats arrive
+// while nothing reaches it: it looks well, and its lease runs out unseen. What ran on it
+// must run elsewhere, no new work may go there, and it must be terminated.
 func TestInboundPartitionedMachineIsReplaced(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -34,7 +34,7 @@
 		}
 		before := partitioned.launches
 		cluster.Run(8 * time.Second)
-		require.LessOrEqual(t, partitioned.launches-before, 0, "new work on a machine that hears nothing")
+		require.LessOrEqual(t, partitioned.launches-before, 0, "new work on a machine that nothing reaches")
 		cluster.Run(22 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(machine *fakeMachine, task *fakeTask) {
@@ -42,8 +42,8 @@
 				running++
 			}
 		})
-		require.Equal(t, 4, running, "replicas on machines that hear")
-		require.True(t, partitioned.terminated, "the machine was kept")
+		require.Equal(t, 4, running, "replicas on machines that are reached")
+		require.True(t, partitioned.terminated, "the machine was not terminated")
 		cluster.Run(60 * time.Second)
 		require.Empty(t, cluster.Violations)
 		require.Empty(t, cluster.Unfinished())
@@ -62,8 +62,9 @@
 	return cluster
 }
 
-// TestInboundPartitionedArrivalsAreDetected guards the reason for which workers that come are asked at
-// all: many that came because nothing reaches them are still told from the others.
+// TestInboundPartitionedArrivalsAreDetected guards the reason for which workers that come
+// from another controller are probed at all: many that came because nothing reaches them
+// are still told from the others.
 func TestInboundPartitionedArrivalsAreDetected(t *testing.T) {
 	cluster := newBusyFleet(80)
 	for _, machine := range cluster.machines[:8] {
@@ -76,13 +77,13 @@
 			unreachable++
 		}
 	}
-	require.Equal(t, 8, unreachable, "returned before their leases run out")
+	require.Equal(t, 8, unreachable, "terminated before their leases run out")
 	require.Empty(t, cluster.Violations)
 }
 
-// TestIsolatedControllerRedirectsWorkers guards against a controller that has lost the state
-// service and its siblings but not its workers: what ends there cannot be
-// written down, so its workers must find the others while it lasts.
+// TestIsolatedControllerRedirectsWorkers guards against a controller that is partitioned
+// from the state store and its peers but not from its workers: what completes there cannot
+// be recorded, so its workers must find the others while it lasts.
 func TestIsolatedControllerRedirectsWorkers(t *testing.T) {
 	cluster := newCluster(3, 3)
 	cluster.Lease = 25 * time.Second
@@ -113,10 +114,10 @@
 }
 
 // TestSchedulingContinuesWithoutPeers guards placement while connections between
-// controllers are refused: each hears only the workers that report to it, and a
-// owner that hears few of them once placed nothing on the others. It also guards
-// against machines of a lost write that stay locked for ever, as when they are the
-// only ones with room.
+// controllers are refused: each receives only the heartbeats that workers send to it, and
+// an owner that received few of them once placed nothing on the others. It also guards
+// against machines of a conflicting placement that stay reserved for ever, as when they are
+// the only ones with room.
 func TestSchedulingContinuesWithoutPeers(t *testing.T) {
 	for reporting := range 3 {
 		settings := testSettings()
@@ -146,9 +147,9 @@
 	}
 }
 
-// TestConcurrentPlacementsInDifferentZones guards the condition on the heads of all zones: two
-// controllers that know of different machines, since none hears the others,
-// place the same task in different zones while the state service is slow.
+// TestConcurrentPlacementsInDifferentZones guards the condition on the first pages of all
+// zones: two controllers that know of different machines, since none receives the others'
+// messages, place the same task in different zones while the state store is slow.
 func TestConcurrentPlacementsInDifferentZones(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newCluster(seed, 3)
@@ -172,10 +173,10 @@
 	}
 }
 
-// TestProvisionerWithoutWorkersKeepsMachines guards against a buyer that workers do not reach, and
-// that takes well machines for silent or deaf. It once returned hundreds of them
-// before it knew that it was itself cut off. Others take over buying meanwhile,
-// and replicas of what then really dies come back.
+// TestProvisionerWithoutWorkersKeepsMachines guards against a provisioner that is
+// partitioned from the workers, and takes healthy machines for unresponsive or unreachable.
+// It once terminated hundreds of them before it knew that it was itself isolated. Another
+// becomes provisioner meanwhile, and replicas of what then really dies are replaced.
 func TestProvisionerWithoutWorkersKeepsMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -190,14 +191,14 @@
 			cluster.At(time.Duration(2*n)*time.Second, func() { cluster.Submit(array, run) })
 		}
 		cluster.Run(20 * time.Second)
-		buyer := cluster.provisioner()
-		require.GreaterOrEqual(t, buyer, 0)
-		cluster.WorkersPartitioned[buyer] = true
+		isolated := cluster.provisioner()
+		require.GreaterOrEqual(t, isolated, 0)
+		cluster.WorkersPartitioned[isolated] = true
 		cluster.Run(14 * time.Second)
 		for _, machine := range cluster.machines[:24] {
-			require.False(t, machine.terminated, "seed %d: %s was returned though it is well", seed, machine.id)
+			require.False(t, machine.terminated, "seed %d: %s was terminated though it is healthy", seed, machine.id)
 		}
-		require.NotEqual(t, buyer, cluster.provisioner(), "seed %d: who is cut off still buys", seed)
+		require.NotEqual(t, isolated, cluster.provisioner(), "seed %d: who is isolated still provisions", seed)
 		for _, machine := range cluster.machines {
 			if !machine.terminated && len(machine.tasks) > 0 {
 				machine.terminate()
@@ -212,7 +213,7 @@
 			}
 		})
 		require.Equal(t, 12, running, "seed %d", seed)
-		delete(cluster.WorkersPartitioned, buyer)
+		delete(cluster.WorkersPartitioned, isolated)
 		cluster.Run(100 * time.Second)
 		require.Empty(t, cluster.Violations)
 		require.Empty(t, cluster.Unfinished())
--- a/internal/simulation/provisioning_test.go
+++ b/internal/simulation/provisioning_test.go
@@ -10,8 +10,8 @@
 	"lilacrill/internal/config"
 )
 
-// TestSlowProvisioningIsAwaited guards against returning machines that come up late
-// just before they do: where all of them are late, nothing would ever start.
+// TestSlowProvisioningIsAwaited guards against terminating machines that join late just
+// before they do: where all of them are late, nothing would ever start.
 func TestSlowProvisioningIsAwaited(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster := NewCluster(testSettings(), machineTypes, 2, seed)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestNeverJoinedMachinesAreReplaced guards work that waits for machines that never come
-// up: others are rented elsewhere meanwhile, and the dead ones are returned.
+// TestNeverJoinedMachinesAreReplaced guards work that waits for machines that never join:
+// others are provisioned elsewhere meanwhile, and those that did not join are terminated.
 func TestNeverJoinedMachinesAreReplaced(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster := NewCluster(testSettings(), machineTypes, 2, seed)
@@ -39,7 +39,7 @@
 			}
 			return time.Second / 2 // up before the list has it
 		}
-		cluster.Settings.Cluster.Objectives[0].Class = "batch" // somebody waits for it
+		cluster.Settings.Cluster.Objectives[0].Class = "batch" // it has an objective
 		cluster.Start(0)
 		cluster.Start(1)
 		for n := range 12 {
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestCapacityShortageDoesNotHideOtherOffers guards against a buyer that asks for the same
-// sold-out offer for every job that waits, and never gets to one that is left.
+// TestCapacityShortageDoesNotHideOtherOffers guards against a provisioner that asks for the
+// same offer without capacity for every pending job, and never gets to one that is left.
 func TestCapacityShortageDoesNotHideOtherOffers(t *testing.T) {
 	cluster := newCluster(1, 1)
 	cluster.Settings.Cluster.Teams[1].CPUsMax = 400
-	cluster.Settings.Cluster.Objectives[0].Class = "batch" // somebody waits for it
+	cluster.Settings.Cluster.Objectives[0].Class = "batch" // it has an objective
 	for n := range 30 {
 		spec, _ := testJob(2*n+1, 0)
 		spec.Spot, spec.Tasks, spec.RuntimeS = true, 5, 60
@@ -75,9 +75,9 @@
 	require.Positive(t, rented["g8 false"], "only %v were rented", rented)
 }
 
-// TestExpensiveMachinesAreTerminated guards the money of work in no hurry: as long as all of it
-// can start in time on the cheap machines, though they cannot quite keep up,
-// dear ones are left alone and returned.
+// TestExpensiveMachinesAreTerminated guards the cost of work in no hurry: as long as all of
+// it can start in time on the cheap machines, though they cannot quite keep up, expensive
+// ones are left alone and terminated.
 func TestExpensiveMachinesAreTerminated(t *testing.T) {
 	cluster := newCluster(7, 2)
 	cluster.Capacity = 0
@@ -102,7 +102,7 @@
 			expensive++
 		}
 	}
-	require.Zero(t, expensive, "dear machines kept")
+	require.Zero(t, expensive, "expensive machines kept")
 	cluster.Run(100 * time.Second)
 	require.Empty(t, cluster.Unfinished())
 	require.Empty(t, cluster.Violations)
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -9,11 +9,11 @@
 	"lilacrill/internal/config"
 )
 
-// TestStalledControllerDoesNotTrustBufferedAnswers guards against a controller that stands still and, on
-// going on, takes what waited in its buffers for news. An answer of the state
-// service from before then made it believe that it had the service at that
-// moment: cut off meanwhile with its zone, it went on answering workers for too
-// long, and tasks of a job that was withdrawn outlived their time.
+// TestStalledControllerDoesNotTrustBufferedAnswers guards against a controller that stalls
+// and, when it resumes, takes what waited in its buffers for news. An answer of the state
+// store from before then made it believe that it reached the store at that moment:
+// partitioned meanwhile with its zone, it went on answering workers for too long, and tasks
+// of a cancelled job outlived their time.
 func TestStalledControllerDoesNotTrustBufferedAnswers(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 2)
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestControllerRestartKeepsMachines guards against a buyer that has just started: what it knows
-// by the records alone it gave up before it had read the list of machines, and before
-// their workers, with reports far apart, had reason to report.
+// TestControllerRestartKeepsMachines guards against a provisioner that has just started:
+// machines that it knows by the records alone it gave up before it had read the cloud's
+// list, and before their workers, with heartbeats far apart, had reason to send one.
 func TestControllerRestartKeepsMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
@@ -60,15 +60,15 @@
 		})
 		cluster.Run(60 * time.Second)
 		for _, machine := range cluster.machines[:60] {
-			require.False(t, machine.terminated && len(machine.tasks) > 0, "seed %d: %s was returned", seed, machine.id)
+			require.False(t, machine.terminated && len(machine.tasks) > 0, "seed %d: %s was terminated", seed, machine.id)
 		}
 		require.Empty(t, cluster.Violations)
 	}
 }
 
 // TestCompletedJobsAnsweredAfterRestart guards against forgetting what is no longer cached:
-// after every controller started anew, each finished job is still answered, and
-// so is a repeat of its submission.
+// after every controller restarted, each completed job is still answered, and so is a
+// repeat of its submission.
 func TestCompletedJobsAnsweredAfterRestart(t *testing.T) {
 	cluster := newCluster(6, 2)
 	for n := range 10 {
--- a/internal/simulation/rollout_helpers_test.go
+++ b/internal/simulation/rollout_helpers_test.go
@@ -21,8 +21,7 @@
 	return features
 }
 
-// startOlder starts a controller that reads the first format only, or ends it and
-// starts it so.
+// startOlder starts a controller that reads the first format only, or restarts it so.
 func (c *Cluster) startOlder(i int) {
 	c.Features[i] = plainFormatFeatures()
 	c.Start(i)
@@ -34,7 +33,7 @@
 	c.Start(i)
 }
 
-// changeRollout asks a controller for a change; the reply is there some time later.
+// changeRollout requests a change from a controller; the reply is there some time later.
 func (c *Cluster) changeRollout(i int, change wire.AdminRolloutChange) *controller.Reply {
 	reply := &controller.Reply{}
 	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
@@ -44,8 +43,8 @@
 	return reply
 }
 
-// activateCompressed is the change that activates the compressed format, made from the version
-// that stands in the state service.
+// activateCompressed is the change that activates the compressed format, made from the
+// version that stands in the state store.
 func (c *Cluster) activateCompressed() wire.AdminRolloutChange {
 	format := record.FormatCompressed
 	return wire.AdminRolloutChange{Version: c.rolloutVersion(), Activate: &format}
@@ -56,7 +55,7 @@
 	return version
 }
 
-// mustChange makes a change and wants a status.
+// mustChange makes a change and requires a status.
 func (c *Cluster) mustChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
 	t.Helper()
 	reply := c.changeRollout(i, change)
@@ -67,7 +66,7 @@
 	return string(body)
 }
 
-// compressedRecords counts the records in the state service that are compressed.
+// compressedRecords counts the records in the state store that are compressed.
 func (c *Cluster) compressedRecords() int {
 	n := 0
 	for _, entry := range c.store.List(record.RootKey) {
@@ -78,7 +77,8 @@
 	return n
 }
 
-// newLargeValueCluster has values large enough for records to be compressed.
+// newLargeValueCluster is a running cluster whose store takes values large enough to be
+// compressed.
 func newLargeValueCluster(seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
 	settings := testSettings()
 	settings.Cluster.State.ValueKB = 8
--- a/internal/simulation/rollout_schedule_test.go
+++ b/internal/simulation/rollout_schedule_test.go
@@ -11,10 +11,10 @@
 	"lilacrill/wire"
 )
 
-// rolloutSteps is what may happen in a rollout besides other troubles.
+// rolloutSteps are what may happen in a rollout besides other faults.
 var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "freeze", "state cut", "state down", "stop", "activate", "activate", "exclude"}
 
-// rolloutStep does one of them to a controller.
+// rolloutStep takes one of them on a controller.
 func (c *Cluster) rolloutStep(kind string, who int, last time.Duration) {
 	i := who % len(c.controllers)
 	switch kind {
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestInvariantsHoldDuringRollouts upgrades, rolls back, ends and freezes controllers in generated
-// orders while jobs run, with activations asked for throughout, until all are newer. The
-// world's rules hold, nothing of a later format is written before it is in force, and
-// every job ends.
+// TestInvariantsHoldDuringRollouts upgrades, rolls back, stops and stalls controllers in
+// generated orders while jobs run, with activations requested throughout, until all are
+// newer. The cluster's rules hold, nothing of a later format is written before it is in
+// force, and every job ends.
 func TestInvariantsHoldDuringRollouts(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -65,11 +65,11 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestStalledControllerDuringActivation: an older controller stands still across the activation,
-// with writes and direct calls under way that are carried out after it, and goes on
-// with what waited in its buffers. It ends by itself, and nothing runs twice.
+// TestStalledControllerDuringActivation checks that an older controller that stalls across
+// the activation, with commits and direct calls on their way that are executed after it,
+// and resumes with what waited in its buffers, ends by itself, and nothing runs twice.
 func TestStalledControllerDuringActivation(t *testing.T) {
-	unanswered, heldUp := 0, 0
+	unanswered, delayed := 0, 0
 	for seed := range uint64(8) {
 		cluster := newLargeValueCluster(30+seed, 3, func(cluster *Cluster, i int) {
 			if i == 2 {
@@ -90,12 +90,12 @@
 		cluster.Run(20 * time.Second)
 		require.Len(t, cluster.Shutdowns, 1, "seed %d", seed)
 		unanswered += cluster.Observed[unansweredCommit]
-		heldUp += cluster.Observed[delayedDirectCall(2)]
+		delayed += cluster.Observed[delayedDirectCall(2)]
 		cluster.startNewer(2)
 		requireAllFinished(t, cluster)
 	}
-	require.Greater(t, unanswered, 8, "writes that were carried out late")
-	require.Greater(t, heldUp, 8, "direct calls of the older controller that came late")
+	require.Greater(t, unanswered, 8, "commits that were executed late")
+	require.Greater(t, delayed, 8, "direct calls of the older controller that came late")
 }
 
 // TestControllerStartRacesActivation: an older process that starts in the very moment of the
@@ -148,8 +148,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestActivationDuringStoreOutage: while the state service is away the operator is told to come
-// back; one that it refuses for longer than a lease holds the activation up.
+// TestActivationDuringStoreOutage checks that the operator is told to come back while the
+// state store is unavailable, and that a controller that is partitioned from it for longer
+// than a lease holds the activation up.
 func TestActivationDuringStoreOutage(t *testing.T) {
 	cluster := newLargeValueCluster(5, 3, (*Cluster).startNewer)
 	submitBusyLoad(cluster)
@@ -240,8 +241,8 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestPeerMessagesOfEarlierFormat: copies of lines from before the activation, and from
-// processes of before, come long after it.
+// TestPeerMessagesOfEarlierFormat checks that copies of peer messages from before the
+// activation, and from processes of before, do no harm long after it.
 func TestPeerMessagesOfEarlierFormat(t *testing.T) {
 	cluster := newLargeValueCluster(8, 3, (*Cluster).startNewer)
 	cluster.DuplicatedPeerMessages = 0.2
--- a/internal/simulation/scheduling_test.go
+++ b/internal/simulation/scheduling_test.go
@@ -11,9 +11,9 @@
 	"lilacrill/wire"
 )
 
-// TestPreemptionOnlyForUsableCapacity guards against stopping work for room that is not taken. The
-// machine that has a service's image also has a replica of it, and the default
-// rule keeps the next one off; once room was made there for that one all the same,
+// TestPreemptionOnlyForUsableCapacity guards against preempting work for capacity that is
+// not used. The machine that has cached a service's image also has a replica of it, and the
+// default rule keeps the next one off; once room was made there for that one all the same,
 // pass after pass, and it never started.
 func TestPreemptionOnlyForUsableCapacity(t *testing.T) {
 	for seed := range uint64(4) {
@@ -49,9 +49,9 @@
 }
 
 // TestHighPriorityGangBeyondGuaranteeStarts guards gangs beyond their team's guarantee:
-// less urgent work within a guarantee comes before them, and once took the
-// machines with accelerators over and over although it needs none, so that a
-// quarter of these never had a gang while dozens waited.
+// work of lower priority within a guarantee comes before them, and once took the machines
+// with accelerators over and over although it needs none, so that a quarter of these never
+// had a gang while dozens waited.
 func TestHighPriorityGangBeyondGuaranteeStarts(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestGangWaitsForSlowImagePulls guards gangs on machines of which some have the image
-// and others fetch it for longer than a waiting task waits: the attempt was stopped
-// with the fetches in it, and the next, and the next.
+// TestGangWaitsForSlowImagePulls guards gangs on machines of which some have cached the
+// image and others pull it for longer than a waiting task waits: the attempt was stopped
+// with the pulls in it, and the next, and the next.
 func TestGangWaitsForSlowImagePulls(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 2)
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestLargeJobsAreNotStarved guards against putting the largest jobs off without end. A
-// stream of small jobs takes more than there is, all of them could be in time,
-// and the objectives make it look best to leave the large ones for later.
+// TestLargeJobsAreNotStarved guards against deferring the largest jobs without end. A
+// stream of small jobs takes more than there is, all of them could be in time, and the
+// objectives make it look best to leave the large ones for later.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	cluster := newCluster(5, 2)
 	cluster.Capacity = 0 // nothing to rent
@@ -141,8 +141,8 @@
 	require.Empty(t, cluster.Violations)
 }
 
-// TestQuotaCountsCheckpointingTasks guards the team's limit against counting only what is to
-// go on: tasks that save before they stop still use what they use.
+// TestQuotaCountsCheckpointingTasks guards the team's limit against counting only the tasks
+// that are to go on: tasks that are checkpointed before they stop still use what they use.
 func TestQuotaCountsCheckpointingTasks(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 2)
@@ -169,7 +169,7 @@
 }
 
 // TestTeamWithoutQuotaIsServed guards teams that are listed with neither a guarantee nor a
-// limit: a limit of 0 is none. Once all that they submitted was refused for ever.
+// limit: a limit of 0 is none. Once all that they submitted was rejected for ever.
 func TestTeamWithoutQuotaIsServed(t *testing.T) {
 	for seed := range uint64(3) {
 		settings := testSettings()
@@ -189,11 +189,11 @@
 	}
 }
 
-// TestConcurrentCompletionsAreAllRecorded guards against lost notes: tasks of one job end at the same
-// time in different zones and are noted by different controllers. Once each
-// wrote the job's done record without a condition on it, and undid the other.
-// It also guards against launches that nobody sends: the recorded launcher lives
-// but does not reach the worker, which reports to another controller.
+// TestConcurrentCompletionsAreAllRecorded guards against lost completions: tasks of one job
+// complete at the same time in different zones and are recorded by different controllers.
+// Once each wrote the job's completion without a condition on it, and overwrote the other.
+// It also guards against launches that nobody sends: the recorded launcher lives but does
+// not reach the worker, which sends its heartbeats to another controller.
 func TestConcurrentCompletionsAreAllRecorded(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -205,7 +205,7 @@
 			spec.Tasks = 4
 			cluster.At(time.Duration(2+n)*time.Second, func() { cluster.Submit(spec, 3*time.Second) })
 		}
-		// The owner hears of nothing itself, so whoever gets a report notes it.
+		// The owner probes nobody, so whoever receives a heartbeat records completions.
 		cluster.At(time.Second, func() { cluster.DropDirectCalls = true })
 		cluster.Run(200 * time.Second)
 		require.Empty(t, cluster.Violations)
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -13,7 +13,7 @@
 	"lilacrill/wire"
 )
 
-// adopted stands for the moment after a move, beside its steps.
+// adopted stands for the moment after a move, beside its phases.
 const adopted record.MovePhase = "adopted"
 
 // controllerIndex is the number of the controller with a label.
@@ -21,8 +21,8 @@
 	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return controllerLabel(process.index) == l })
 }
 
-// startMove has a share moved, and returns its source and target when it has come to a
-// step.
+// startMove has a shard moved, and returns its source and target when the move has come to
+// a phase.
 func (c *Cluster) startMove(t *testing.T, id wire.ShardID, step record.MovePhase) (source, target int) {
 	t.Helper()
 	before := c.Shard(id)
@@ -40,7 +40,8 @@
 	return 0, 0
 }
 
-// shuffleShards has every share moved to another controller again and again until some time.
+// shuffleShards has every shard moved to another controller again and again until some
+// time.
 func (c *Cluster) shuffleShards(until time.Duration) {
 	for n := 0; c.Now()+time.Duration(n)*200*time.Millisecond < until; n++ {
 		c.At(time.Duration(n)*200*time.Millisecond, func() {
@@ -52,9 +53,10 @@
 	}
 }
 
-// finishSharded lets everything end, and wants every share owned by one that lives, and moves
-// to come to rest: as the last machines are returned, controllers that hear no worker any
-// more hand over all that they own, and get their part again.
+// finishSharded lets everything end, and requires that every shard is owned by a live
+// process, and that moves come to rest: as the last machines are terminated, controllers
+// that receive no heartbeats any more hand over all that they own, and get their part
+// again.
 func finishSharded(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	requireAllFinished(t, cluster)
@@ -68,7 +70,7 @@
 	require.Zero(t, cluster.movingShards(), "moves never come to rest")
 }
 
-// movingShards counts the shares on the move.
+// movingShards counts the shards on the move.
 func (c *Cluster) movingShards() int {
 	n := 0
 	for id := range wire.ShardID(shard.Count) {
@@ -79,9 +81,9 @@
 	return n
 }
 
-// TestControllersRestartDuringShardMove: source, target or both end at each step of a move, and come back
-// within a moment or long after. The move is finished or undone, and nothing is lost or
-// doubled.
+// TestControllersRestartDuringShardMove checks that a move is finished or undone, and
+// nothing is lost or doubled, when its source, target or both end at each of its phases,
+// and come back within a moment or long after.
 func TestControllersRestartDuringShardMove(t *testing.T) {
 	t.Parallel()
 	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased, adopted} {
@@ -115,41 +117,42 @@
 	}
 }
 
-// TestStalledShardOwnerIsFenced: an owner stands still for long past its lease, with rounds and launches
-// under way that are carried out after its shares were taken over, and goes on. Its rounds
-// are refused for their shares, and nothing runs twice.
+// TestStalledShardOwnerIsFenced checks an owner that stalls for long past its lease, with
+// commits and launches on their way that are executed after its shards failed over, and
+// resumes. Its commits conflict on their shards, and nothing runs twice.
 func TestStalledShardOwnerIsFenced(t *testing.T) {
 	t.Parallel()
-	refused, heldUp, takenOver := 0, 0, 0
+	refused, delayed, failedOver := 0, 0, 0
 	for seed := range uint64(10) {
 		cluster := newShardedCluster(t, 40+seed, 3)
 		submitBusyLoad(cluster)
 		cluster.Run(12 * time.Second)
-		frozen := int(seed) % 3
-		cluster.DelayCommitsOf[frozen], cluster.MessageLoss = true, 0.3
+		stalled := int(seed) % 3
+		cluster.DelayCommitsOf[stalled], cluster.MessageLoss = true, 0.3
 		cluster.Run(5 * time.Second)
-		cluster.Stall(frozen, 50*time.Second)
-		cluster.DelayCommitsOf[frozen], cluster.MessageLoss = false, 0
+		cluster.Stall(stalled, 50*time.Second)
+		cluster.DelayCommitsOf[stalled], cluster.MessageLoss = false, 0
 		// Its lease runs out, or later, where a renewal of it was held up on its way.
 		for range 45 {
-			if cluster.Run(time.Second); cluster.shardsByOwner()[controllerLabel(frozen)] == 0 {
+			if cluster.Run(time.Second); cluster.shardsByOwner()[controllerLabel(stalled)] == 0 {
 				break
 			}
 		}
-		require.Zero(t, cluster.shardsByOwner()[controllerLabel(frozen)], "seed %d", seed)
-		takenOver += cluster.Observed[shardFailedOver]
+		require.Zero(t, cluster.shardsByOwner()[controllerLabel(stalled)], "seed %d", seed)
+		failedOver += cluster.Observed[shardFailedOver]
 		cluster.Run(50 * time.Second)
 		refused += cluster.Observed[placementConflictedOnShard]
-		heldUp += cluster.Observed[delayedDirectCall(frozen)]
+		delayed += cluster.Observed[delayedDirectCall(stalled)]
 		finishSharded(t, cluster)
 	}
-	require.Greater(t, takenOver, 50)
+	require.Greater(t, failedOver, 50)
 	require.Greater(t, refused, 4)
-	require.Greater(t, heldUp, 10, "launches that were carried out late")
+	require.Greater(t, delayed, 10, "launches that were executed late")
 }
 
-// TestContinuousShardMoves moves all shares round and round while jobs run, teams are at their limits,
-// users cancel, and machines are rented, returned, hang and come back in a new session.
+// TestContinuousShardMoves moves all shards round and round while jobs run, teams are at
+// their limits, users cancel, and machines are provisioned, terminated, hang and come back
+// in a new agent epoch.
 func TestContinuousShardMoves(t *testing.T) {
 	t.Parallel()
 	seen := map[Observation]int{}
@@ -199,7 +202,8 @@
 	}
 }
 
-// TestShardAdoptionAnswerLost: the adopting write is carried out and its answer lost.
+// TestShardAdoptionAnswerLost checks an adoption that is committed and whose answer is
+// lost.
 func TestShardAdoptionAnswerLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -217,8 +221,8 @@
 	}
 }
 
-// TestStoreOutageDuringShardMove: the state service is away for longer than a lease within a move. Nobody
-// takes anything over: every lease has its full time again.
+// TestStoreOutageDuringShardMove checks that nothing fails over when the state store is
+// unavailable for longer than a lease within a move: every lease has its full time again.
 func TestStoreOutageDuringShardMove(t *testing.T) {
 	t.Parallel()
 	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -15,8 +15,8 @@
 	"lilacrill/wire"
 )
 
-// startWithShards starts a controller that enables shares, and brings the newest format into
-// force once all read it.
+// startWithShards starts a controller that enables shards, and activates the newest format
+// once all read it.
 func (c *Cluster) startWithShards(i int) {
 	features, settle := config.DefaultFeatures(), 0.0
 	features.Rollout.Activation, features.Rollout.SettleS = config.ActivationAutomatic, &settle
@@ -25,7 +25,7 @@
 	c.Start(i)
 }
 
-// newShardedCluster is a world in which shares are in use, with machines in most of them.
+// newShardedCluster is a cluster in which shards are in use, with machines in most of them.
 func newShardedCluster(t require.TestingT, seed uint64, controllers int) *Cluster {
 	cluster := newLargeValueCluster(seed, controllers, (*Cluster).startWithShards)
 	for i := range 24 {
@@ -37,7 +37,7 @@
 	return cluster
 }
 
-// unownedShards counts the shares without a living owner.
+// unownedShards counts the shards without a live owner.
 func (c *Cluster) unownedShards() int {
 	n := 0
 	for id := range wire.ShardID(shard.Count) {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// shardsByOwner counts the shares of each controller.
+// shardsByOwner counts the shards of each controller.
 func (c *Cluster) shardsByOwner() map[string]int {
 	owned := map[string]int{}
 	for id := range wire.ShardID(shard.Count) {
@@ -57,7 +57,7 @@
 	return owned
 }
 
-// changeShards asks a controller for a change; the reply is there some time later.
+// changeShards requests a change from a controller; the reply is there some time later.
 func (c *Cluster) changeShards(i int, change wire.AdminShardChange) *controller.Reply {
 	reply := &controller.Reply{}
 	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
@@ -67,14 +67,15 @@
 	return reply
 }
 
-// shardMove is a change that moves a share, from the epoch that stands in the state service.
+// shardMove is a change that moves a shard, from the epoch that stands in the state store.
 func (c *Cluster) shardMove(id wire.ShardID, to int) wire.AdminShardChange {
 	return wire.AdminShardChange{Move: &id, To: controllerLabel(to), Epoch: c.Shard(id).Epoch}
 }
 
-// TestShardsAreBalanced: once all enable them, every share has one owner, each owns about as
-// many, a controller that joins later gets its part, and jobs run as ever. Workers are led to
-// the owners of their shares, and none loses its lease on the way.
+// TestShardsAreBalanced checks that, once all enable them, every shard has one owner, each
+// owns about as many, a controller that joins later gets its part, and jobs run as ever.
+// Workers are redirected to the owners of their shards, and none loses its lease on the
+// way.
 func TestShardsAreBalanced(t *testing.T) {
 	cluster := newShardedCluster(t, 1, 3)
 	cluster.changeSettings(`{"idle_s":86400}`)
@@ -107,8 +108,8 @@
 	require.Greater(t, led, machines*3/4, "of %d", machines)
 }
 
-// TestConcurrentShardMovesOneSucceeds: of two moves of a share that operators ask for at once one is
-// carried out, and the other refused.
+// TestConcurrentShardMovesOneSucceeds checks that of two moves of a shard that operators
+// request at once one is made, and the other rejected.
 func TestConcurrentShardMovesOneSucceeds(t *testing.T) {
 	cluster := newShardedCluster(t, 2, 3)
 	submitMixedJobs(cluster, 40, 6)
@@ -127,8 +128,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestShardsDormantUntilAllControllersEnableThem: one controller that reads the second format only keeps shares dormant,
-// and one that does not enable them keeps them off; started without, it switches them off.
+// TestShardsDormantUntilAllControllersEnableThem checks that one controller that reads the
+// second format only keeps shards dormant, and one that does not enable them keeps them
+// off; started without, it switches them off.
 func TestShardsDormantUntilAllControllersEnableThem(t *testing.T) {
 	t.Parallel()
 	cluster := newLargeValueCluster(96, 3, func(cluster *Cluster, i int) {
@@ -162,8 +164,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestDrainedControllerHandsOverShards: a drained controller hands over all its shares and ends; nothing
-// has to be taken over. Its drain ended, it gets its part again.
+// TestDrainedControllerHandsOverShards checks that a drained controller hands over all its
+// shards before it stops, so that nothing has to fail over. Its drain ended, it gets its
+// part again.
 func TestDrainedControllerHandsOverShards(t *testing.T) {
 	t.Parallel()
 	cluster := newShardedCluster(t, 97, 3)
@@ -185,8 +188,9 @@
 	finishSharded(t, cluster)
 }
 
-// TestGangSpansShards: a gang that needs more machines than any controller owns, and none can
-// be rented, gets the shares of others; an array uses the machines of all at once.
+// TestGangSpansShards checks that a gang that needs more machines than any controller owns,
+// where none can be provisioned, gets the shards of others, and that an array uses the
+// machines of all at once.
 func TestGangSpansShards(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -200,7 +204,7 @@
 		cluster.Run(12 * time.Second)
 		began, ok := cluster.StartDelay(gang.ID)
 		require.True(t, ok, "seed %d", seed)
-		t.Log("gang of 10 over 12 machines began after", began)
+		t.Log("gang of 10 over 12 machines started after", began)
 		cluster.Run(15 * time.Second)
 		array, _ := testJob(3, 0)
 		array.Tasks, array.Cores = 12, 4
@@ -211,9 +215,10 @@
 	}
 }
 
-// TestNoPlacementOnTerminatedMachine guards the demand on the list of machines to be returned: a placement
-// is held up on its way, the buyer returns the idle machine that it is on, and the
-// placement comes after. Without the demand it stands on a machine that is gone.
+// TestNoPlacementOnTerminatedMachine guards the condition on the list of terminations: a
+// placement is delayed on its way, the provisioner terminates the idle machine that it is
+// on, and the placement arrives after that. Without the condition it stands on a machine
+// that is gone.
 func TestNoPlacementOnTerminatedMachine(t *testing.T) {
 	t.Parallel()
 	refused := 0
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoreOutageKeepsWorkerLeases guards what an outage shared by all costs: where the
-// siblings attest for one another, nothing that runs is lost by it, however long.
+// TestStoreOutageKeepsWorkerLeases guards what an outage that all controllers share costs:
+// where the peers attest for one another, nothing that runs is lost by it, however long.
 func TestStoreOutageKeepsWorkerLeases(t *testing.T) {
 	cluster := newClusterWith(shortCancelSettings(), 1, 3)
 	for i := range 9 {
@@ -30,10 +30,10 @@
 	require.Empty(t, cluster.Violations)
 }
 
-// TestStoreOutageWithoutPeersKeepsWorkerLeases guards the leases of workers when there is nobody to send them
-// to: the state service is away for a minute, and at its worst no controller
-// hears another for a third of that. Longer than that cannot be told from being
-// cut off while others withdraw jobs.
+// TestStoreOutageWithoutPeersKeepsWorkerLeases guards the leases of workers when there is
+// nobody to redirect them to: the state store is unavailable for a minute, and at its worst
+// no controller receives another's messages for a third of that. Longer than that cannot be
+// told from isolation while others cancel jobs.
 func TestStoreOutageWithoutPeersKeepsWorkerLeases(t *testing.T) {
 	cluster := newCluster(4, 3)
 	cluster.Lease = 25 * time.Second
--- a/internal/simulation/zone_partition_test.go
+++ b/internal/simulation/zone_partition_test.go
@@ -9,9 +9,9 @@
 	"lilacrill/internal/config"
 )
 
-// TestNoProvisioningInPartitionedZone guards against renting, in a zone that is cut off,
-// machines that come up silent, are returned for it, and are rented again. It was
-// found in incident inc-449b, where some 500 machines went that way.
+// TestNoProvisioningInPartitionedZone guards against provisioning, in a partitioned zone,
+// machines that come up unresponsive, are terminated for it, and are provisioned again. It
+// was found in incident inc-449b, where some 500 machines went that way.
 func TestNoProvisioningInPartitionedZone(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -41,15 +41,15 @@
 				rest++
 			}
 		}
-		require.Positive(t, rest, "nothing was rented at all")
-		require.Zero(t, east, "machines rented in the zone that was cut off")
+		require.Positive(t, rest, "nothing was provisioned at all")
+		require.Zero(t, east, "machines provisioned in the partitioned zone")
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestPartitionedAcceleratorMachinesAreKept guards the scarcest machines of a zone that is cut
-// off: they leave calls unanswered, which is no reason to return them as ones that
-// do not hear. Once back, they are there with their images.
+// TestPartitionedAcceleratorMachinesAreKept guards the scarcest machines of a partitioned
+// zone: they leave calls unanswered, which is no reason to terminate them as unreachable
+// ones. Once back, they are there with their images.
 func TestPartitionedAcceleratorMachinesAreKept(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
@@ -72,18 +72,18 @@
 		cluster.Run(60 * time.Second)
 		for _, machine := range cluster.machines {
 			if machine.machineType.Name == machineTypes[1].Name {
-				require.False(t, machine.terminated && machine.zone == zones[1], "seed %d: %s was returned", seed, machine.id)
+				require.False(t, machine.terminated && machine.zone == zones[1], "seed %d: %s was terminated", seed, machine.id)
 			}
 		}
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestShortPartitionKeepsReplicas guards replicas in a zone that is cut off for a while:
-// they run on while their workers' leases last, and are lost only if their
-// machines are returned. What really dies elsewhere is still replaced soon. Where few
-// machines of the zone have reason to be asked early (seeds 6 and 33 with random numbers
-// as they were once), the first was returned before the cut was seen.
+// TestShortPartitionKeepsReplicas guards replicas in a zone that is partitioned for a
+// while: they run on while their workers' leases last, and are lost only if their machines
+// are terminated. What really dies elsewhere is still replaced soon. Where few machines of
+// the zone have reason to be probed early (seeds 6 and 33 with random numbers as they were
+// once), the first was terminated before the partition was seen.
 func TestShortPartitionKeepsReplicas(t *testing.T) {
 	for seed := range uint64(40) {
 		settings := testSettings()
@@ -107,7 +107,7 @@
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
 		require.Equal(t, 48, running, "seed %d", seed)
 		for _, machine := range cluster.machines {
-			require.False(t, machine.terminated && machine.zone == zones[1] && len(machine.tasks) > 0, "seed %d: %s was returned", seed, machine.id)
+			require.False(t, machine.terminated && machine.zone == zones[1] && len(machine.tasks) > 0, "seed %d: %s was terminated", seed, machine.id)
 		}
 		cluster.Run(30 * time.Second)
 		require.Empty(t, cluster.Violations)
