--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -34,12 +34,12 @@
 	if p.jobHosts[job.id] == nil {
 		p.jobHosts[job.id] = []*placement.Host{} // no host, as opposed to hosts that are not known
 	}
-	jp := p.newJobPlacement(pending)
-	options := jp.options()
+	jobPlacement := p.newJobPlacement(pending)
+	options := jobPlacement.options()
 	job.pendingReason = reasonBeingPlaced
 	assignments, unplaced := p.chooseMachines(pending, count, options)
 	for _, assignment := range assignments {
-		jp.place(assignment)
+		jobPlacement.place(assignment)
 	}
 	if unplaced > 0 && !p.cachedImageOnly {
 		p.handleUnmetDemand(pending, unplaced)
@@ -62,8 +62,8 @@
 // options says which machines the job may use. After a lost placement write the machines of
 // that write are excluded and a few others are probed at random, so that two controllers do
 // not contend for the same machines again.
-func (jp *jobPlacement) options() placement.Options {
-	c, p, job := jp.pass.c, jp.pass, jp.pending.job
+func (j *jobPlacement) options() placement.Options {
+	c, p, job := j.pass.c, j.pass, j.pending.job
 	options := placement.Options{
 		Relax:        c.operator.values.Affinity == config.AffinityPreferred,
 		AllOrNothing: job.spec.Shape == wire.ShapeGang,
@@ -71,7 +71,7 @@
 		JobHosts:     p.jobHosts[job.id],
 	}
 	avoidsAccelerators := p.avoidsAccelerators(job)
-	avoidsExpensive := c.avoidsExpensive(jp.pending)
+	avoidsExpensive := c.avoidsExpensive(j.pending)
 	if len(job.crashLoop.avoidMachines) > 0 || avoidsAccelerators || avoidsExpensive {
 		options.Usable = func(host *placement.Host) bool {
 			until, avoided := job.crashLoop.avoidMachines[host.ID]
@@ -80,7 +80,7 @@
 				!(avoidsExpensive && c.abovePriceLimit(c.fleet.machines[host.ID]))
 		}
 	}
-	if schedule := &c.cache.team(job.spec.Team).schedule; jp.stages && schedule.lostPlacements > 0 {
+	if schedule := &c.cache.team(job.spec.Team).schedule; j.stages && schedule.lostPlacements > 0 {
 		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
@@ -88,19 +88,19 @@
 
 // place takes an assignment's tasks off the missing ones and stages allocations for them, in
 // as many parts as their size demands.
-func (jp *jobPlacement) place(assignment placement.Assignment) {
-	c, p, job := jp.pass.c, jp.pass, jp.pending.job
+func (j *jobPlacement) place(assignment placement.Assignment) {
+	c, p, job := j.pass.c, j.pass, j.pending.job
 	p.teamUsage[job.spec.Team] = p.teamUsage[job.spec.Team].Plus(job.request.Need, float64(assignment.Count))
 	machine := c.fleet.machines[assignment.Machine]
 	for left := assignment.Count; left > 0; {
 		var tasks record.TaskSet
-		tasks, jp.pending.missing = jp.pending.missing.Take(min(left, c.maxTasksPerAllocation()))
+		tasks, j.pending.missing = j.pending.missing.Take(min(left, c.maxTasksPerAllocation()))
 		left -= tasks.Len()
-		if jp.stages {
-			jp.stage(machine, tasks)
+		if j.stages {
+			j.stage(machine, tasks)
 		}
 	}
-	if assignment.Relaxed && jp.stages {
+	if assignment.Relaxed && j.stages {
 		c.metrics.count(countRelaxed, assignment.Count)
 		c.log.Debug("preferred rule relaxed", "job_id", job.id, "machine_id", machine.id)
 	}
@@ -109,39 +109,39 @@
 // stage stages an allocation of tasks on a machine. Once the transaction is full, the rest of
 // the job is planned for only; a gang is then unstaged, as it is placed as a whole or not at
 // all.
-func (jp *jobPlacement) stage(machine *machine, tasks record.TaskSet) {
-	c, job := jp.pass.c, jp.pending.job
-	if jp.attempt == 0 {
-		jp.attempt = wire.Attempt(c.membership.nextSerial())
-	}
-	allocation := jp.newAllocation(machine, tasks)
-	if !jp.transaction.hasCapacityFor(0) || !jp.transaction.stageAllocation(machine.zone, allocation) {
-		jp.stages = false
+func (j *jobPlacement) stage(machine *machine, tasks record.TaskSet) {
+	c, job := j.pass.c, j.pending.job
+	if j.attempt == 0 {
+		j.attempt = wire.Attempt(c.membership.nextSerial())
+	}
+	allocation := j.newAllocation(machine, tasks)
+	if !j.transaction.hasCapacityFor(0) || !j.transaction.stageAllocation(machine.zone, allocation) {
+		j.stages = false
 		if job.spec.Shape == wire.ShapeGang {
-			jp.transaction.unstageAttempt(jp.attempt)
+			j.transaction.unstageAttempt(j.attempt)
 		}
 		return
 	}
-	jp.transaction.placesTasks = true
+	j.transaction.placesTasks = true
 	if c.sharded() {
-		jp.transaction.shards[machine.shard] = true
+		j.transaction.shards[machine.shard] = true
 	}
-	jp.transaction.urgent = jp.transaction.urgent || job.spec.Priority == wire.PriorityCritical
-	jp.transaction.conditions[record.JobKey(job.id)] = job.version
-	jp.transaction.usedMachines[machine.id] = true
-	jp.transaction.notifyMachines[machine.id] = true
+	j.transaction.urgent = j.transaction.urgent || job.spec.Priority == wire.PriorityCritical
+	j.transaction.conditions[record.JobKey(job.id)] = job.version
+	j.transaction.usedMachines[machine.id] = true
+	j.transaction.notifyMachines[machine.id] = true
 	c.metrics.count(countPlaced, tasks.Len())
-	c.log.Debug("tasks placed", "job_id", job.id, "class", job.spec.Class, "machine_id", machine.id, "attempt", jp.attempt, "tasks", tasks.Len(),
-		"image_cached", machine.images.cached[job.spec.Image], "guaranteed", jp.pending.guaranteed)
+	c.log.Debug("tasks placed", "job_id", job.id, "class", job.spec.Class, "machine_id", machine.id, "attempt", j.attempt, "tasks", tasks.Len(),
+		"image_cached", machine.images.cached[job.spec.Image], "guaranteed", j.pending.guaranteed)
 }
 
-func (jp *jobPlacement) newAllocation(machine *machine, tasks record.TaskSet) Allocation {
-	spec := &jp.pending.job.spec
+func (j *jobPlacement) newAllocation(machine *machine, tasks record.TaskSet) Allocation {
+	spec := &j.pending.job.spec
 	return Allocation{
 		AllocationHeader: record.AllocationHeader{
-			Job:          jp.pending.job.id,
-			Attempt:      jp.attempt,
-			Launcher:     jp.pass.c.membership.incarnation,
+			Job:          j.pending.job.id,
+			Attempt:      j.attempt,
+			Launcher:     j.pass.c.membership.incarnation,
 			Cores:        spec.Cores,
 			Accelerators: spec.Accelerators,
 			MemGB:        spec.MemGB,
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -18,7 +18,7 @@
 	dirty              bool // something changed since the last pass
 	criticalDirty      bool // something changed that a pending critical job may wait for
 	machinesLost       bool // machines were lost with the tasks on them
-	criticalPending    bool // the last pass left a critical job in the queue
+	criticalPending    bool // the last pass had a critical job in its queue
 	nextPass           Time
 	nextNonCritical    Time
 	nextCriticalOnly   Time // no pass over critical jobs alone before, while submissions are crowded
