--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,7 +68,7 @@
 `
 
 // requireField requires an error that names a field, unless the text is not TOML.
-func requireField(t *testing.T, err error, field string) {
+func requireField(t *testing.T, field string, err error) {
 	t.Helper()
 	var fieldErr *apierror.FieldError
 	if errors.As(err, &fieldErr) {
@@ -108,7 +108,7 @@
 		require.NotEqual(t, good, text, c.old)
 		_, err := Parse([]byte(text))
 		require.ErrorContains(t, err, c.field)
-		requireField(t, err, c.field)
+		requireField(t, c.field, err)
 		require.NotContains(t, err.Error(), "\n")
 	}
 	_, err = Load(t.TempDir() + "/none.toml")
@@ -137,7 +137,7 @@
 		`{"colour":1}`: "colour", `{"affinity":"maybe"}`: "affinity", `{"silence_s":1e9}`: "silence_s", `[]`: "settings", `null`: "settings", `{`: "settings"} {
 		_, err := d.With([]byte(text))
 		require.ErrorContains(t, err, field, text)
-		requireField(t, err, field)
+		requireField(t, field, err)
 	}
 }
 
