--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -10,9 +10,9 @@
 )
 
 // benchmarkCluster runs a cluster for so long, again and again; no rule may be violated.
-func benchmarkCluster(b *testing.B, length time.Duration, world func() *Cluster) {
+func benchmarkCluster(b *testing.B, length time.Duration, start func() *Cluster) {
 	for b.Loop() {
-		cluster := world()
+		cluster := start()
 		cluster.Run(length)
 		if len(cluster.Violations) > 0 {
 			b.Fatal(cluster.Violations[0])
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -28,10 +28,10 @@
 // unavailable for all for longer than cancel_s.
 type partitionThenOutage struct {
 	name string
-	// onPartition happens as the rejections begin: refused is the controller that is rejected.
-	onPartition func(cluster *Cluster, refused int)
+	// onPartition happens as the rejections begin: rejected is the controller that is rejected.
+	onPartition func(cluster *Cluster, rejected int)
 	// onOutage happens once cancellations were confirmed, just before the outage.
-	onOutage             func(cluster *Cluster, refused int)
+	onOutage             func(cluster *Cluster, rejected int)
 	dropDirectCalls      bool // no direct call reaches a worker
 	cancelWhileLaunching bool // jobs are cancelled while their tasks are being launched
 }
@@ -41,20 +41,20 @@
 	{name: "direct calls dropped", dropDirectCalls: true},
 	{name: "launches under way", cancelWhileLaunching: true},
 	{name: "launches under way, direct calls dropped", cancelWhileLaunching: true, dropDirectCalls: true},
-	{name: "partitioned from peers", dropDirectCalls: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true }},
+	{name: "partitioned from peers", dropDirectCalls: true, onPartition: func(cluster *Cluster, rejected int) { cluster.PeersPartitioned[rejected] = true }},
 	{name: "peer messages lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.PeerMessageLoss = 0.7 }},
-	{name: "confirming controllers restart", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) {
+	{name: "confirming controllers restart", dropDirectCalls: true, onOutage: func(cluster *Cluster, rejected int) {
 		for i := range cluster.controllers {
-			if i != refused {
+			if i != rejected {
 				cluster.Stop(i)
 				cluster.At(2*time.Second, func() { cluster.Start(i) })
 			}
 		}
 	}},
-	{name: "confirming controllers restart, partitioned from peers", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, refused int) { cluster.PeersPartitioned[refused] = true },
-		onOutage: func(cluster *Cluster, refused int) {
+	{name: "confirming controllers restart, partitioned from peers", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, rejected int) { cluster.PeersPartitioned[rejected] = true },
+		onOutage: func(cluster *Cluster, rejected int) {
 			for i := range cluster.controllers {
-				if i != refused {
+				if i != rejected {
 					cluster.Stop(i)
 					cluster.At(300*time.Millisecond, func() { cluster.Start(i) })
 				}
@@ -81,7 +81,7 @@
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.hung = true; cluster.At(40*time.Second, machine.resume) })
 		cluster.At(9*time.Second, func() { cluster.CloudUnavailable = false })
 	}},
-	{name: "partitioned controller stalls", dropDirectCalls: true, onOutage: func(cluster *Cluster, refused int) { cluster.Stall(refused, 50*time.Second) }},
+	{name: "partitioned controller stalls", dropDirectCalls: true, onOutage: func(cluster *Cluster, rejected int) { cluster.Stall(rejected, 50*time.Second) }},
 	{name: "duplicated heartbeats", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.DuplicatedHeartbeats = 0.3 }},
 }
 
@@ -101,14 +101,15 @@
 }
 
 func (g partitionThenOutage) run(t *testing.T, seed uint64, withOutage bool) int {
+	t.Helper()
 	cluster := newClusterWith(shortCancelSettings(), seed, 3)
-	refused := int(seed) % 3
+	rejected := int(seed) % 3
 	for i := range 9 {
 		cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 	}
 	cluster.At(6*time.Second, func() {
 		for _, machine := range cluster.machines {
-			machine.controller = refused
+			machine.controller = rejected
 		}
 	})
 	for n := range 24 {
@@ -121,9 +122,9 @@
 		cluster.At(at, func() { cluster.Submit(spec, 200*time.Second) })
 	}
 	cluster.Run(20 * time.Second)
-	cluster.StorePartitioned[refused], cluster.DropDirectCalls = true, g.dropDirectCalls
+	cluster.StorePartitioned[rejected], cluster.DropDirectCalls = true, g.dropDirectCalls
 	if g.onPartition != nil {
-		g.onPartition(cluster, refused)
+		g.onPartition(cluster, rejected)
 	}
 	for n := range 24 {
 		if n%4 != 3 {
@@ -133,10 +134,10 @@
 	cluster.Run(1900 * time.Millisecond)
 	confirmed := cluster.cancelledBetween(20*time.Second, cluster.Now())
 	if g.onOutage != nil {
-		g.onOutage(cluster, refused)
+		g.onOutage(cluster, rejected)
 	}
 	cluster.StoreUnavailable = withOutage
-	cluster.At(12*time.Second, func() { delete(cluster.StorePartitioned, refused) })
+	cluster.At(12*time.Second, func() { delete(cluster.StorePartitioned, rejected) })
 	cluster.Run(cluster.CancelTimeout + 12*time.Second) // longer than cancel_s
 	cluster.StoreUnavailable, cluster.DropDirectCalls, cluster.CloudUnavailable, cluster.PeersPartitioned, cluster.PeerMessageLoss, cluster.DuplicatedHeartbeats = false, false, false, map[int]bool{}, 0, 0
 	cluster.store.RenewAll(cluster.now)
@@ -179,7 +180,7 @@
 			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
 		cluster.Run(20 * time.Second)
-		cluster.DropDirectCalls = true // what is sent directly now is held up
+		cluster.DropDirectCalls = true // what is sent directly now is delayed
 		for n := range 12 {
 			spec, _ := testJob(n, 0)
 			spec.Tasks = 1
--- a/internal/simulation/direct_calls_test.go
+++ b/internal/simulation/direct_calls_test.go
@@ -24,6 +24,7 @@
 }
 
 func checkDirectCallsBounded(t *testing.T, seed uint64) {
+	t.Helper()
 	settings := testSettings()
 	settings.Cluster.Teams[0].CPUsMax, settings.Cluster.Teams[1].CPUsMax = 400, 400
 	settings.Cluster.Quota.Sockets = 160
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -35,7 +35,7 @@
 		if n%6 == 5 && spec.Accelerators == 0 {
 			spec.Team = "guest"
 		}
-		if rapid.IntRange(0, 9).Draw(t, "mistaken") == 0 {
+		if rapid.IntRange(0, 9).Draw(t, "always fails") == 0 {
 			cluster.At(at, func() { cluster.SubmitFailing(spec) })
 		} else {
 			cluster.At(at, func() { cluster.Submit(spec, run) })
@@ -46,8 +46,8 @@
 			cluster.At(at+time.Duration(rapid.IntRange(0, 90).Draw(t, "cancel"))*time.Second, func() { cluster.CancelJob(spec.ID) })
 		}
 	}
-	for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-		planned := fault{rapid.SampledFrom(faultKinds).Draw(t, "trouble"),
+	for range rapid.IntRange(0, 8).Draw(t, "faults") {
+		planned := fault{rapid.SampledFrom(faultKinds).Draw(t, "fault"),
 			time.Duration(rapid.IntRange(5, 90).Draw(t, "when")) * time.Second,
 			time.Duration(rapid.IntRange(2, 25).Draw(t, "last")) * time.Second, rapid.IntRange(0, 9).Draw(t, "who")}
 		cluster.At(planned.at, func() { planned.inject(cluster) })
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -30,6 +30,7 @@
 }
 
 func runLargeFleet(t *testing.T, start func(cluster *Cluster, i int)) *Cluster {
+	t.Helper()
 	settings := testSettings()
 	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 4000, CPUsMax: 9000})
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
--- a/internal/simulation/overhead_test.go
+++ b/internal/simulation/overhead_test.go
@@ -46,7 +46,7 @@
 		cluster.Run(30 * time.Second)
 		after := cluster.controllerCounts()
 		work := func(name string) int { return int(after[name] - before[name]) }
-		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged reports prove nothing new, share %v", share)
+		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged heartbeats prove nothing new, share %v", share)
 		// The provisioner looks at unmet demand now and then, more rarely with a small share.
 		require.Less(t, work("planning_passes"), map[float64]int{0.05: 35, 1: 65}[share], "share %v", share)
 		require.Less(t, work("commits"), 30, "share %v", share)
--- a/internal/simulation/provisioning_test.go
+++ b/internal/simulation/provisioning_test.go
@@ -68,11 +68,11 @@
 		cluster.At(time.Second, func() { cluster.Submit(spec, 60*time.Second) })
 	}
 	cluster.Run(45 * time.Second)
-	rented := map[string]int{}
+	provisioned := map[string]int{}
 	for _, machine := range cluster.machines {
-		rented[fmt.Sprint(machine.machineType.Name, " ", machine.spot)]++
+		provisioned[fmt.Sprint(machine.machineType.Name, " ", machine.spot)]++
 	}
-	require.Positive(t, rented["g8 false"], "only %v were rented", rented)
+	require.Positive(t, provisioned["g8 false"], "only %v were provisioned", provisioned)
 }
 
 // TestExpensiveMachinesAreTerminated guards the cost of work in no hurry: as long as all of
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -101,7 +101,7 @@
 // TestControllerStartRacesActivation: an older process that starts in the very moment of the
 // activation either is waited for or ends; never do both succeed.
 func TestControllerStartRacesActivation(t *testing.T) {
-	refused, retired := 0, 0
+	rejected, retired := 0, 0
 	for step := range 40 {
 		cluster := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewer)
 		cluster.Run(5 * time.Second)
@@ -119,11 +119,11 @@
 		} else {
 			require.Equal(t, http.StatusConflict, reply.Status)
 			require.True(t, cluster.controllers[2].controller.Healthy())
-			refused++
+			rejected++
 		}
 		require.Empty(t, cluster.Violations)
 	}
-	require.Positive(t, refused)
+	require.Positive(t, rejected)
 	require.Positive(t, retired)
 }
 
--- a/internal/simulation/scheduling_test.go
+++ b/internal/simulation/scheduling_test.go
@@ -115,7 +115,7 @@
 // objectives make it look best to leave the large ones for later.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	cluster := newCluster(5, 2)
-	cluster.Capacity = 0 // nothing to rent
+	cluster.Capacity = 0 // nothing to provision
 	clusterSettings := &cluster.Settings.Cluster
 	clusterSettings.Teams = []config.Team{{Name: "blue", CPUs: 4, CPUsMax: 100}, {Name: "red", CPUs: 4, CPUsMax: 100}}
 	clusterSettings.Objectives = append(clusterSettings.Objectives, config.Objective{Kind: "finished", Class: "batch", WithinS: 60, Share: 0.9})
@@ -182,7 +182,7 @@
 		}
 		cluster.Run(200 * time.Second)
 		for id, job := range cluster.jobs {
-			require.True(t, job.accepted, "%s was refused", id)
+			require.True(t, job.accepted, "%s was rejected", id)
 		}
 		require.Empty(t, cluster.Unfinished())
 		require.Empty(t, cluster.Violations)
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -122,7 +122,7 @@
 // resumes. Its commits conflict on their shards, and nothing runs twice.
 func TestStalledShardOwnerIsFenced(t *testing.T) {
 	t.Parallel()
-	refused, delayed, failedOver := 0, 0, 0
+	conflicts, delayed, failedOver := 0, 0, 0
 	for seed := range uint64(10) {
 		cluster := newShardedCluster(t, 40+seed, 3)
 		submitBusyLoad(cluster)
@@ -132,7 +132,7 @@
 		cluster.Run(5 * time.Second)
 		cluster.Stall(stalled, 50*time.Second)
 		cluster.DelayCommitsOf[stalled], cluster.MessageLoss = false, 0
-		// Its lease runs out, or later, where a renewal of it was held up on its way.
+		// Its lease runs out, or later, where a renewal of it was delayed on its way.
 		for range 45 {
 			if cluster.Run(time.Second); cluster.shardsByOwner()[controllerLabel(stalled)] == 0 {
 				break
@@ -141,12 +141,12 @@
 		require.Zero(t, cluster.shardsByOwner()[controllerLabel(stalled)], "seed %d", seed)
 		failedOver += cluster.Observed[shardFailedOver]
 		cluster.Run(50 * time.Second)
-		refused += cluster.Observed[placementConflictedOnShard]
+		conflicts += cluster.Observed[placementConflictedOnShard]
 		delayed += cluster.Observed[delayedDirectCall(stalled)]
 		finishSharded(t, cluster)
 	}
 	require.Greater(t, failedOver, 50)
-	require.Greater(t, refused, 4)
+	require.Greater(t, conflicts, 4)
 	require.Greater(t, delayed, 10, "launches that were executed late")
 }
 
