--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -1,4 +1,4 @@
-// Command lilacrill is a cluster scheduler: it takes jobs from users, rents
+// Command lilacrill is a cluster scheduler: it takes jobs from users, provisions
 // machines from a cloud and has workers run the tasks.
 package main
 
@@ -47,10 +47,10 @@
 	var files configFiles
 	root := &cobra.Command{
 		Use:   "lilacrill --config FILE",
-		Short: "lilacrill schedules jobs onto rented machines",
+		Short: "lilacrill schedules jobs onto machines that it provisions from a cloud",
 		Long: `lilacrill is one controller of a cluster scheduler. It takes jobs from users,
-rents machines from a cloud, has workers run the tasks, and keeps its state in
-a key-value service. Several controllers run side by side, each with a settings
+provisions machines from a cloud, has workers run the tasks, and keeps its state in
+a key-value store. Several controllers run side by side, each with a settings
 file of its own; any of them may stop at any time.
 
 The exit status is 3 if the service has moved on to a format of records that this
--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -269,9 +269,9 @@
 	return out.String(), err
 }
 
-// TestSharesAdministration shows and moves shards and drains a controller over the API and
+// TestShardsAdministration shows and moves shards and drains a controller over the API and
 // the command line; whatever is wrong is refused with its cause and changes nothing.
-func TestSharesAdministration(t *testing.T) {
+func TestShardsAdministration(t *testing.T) {
 	features := config.DefaultFeatures()
 	features.Sharding.Enabled = true
 	c := startClusterWith(t, "secret", features)
--- a/cmd/lilacrill/shards_bench_test.go
+++ b/cmd/lilacrill/shards_bench_test.go
@@ -15,13 +15,13 @@
 	"lilacrill/wire"
 )
 
-// BenchmarkSharesSmall and BenchmarkSharesLarge measure a load without sharding, with it, and
+// BenchmarkShardsSmall and BenchmarkShardsLarge measure a load without sharding, with it, and
 // with shards moving all the time; then moves and failovers. The controllers' profiles
 // stay in the folder that LILACRILL_LOAD_OUT names. Run them with -benchtime=1x.
-func BenchmarkSharesSmall(b *testing.B) { benchmarkSharding(b, smallLoad) }
+func BenchmarkShardsSmall(b *testing.B) { benchmarkSharding(b, smallLoad) }
 
-// BenchmarkSharesLarge is the larger of the two.
-func BenchmarkSharesLarge(b *testing.B) { benchmarkSharding(b, largeLoad) }
+// BenchmarkShardsLarge is the larger of the two.
+func BenchmarkShardsLarge(b *testing.B) { benchmarkSharding(b, largeLoad) }
 
 func benchmarkSharding(b *testing.B, size loadSize) {
 	for b.Loop() {
