--- a/cmd/lilacrill/engine.go
+++ b/cmd/lilacrill/engine.go
@@ -19,7 +19,7 @@
 	"lilacrill/internal/admin"
 	"lilacrill/internal/cloud"
 	"lilacrill/internal/config"
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/peer"
 	"lilacrill/internal/server"
 	"lilacrill/internal/sockets"
@@ -33,13 +33,13 @@
 type engine struct {
 	set   *config.Settings
 	log   *slog.Logger
-	core  *core.Controller
+	core  *controller.Controller
 	start time.Time
 
 	inbox   chan envelope
-	results chan core.Input
-	hints   chan core.Input // what siblings say
-	replies map[core.RequestID]chan core.Reply
+	results chan controller.Input
+	hints   chan controller.Input // what siblings say
+	replies map[controller.RequestID]chan controller.Reply
 	last    atomic.Uint64
 	stepped atomic.Int64 // when the core last took a step, since start
 	healthy atomic.Bool
@@ -57,9 +57,9 @@
 
 // envelope is a request's input with where its reply goes.
 type envelope struct {
-	input core.Input
-	id    core.RequestID
-	reply chan core.Reply
+	input controller.Input
+	id    controller.RequestID
+	reply chan controller.Reply
 }
 
 const (
@@ -82,12 +82,12 @@
 	return &engine{
 		set:     set,
 		log:     log,
-		core:    core.New(set, log, rand.Uint64()),
+		core:    controller.New(set, log, rand.Uint64()),
 		start:   time.Now(),
 		inbox:   make(chan envelope, inboxSize),
-		results: make(chan core.Input, resultsSize),
-		hints:   make(chan core.Input, hintsSize),
-		replies: map[core.RequestID]chan core.Reply{},
+		results: make(chan controller.Input, resultsSize),
+		hints:   make(chan controller.Input, hintsSize),
+		replies: map[controller.RequestID]chan controller.Reply{},
 		state:   statestore.New(set, log),
 		cloud:   cloud.New(set, log),
 		workers: worker.New(log, sockets.Share(set).Direct),
@@ -97,9 +97,9 @@
 }
 
 // Ask implements server.Backend.
-func (e *engine) Ask(makeInput func(core.RequestID) core.Input) (<-chan core.Reply, bool) {
-	id := core.RequestID(e.last.Add(1))
-	env := envelope{input: makeInput(id), id: id, reply: make(chan core.Reply, 1)}
+func (e *engine) Ask(makeInput func(controller.RequestID) controller.Input) (<-chan controller.Reply, bool) {
+	id := controller.RequestID(e.last.Add(1))
+	env := envelope{input: makeInput(id), id: id, reply: make(chan controller.Reply, 1)}
 	select {
 	case e.inbox <- env:
 		return env.reply, true
@@ -132,7 +132,7 @@
 	})
 	g.Go(func() error { return server.New(e.set, e, os.Getenv(admin.TokenVariable), e.log).Serve(public) })
 	g.Go(func() error {
-		return e.mesh.Serve(peers, func(l *wire.PeerMessage) { e.offer(core.PeerMessageReceived{Message: l}) })
+		return e.mesh.Serve(peers, func(l *wire.PeerMessage) { e.offer(controller.PeerMessageReceived{Message: l}) })
 	})
 	g.Go(func() error { e.mesh.Send(ctx); return nil })
 	g.Go(func() error { e.state.Serve(ctx.Done()); return nil })
@@ -145,7 +145,7 @@
 }
 
 // offer passes on a hint, unless there is too much to do.
-func (e *engine) offer(in core.Input) {
+func (e *engine) offer(in controller.Input) {
 	select {
 	case e.hints <- in:
 	default:
@@ -154,7 +154,7 @@
 
 // loop feeds the core until ctx ends or the core says that this process must end.
 func (e *engine) loop(ctx context.Context) error {
-	tick := time.NewTicker(core.TickEvery)
+	tick := time.NewTicker(controller.TickEvery)
 	defer tick.Stop()
 	for {
 		select {
@@ -163,7 +163,7 @@
 		case <-e.ending:
 			return e.cause
 		case <-tick.C:
-			e.step(core.Tick{})
+			e.step(controller.Tick{})
 		case in := <-e.results:
 			e.step(in)
 		case in := <-e.hints:
@@ -175,10 +175,10 @@
 	}
 }
 
-func (e *engine) step(in core.Input) {
+func (e *engine) step(in controller.Input) {
 	now := time.Now()
 	since := now.Sub(e.start)
-	for _, o := range e.core.Step(core.Time(since), now.UnixMilli(), in) {
+	for _, o := range e.core.Step(controller.Time(since), now.UnixMilli(), in) {
 		e.carryOut(o)
 	}
 	e.stepped.Store(int64(since))
@@ -193,48 +193,48 @@
 }
 
 // back returns a call's result to the core.
-func back[R any](e *engine, id core.CallID) func(R) {
-	return func(r R) { e.results <- core.CallCompleted{Call: id, Result: r} }
+func back[R any](e *engine, id controller.CallID) func(R) {
+	return func(r R) { e.results <- controller.CallCompleted{Call: id, Result: r} }
 }
 
-func (e *engine) carryOut(o core.Output) {
+func (e *engine) carryOut(o controller.Output) {
 	switch o := o.(type) {
-	case core.Reply:
+	case controller.Reply:
 		if ch := e.replies[o.Request]; ch != nil {
 			delete(e.replies, o.Request)
 			ch <- o
 		}
-	case core.LoadKeys:
-		e.state.Load(o, back[core.LoadResult](e, o.Call))
-	case core.Watch:
-		e.state.Follow(o, back[core.WatchResult](e, o.Call))
-	case core.GetKey:
-		e.state.Fetch(o, back[core.GetResult](e, o.Call))
-	case core.Commit:
-		e.state.Commit(o, back[core.CommitResult](e, o.Call))
-	case core.GrantLease:
-		e.state.Grant(o, back[core.LeaseResult](e, o.Call))
-	case core.RenewLease:
-		e.state.Extend(o, back[core.LeaseResult](e, o.Call))
-	case core.SetRateShare:
+	case controller.LoadKeys:
+		e.state.Load(o, back[controller.LoadResult](e, o.Call))
+	case controller.Watch:
+		e.state.Follow(o, back[controller.WatchResult](e, o.Call))
+	case controller.GetKey:
+		e.state.Fetch(o, back[controller.GetResult](e, o.Call))
+	case controller.Commit:
+		e.state.Commit(o, back[controller.CommitResult](e, o.Call))
+	case controller.GrantLease:
+		e.state.Grant(o, back[controller.LeaseResult](e, o.Call))
+	case controller.RenewLease:
+		e.state.Extend(o, back[controller.LeaseResult](e, o.Call))
+	case controller.SetRateShare:
 		e.state.Share(o.Fraction)
-	case core.ReadCatalogue:
-		e.cloud.Catalogue(back[core.CatalogueResult](e, o.Call))
-	case core.ListMachines:
-		e.cloud.List(back[core.MachinesResult](e, o.Call))
-	case core.ProvisionMachines:
-		e.cloud.Hire(o.Request, back[core.ProvisionResult](e, o.Call))
-	case core.TerminateMachines:
-		e.cloud.Return(o.Machines, back[core.TerminateResult](e, o.Call))
-	case core.SendCommands:
-		e.workers.Do(o.Addr, o.Body, back[core.WorkerResponse](e, o.Call))
-	case core.RequestHeartbeat:
-		e.workers.Show(o.Addr, back[core.WorkerResponse](e, o.Call))
-	case core.Broadcast:
+	case controller.ReadCatalogue:
+		e.cloud.Catalogue(back[controller.CatalogueResult](e, o.Call))
+	case controller.ListMachines:
+		e.cloud.List(back[controller.MachinesResult](e, o.Call))
+	case controller.ProvisionMachines:
+		e.cloud.Hire(o.Request, back[controller.ProvisionResult](e, o.Call))
+	case controller.TerminateMachines:
+		e.cloud.Return(o.Machines, back[controller.TerminateResult](e, o.Call))
+	case controller.SendCommands:
+		e.workers.Do(o.Addr, o.Body, back[controller.WorkerResponse](e, o.Call))
+	case controller.RequestHeartbeat:
+		e.workers.Show(o.Addr, back[controller.WorkerResponse](e, o.Call))
+	case controller.Broadcast:
 		e.mesh.Tell(o.Message)
-	case core.RolloutEvent:
+	case controller.RolloutEvent:
 		e.tracer.Rollout(o)
-	case core.Shutdown:
+	case controller.Shutdown:
 		e.retire(o.Cause)
 	default:
 		panic(fmt.Sprintf("output %T not known", o))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -11,7 +11,7 @@
 
 	"github.com/gofiber/fiber/v3"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/wire"
 )
 
@@ -22,7 +22,7 @@
 const TokenVariable = "LILACRILL_ADMIN_TOKEN"
 
 // Asker passes an input to the core and writes its reply as the answer.
-type Asker func(c fiber.Ctx, makeInput func(core.RequestID) core.Input) error
+type Asker func(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error
 
 // atOnce is how many operators' requests are served at a time, so that they
 // cannot crowd out users and workers.
@@ -54,25 +54,31 @@
 		if err := json.Unmarshal(c.Body(), &change); err != nil {
 			return refuse(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.SettingsChangeRequested{Request: r, Change: change} })
+		return ask(c, func(r controller.RequestID) controller.Input {
+			return controller.SettingsChangeRequested{Request: r, Change: change}
+		})
 	})
 	group.Patch("/"+string(wire.ViewRollout), func(c fiber.Ctx) error {
 		change, err := wire.ParseAdminRolloutChange(c.Body())
 		if err != nil {
 			return refuse(c, http.StatusBadRequest, err.Error())
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.RolloutChangeRequested{Request: r, Change: change} })
+		return ask(c, func(r controller.RequestID) controller.Input {
+			return controller.RolloutChangeRequested{Request: r, Change: change}
+		})
 	})
 	group.Patch("/"+string(wire.ViewShards), func(c fiber.Ctx) error {
 		change, err := wire.ParseAdminShardChange(c.Body())
 		if err != nil {
 			return refuse(c, http.StatusBadRequest, err.Error())
 		}
-		return ask(c, func(r core.RequestID) core.Input { return core.ShardChangeRequested{Request: r, Change: change} })
+		return ask(c, func(r controller.RequestID) controller.Input {
+			return controller.ShardChangeRequested{Request: r, Change: change}
+		})
 	})
 	group.Get("/:view", func(c fiber.Ctx) error {
 		view := wire.AdminView([]byte(c.Params("view")))
-		return ask(c, func(r core.RequestID) core.Input { return core.ViewRequested{Request: r, View: view} })
+		return ask(c, func(r controller.RequestID) controller.Input { return controller.ViewRequested{Request: r, View: view} })
 	})
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 
 	"lilacrill/internal/config"
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/httpcall"
 	"lilacrill/internal/sockets"
 	"lilacrill/wire"
@@ -46,42 +46,42 @@
 }
 
 // call makes one call once there is a token for it.
-func (c *Client) call(method, path string, body any, into map[int]any) (int, core.Outcome) {
+func (c *Client) call(method, path string, body any, into map[int]any) (int, controller.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenWait)
 	defer cancel()
 	if err := c.tokens.Wait(ctx); err != nil {
-		return 0, core.NotExecuted
+		return 0, controller.NotExecuted
 	}
 	status, err := c.calls.Call(method, path, body, callTimeout, into)
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
-		return status, core.NotExecuted
+		return status, controller.NotExecuted
 	case err != nil:
 		c.log.Warn("cloud gave no answer", "call", path, "err", err)
-		return status, core.Unknown
+		return status, controller.Unknown
 	case status == http.StatusOK:
-		return status, core.Succeeded
+		return status, controller.Succeeded
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable, status == http.StatusBadRequest:
 		c.log.Debug("cloud refused", "call", path, "status", status)
-		return status, core.NotExecuted
+		return status, controller.NotExecuted
 	}
 	c.log.Warn("cloud answered oddly", "call", path, "status", status)
-	return status, core.Unknown
+	return status, controller.Unknown
 }
 
 // Catalogue reads the machine types.
-func (c *Client) Catalogue(then func(core.CatalogueResult)) {
+func (c *Client) Catalogue(then func(controller.CatalogueResult)) {
 	go func() {
-		var r core.CatalogueResult
+		var r controller.CatalogueResult
 		_, r.Outcome = c.call(http.MethodGet, "/catalog", nil, map[int]any{200: &r.Catalogue})
 		then(r)
 	}()
 }
 
 // List reads the whole machine list.
-func (c *Client) List(then func(core.MachinesResult)) {
+func (c *Client) List(then func(controller.MachinesResult)) {
 	go func() {
-		var r core.MachinesResult
+		var r controller.MachinesResult
 		after := ""
 		for {
 			q := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
@@ -89,7 +89,7 @@
 				q.Set("after", after)
 			}
 			var page wire.MachineList
-			if _, r.Outcome = c.call(http.MethodGet, "/hosts?"+q.Encode(), nil, map[int]any{200: &page}); r.Outcome != core.Succeeded {
+			if _, r.Outcome = c.call(http.MethodGet, "/hosts?"+q.Encode(), nil, map[int]any{200: &page}); r.Outcome != controller.Succeeded {
 				break
 			}
 			r.Machines = append(r.Machines, page.Machines...)
@@ -106,20 +106,20 @@
 const noCapacity = "no capacity"
 
 // Hire rents machines.
-func (c *Client) Hire(h wire.ProvisionRequest, then func(core.ProvisionResult)) {
+func (c *Client) Hire(h wire.ProvisionRequest, then func(controller.ProvisionResult)) {
 	go func() {
 		var names wire.MachineNames
 		var problem wire.ErrorResponse
 		status, outcome := c.call(http.MethodPost, "/hosts", h, map[int]any{200: &names, 503: &problem})
-		then(core.ProvisionResult{Outcome: outcome, Machines: names.Names,
+		then(controller.ProvisionResult{Outcome: outcome, Machines: names.Names,
 			NoCapacity: status == http.StatusServiceUnavailable && problem.Error == noCapacity})
 	}()
 }
 
 // Return gives machines back.
-func (c *Client) Return(names []wire.MachineID, then func(core.TerminateResult)) {
+func (c *Client) Return(names []wire.MachineID, then func(controller.TerminateResult)) {
 	go func() {
 		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: names}, nil)
-		then(core.TerminateResult{Outcome: outcome})
+		then(controller.TerminateResult{Outcome: outcome})
 	}()
 }
--- a/internal/core/core.go
+++ b/internal/controller/core.go
@@ -1,7 +1,7 @@
 // Package core is the scheduler as a state machine: inputs in; what to send,
 // write and answer out. It has no clock, no socket and no goroutine. One
 // goroutine owns a Core.
-package core
+package controller
 
 import (
 	"log/slog"
--- a/internal/core/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"lilacrill/internal/placement"
 	"lilacrill/internal/record"
-	"lilacrill/internal/share"
+	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
@@ -128,7 +128,7 @@
 	if m == nil {
 		m = &machine{
 			id:             id,
-			shard:          share.ShardOf(id),
+			shard:          shard.ShardOf(id),
 			firstKnownAt:   c.now,
 			imagesLastUsed: map[string]Time{},
 			cachedImages:   map[string]bool{},
--- a/internal/core/handoff.go
+++ b/internal/controller/handoff.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
 	"lilacrill/internal/placement"
-	"lilacrill/internal/share"
+	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
@@ -230,15 +230,15 @@
 
 // acquireShards asks for the shares whose machines, together with those of this controller, have
 // room for a job that needs it at once and that no controller alone can place.
-func (c *Controller) acquireShards() (share.Action, bool) {
+func (c *Controller) acquireShards() (shard.Action, bool) {
 	j := c.jobs[c.acquireFor]
 	c.acquireFor = ""
 	if j == nil || c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquireInterval || len(c.catalogue) == 0 {
-		return share.Action{}, false
+		return shard.Action{}, false
 	}
 	ids := c.shardsForJob(j)
 	if len(ids) == 0 {
-		return share.Action{}, false
+		return shard.Action{}, false
 	}
 	a, due := c.planner.Acquire(ids, c.wall)
 	if due {
--- a/internal/core/queue.go
+++ b/internal/controller/queue.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
--- a/internal/core/shares.go
+++ b/internal/controller/shares.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 
 	"lilacrill/internal/config"
 	"lilacrill/internal/record"
-	"lilacrill/internal/share"
+	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
 // shardState is this process's part in the shares of the machines (docs/shares.md).
 type shardState struct {
-	table      *share.Table
-	planner    *share.Planner
+	table      *shard.Table
+	planner    *shard.Planner
 	writing    bool // a change of the shares is being written
 	nextReview Time
 	// acquireFor is a job that needs the room of several controllers at once, and
@@ -46,8 +46,8 @@
 )
 
 func (s *shardState) init(settings *config.Settings) {
-	s.table = share.New(settings.Label)
-	s.planner = share.NewPlanner(s.table, min(maxShardsPerTransaction, settings.Cluster.State.TxnOps-1))
+	s.table = shard.New(settings.Label)
+	s.planner = shard.NewPlanner(s.table, min(maxShardsPerTransaction, settings.Cluster.State.TxnOps-1))
 	s.redirects = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
 }
 
@@ -57,7 +57,7 @@
 	if !c.settings.Features.Shares.Enabled {
 		return false
 	}
-	need := share.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
+	need := shard.Count + len(c.settings.Cluster.Zones) + shardReservedConditions
 	if most := 4 * c.settings.Cluster.State.TxnOps; most < need {
 		c.log.Warn("shares stay off: a transaction of the state service may have too few conditions", "conditions", most, "wanted", need)
 		return false
@@ -98,10 +98,10 @@
 		return
 	}
 	hold := c.acquiredAt != 0 && c.now.Sub(c.acquiredAt) < acquiredHoldPeriod
-	a, due := c.planner.Next(share.Time(c.now), c.wall, c.hasPlacementIn, hold)
+	a, due := c.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// Moves wait for their part of the writes: when operators moved all shares at once,
 	// what that took was paid back for a minute without a placement (TestShuffle).
-	if c.spendWrites(0); due && (a.Kind == share.TakeOver || c.writeBudget >= 0) {
+	if c.spendWrites(0); due && (a.Kind == shard.TakeOver || c.writeBudget >= 0) {
 		c.commitShardAction(a)
 	}
 }
@@ -109,10 +109,10 @@
 // shardingSwitch is the change that switches shares on or off, if that is due. It rewrites
 // the list of machines to be returned as it is: all placements demand that list, so none
 // that was under way before comes after it, whoever made it (TestRulesHoldWithShares).
-func (c *Controller) shardingSwitch() (share.Action, bool) {
+func (c *Controller) shardingSwitch() (shard.Action, bool) {
 	a, due := c.table.SwitchPolicy()
 	if !due || c.recordingTerminations {
-		return share.Action{}, false
+		return shard.Action{}, false
 	}
 	a.Txn.If = append(a.Txn.If, wire.Condition{Key: record.TerminationsKey, Version: c.keyVersions[record.TerminationsKey]})
 	a.Txn.Then = append(a.Txn.Then, c.putChange(record.TerminationsKey, c.terminations))
@@ -121,10 +121,10 @@
 
 // commitShardAction runs a change of the shares. After one that was lost or not answered the
 // records are read before the next.
-func (c *Controller) commitShardAction(a share.Action) {
+func (c *Controller) commitShardAction(a shard.Action) {
 	c.writing = true
 	class := PriorityBackground
-	if a.Kind == share.TakeOver || a.Kind == share.Adopt {
+	if a.Kind == shard.TakeOver || a.Kind == shard.Adopt {
 		class = PriorityUrgent // nobody places there meanwhile
 	}
 	c.commit(class, a.Txn, func(r CommitResult) {
@@ -227,8 +227,8 @@
 
 // shardErrorStatus is the status with which a change of the shares is refused.
 func shardErrorStatus(err error) int {
-	var unknown *share.NotFoundError
-	var field *share.InvalidFieldError
+	var unknown *shard.NotFoundError
+	var field *shard.InvalidFieldError
 	switch {
 	case errors.As(err, &unknown):
 		return http.StatusNotFound
--- a/internal/core/spares.go
+++ b/internal/controller/spares.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 
 	"lilacrill/internal/capacity"
 	"lilacrill/internal/placement"
-	"lilacrill/internal/share"
+	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
@@ -47,7 +47,7 @@
 	n := 0
 	for unit := range s.Count {
 		name := wire.MachineID(s.Request.Image + "/" + strconv.Itoa(unit))
-		if c.table.Places(share.ShardOf(name)) {
+		if c.table.Places(shard.ShardOf(name)) {
 			n++
 		}
 	}
--- a/internal/core/store.go
+++ b/internal/controller/store.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"lilacrill/internal/fastjson"
 	"lilacrill/internal/placement"
 	"lilacrill/internal/record"
-	"lilacrill/internal/share"
+	"lilacrill/internal/shard"
 	"lilacrill/wire"
 )
 
@@ -169,14 +169,14 @@
 			delete(c.liveControllers, label)
 			delete(c.isolatedControllers, label)
 			c.rollout.ApplyNode(label, 0, version)
-			c.table.ApplyController(label, record.Liveness{}, version, share.Time(c.now))
+			c.table.ApplyController(label, record.Liveness{}, version, shard.Time(c.now))
 		} else {
 			var n record.Liveness
 			if err = fastjson.Unmarshal(value, &n); err == nil {
 				c.liveControllers[label] = n.Incarnation
 				c.isolatedControllers[label] = n.Isolated
 				c.rollout.ApplyNode(label, n.Incarnation, version)
-				c.table.ApplyController(label, n, version, share.Time(c.now))
+				c.table.ApplyController(label, n, version, shard.Time(c.now))
 			}
 		}
 		c.assignOwnership()
--- a/internal/core/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // rateFraction is this controller's part of the state service's limits.
 func (c *Controller) rateFraction() float64 {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,7 +17,7 @@
 
 	"lilacrill/internal/admin"
 	"lilacrill/internal/config"
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/sockets"
 	"lilacrill/wire"
 )
@@ -26,7 +26,7 @@
 type Backend interface {
 	// Ask passes an input on; the reply comes on the channel. It returns false
 	// if there is more to do already than can be done in time.
-	Ask(makeInput func(core.RequestID) core.Input) (<-chan core.Reply, bool)
+	Ask(makeInput func(controller.RequestID) controller.Input) (<-chan controller.Reply, bool)
 	// Healthy reports whether the controller can take requests.
 	Healthy() bool
 }
@@ -115,7 +115,7 @@
 }
 
 // ask passes an input to the core and writes its reply.
-func (s *Server) ask(c fiber.Ctx, makeInput func(core.RequestID) core.Input) error {
+func (s *Server) ask(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error {
 	replies, ok := s.backend.Ask(makeInput)
 	if !ok {
 		return busy(c, "too much to do")
@@ -143,7 +143,7 @@
 	if err != nil {
 		return problem(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.JobSubmitted{Request: r, Spec: spec} })
+	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.JobSubmitted{Request: r, Spec: spec} })
 }
 
 func (s *Server) poll(c fiber.Ctx) error {
@@ -151,7 +151,7 @@
 	if !ok {
 		return problem(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.JobPolled{Request: r, Job: id} })
+	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.JobPolled{Request: r, Job: id} })
 }
 
 func (s *Server) cancel(c fiber.Ctx) error {
@@ -159,7 +159,7 @@
 	if !ok {
 		return problem(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r core.RequestID) core.Input { return core.CancelRequested{Request: r, Job: id} })
+	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.CancelRequested{Request: r, Job: id} })
 }
 
 func jobID(c fiber.Ctx) (wire.JobID, bool) {
@@ -183,5 +183,7 @@
 		s.log.Warn("worker's report dropped", "from", c.IP(), "err", err)
 		return problem(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(id core.RequestID) core.Input { return core.HeartbeatReceived{Request: id, Heartbeat: r} })
+	return s.ask(c, func(id controller.RequestID) controller.Input {
+		return controller.HeartbeatReceived{Request: id, Heartbeat: r}
+	})
 }
--- a/internal/share/share.go
+++ b/internal/shard/share.go
@@ -3,7 +3,7 @@
 // tasks on its machines. The package knows the records of the shares, decides what this
 // controller should do about them (take over, hand over, adopt, move), and returns the
 // transactions that do it. Like the core it has no clock, no socket and no goroutine.
-package share
+package shard
 
 import (
 	"time"
--- a/internal/share/table.go
+++ b/internal/shard/table.go
@@ -1,4 +1,4 @@
-package share
+package shard
 
 import (
 	"fmt"
--- a/internal/standin/events.go
+++ b/internal/simulation/events.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
-import "lilacrill/internal/core"
+import "lilacrill/internal/controller"
 
 type event struct {
-	at    core.Time
+	at    controller.Time
 	order int
 	run   func()
 }
--- a/internal/standin/http.go
+++ b/internal/simulation/http.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/wire"
 )
 
@@ -47,7 +47,7 @@
 	return s.store.List(prefix)
 }
 
-func (s *StateServer) now() core.Time { return core.Time(time.Since(s.start)) }
+func (s *StateServer) now() controller.Time { return controller.Time(time.Since(s.start)) }
 
 // ServeHTTP implements http.Handler.
 func (s *StateServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -85,12 +85,12 @@
 			return
 		}
 		switch c := s.store.Multi(t); c.Outcome {
-		case core.Succeeded:
+		case controller.Succeeded:
 			if s.log != nil {
 				s.log.carriedOut(s.store, t)
 			}
 			answer(w, http.StatusOK, wire.TransactionResponse{Revision: c.Revision})
-		case core.Conflict:
+		case controller.Conflict:
 			answer(w, http.StatusConflict, wire.TransactionResponse{Revision: c.Revision, Failed: c.Failed})
 		default:
 			answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"})
@@ -103,7 +103,7 @@
 			answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
-		answer(w, http.StatusOK, map[string]wire.LeaseID{"permit": s.store.Grant(s.now(), core.Time(time.Duration(body.TTL)*time.Millisecond))})
+		answer(w, http.StatusOK, map[string]wire.LeaseID{"permit": s.store.Grant(s.now(), controller.Time(time.Duration(body.TTL)*time.Millisecond))})
 	case strings.HasSuffix(r.URL.Path, "/extend"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, "/leases/"), "/extend"), 10, 64)
 		if s.store.Extend(s.now(), wire.LeaseID(id)) {
--- a/internal/standin/state.go
+++ b/internal/simulation/state.go
@@ -2,7 +2,7 @@
 // from its protocol: a state service, a cloud, workers and users, and a world
 // in which they and several cores live on one virtual clock. The world checks
 // the protocol's rules itself. It serves tests only.
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/wire"
 )
 
@@ -35,8 +35,8 @@
 }
 
 type lease struct {
-	ttl  core.Time
-	ends core.Time
+	ttl  controller.Time
+	ends controller.Time
 }
 
 // NewStore makes an empty store.
@@ -87,7 +87,7 @@
 func (s *Store) TooOld(after wire.Revision) bool { return after < s.forgotten }
 
 // Multi runs a transaction.
-func (s *Store) Multi(t wire.Transaction) core.CommitResult {
+func (s *Store) Multi(t wire.Transaction) controller.CommitResult {
 	var failed []string
 	for _, c := range t.If {
 		if s.values[c.Key].version != c.Version {
@@ -95,11 +95,11 @@
 		}
 	}
 	if failed != nil {
-		return core.CommitResult{Outcome: core.Conflict, Revision: s.revision, Failed: failed}
+		return controller.CommitResult{Outcome: controller.Conflict, Revision: s.revision, Failed: failed}
 	}
 	for _, ch := range t.Then {
 		if ch.LeaseID != 0 && s.leases[ch.LeaseID] == nil {
-			return core.CommitResult{Outcome: core.NotFound}
+			return controller.CommitResult{Outcome: controller.NotFound}
 		}
 	}
 	if len(t.Then) > 0 {
@@ -117,18 +117,18 @@
 	if s.OnChange != nil && len(t.Then) > 0 {
 		s.OnChange()
 	}
-	return core.CommitResult{Outcome: core.Succeeded, Revision: s.revision}
+	return controller.CommitResult{Outcome: controller.Succeeded, Revision: s.revision}
 }
 
 // Grant makes a lease.
-func (s *Store) Grant(now, ttl core.Time) wire.LeaseID {
+func (s *Store) Grant(now, ttl controller.Time) wire.LeaseID {
 	s.leaseID++
 	s.leases[s.leaseID] = &lease{ttl, now + ttl}
 	return s.leaseID
 }
 
 // Extend renews a lease and reports whether it still was.
-func (s *Store) Extend(now core.Time, p wire.LeaseID) bool {
+func (s *Store) Extend(now controller.Time, p wire.LeaseID) bool {
 	l := s.leases[p]
 	if l != nil {
 		l.ends = now + l.ttl
@@ -137,7 +137,7 @@
 }
 
 // Expire ends the leases that were not renewed in time.
-func (s *Store) Expire(now core.Time) {
+func (s *Store) Expire(now controller.Time) {
 	for _, p := range slices.Sorted(maps.Keys(s.leases)) {
 		l := s.leases[p]
 		if now < l.ends {
@@ -158,7 +158,7 @@
 }
 
 // RenewAll gives every lease its full time, as after an outage.
-func (s *Store) RenewAll(now core.Time) {
+func (s *Store) RenewAll(now controller.Time) {
 	for _, l := range s.leases {
 		l.ends = now + l.ttl
 	}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lilacrill/internal/config"
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/httpcall"
 	"lilacrill/internal/sockets"
 	"lilacrill/wire"
@@ -56,37 +56,37 @@
 
 // outcome sorts a call's end. Statuses in the 500s other than 503 say nothing
 // of whether the call was executed.
-func (c *Client) outcome(what string, status int, err error) core.Outcome {
+func (c *Client) outcome(what string, status int, err error) controller.Outcome {
 	switch {
 	case err != nil && errors.Is(err, httpcall.ErrNotSent):
 		c.log.Debug("state service not reached", "call", what, "err", err)
-		return core.NotExecuted
+		return controller.NotExecuted
 	case err != nil:
 		c.log.Debug("state service gave no answer", "call", what, "err", err)
-		return core.Unknown
+		return controller.Unknown
 	}
 	switch status {
 	case http.StatusOK:
-		return core.Succeeded
+		return controller.Succeeded
 	case http.StatusConflict:
-		return core.Conflict
+		return controller.Conflict
 	case http.StatusNotFound:
-		return core.NotFound
+		return controller.NotFound
 	case http.StatusGone:
-		return core.Compacted
+		return controller.Compacted
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		c.log.Debug("state service refused", "call", what, "status", status)
-		return core.NotExecuted
+		return controller.NotExecuted
 	case http.StatusBadRequest:
 		c.log.Error("state service found a call malformed", "call", what)
-		return core.NotExecuted
+		return controller.NotExecuted
 	}
 	c.log.Warn("state service answered oddly", "call", what, "status", status)
-	return core.Unknown
+	return controller.Unknown
 }
 
 // Follow reads the feed.
-func (c *Client) Follow(f core.Watch, then func(core.WatchResult)) {
+func (c *Client) Follow(f controller.Watch, then func(controller.WatchResult)) {
 	q := url.Values{"under": {f.Prefix}, "after": {strconv.FormatUint(uint64(f.After), 10)}}
 	timeout := callTimeout
 	calls := c.calls
@@ -96,17 +96,17 @@
 		calls = c.feed
 	}
 	c.queue.add(f.Priority, &waiter{deadline: time.Now().Add(queueTime), run: func() {
-		var r core.WatchResult
+		var r controller.WatchResult
 		status, err := calls.Call(http.MethodGet, "/follow?"+q.Encode(), nil, timeout, map[int]any{200: &r.Response})
 		r.Outcome = c.outcome("follow", status, err)
 		then(r)
-	}, expire: func() { then(core.WatchResult{Outcome: core.NotExecuted}) }})
+	}, expire: func() { then(controller.WatchResult{Outcome: controller.NotExecuted}) }})
 }
 
 // Commit runs a transaction.
-func (c *Client) Commit(m core.Commit, then func(core.CommitResult)) {
+func (c *Client) Commit(m controller.Commit, then func(controller.CommitResult)) {
 	timeout := callTimeout
-	if m.Priority == core.PriorityLease {
+	if m.Priority == controller.PriorityLease {
 		timeout = leaseTimeout
 	}
 	c.queue.add(m.Priority, &waiter{writes: len(m.Txn.Then), deadline: time.Now().Add(queueTime), run: func() {
@@ -114,27 +114,27 @@
 		var problem wire.ErrorResponse
 		status, err := c.calls.Call(http.MethodPost, "/multi", m.Txn, timeout,
 			map[int]any{200: &a, 409: &a, 400: &problem})
-		r := core.CommitResult{Revision: a.Revision, Failed: a.Failed}
+		r := controller.CommitResult{Revision: a.Revision, Failed: a.Failed}
 		if status == http.StatusBadRequest && err == nil && problem.Error == "no such lease" {
-			r.Outcome = core.NotFound
+			r.Outcome = controller.NotFound
 		} else {
 			r.Outcome = c.outcome("multi", status, err)
 		}
 		then(r)
-	}, expire: func() { then(core.CommitResult{Outcome: core.NotExecuted}) }})
+	}, expire: func() { then(controller.CommitResult{Outcome: controller.NotExecuted}) }})
 }
 
 // Fetch reads one key.
-func (c *Client) Fetch(f core.GetKey, then func(core.GetResult)) {
-	c.queue.add(core.PriorityAdmission, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+func (c *Client) Fetch(f controller.GetKey, then func(controller.GetResult)) {
+	c.queue.add(controller.PriorityAdmission, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var e wire.Entry
 		status, err := c.calls.Call(http.MethodGet, "/kv/"+f.Key, nil, callTimeout, map[int]any{200: &e})
-		then(core.GetResult{Outcome: c.outcome("get", status, err), Value: e.Value, Version: e.Version})
-	}, expire: func() { then(core.GetResult{Outcome: core.NotExecuted}) }})
+		then(controller.GetResult{Outcome: c.outcome("get", status, err), Value: e.Value, Version: e.Version})
+	}, expire: func() { then(controller.GetResult{Outcome: controller.NotExecuted}) }})
 }
 
 // Grant asks for a lease.
-func (c *Client) Grant(g core.GrantLease, then func(core.LeaseResult)) {
+func (c *Client) Grant(g controller.GrantLease, then func(controller.LeaseResult)) {
 	body := struct {
 		TTL int64 `json:"ttl_ms"`
 	}{g.TTL.Milliseconds()}
@@ -142,12 +142,12 @@
 }
 
 // Extend renews a lease.
-func (c *Client) Extend(e core.RenewLease, then func(core.LeaseResult)) {
+func (c *Client) Extend(e controller.RenewLease, then func(controller.LeaseResult)) {
 	c.lease("/leases/"+strconv.FormatUint(uint64(e.LeaseID), 10)+"/extend", struct{}{}, e.LeaseID, then)
 }
 
-func (c *Client) lease(path string, body any, leaseID wire.LeaseID, then func(core.LeaseResult)) {
-	c.queue.add(core.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+func (c *Client) lease(path string, body any, leaseID wire.LeaseID, then func(controller.LeaseResult)) {
+	c.queue.add(controller.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var a struct {
 			LeaseID wire.LeaseID `json:"permit"`
 		}
@@ -155,20 +155,20 @@
 		if a.LeaseID == 0 {
 			a.LeaseID = leaseID
 		}
-		then(core.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: a.LeaseID})
-	}, expire: func() { then(core.LeaseResult{Outcome: core.NotExecuted}) }})
+		then(controller.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: a.LeaseID})
+	}, expire: func() { then(controller.LeaseResult{Outcome: controller.NotExecuted}) }})
 }
 
 // Load reads all keys under the prefixes.
-func (c *Client) Load(l core.LoadKeys, then func(core.LoadResult)) {
+func (c *Client) Load(l controller.LoadKeys, then func(controller.LoadResult)) {
 	go func() {
-		var r core.LoadResult
+		var r controller.LoadResult
 		for i, prefix := range l.Prefixes {
 			after := ""
 			for {
 				page, outcome := c.list(prefix, after)
-				if outcome != core.Succeeded {
-					then(core.LoadResult{Outcome: outcome})
+				if outcome != controller.Succeeded {
+					then(controller.LoadResult{Outcome: outcome})
 					return
 				}
 				if i == 0 && after == "" {
@@ -186,22 +186,22 @@
 	}()
 }
 
-func (c *Client) list(prefix, after string) (wire.EntryList, core.Outcome) {
+func (c *Client) list(prefix, after string) (wire.EntryList, controller.Outcome) {
 	q := url.Values{"under": {prefix}, "page": {strconv.Itoa(listPage)}}
 	if after != "" {
 		q.Set("after", after)
 	}
 	type result struct {
 		page    wire.EntryList
-		outcome core.Outcome
+		outcome controller.Outcome
 	}
 	ch := make(chan result, 1)
-	c.queue.add(core.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
+	c.queue.add(controller.PriorityLease, &waiter{deadline: time.Now().Add(queueTime), run: func() {
 		var r result
 		status, err := c.calls.Call(http.MethodGet, "/kv?"+q.Encode(), nil, 2*callTimeout, map[int]any{200: &r.page})
 		r.outcome = c.outcome("list", status, err)
 		ch <- r
-	}, expire: func() { ch <- result{outcome: core.NotExecuted} }})
+	}, expire: func() { ch <- result{outcome: controller.NotExecuted} }})
 	r := <-ch
 	return r.page, r.outcome
 }
--- a/internal/statestore/tokens.go
+++ b/internal/statestore/tokens.go
@@ -8,13 +8,13 @@
 
 	"golang.org/x/time/rate"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 )
 
 // queue hands out tokens to calls, the most urgent class first.
 type queue struct {
 	mu       sync.Mutex
-	classes  [core.PriorityLevels][]*waiter
+	classes  [controller.PriorityLevels][]*waiter
 	requests *rate.Limiter
 	writes   *rate.Limiter
 	wake     chan struct{}
@@ -53,7 +53,7 @@
 }
 
 // add queues a call; it runs on a goroutine of its own, or expires.
-func (q *queue) add(class core.CallPriority, w *waiter) {
+func (q *queue) add(class controller.CallPriority, w *waiter) {
 	q.mu.Lock()
 	q.classes[class] = append(q.classes[class], w)
 	q.mu.Unlock()
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -18,7 +18,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/release"
 	"lilacrill/wire"
 )
@@ -50,7 +50,7 @@
 }
 
 // Rollout writes an event as a span that begins with the event before it.
-func (t *Tracer) Rollout(e core.RolloutEvent) {
+func (t *Tracer) Rollout(e controller.RolloutEvent) {
 	if t == nil {
 		return
 	}
@@ -64,8 +64,8 @@
 
 // subject is the format whose rollout an event belongs to: a process that starts or
 // serves does so on the way to the next one.
-func subject(e core.RolloutEvent) wire.Format {
-	if e.Kind == core.RolloutRegistered || e.Kind == core.RolloutReady {
+func subject(e controller.RolloutEvent) wire.Format {
+	if e.Kind == controller.RolloutRegistered || e.Kind == controller.RolloutReady {
 		return e.Format + 1
 	}
 	return e.Format
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lilacrill/internal/core"
+	"lilacrill/internal/controller"
 	"lilacrill/internal/httpcall"
 	"lilacrill/wire"
 )
@@ -79,27 +79,27 @@
 }
 
 // Do sends orders.
-func (c *Client) Do(addr string, body wire.CommandRequest, then func(core.WorkerResponse)) {
+func (c *Client) Do(addr string, body wire.CommandRequest, then func(controller.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodPost, "/do", body, doTimeout)) }()
 }
 
 // Show asks for a report.
-func (c *Client) Show(addr string, then func(core.WorkerResponse)) {
+func (c *Client) Show(addr string, then func(controller.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodGet, "/show", nil, showTimeout)) }()
 }
 
-func (c *Client) call(addr, method, path string, body any, timeout time.Duration) core.WorkerResponse {
+func (c *Client) call(addr, method, path string, body any, timeout time.Duration) controller.WorkerResponse {
 	e := c.acquire(addr)
 	defer c.release(e)
 	var r wire.Heartbeat
 	status, err := e.client.Call(method, path, body, timeout, map[int]any{200: &r, 409: &r})
 	if err != nil {
 		c.log.Debug("worker gave no answer", "addr", addr, "call", path, "err", err)
-		return core.WorkerResponse{Outcome: core.Unknown}
+		return controller.WorkerResponse{Outcome: controller.Unknown}
 	}
-	a := core.WorkerResponse{Outcome: core.NotExecuted}
+	a := controller.WorkerResponse{Outcome: controller.NotExecuted}
 	if status == http.StatusOK {
-		a.Outcome, a.Executed = core.Succeeded, true
+		a.Outcome, a.Executed = controller.Succeeded, true
 	}
 	if status == http.StatusOK || status == http.StatusConflict {
 		if err := r.Check(); err != nil {
