--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -18,17 +18,17 @@
 // feed. Its clock is the caller's.
 type Store struct {
 	revision wire.Revision
-	values   map[string]stored
+	values   map[string]storedValue
 	log      []wire.ChangeEvent
 	leases   map[wire.LeaseID]*lease
 	leaseID  wire.LeaseID
-	// forgotten is the revision up to which the log was dropped.
-	forgotten wire.Revision
+	// compactedRevision is the revision up to which the log was dropped.
+	compactedRevision wire.Revision
 	// OnChange, if set, is called after every change.
 	OnChange func()
 }
 
-type stored struct {
+type storedValue struct {
 	value   json.RawMessage
 	version wire.Revision
 	leaseID wire.LeaseID
@@ -41,7 +41,7 @@
 
 // NewStore makes an empty store.
 func NewStore() *Store {
-	return &Store{values: map[string]stored{}, leases: map[wire.LeaseID]*lease{}}
+	return &Store{values: map[string]storedValue{}, leases: map[wire.LeaseID]*lease{}}
 }
 
 // Revision is the present revision.
@@ -65,8 +65,8 @@
 	return out
 }
 
-// Feed is all changes under a prefix after a revision.
-func (s *Store) Feed(prefix string, after wire.Revision) wire.WatchResponse {
+// Changes is all changes under a prefix after a revision.
+func (s *Store) Changes(prefix string, after wire.Revision) wire.WatchResponse {
 	f := wire.WatchResponse{Revision: s.revision}
 	i, _ := slices.BinarySearchFunc(s.log, after+1, func(l wire.ChangeEvent, a wire.Revision) int {
 		return int(int64(l.Version) - int64(a))
@@ -79,15 +79,15 @@
 	return f
 }
 
-// Forget drops the changes so far from the feed: who has not read them has to read
+// Compact drops the changes so far from the feed: who has not read them has to read
 // the keys again.
-func (s *Store) Forget() { s.log, s.forgotten = nil, s.revision }
+func (s *Store) Compact() { s.log, s.compactedRevision = nil, s.revision }
 
-// TooOld reports whether the feed no longer goes back to a revision.
-func (s *Store) TooOld(after wire.Revision) bool { return after < s.forgotten }
+// Compacted reports whether the feed no longer goes back to a revision.
+func (s *Store) Compacted(after wire.Revision) bool { return after < s.compactedRevision }
 
-// Multi runs a transaction.
-func (s *Store) Multi(t wire.Transaction) controller.CommitResult {
+// Commit runs a transaction.
+func (s *Store) Commit(t wire.Transaction) controller.CommitResult {
 	var failed []string
 	for _, c := range t.If {
 		if s.values[c.Key].version != c.Version {
@@ -107,7 +107,7 @@
 	}
 	for _, ch := range t.Then {
 		if ch.Put != "" {
-			s.values[ch.Put] = stored{ch.Value, s.revision, ch.LeaseID}
+			s.values[ch.Put] = storedValue{ch.Value, s.revision, ch.LeaseID}
 			s.log = append(s.log, wire.ChangeEvent{Put: ch.Put, Value: ch.Value, Version: s.revision})
 		} else if _, ok := s.values[ch.Delete]; ok {
 			delete(s.values, ch.Delete)
@@ -127,8 +127,8 @@
 	return s.leaseID
 }
 
-// Extend renews a lease and reports whether it still was.
-func (s *Store) Extend(now controller.Time, p wire.LeaseID) bool {
+// Renew renews a lease and reports whether it still was.
+func (s *Store) Renew(now controller.Time, p wire.LeaseID) bool {
 	l := s.leases[p]
 	if l != nil {
 		l.ends = now + l.ttl
@@ -152,7 +152,7 @@
 		}
 		slices.SortFunc(drops, func(a, b wire.Change) int { return strings.Compare(a.Delete, b.Delete) })
 		if len(drops) > 0 {
-			s.Multi(wire.Transaction{Then: drops})
+			s.Commit(wire.Transaction{Then: drops})
 		}
 	}
 }
