--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -20,22 +21,30 @@
 	"lilacrill/internal/tracing"
 )
 
-// statusUnreadable is the exit status of a process that cannot read the format in force.
-const statusUnreadable = 3
+// Exit statuses.
+const (
+	statusFailed = 1
+	// statusUnreadable is the status of a process that cannot read the format in force:
+	// starting it again is of no use.
+	statusUnreadable = 3
+)
 
 func main() {
-	if err := rootCommand().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "lilacrill:", strings.ReplaceAll(err.Error(), "\n", " "))
-		var unreadable *rollout.UnreadableError
-		if errors.As(err, &unreadable) {
-			os.Exit(statusUnreadable)
-		}
-		os.Exit(1)
+	err := rootCommand().Execute()
+	if err == nil {
+		return
+	}
+	fmt.Fprintln(os.Stderr, "lilacrill:", strings.ReplaceAll(err.Error(), "\n", " "))
+	var unreadable *rollout.UnreadableError
+	if errors.As(err, &unreadable) {
+		os.Exit(statusUnreadable)
 	}
+	os.Exit(statusFailed)
 }
 
+// rootCommand is the command line: without a subcommand it runs a controller.
 func rootCommand() *cobra.Command {
-	var path, features string
+	var files configFiles
 	root := &cobra.Command{
 		Use:   "lilacrill --config FILE",
 		Short: "lilacrill schedules jobs onto rented machines",
@@ -54,15 +63,21 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if path == "" {
+			if files.settings == "" {
 				return cmd.Help()
 			}
-			return run(cmd.Context(), path, features)
+			return run(cmd.Context(), files)
 		},
 	}
-	root.Flags().StringVar(&path, "config", "", "the settings `FILE` (TOML) of this controller")
-	root.Flags().StringVar(&features, "features", "", "a features `FILE` (TOML): what is enabled beyond the ordinary")
-	root.AddCommand(checkCommand(), &cobra.Command{
+	root.Flags().StringVar(&files.settings, "config", "", "the settings `FILE` (TOML) of this controller")
+	root.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML): what is enabled beyond the ordinary")
+	root.AddCommand(checkCommand(), versionCommand(), adminCommand())
+	return root
+}
+
+// versionCommand prints the release.
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -70,77 +85,111 @@
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), "lilacrill", release.Version)
 			return err
 		},
-	})
-	root.AddCommand(adminCommand())
-	return root
+	}
 }
 
 // checkCommand says what is wrong with the files that a controller is started with.
 func checkCommand() *cobra.Command {
-	var features string
-	check := &cobra.Command{
+	var files configFiles
+	cmd := &cobra.Command{
 		Use:   "check FILE [--features FILE]",
 		Short: "Check a settings file, and a features file, and say what is wrong with them",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := config.Load(args[0])
-			if err != nil {
-				return err
-			}
-			for _, w := range s.Warnings() {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: warning: %s\n", args[0], w)
-			}
-			if features != "" {
-				if _, err := config.LoadFeatures(features); err != nil {
-					return err
-				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: features are good\n", features)
-			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings of controller %s are good: %d controllers, %d teams, %d zones\n",
-				args[0], s.Label, s.Cluster.Size, len(s.Cluster.Teams), len(s.Cluster.Zones))
-			return err
+			files.settings = args[0]
+			return check(cmd.OutOrStdout(), files)
 		},
 	}
-	check.Flags().StringVar(&features, "features", "", "a features `FILE` (TOML) to check too")
-	return check
+	cmd.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML) to check too")
+	return cmd
+}
+
+// configFiles are the paths of the files that a controller is started with.
+type configFiles struct {
+	settings string
+	features string // "" for the default features
 }
 
-func run(ctx context.Context, path, features string) error {
-	set, err := config.Load(path)
+// check writes the warnings about the files, and that they are good. It returns the first
+// fault.
+func check(out io.Writer, files configFiles) error {
+	settings, err := config.Load(files.settings)
 	if err != nil {
 		return err
 	}
-	if features != "" {
-		if set.Features, err = config.LoadFeatures(features); err != nil {
+	for _, warning := range settings.Warnings() {
+		if _, err := fmt.Fprintf(out, "%s: warning: %s\n", files.settings, warning); err != nil {
 			return err
 		}
 	}
-	log, err := logger(os.Getenv("LOG_LEVEL"))
+	if files.features != "" {
+		if _, err := config.LoadFeatures(files.features); err != nil {
+			return err
+		}
+		if _, err := fmt.Fprintf(out, "%s: features are good\n", files.features); err != nil {
+			return err
+		}
+	}
+	_, err = fmt.Fprintf(out, "%s: settings of controller %s are good: %d controllers, %d teams, %d zones\n",
+		files.settings, settings.Label, settings.Cluster.Size, len(settings.Cluster.Teams), len(settings.Cluster.Zones))
+	return err
+}
+
+// run runs a controller until it is told to stop, by a signal or by its own decision.
+func run(ctx context.Context, files configFiles) error {
+	settings, err := loadFiles(files)
+	if err != nil {
+		return err
+	}
+	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	log.Info("starting", "label", set.Label, "zone", set.Zone, "version", release.Version)
-	for _, w := range set.Warnings() {
-		log.Warn("settings", "warning", w)
+	log.Info("starting", "label", settings.Label, "zone", settings.Zone, "version", release.Version)
+	for _, warning := range settings.Warnings() {
+		log.Warn("questionable setting", "warning", warning)
 	}
-	var tracer *tracing.Tracer
-	if file := set.Features.Tracing.File; file != "" {
-		if tracer, err = tracing.Open(file, set.Label); err != nil {
-			return err
+	tracer, err := openTracer(settings)
+	if err != nil {
+		return err
+	}
+	return errors.Join(newProcess(settings, log, tracer).run(ctx), tracer.Close())
+}
+
+// loadFiles reads and checks the files.
+func loadFiles(files configFiles) (*config.Settings, error) {
+	settings, err := config.Load(files.settings)
+	if err != nil {
+		return nil, err
+	}
+	if files.features != "" {
+		if settings.Features, err = config.LoadFeatures(files.features); err != nil {
+			return nil, err
 		}
 	}
-	return errors.Join(newEngine(set, log, tracer).run(ctx), tracer.Close())
+	return settings, nil
+}
+
+// openTracer opens the file for spans. The tracer is nil, and traces nothing, if the
+// features name no file.
+func openTracer(settings *config.Settings) (*tracing.Tracer, error) {
+	file := settings.Features.Tracing.File
+	if file == "" {
+		return nil, nil
+	}
+	return tracing.Open(file, settings.Label)
 }
 
-// logger writes to standard error as much as level asks for.
-func logger(level string) (*slog.Logger, error) {
-	var l slog.Level
+// newLogger writes to standard error whatever is at least as severe as level, by default
+// "info".
+func newLogger(level string) (*slog.Logger, error) {
+	var least slog.Level
 	if level != "" {
-		if err := l.UnmarshalText([]byte(level)); err != nil {
+		if err := least.UnmarshalText([]byte(level)); err != nil {
 			return nil, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", level)
 		}
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: least})), nil
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,73 +21,100 @@
 // TokenVariable is the environment variable that holds the bearer token.
 const TokenVariable = "LILACRILL_ADMIN_TOKEN"
 
-// Asker passes an input to the core and writes its reply as the answer.
-type Asker func(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error
+// Dispatch passes an input to the controller and answers with its reply.
+type Dispatch func(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error
 
-// atOnce is how many operators' requests are served at a time, so that they
+// maxRequests is how many operators' requests are served at a time, so that they
 // cannot crowd out users and workers.
-const atOnce = 2
+const maxRequests = 2
+
+// api answers the administration API.
+type api struct {
+	token    string
+	slots    chan struct{} // one for each request in progress
+	dispatch Dispatch
+}
 
 // Register adds the API's routes. Without a token the API is off.
-func Register(app *fiber.App, token string, ask Asker) {
-	slots := make(chan struct{}, atOnce)
-	group := app.Group(Prefix, func(c fiber.Ctx) error {
-		if token == "" {
-			return refuse(c, http.StatusForbidden, "the administration API is off: "+TokenVariable+" is not set for this controller")
-		}
-		given, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
-		if !ok || !same(given, token) {
-			c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
-			return refuse(c, http.StatusUnauthorized, "no bearer token, or a wrong one")
-		}
-		select {
-		case slots <- struct{}{}:
-			defer func() { <-slots }()
-			return c.Next()
-		default:
-			c.Set(fiber.HeaderRetryAfter, "1")
-			return refuse(c, http.StatusServiceUnavailable, "too many administration requests at once")
-		}
-	})
-	group.Patch("/"+string(wire.ViewSettings), func(c fiber.Ctx) error {
-		var change wire.AdminSettings
-		if err := json.Unmarshal(c.Body(), &change); err != nil {
-			return refuse(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
-		}
-		return ask(c, func(r controller.RequestID) controller.Input {
-			return controller.SettingsChangeRequested{Request: r, Change: change}
-		})
+func Register(app *fiber.App, token string, dispatch Dispatch) {
+	a := &api{token: token, slots: make(chan struct{}, maxRequests), dispatch: dispatch}
+	group := app.Group(Prefix, a.authorize, a.limit)
+	group.Patch("/"+string(wire.ViewSettings), a.changeSettings)
+	group.Patch("/"+string(wire.ViewRollout), a.changeRollout)
+	group.Patch("/"+string(wire.ViewShards), a.changeShards)
+	group.Get("/:view", a.view)
+}
+
+// authorize lets only requests with the token through.
+func (a *api) authorize(c fiber.Ctx) error {
+	if a.token == "" {
+		return refuse(c, http.StatusForbidden, "the administration API is off: "+TokenVariable+" is not set for this controller")
+	}
+	given, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
+	if !ok || !equalTokens(given, a.token) {
+		c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
+		return refuse(c, http.StatusUnauthorized, "no bearer token, or a wrong one")
+	}
+	return c.Next()
+}
+
+// limit refuses a request while as many as may be are in progress.
+func (a *api) limit(c fiber.Ctx) error {
+	select {
+	case a.slots <- struct{}{}:
+		defer func() { <-a.slots }()
+		return c.Next()
+	default:
+		c.Set(fiber.HeaderRetryAfter, "1")
+		return refuse(c, http.StatusServiceUnavailable, "too many administration requests at once")
+	}
+}
+
+func (a *api) changeSettings(c fiber.Ctx) error {
+	var change wire.AdminSettings
+	if err := json.Unmarshal(c.Body(), &change); err != nil {
+		return refuse(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
+	}
+	return a.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.SettingsChangeRequested{Request: id, Change: change}
 	})
-	group.Patch("/"+string(wire.ViewRollout), func(c fiber.Ctx) error {
-		change, err := wire.ParseAdminRolloutChange(c.Body())
-		if err != nil {
-			return refuse(c, http.StatusBadRequest, err.Error())
-		}
-		return ask(c, func(r controller.RequestID) controller.Input {
-			return controller.RolloutChangeRequested{Request: r, Change: change}
-		})
+}
+
+func (a *api) changeRollout(c fiber.Ctx) error {
+	change, err := wire.ParseAdminRolloutChange(c.Body())
+	if err != nil {
+		return refuse(c, http.StatusBadRequest, err.Error())
+	}
+	return a.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.RolloutChangeRequested{Request: id, Change: change}
 	})
-	group.Patch("/"+string(wire.ViewShards), func(c fiber.Ctx) error {
-		change, err := wire.ParseAdminShardChange(c.Body())
-		if err != nil {
-			return refuse(c, http.StatusBadRequest, err.Error())
-		}
-		return ask(c, func(r controller.RequestID) controller.Input {
-			return controller.ShardChangeRequested{Request: r, Change: change}
-		})
+}
+
+func (a *api) changeShards(c fiber.Ctx) error {
+	change, err := wire.ParseAdminShardChange(c.Body())
+	if err != nil {
+		return refuse(c, http.StatusBadRequest, err.Error())
+	}
+	return a.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.ShardChangeRequested{Request: id, Change: change}
 	})
-	group.Get("/:view", func(c fiber.Ctx) error {
-		view := wire.AdminView([]byte(c.Params("view")))
-		return ask(c, func(r controller.RequestID) controller.Input { return controller.ViewRequested{Request: r, View: view} })
+}
+
+// view reads a view. The controller refuses those that it does not know.
+func (a *api) view(c fiber.Ctx) error {
+	// Copied, since the parameter's memory is reused after the request.
+	view := wire.AdminView([]byte(c.Params("view")))
+	return a.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.ViewRequested{Request: id, View: view}
 	})
 }
 
-// same compares without telling by its time how much of a guess was right.
-func same(a, b string) bool {
-	ha, hb := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
-	return subtle.ConstantTimeCompare(ha[:], hb[:]) == 1
+// equalTokens compares in a time that does not tell how much of a guess was right.
+func equalTokens(a, b string) bool {
+	digestA, digestB := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
+	return subtle.ConstantTimeCompare(digestA[:], digestB[:]) == 1
 }
 
-func refuse(c fiber.Ctx, status int, why string) error {
-	return c.Status(status).JSON(wire.ErrorResponse{Error: why})
+func refuse(c fiber.Ctx, status int, reason string) error {
+	return c.Status(status).JSON(wire.ErrorResponse{Error: reason})
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -16,11 +16,16 @@
 	token string
 }
 
-const timeout = 5 * time.Second
+// callTimeout bounds each call.
+const callTimeout = 5 * time.Second
+
+// errorStatuses are the statuses of answers that give a reason.
+var errorStatuses = []int{http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
+	http.StatusConflict, http.StatusServiceUnavailable}
 
 // NewClient makes a client for the controller at addr.
 func NewClient(addr, token string) *Client {
-	return &Client{httpcall.New(addr, 1, timeout), token}
+	return &Client{httpcall.New(addr, 1, callTimeout), token}
 }
 
 // View reads a view as JSON.
@@ -43,14 +48,15 @@
 	return c.call(http.MethodPatch, wire.ViewShards, change)
 }
 
-func (c *Client) call(method string, v wire.AdminView, body any) (json.RawMessage, error) {
+// call makes one call. An answer other than 200 is an error with the controller's reason.
+func (c *Client) call(method string, view wire.AdminView, body any) (json.RawMessage, error) {
 	var answer json.RawMessage
 	var problem wire.ErrorResponse
-	into := map[int]any{http.StatusOK: &answer}
-	for _, status := range []int{400, 401, 403, 404, 409, 503} {
+	into := map[int]any{http.StatusOK: &answer} // by status
+	for _, status := range errorStatuses {
 		into[status] = &problem
 	}
-	status, err := c.calls.Bearer(c.token).Call(method, Prefix+"/"+string(v), body, timeout, into)
+	status, err := c.calls.Bearer(c.token).Call(method, Prefix+"/"+string(view), body, callTimeout, into)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"math"
 	"net"
@@ -22,37 +23,48 @@
 	"lilacrill/wire"
 )
 
-// Backend takes inputs for the core and hands back the replies.
+// Backend takes inputs for the controller and returns its replies.
 type Backend interface {
-	// Ask passes an input on; the reply comes on the channel. It returns false
-	// if there is more to do already than can be done in time.
-	Ask(makeInput func(controller.RequestID) controller.Input) (<-chan controller.Reply, bool)
+	// Enqueue queues the input that makeInput makes for a new request. The one reply is
+	// sent on the channel. It returns false if the queue is full: the request would not be
+	// answered in time.
+	Enqueue(makeInput func(controller.RequestID) controller.Input) (<-chan controller.Reply, bool)
 	// Healthy reports whether the controller can take requests.
 	Healthy() bool
 }
 
 // Server serves one listener.
 type Server struct {
-	app     *fiber.App
-	backend Backend
-	log     *slog.Logger
-	open    atomic.Int64 // users' requests in progress
-	most    int64
-	budget  sockets.Budget
+	app             *fiber.App
+	backend         Backend
+	log             *slog.Logger
+	userRequests    atomic.Int64 // in progress
+	maxUserRequests int64
+	budget          sockets.Budget
 }
 
 const (
-	// patience is how long a request may take before its sender is told to come
-	// back; the protocol lets users wait 2 s for a poll.
-	patience    = 1800 * time.Millisecond
-	idleTimeout = 2 * time.Minute
-	readTimeout = 2 * time.Minute
-	comeBack    = time.Second
+	// requestTimeout is how long a request may take before its sender is told to retry;
+	// the protocol lets users wait 2 s for a poll.
+	requestTimeout = 1800 * time.Millisecond
+	idleTimeout    = 2 * time.Minute
+	readTimeout    = 2 * time.Minute
+	// retryAfter is when the sender of a request that was refused is told to retry.
+	retryAfter = time.Second
+	// minUserRequests and socketsPerUserRequest bound how many requests of users may be
+	// in progress: one for every so many sockets of the quota, but at least the minimum.
+	minUserRequests       = 16
+	socketsPerUserRequest = 4
 )
 
 // New makes a server. Without an administration token that API is off.
-func New(set *config.Settings, backend Backend, adminToken string, log *slog.Logger) *Server {
-	s := &Server{backend: backend, log: log, most: int64(max(16, set.Cluster.Quota.Sockets/4)), budget: sockets.Share(set)}
+func New(settings *config.Settings, backend Backend, adminToken string, log *slog.Logger) *Server {
+	s := &Server{
+		backend:         backend,
+		log:             log,
+		maxUserRequests: int64(max(minUserRequests, settings.Cluster.Quota.Sockets/socketsPerUserRequest)),
+		budget:          sockets.Share(settings),
+	}
 	s.app = fiber.New(fiber.Config{
 		AppName:                 "lilacrill",
 		BodyLimit:               wire.MaxBody,
@@ -60,16 +72,16 @@
 		IdleTimeout:             idleTimeout,
 		ReadTimeout:             readTimeout,
 		DisableDefaultDate:      true,
-		ErrorHandler:            s.failed,
+		ErrorHandler:            s.handleError,
 		DisableHeadAutoRegister: true,
 	})
-	s.app.Use("/work", s.admit)
-	s.app.Post("/work", s.submit)
-	s.app.Get("/work/:id", s.poll)
-	s.app.Post("/work/:id/cancel", s.cancel)
-	s.app.Get("/up", s.up)
-	s.app.Post("/hello", s.handleReport)
-	admin.Register(s.app, adminToken, s.ask)
+	s.app.Use("/work", s.limitUsers)
+	s.app.Post("/work", s.submitJob)
+	s.app.Get("/work/:id", s.pollJob)
+	s.app.Post("/work/:id/cancel", s.cancelJob)
+	s.app.Get("/up", s.reportHealth)
+	s.app.Post("/hello", s.receiveHeartbeat)
+	admin.Register(s.app, adminToken, s.dispatch)
 	return s
 }
 
@@ -78,112 +90,128 @@
 	return s.app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-func (s *Server) failed(c fiber.Ctx, err error) error {
+// handleError answers a request that no handler answered: an unknown path, a body that is
+// too large, a handler's error.
+func (s *Server) handleError(c fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
-	var e *fiber.Error
-	if errors.As(err, &e) {
-		status = e.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		status = fiberErr.Code
 	}
-	return problem(c, status, err.Error())
+	return sendError(c, status, err.Error())
 }
 
-func problem(c fiber.Ctx, status int, why string) error {
-	return c.Status(status).JSON(wire.ErrorResponse{Error: why})
+func sendError(c fiber.Ctx, status int, reason string) error {
+	return c.Status(status).JSON(wire.ErrorResponse{Error: reason})
 }
 
-func busy(c fiber.Ctx, why string) error {
-	c.Set(fiber.HeaderRetryAfter, seconds(comeBack))
-	return problem(c, http.StatusServiceUnavailable, why)
+// sendUnavailable refuses a request that may be repeated.
+func sendUnavailable(c fiber.Ctx, reason string) error {
+	c.Set(fiber.HeaderRetryAfter, headerSeconds(retryAfter))
+	return sendError(c, http.StatusServiceUnavailable, reason)
 }
 
-func seconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
+// headerSeconds formats a duration for Retry-After, in whole seconds, rounded up.
+func headerSeconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
 
-// admit keeps users from crowding out workers and health checks. Once there are
+// limitUsers keeps users from crowding out workers and health checks. Once there are
 // many connections, a user's is closed after the answer; one that comes again
 // opens another, perhaps to a controller that has more room.
-func (s *Server) admit(c fiber.Ctx) error {
-	conns := int(s.app.Server().GetOpenConnectionsCount())
-	if conns > s.budget.Crowded {
+func (s *Server) limitUsers(c fiber.Ctx) error {
+	connections := int(s.app.Server().GetOpenConnectionsCount())
+	if connections > s.budget.Crowded {
 		c.RequestCtx().SetConnectionClose()
 	}
-	open := s.open.Add(1)
-	defer s.open.Add(-1)
-	if open > s.most || conns > s.budget.Full {
-		return busy(c, "too many requests at once")
+	inProgress := s.userRequests.Add(1)
+	defer s.userRequests.Add(-1)
+	if inProgress > s.maxUserRequests || connections > s.budget.Full {
+		return sendUnavailable(c, "too many requests at once")
 	}
 	return c.Next()
 }
 
-// ask passes an input to the core and writes its reply.
-func (s *Server) ask(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error {
-	replies, ok := s.backend.Ask(makeInput)
+// dispatch passes an input to the controller and answers with its reply.
+func (s *Server) dispatch(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error {
+	replies, ok := s.backend.Enqueue(makeInput)
 	if !ok {
-		return busy(c, "too much to do")
+		return sendUnavailable(c, "too much to do")
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
 	select {
-	case r := <-replies:
-		if r.RetryAfter > 0 {
-			c.Set(fiber.HeaderRetryAfter, seconds(r.RetryAfter))
-		}
-		b, err := json.Marshal(r.Body)
-		if err != nil {
-			return err
-		}
-		c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-		return c.Status(r.Status).Send(b)
+	case reply := <-replies:
+		return sendReply(c, reply)
 	case <-timer.C:
-		return busy(c, "no decision in time")
+		return sendUnavailable(c, "no decision in time")
 	}
 }
 
-func (s *Server) submit(c fiber.Ctx) error {
+func sendReply(c fiber.Ctx, reply controller.Reply) error {
+	if reply.RetryAfter > 0 {
+		c.Set(fiber.HeaderRetryAfter, headerSeconds(reply.RetryAfter))
+	}
+	body, err := json.Marshal(reply.Body)
+	if err != nil {
+		return fmt.Errorf("encode reply: %w", err)
+	}
+	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
+	return c.Status(reply.Status).Send(body)
+}
+
+func (s *Server) submitJob(c fiber.Ctx) error {
 	spec, err := wire.ParseJob(c.Body())
 	if err != nil {
-		return problem(c, http.StatusBadRequest, err.Error())
+		return sendError(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.JobSubmitted{Request: r, Spec: spec} })
+	return s.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.JobSubmitted{Request: id, Spec: spec}
+	})
 }
 
-func (s *Server) poll(c fiber.Ctx) error {
+func (s *Server) pollJob(c fiber.Ctx) error {
 	id, ok := jobID(c)
 	if !ok {
-		return problem(c, http.StatusNotFound, "no such job")
+		return sendError(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.JobPolled{Request: r, Job: id} })
+	return s.dispatch(c, func(request controller.RequestID) controller.Input {
+		return controller.JobPolled{Request: request, Job: id}
+	})
 }
 
-func (s *Server) cancel(c fiber.Ctx) error {
+func (s *Server) cancelJob(c fiber.Ctx) error {
 	id, ok := jobID(c)
 	if !ok {
-		return problem(c, http.StatusNotFound, "no such job")
+		return sendError(c, http.StatusNotFound, "no such job")
 	}
-	return s.ask(c, func(r controller.RequestID) controller.Input { return controller.CancelRequested{Request: r, Job: id} })
+	return s.dispatch(c, func(request controller.RequestID) controller.Input {
+		return controller.CancelRequested{Request: request, Job: id}
+	})
 }
 
+// jobID is the job that the path names.
 func jobID(c fiber.Ctx) (wire.JobID, bool) {
-	// The parameter's memory is reused after the request.
+	// Copied, since the parameter's memory is reused after the request.
 	id := wire.JobID([]byte(c.Params("id")))
 	return id, id.Valid()
 }
 
-func (s *Server) up(c fiber.Ctx) error {
+// reportHealth answers a health check.
+func (s *Server) reportHealth(c fiber.Ctx) error {
 	if !s.backend.Healthy() {
-		return busy(c, "not ready")
+		return sendUnavailable(c, "not ready")
 	}
 	return c.Status(http.StatusOK).JSON(struct {
 		Status string `json:"status"`
 	}{"up"})
 }
 
-func (s *Server) handleReport(c fiber.Ctx) error {
-	r, err := wire.ParseHeartbeat(c.Body())
+func (s *Server) receiveHeartbeat(c fiber.Ctx) error {
+	heartbeat, err := wire.ParseHeartbeat(c.Body())
 	if err != nil {
-		s.log.Warn("worker's report dropped", "from", c.IP(), "err", err)
-		return problem(c, http.StatusBadRequest, err.Error())
+		s.log.Warn("invalid heartbeat dropped", "from", c.IP(), "err", err)
+		return sendError(c, http.StatusBadRequest, err.Error())
 	}
-	return s.ask(c, func(id controller.RequestID) controller.Input {
-		return controller.HeartbeatReceived{Request: id, Heartbeat: r}
+	return s.dispatch(c, func(id controller.RequestID) controller.Input {
+		return controller.HeartbeatReceived{Request: id, Heartbeat: heartbeat}
 	})
 }
