--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("peer_listen: %w", err), public.Close())
 	}
-	return sockets.Listener(public, p.log), sockets.Listener(peers, p.log), nil
+	return sockets.NewRetryingListener(public, p.log), sockets.NewRetryingListener(peers, p.log), nil
 }
 
 // Enqueue implements server.Backend.
@@ -277,7 +277,7 @@
 	case controller.Broadcast:
 		p.peers.Broadcast(output.Message)
 	case controller.RolloutEvent:
-		p.tracer.Rollout(output)
+		p.tracer.RecordRollout(output)
 	case controller.Shutdown:
 		p.shutDown(output.Cause)
 	default:
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed makes generated tests draw the same inputs every time, so
-// that a check of the same sources always comes to the same verdict.
+// Package fixedseed makes generated tests use the same inputs in each run, so that a check of
+// the same sources always has the same result.
 package fixedseed
 
 import (
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// seed is any number but 0, which stands for a new one every time.
+// seed is any number but 0, which has rapid choose a new seed for each run.
 const seed = "20261201"
 
-// Run runs a package's tests for its TestMain. A seed given on the command line
-// stands.
+// Run runs a package's tests, for its TestMain, and exits. A seed given on the command line
+// is used instead.
 func Run(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/golden/filler.go
+++ b/internal/golden/filler.go
@@ -8,8 +8,8 @@
 	"lilacrill/wire"
 )
 
-// Filler gives every field of a value something that is not its zero value. What it
-// writes depends only on the type, so that it is the same in every run.
+// Filler sets every field of a value to something other than its zero value. The values
+// depend only on the type, so that they are the same in every run.
 type Filler struct {
 	count  int
 	length int
@@ -33,8 +33,8 @@
 	return f
 }
 
-// Use has the filler make values of type T in a way of their own, from a number that is
-// different each time.
+// Use has the filler make values of type T by makeValue, from a number that is different each
+// time.
 func Use[T any](f *Filler, makeValue func(number int) T) {
 	f.makers[reflect.TypeFor[T]()] = func(number int) reflect.Value { return reflect.ValueOf(makeValue(number)) }
 }
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// Recorder is an HTTP server's handler that writes down what it is asked, one line each,
-// and answers with what is fixed for the method and path.
+// Recorder is an HTTP handler that records requests, one line each, and answers with the fixed
+// body for the method and path.
 type Recorder struct {
-	// Answers are the bodies by method and path, as in "GET /up". Whatever is not among
-	// them is not found.
+	// Answers are the bodies by method and path, as in "GET /up". The answer to any other
+	// request is 404.
 	Answers map[string]string
 
 	mu       sync.Mutex
@@ -40,7 +40,7 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// Requests is what was asked so far.
+// Requests returns the requests so far.
 func (r *Recorder) Requests() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,5 @@
-// Package rendezvous shares names out among owners by rendezvous hashing: everybody who
-// knows the same owners comes to the same result, and when one owner goes only its names
-// change hands.
+// Package rendezvous assigns names to owners by rendezvous hashing: all that know the same
+// owners come to the same result, and when an owner goes only its names get another one.
 package rendezvous
 
 import (
@@ -19,31 +18,31 @@
 	return best
 }
 
-// score must be the same in all builds that run side by side.
+// score must be the same in all builds that run side by side: they have to agree on owners.
 func score(owner, name string) uint64 {
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	// Writing to a hash cannot fail.
-	_, _ = h.Write([]byte(owner))
-	_, _ = h.Write([]byte{0})
-	_, _ = h.Write([]byte(name))
-	s := h.Sum64()
-	s ^= s >> 31
-	return s * 0x9e3779b97f4a7c15
+	_, _ = hash.Write([]byte(owner))
+	_, _ = hash.Write([]byte{0})
+	_, _ = hash.Write([]byte(name))
+	sum := hash.Sum64()
+	sum ^= sum >> 31
+	return sum * 0x9e3779b97f4a7c15
 }
 
-// Assign gives each name to the owner that scores highest for it, but no owner more than its
+// Assign gives each name to the owner that scores highest for it and has fewer than its equal
 // part of the names, rounded up.
 func Assign(owners, names []string) map[string]string {
 	assigned := make(map[string]string, len(names))
 	if len(owners) == 0 {
 		return assigned
 	}
-	most := (len(names) + len(owners) - 1) / len(owners)
-	load := map[string]int{}
+	maxPerOwner := (len(names) + len(owners) - 1) / len(owners)
+	assignedCount := map[string]int{}
 	for _, name := range slices.Sorted(slices.Values(names)) {
-		open := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return load[owner] >= most })
+		open := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return assignedCount[owner] >= maxPerOwner })
 		best := Highest(open, name)
-		load[best]++
+		assignedCount[best]++
 		assigned[name] = best
 	}
 	return assigned
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets shares out the sockets that a controller may hold, so that
-// none of those it serves crowds out the others: out of sockets, a controller
-// would hear no worker, and take them for silent.
+// Package sockets divides the sockets that a controller may hold among the kinds of its
+// connections, so that none crowds out the others: out of sockets, a controller would receive
+// no heartbeats, and take all workers for unresponsive.
 package sockets
 
 import (
@@ -16,66 +16,69 @@
 type Budget struct {
 	// Inbound is for users, workers and health checks.
 	Inbound int
-	// CloseAfterReply is how many of them there may be before users' connections are
-	// closed once they are answered, and Full before users are told at once to
-	// come back later: the rest is for workers and health checks.
+	// CloseAfterReply is how many of them there may be before users' connections are closed
+	// after each reply, and RefuseUsers before users are refused and told when to retry: the
+	// rest is for workers and health checks.
 	CloseAfterReply, RefuseUsers int
 	// Workers is for calls to workers.
 	Workers int
 	// Peers is for connections from siblings.
 	Peers int
-	// State and Cloud are for calls to these services.
+	// State and Cloud are for calls to the state store and to the cloud.
 	State, Cloud int
 }
 
 const (
-	directPart  = 8  // one in so many is for calls to workers
-	servicePart = 64 // for the state service, within its bounds
-	leastState  = 8
-	mostState   = 28
-	perPeer     = 3 // a sibling that comes back may leave dead connections behind
-	own         = 4 // listeners, and what the runtime holds
-	crowdedPart = 0.6
-	fullPart    = 0.85
+	workerCallsDivisor      = 8  // one socket in so many is for calls to workers
+	stateDivisor            = 64 // one in so many is for the state store, within its bounds
+	minWorkers              = 4
+	minInbound              = 8
+	cloudSockets            = 4
+	minState                = 8
+	maxState                = 28
+	connectionsPerPeer      = 3 // a sibling that restarts may leave dead connections behind
+	ownSockets              = 4 // of listeners and the runtime
+	closeAfterReplyFraction = 0.6
+	refuseUsersFraction     = 0.85
 )
 
-// NewBudget makes a budget of a controller's settings.
-func NewBudget(set *config.Settings) Budget {
-	total, peers := set.Cluster.Quota.Sockets, len(set.Siblings)
-	b := Budget{
-		Workers: max(4, total/directPart),
-		Peers:   perPeer * peers,
-		State:   max(leastState, min(mostState, total/servicePart)),
-		Cloud:   4,
+// NewBudget divides the sockets of a controller's settings.
+func NewBudget(settings *config.Settings) Budget {
+	total, peers := settings.Cluster.Quota.Sockets, len(settings.Siblings)
+	budget := Budget{
+		Workers: max(minWorkers, total/workerCallsDivisor),
+		Peers:   connectionsPerPeer * peers,
+		State:   max(minState, min(maxState, total/stateDivisor)),
+		Cloud:   cloudSockets,
 	}
-	b.Inbound = max(8, total-b.Workers-b.Peers-peers-b.State-b.Cloud-own)
-	b.CloseAfterReply = int(crowdedPart * float64(b.Inbound))
-	b.RefuseUsers = int(fullPart * float64(b.Inbound))
-	return b
+	budget.Inbound = max(minInbound, total-budget.Workers-budget.Peers-peers-budget.State-budget.Cloud-ownSockets)
+	budget.CloseAfterReply = int(closeAfterReplyFraction * float64(budget.Inbound))
+	budget.RefuseUsers = int(refuseUsersFraction * float64(budget.Inbound))
+	return budget
 }
 
-// Listener keeps accepting when it is out of sockets for a moment. A server
+// NewRetryingListener makes a listener that retries when it is briefly out of sockets. A server
 // that gave up then would end the whole process.
-func Listener(ln net.Listener, log *slog.Logger) net.Listener {
-	return &patient{Listener: ln, log: log}
+func NewRetryingListener(listener net.Listener, log *slog.Logger) net.Listener {
+	return &retryingListener{Listener: listener, log: log}
 }
 
-type patient struct {
+type retryingListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// acceptPause is how long to wait before the next try to accept.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay before the next attempt to accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // Accept implements net.Listener.
-func (p *patient) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := p.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		p.log.Warn("connection not accepted", "err", err)
-		time.Sleep(acceptPause)
+		l.log.Warn("accept failed", "err", err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
