--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -31,8 +31,8 @@
 
 var errNotTerminal = errors.New("completion without a final status")
 
-// archive is the state of the moves of completions.
-type archive struct {
+// archiveState is the state of the moves of completions.
+type archiveState struct {
 	inFlight bool
 	next     Time
 }
@@ -110,7 +110,7 @@
 		if len(txn.Then)+operationsPerJob > limit {
 			break
 		}
-		if !c.archives(old.id) {
+		if !c.isArchiverOf(old.id) {
 			continue
 		}
 		jobKey, archiveKey := record.JobKey(old.id), record.CompletionKey(old.id)
@@ -132,8 +132,8 @@
 	return records
 }
 
-// archives reports whether this controller, rather than a sibling, archives a job.
-func (c *Controller) archives(id wire.JobID) bool {
+// isArchiverOf reports whether this controller, rather than a sibling, archives a job.
+func (c *Controller) isArchiverOf(id wire.JobID) bool {
 	eligible := c.ownership.eligible
 	return len(eligible) == 0 || rendezvous.Highest(eligible, string(id)) == c.settings.Label
 }
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -166,7 +166,7 @@
 		return
 	}
 	if c.cache.advance(key, version, value == nil) {
-		c.noteReadable(key, c.applyRecord(key, value, version))
+		c.noteDecodeResult(key, c.applyRecord(key, value, version))
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -53,7 +53,7 @@
 	writeBudget    writeBudget
 	admission      admission
 	ownership      ownership
-	archive        archive
+	archive        archiveState
 	cleanup        cleanup
 	gossip         gossip
 
--- a/internal/controller/image_pulls.go
+++ b/internal/controller/image_pulls.go
@@ -39,15 +39,15 @@
 	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
 		return false
 	}
-	patience := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
+	maxWait := config.Seconds(c.settings.Cluster.Workers.GangWaitS / 2)
 	slowest := c.gangImagePullTime(job, allocation.Attempt)
-	if slowest <= patience {
+	if slowest <= maxWait {
 		return false
 	}
 	if job.launchingAttempt != allocation.Attempt {
 		job.launchingAttempt, job.launchStartedAt = allocation.Attempt, c.now
 	}
-	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-patience
+	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-maxWait
 }
 
 // slowImagePullS is how long an image may take to pull, in seconds, before it is worth
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -10,18 +10,18 @@
 	"lilacrill/wire"
 )
 
-// TestImagesOfALargeFleetFit: however many machines there are, some images of each are
+// TestImageRecordsOfLargeFleetFit: however many machines there are, some images of each are
 // recorded, and no value is too large.
-func TestImagesOfALargeFleetFit(t *testing.T) {
+func TestImageRecordsOfLargeFleetFit(t *testing.T) {
 	for _, machines := range []int{100, 4200, 9000} {
-		set := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
-		c := newTestController(set)
+		settings := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
+		c := newTestController(settings)
 		for i := range machines {
-			m := c.machine(wire.MachineID(fmt.Sprintf("m-%06d", i)))
-			m.latestHeartbeat = &wire.Heartbeat{}
+			machine := c.machine(wire.MachineID(fmt.Sprintf("m-%06d", i)))
+			machine.latestHeartbeat = &wire.Heartbeat{}
 			for k := range 8 {
 				c.now = Time(i*8 + k)
-				c.noteImageUse(m, fmt.Sprintf("image-%02d", k))
+				c.noteImageUse(machine, fmt.Sprintf("image-%02d", k))
 			}
 		}
 		total := 0
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	var stored record.Job
-	if err := record.Decode(value, c.valueBound(), &stored); err != nil {
+	if err := record.Decode(value, c.maxDecodedSize(), &stored); err != nil {
 		c.markJobUnreadable(id, version)
 		return fmt.Errorf("decode job: %w", err)
 	}
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -12,12 +12,12 @@
 // commitPlacements writes a transaction and, once it has succeeded, commands the machines.
 func (c *Controller) commitPlacements(placements *placementTransaction) {
 	placements.dropCompletedJobs()
-	changes := c.placementChanges(placements)
+	changes := c.buildPlacementChanges(placements)
 	if len(changes) == 0 {
 		return
 	}
 	if placements.placesTasks {
-		c.demandPlacementConditions(placements)
+		c.addPlacementConditions(placements)
 	}
 	txn := wire.Transaction{Then: changes}
 	for _, key := range sortedKeys(placements.conditions) {
@@ -43,9 +43,9 @@
 	}
 }
 
-// placementChanges are the writes of a transaction: pages, completions and the token. The
+// buildPlacementChanges are the writes of a transaction: pages, completions and the token. The
 // versions of the pages become conditions.
-func (c *Controller) placementChanges(txn *placementTransaction) []wire.Change {
+func (c *Controller) buildPlacementChanges(txn *placementTransaction) []wire.Change {
 	var changes []wire.Change
 	for _, key := range c.finalizePages(txn) {
 		staged := txn.pages[key]
@@ -63,9 +63,9 @@
 	return changes
 }
 
-// demandPlacementConditions adds what a transaction demands that places tasks (see
+// addPlacementConditions adds what a transaction demands that places tasks (see
 // placementTransaction).
-func (c *Controller) demandPlacementConditions(txn *placementTransaction) {
+func (c *Controller) addPlacementConditions(txn *placementTransaction) {
 	for _, zone := range c.settings.Cluster.Zones {
 		head := txn.team.headPage(zone)
 		txn.conditions[head.key] = head.version // 0 if it must not exist
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -137,7 +137,7 @@
 		return err
 	}
 	var stored record.PlacementPage
-	if err := record.Decode(value, c.valueBound(), &stored); err != nil {
+	if err := record.Decode(value, c.maxDecodedSize(), &stored); err != nil {
 		return fmt.Errorf("decode placement page: %w", err)
 	}
 	read := &page{key: key, team: team, zone: zone, number: number, version: version}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -118,7 +118,7 @@
 		c.reviewMachines()
 	}
 	c.recordTerminations()
-	c.terminateRecorded()
+	c.terminateRecordedMachines()
 	c.recordImages()
 	if c.isDue(c.provisioner.nextScaleOut) {
 		c.provisioner.nextScaleOut = c.now.Add(max(scaleOutInterval, 3*c.passPause()))
--- a/internal/controller/read_barrier_test.go
+++ b/internal/controller/read_barrier_test.go
@@ -11,9 +11,9 @@
 	"lilacrill/wire"
 )
 
-// TestReadBarrierServesReadersOfBeforeItsRequest: a reader that comes while a request is in flight
+// TestReadBarrierServesOnlyEarlierReaders: a reader that comes while a request is in flight
 // is not served by that request, whose response may not show what was written in between.
-func TestReadBarrierServesReadersOfBeforeItsRequest(t *testing.T) {
+func TestReadBarrierServesOnlyEarlierReaders(t *testing.T) {
 	var served []string
 	reader := func(name string) func(bool) { return func(bool) { served = append(served, name) } }
 	serve := func(readers []func(bool)) {
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -14,25 +14,25 @@
 // terminationsDraft is the next record of terminations, as far as it fits a value.
 type terminationsDraft struct {
 	terminations record.Terminations
-	room         int // bytes
+	freeBytes    int // bytes
 }
 
 // confirm adds a machine whose termination is confirmed.
 func (d *terminationsDraft) confirm(id wire.MachineID) {
-	d.room -= len(id) + len(`"",`)
+	d.freeBytes -= len(id) + len(`"",`)
 	d.terminations.Confirmed = append(d.terminations.Confirmed, id)
 }
 
 // addPending adds a machine whose termination is pending.
 func (d *terminationsDraft) addPending(reason string, id wire.MachineID) {
-	d.room -= len(id) + len(`"",`)
+	d.freeBytes -= len(id) + len(`"",`)
 	d.terminations.Pending[reason] = append(d.terminations.Pending[reason], id)
 }
 
 // reserveReason takes off the room of a reason that has no machines yet.
 func (d *terminationsDraft) reserveReason(reason string) {
 	if d.terminations.Pending[reason] == nil {
-		d.room -= len(reason) + len(`"":[],`)
+		d.freeBytes -= len(reason) + len(`"":[],`)
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	draft := &terminationsDraft{
 		terminations: record.Terminations{Pending: map[string][]wire.MachineID{}},
-		room:         c.pageLimit() - len(`{"going":{},"gone":[]}`),
+		freeBytes:    c.pageLimit() - len(`{"going":{},"gone":[]}`),
 	}
 	if changed := c.carryOverTerminations(draft); !changed && len(c.provisioner.toTerminate) == 0 {
 		return
@@ -80,7 +80,7 @@
 			if len(machine.allocations) > 0 {
 				draft.confirm(id)
 			}
-		case c.keepsRegainedMachine(machine, pending):
+		case c.shouldCancelIdleTermination(machine, pending):
 			changed = true
 		default:
 			draft.addPending(pending.reason, id)
@@ -96,9 +96,9 @@
 	return changed
 }
 
-// keepsRegainedMachine reports whether an idle machine is kept: tasks were placed on it before
+// shouldCancelIdleTermination reports whether an idle machine is kept: tasks were placed on it before
 // its termination was recorded.
-func (c *Controller) keepsRegainedMachine(machine *machine, pending pendingTermination) bool {
+func (c *Controller) shouldCancelIdleTermination(machine *machine, pending pendingTermination) bool {
 	return pending.reason == reasonIdle && len(machine.allocations) > 0 && !c.provisioner.terminateRequested[machine.id]
 }
 
@@ -109,7 +109,7 @@
 	for _, id := range sortedKeys(c.provisioner.toTerminate) {
 		reason := c.provisioner.toTerminate[id]
 		draft.reserveReason(reason)
-		if draft.room > 0 {
+		if draft.freeBytes > 0 {
 			c.machine(id) // it is known again if it was forgotten meanwhile
 			draft.addPending(reason, id)
 			added = append(added, id)
@@ -118,10 +118,10 @@
 	return added
 }
 
-// terminateRecorded has the cloud terminate the machines that are recorded as pending. The
+// terminateRecordedMachines has the cloud terminate the machines that are recorded as pending. The
 // cloud's success means that they and all tasks on them are gone; only then do their
 // allocations leave the records.
-func (c *Controller) terminateRecorded() {
+func (c *Controller) terminateRecordedMachines() {
 	if c.provisioner.terminateCallInFlight {
 		return
 	}
@@ -129,7 +129,7 @@
 	for _, id := range sortedKeys(c.cache.terminating) {
 		pending := c.cache.terminating[id]
 		machine := c.machine(id)
-		if machine.scaling.terminated || pending.since > c.cache.revision || len(ids) == wire.MaxTerminate || c.keepsRegainedMachine(machine, pending) {
+		if machine.scaling.terminated || pending.since > c.cache.revision || len(ids) == wire.MaxTerminate || c.shouldCancelIdleTermination(machine, pending) {
 			continue
 		}
 		ids = append(ids, id)
