--- a/internal/controller/allocation.go
+++ b/internal/controller/allocation.go
@@ -6,26 +6,28 @@
 	"lilacrill/wire"
 )
 
-// Allocation is a number of tasks of one job that one transaction placed on one machine.
+// Allocation assigns a set of tasks of one job to one machine. The tasks were placed by one
+// transaction.
 type Allocation struct {
 	record.AllocationHeader
 	Machine wire.MachineID
-	// AgentEpoch is the machine's agent epoch that the launch is meant for: a worker obeys no
-	// command of another epoch.
+	// AgentEpoch is the agent epoch of the machine for which the launch is intended. A worker
+	// does not execute commands of another epoch.
 	AgentEpoch wire.AgentEpoch
 	Tasks      record.TaskSet
 
-	// The index sets these for allocations in the cache.
+	// page and host are set by indexPage, for allocations in the cache only.
 	page *page
 	host *machine
 }
 
-// taskResources is what one task takes.
+// taskResources returns the resources that one task takes.
 func (a *Allocation) taskResources() placement.Resources {
 	return placement.Resources{Cores: a.Cores, Accelerators: a.Accelerators, MemGB: a.MemGB}
 }
 
-// tags are the tags that placement rules can read of a job that is not in the cache.
+// tags returns the tags for placement rules that are known from the allocation alone. They serve
+// for a job that is not in the cache.
 func (a *Allocation) tags() placement.Tags {
 	tags := placement.Tags{placement.TagJob: string(a.Job)}
 	if a.Shape == wire.ShapeService {
@@ -34,18 +36,18 @@
 	return tags
 }
 
-// equal reports whether two allocations are stored alike.
+// equal reports whether two allocations have the same stored content.
 func (a *Allocation) equal(other *Allocation) bool {
 	return a.AllocationHeader == other.AllocationHeader && a.Machine == other.Machine &&
 		a.AgentEpoch == other.AgentEpoch && a.Tasks.Equal(other.Tasks)
 }
 
-// encodedSize is how many bytes an allocation takes in its group.
+// encodedSize returns the size of an allocation within its group, in bytes.
 func (a *Allocation) encodedSize() int { return record.MachineSize(a.Machine, a.AgentEpoch, a.Tasks) }
 
-// encodedSizeAfter is how many bytes an allocation adds to a page that ends with the allocations
-// before it. As its tasks end one by one it comes to take a little more, from the part of the
-// page that new allocations leave free (newAllocationFraction).
+// encodedSizeAfter returns the number of bytes that an allocation adds to a page on which it
+// follows the given allocations. It may grow slightly as its tasks end one by one. The space for
+// that is the part of the page that new allocations leave free (newAllocationFraction).
 func (a *Allocation) encodedSizeAfter(before []Allocation) int {
 	if last := len(before) - 1; last >= 0 && before[last].AllocationHeader == a.AllocationHeader {
 		return a.encodedSize()
--- a/internal/controller/allocation_index.go
+++ b/internal/controller/allocation_index.go
@@ -6,8 +6,8 @@
 	"lilacrill/wire"
 )
 
-// indexPage adds a page's allocations to the indexes: by machine, by job, and the count of critical
-// ones by machine. unindexPage removes them again.
+// indexPage adds a page's allocations to the indexes by machine and by job, and to the counts of
+// critical allocations by machine.
 func (c *Controller) indexPage(page *page) {
 	page.needsReview = true
 	for i := range page.allocations {
@@ -26,6 +26,7 @@
 	}
 }
 
+// unindexPage removes a page's allocations from the indexes and counts that indexPage adds them to.
 func (c *Controller) unindexPage(page *page) {
 	onPage := func(a *Allocation) bool { return a.page == page }
 	for i := range page.allocations {
@@ -40,9 +41,11 @@
 	}
 }
 
+// isCritical reports whether the allocation has critical priority.
 func (a *Allocation) isCritical() bool { return a.Priority == wire.PriorityCritical.Level() }
 
-// deleteWhere drops elements of a key's list, and the key with the last one.
+// deleteWhere removes the elements of a key's list for which drop returns true. If none are left,
+// it removes the key.
 func deleteWhere[K comparable](lists map[K][]*Allocation, key K, drop func(*Allocation) bool) {
 	if left := slices.DeleteFunc(lists[key], drop); len(left) > 0 {
 		lists[key] = left
@@ -51,15 +54,15 @@
 	}
 }
 
-// locatedAllocation is an allocation with the page in the cache that it is on. The allocation may
-// be a staged one.
+// locatedAllocation is an allocation with the cached page that holds it. The allocation itself may
+// belong to the staged copy of that page.
 type locatedAllocation struct {
 	page       *page
 	allocation *Allocation
 }
 
-// jobAllocations finds a job's allocations as a transaction of its team would leave them, on the
-// pages that are stored already.
+// jobAllocations returns a job's allocations as a transaction of its team would leave them. Pages
+// that the transaction creates are not searched.
 func (c *Controller) jobAllocations(txn *placementTransaction, id wire.JobID) []locatedAllocation {
 	var found []locatedAllocation
 	seen := map[string]bool{}
@@ -84,8 +87,9 @@
 	return found
 }
 
-// visitStagedAllocations visits all allocations as the transactions in flight, or else the given
-// ones by team, will leave them.
+// visitStagedAllocations calls visit for the allocations of all teams. For each team these are the
+// allocations as its transaction in flight would leave them or, if none is in flight, as its entry
+// in transactions would.
 func (c *Controller) visitStagedAllocations(transactions map[string]*placementTransaction, visit func(*page, *Allocation)) {
 	for _, name := range sortedKeys(c.cache.teams) {
 		team := c.cache.teams[name]
@@ -101,7 +105,7 @@
 	}
 }
 
-// stagedPages are the team's pages as a transaction, which may be nil, would leave them.
+// stagedPages returns the team's pages as a transaction, which may be nil, would leave them.
 func (t *team) stagedPages(txn *placementTransaction) []*page {
 	pages := t.orderedPages()
 	if txn == nil {
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -9,7 +9,8 @@
 	"lilacrill/wire"
 )
 
-// commitPlacements writes a transaction and, once it has succeeded, commands the machines.
+// commitPlacements commits a transaction and, once it has succeeded, sends commands to the machines
+// that it concerns.
 func (c *Controller) commitPlacements(placements *placementTransaction) {
 	placements.dropCompletedJobs()
 	changes := c.buildPlacementChanges(placements)
@@ -34,7 +35,8 @@
 	})
 }
 
-// dropCompletedJobs removes the completed tasks of the jobs that the transaction completes.
+// dropCompletedJobs removes the completed tasks of the jobs that the transaction completes from its
+// staged pages.
 func (txn *placementTransaction) dropCompletedJobs() {
 	for id := range txn.completedJobs {
 		for _, staged := range txn.pages {
@@ -43,8 +45,9 @@
 	}
 }
 
-// buildPlacementChanges are the writes of a transaction: pages, completions and the token. The
-// versions of the pages become conditions.
+// buildPlacementChanges returns the writes of a transaction: the pages that changed, the
+// completions of jobs and the fencing token. It adds the versions of the written pages to the
+// conditions.
 func (c *Controller) buildPlacementChanges(txn *placementTransaction) []wire.Change {
 	var changes []wire.Change
 	for _, key := range c.finalizePages(txn) {
@@ -63,12 +66,12 @@
 	return changes
 }
 
-// addPlacementConditions adds what a transaction demands that places tasks (see
+// addPlacementConditions adds the conditions of a transaction that places tasks (see
 // placementTransaction).
 func (c *Controller) addPlacementConditions(txn *placementTransaction) {
 	for _, zone := range c.settings.Cluster.Zones {
 		head := txn.team.headPage(zone)
-		txn.conditions[head.key] = head.version // 0 if it must not exist
+		txn.conditions[head.key] = head.version // 0 requires that it does not exist
 	}
 	txn.conditions[record.TerminationsKey] = c.cache.keyVersions[record.TerminationsKey]
 	for id := range txn.shards {
@@ -77,7 +80,7 @@
 	}
 }
 
-// handlePlacementResult handles the result of a transaction that was sent at a time.
+// handlePlacementResult handles the result of a transaction that was sent at the given time.
 func (c *Controller) handlePlacementResult(txn *placementTransaction, sent Time, result CommitResult) {
 	schedule := &txn.team.schedule
 	c.scheduler.dirty = true
@@ -96,9 +99,9 @@
 			c.noteLostPlacement(txn, sent)
 		}
 	}
-	// The cache has to be current before the team's next transaction: a conflict means that
-	// others wrote what is not known here, and a transaction without an answer may have been
-	// executed.
+	// The cache must be current before the team's next transaction. A conflict means that another
+	// controller wrote changes that the cache does not have yet, and a transaction without a
+	// response may have been executed.
 	c.readBarrier(func(ok bool) {
 		schedule.inFlight = nil
 		c.scheduler.dirty = true
@@ -108,7 +111,7 @@
 	})
 }
 
-// handleCommittedPlacements takes a transaction that succeeded into the cache and commands the
+// handleCommittedPlacements applies a successful transaction to the cache and sends commands to the
 // machines that it concerns.
 func (c *Controller) handleCommittedPlacements(txn *placementTransaction, revision wire.Revision) {
 	c.applyCommittedPages(txn, revision)
@@ -126,16 +129,15 @@
 		}
 	}
 	if txn.raisesToken {
-		c.refreshCache() // the new token is known only from the watch
+		c.refreshCache() // the cache takes the new token from the watch only
 	}
 }
 
-// applyCommittedPages takes the pages that a transaction wrote into the cache.
+// applyCommittedPages applies the pages that a transaction wrote to the cache.
 func (c *Controller) applyCommittedPages(txn *placementTransaction, version wire.Revision) {
 	for _, key := range sortedKeys(txn.pages) {
-		// A staged page that came out as it was is not written, though its version may be
-		// demanded: taking it for written would demand a version that never existed the next
-		// time.
+		// A staged page without changes is not written, even if its version is a condition. If it
+		// were treated as written, the next transaction would require a version that never existed.
 		if !txn.writtenPages[key] || version <= c.cache.keyVersions[key] {
 			continue
 		}
@@ -147,8 +149,8 @@
 	}
 }
 
-// finalizePages readies the pages that a transaction writes and returns their keys: those that
-// changed, and the head page of every zone in which it adds allocations.
+// finalizePages prepares the pages that a transaction writes, and returns their keys. These are the
+// pages that changed and the head page of every zone in which it adds allocations.
 func (c *Controller) finalizePages(txn *placementTransaction) []string {
 	for _, key := range sortedKeys(txn.pages) {
 		c.fitPage(txn, key)
@@ -167,9 +169,10 @@
 	return keys
 }
 
-// fitPage moves allocations of a staged page to other pages until its value fits: evictions and
-// fences, which divide allocations, may have made it too large. If no page takes them, the page
-// is left as it was until there is space.
+// fitPage moves allocations from a staged page to other pages until its value is within the size
+// limit. Evictions and fences, which split allocations, may have made the page too large. If the
+// allocations cannot be moved, the changes to the page are discarded, to be made again once there
+// is space.
 func (c *Controller) fitPage(txn *placementTransaction, key string) {
 	staged := txn.pages[key]
 	staged.sortAllocations()
@@ -185,24 +188,24 @@
 	}
 }
 
-// mustWrite reports whether a staged page is written: it changed, or it is the head page of a
-// zone with additions.
+// mustWrite reports whether a staged page has to be written, because it changed or because it is
+// the head page of a zone with additions.
 func (txn *placementTransaction) mustWrite(staged *page) bool {
 	stored := txn.team.pages[staged.key]
 	isHeadOfAddition := staged.number == 0 && txn.zonesWithAdditions[staged.zone]
 	return stored == nil || isHeadOfAddition || !stored.sameContent(staged)
 }
 
-// sameContent reports whether two pages are stored alike.
+// sameContent reports whether two pages have the same stored content.
 func (p *page) sameContent(other *page) bool {
 	return len(p.completed) == len(other.completed) &&
 		slices.EqualFunc(p.allocations, other.allocations, func(a, b Allocation) bool { return a.equal(&b) }) &&
 		maps.EqualFunc(p.completed, other.completed, record.TaskSet.Equal)
 }
 
-// noteLostPlacement notes that a transaction that places tasks was lost to another controller's:
-// its machines count as contended, and the next attempts probe others at random, for a bounded
-// number of times.
+// noteLostPlacement handles a transaction that places tasks and conflicted with another
+// controller's. Its machines count as contended, and the next attempts probe other machines at
+// random. After a bounded number of lost transactions, the team's placements are paused.
 func (c *Controller) noteLostPlacement(txn *placementTransaction, sent Time) {
 	team := txn.team
 	team.schedule.noteLostPlacement(sent, txn.usedMachines)
@@ -213,9 +216,9 @@
 	}
 }
 
-// expirePlacementRetries ends a team's retries once they have taken too long. Where every machine
-// with free capacity is contended there is no further write to lose or win, and without this
-// bound the machines would stay contended, and the tasks pending, for ever.
+// expirePlacementRetries ends a team's retries once they have taken too long. If every machine with
+// free capacity is contended, no further transaction is made whose result could end the retries.
+// Without this time limit the machines would stay contended, and the tasks pending, forever.
 func (c *Controller) expirePlacementRetries(team *team) {
 	if team.schedule.lostPlacements > 0 && c.now.Sub(team.schedule.firstLostAt) > c.operator.values.Probe() {
 		c.backOffPlacement(team)
@@ -230,7 +233,8 @@
 	c.log.Debug("placement backed off", "team", team.name)
 }
 
-// noteLostPlacement counts a lost transaction, sent at a time, and the machines that it used.
+// noteLostPlacement counts a lost transaction, which was sent at the given time, and adds the
+// machines that it used to the contended ones.
 func (s *teamSchedule) noteLostPlacement(sent Time, machines map[wire.MachineID]bool) {
 	if s.lostPlacements == 0 {
 		s.firstLostAt = sent
@@ -242,5 +246,5 @@
 	}
 }
 
-// resetLostPlacements forgets the lost transactions and their machines.
+// resetLostPlacements clears the count of lost transactions and the contended machines.
 func (s *teamSchedule) resetLostPlacements() { s.lostPlacements, s.contendedMachines = 0, nil }
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -13,32 +13,34 @@
 )
 
 // page is one placement record of a team in a zone, with its version. Page 0 is the head page of
-// the team and zone: every transaction that adds an allocation to any page of the zone writes
-// the head page too, so that its version stands for the content of all of them.
+// the team in the zone. Every transaction that adds an allocation to any page of the zone also
+// writes the head page, so an unchanged version of the head page means that no allocation was added
+// to any of them.
 type page struct {
 	key     string
 	team    string
 	zone    string
 	number  int
 	version wire.Revision
-	// size is the most bytes that its plain value can take as its tasks end one by one.
+	// size is the approximate size of the page's uncompressed value, in bytes.
 	size        int
 	allocations []Allocation
 	completed   map[wire.JobID]record.TaskSet
-	// needsReview says that task exits may have been confirmed since the page was last reviewed.
+	// needsReview reports whether task exits may have been confirmed since the last review of the
+	// page.
 	needsReview bool
 }
 
-// team is a team's placement records.
+// team holds the placement records of a team and the state of its scheduling.
 type team struct {
 	name        string
 	pages       map[string]*page
-	orderedKeys []string       // the pages' keys in order; nil if there are new ones
-	pageCount   map[string]int // by zone: the highest page number plus one
+	orderedKeys []string       // sorted keys of pages; nil if pages were added
+	pageCount   map[string]int // highest page number plus one, by zone
 	schedule    teamSchedule
 }
 
-// orderedPages are the team's pages by key.
+// orderedPages returns the team's pages in the order of their keys.
 func (t *team) orderedPages() []*page {
 	if t.orderedKeys == nil {
 		t.orderedKeys = sortedKeys(t.pages)
@@ -50,7 +52,7 @@
 	return pages
 }
 
-// headPage is the head page of a team in a zone, an empty one if there is no record yet.
+// headPage returns the head page of a team in a zone, or an empty page if there is no record yet.
 func (t *team) headPage(zone string) *page {
 	if head := t.pages[record.PlacementKey(t.name, zone, 0)]; head != nil {
 		return head
@@ -58,12 +60,13 @@
 	return newPage(t.name, zone, 0)
 }
 
-// newPage is an empty page that is not stored yet.
+// newPage returns an empty page that is not stored yet.
 func newPage(team, zone string, number int) *page {
 	return &page{key: record.PlacementKey(team, zone, number), team: team, zone: zone, number: number, size: record.PageOverhead}
 }
 
-// value is the page as it is stored. Allocations with the same header must be adjacent.
+// value returns the record that is stored for the page. Allocations with the same header must be
+// adjacent.
 func (p *page) value() record.PlacementPage {
 	stored := record.PlacementPage{Groups: []record.AllocationGroup{}, Completed: p.completed}
 	for i := range p.allocations {
@@ -81,7 +84,7 @@
 	return stored
 }
 
-// unpack takes the allocations and completed tasks of a stored value into the page.
+// unpack adds the allocations and completed tasks of a stored record to the page.
 func (p *page) unpack(stored *record.PlacementPage) error {
 	if err := stored.Check(); err != nil {
 		return err
@@ -105,7 +108,7 @@
 	})
 }
 
-// updateSize computes size from what is on the page.
+// updateSize computes size from the content of the page.
 func (p *page) updateSize() {
 	p.size = record.PageOverhead
 	for i := range p.allocations {
@@ -116,8 +119,9 @@
 	}
 }
 
-// encodedSize is how many bytes the page's plain value takes. It is measured plain whichever
-// format is in force, so that a page that fits compressed also fits if it no longer is.
+// encodedSize returns the size of the page's uncompressed value in bytes. The uncompressed size
+// counts whichever format is in force, so that a page which is stored compressed still fits if
+// compression is no longer used.
 func (p *page) encodedSize() int {
 	if p.size <= 0 {
 		p.updateSize()
@@ -125,12 +129,13 @@
 	return len(encodePlain(p.value()))
 }
 
-// pageLimit is how many bytes a value in the state store may take.
+// pageLimit returns the maximum size of a value in the state store, in bytes.
 func (c *Controller) pageLimit() int { return pageLimit(&c.settings.Cluster) }
 
+// pageLimit returns the maximum size of a value in a cluster's state store, in bytes.
 func pageLimit(cluster *config.Cluster) int { return int(cluster.State.ValueKB * 1024) }
 
-// applyPlacementPage takes a placement record into the cache.
+// applyPlacementPage applies a placement record to the cache.
 func (c *Controller) applyPlacementPage(key string, value json.RawMessage, version wire.Revision) error {
 	team, zone, number, err := record.ParsePlacementKey(key)
 	if err != nil {
@@ -149,8 +154,8 @@
 	return nil
 }
 
-// replacePage puts a page, as it was read or written, in the place of its earlier version and
-// keeps the indexes of allocations current.
+// replacePage replaces the cached version of a page by one that was read or written, and updates
+// the indexes of allocations.
 func (c *Controller) replacePage(replacement *page) {
 	team := c.cache.team(replacement.team)
 	if earlier := team.pages[replacement.key]; earlier != nil {
@@ -169,9 +174,9 @@
 	c.scheduler.dirty = true
 }
 
-// teamUnreadable reports whether a placement record of a team cannot be decoded. Its allocations
-// are unknown then, so none of the team's tasks is placed or cleaned up, and its quota, its gangs
-// and tasks that its machines run without a record are left alone.
+// teamUnreadable reports whether a placement record of a team cannot be decoded. The team's
+// allocations are then unknown. So none of its tasks is placed or cleaned up, no action is taken on
+// its quota and its gangs, and tasks that run without a record are not stopped as orphans.
 func (c *Controller) teamUnreadable(team string) bool {
 	for key := range c.cache.unreadable {
 		if strings.HasPrefix(key, record.PlacementPrefix+team+"/") {
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -8,58 +8,64 @@
 	"lilacrill/wire"
 )
 
-// placementTransaction is one compare-and-swap write to a team's placement records. Decisions are
-// staged on copies of the pages; commitPlacements writes the pages that changed.
+// placementTransaction is one transaction with conditions (compare-and-swap) on a team's placement
+// records. Decisions are staged on copies of the pages, and commitPlacements writes the pages that
+// changed.
 //
-// No task may run twice, though every controller places from a cache that may be behind. That
-// rests on what the transaction demands of the state store, never on who made it:
+// No task may run twice, although every controller places tasks based on a cache that may be
+// behind. This is ensured by the conditions of the transaction alone, whichever controller makes
+// it:
 //
-//   - the versions of the pages that it writes: what others wrote meanwhile is not overwritten;
-//   - if it places tasks, the versions of the head pages of all zones (one that does not exist
-//     must still not). An allocation is never added without its zone's head page being written,
-//     so the tasks that had no allocation when the decision was made still have none, and what
-//     else the decision read of the team's allocations holds;
-//   - if it places tasks, the version of the list of terminations: none of its machines was put
-//     on that list or confirmed to be gone meanwhile. Switching sharding rewrites this list as
-//     well, so placements of controllers with and without shards never mix;
-//   - the records of the shards that it places in: a controller that was replaced as the owner of
-//     a shard loses the write, however late it is executed;
-//   - the versions of the records of the jobs that it places or completes: none of them was
-//     cancelled or completed meanwhile;
-//   - if it raises the fencing token, the token's version.
+//   - The versions of the pages that it writes. Concurrent writes of other controllers are not
+//     overwritten.
+//   - If it places tasks, the versions of the head pages of all zones, where version 0 requires
+//     that the page does not exist. Every transaction that adds an allocation writes the head page
+//     of the allocation's zone. So tasks without an allocation at the time of the decision still
+//     have none, and everything else that the decision read of the team's allocations still holds.
+//   - If it places tasks, the version of the list of terminations. None of its machines was added
+//     to that list, or confirmed as terminated, in the meantime. Enabling or disabling sharding
+//     rewrites this list as well, so placements of controllers with and without shards never mix.
+//   - The versions of the records of the shards in which it places tasks. A controller that was
+//     replaced as the owner of a shard loses the write, however late it is executed.
+//   - The versions of the records of the jobs that it places or completes. None of them was
+//     cancelled or completed in the meantime.
+//   - If it raises the fencing token, the token's version.
 //
-// A launch is sent only once the transaction has succeeded.
+// A launch is sent only after the transaction has succeeded.
 type placementTransaction struct {
 	cache              *stateCache
 	cluster            *config.Cluster
 	team               *team
 	pages              map[string]*page              // staged pages by key
-	completed          map[wire.JobID]record.TaskSet // tasks that it notes as completed
+	completed          map[wire.JobID]record.TaskSet // tasks that it records as completed
 	completedJobs      map[wire.JobID]bool           // jobs that it completes
 	zonesWithAdditions map[string]bool               // zones in which it adds allocations
 	writtenPages       map[string]bool               // keys of the staged pages that it writes
-	conditions         map[string]wire.Revision      // versions that it demands, by key
+	conditions         map[string]wire.Revision      // required versions, by key
 	placesTasks        bool                          // it adds allocations
-	shards             map[wire.ShardID]bool         // shards that it places in
+	shards             map[wire.ShardID]bool         // shards in which it places tasks
 	urgent             bool                          // it places critical tasks
-	criticalOnly       bool                          // it is not this team's turn for other tasks
+	criticalOnly       bool                          // it may place critical tasks only, as it is not the team's turn
 	raisesToken        bool
-	usedMachines       map[wire.MachineID]bool // machines that it places on
-	notifyMachines     map[wire.MachineID]bool // machines with new commands afterwards
-	operations         int                     // writes so far
-	bytes              int                     // size of the values so far
+	usedMachines       map[wire.MachineID]bool // machines on which it places tasks
+	notifyMachines     map[wire.MachineID]bool // machines to send new commands to once it has succeeded
+	operations         int                     // number of writes so far
+	bytes              int                     // size of the written values so far
 }
 
 const (
-	// newAllocationFraction is the part of a page that new allocations may fill: the rest is for
-	// evictions and fences, which divide allocations.
+	// newAllocationFraction is the fraction of a page that new allocations may fill. The rest is
+	// reserved for evictions and fences, which split allocations.
 	newAllocationFraction = 0.8
-	// reservedConditions is for the token, the list of terminations, and a job and a shard more.
+	// reservedConditions is the number of conditions reserved for the fencing token, the list of
+	// terminations, one more job and one more shard.
 	reservedConditions = 4
-	// conditionsPerWrite bounds the conditions of a transaction, in proportion to its writes.
+	// conditionsPerWrite bounds the number of conditions of a transaction, relative to the number
+	// of writes that the state store allows in a transaction.
 	conditionsPerWrite = 4
 )
 
+// newPlacementTransaction returns an empty transaction for a team.
 func (c *Controller) newPlacementTransaction(team *team) *placementTransaction {
 	return &placementTransaction{
 		cache:              &c.cache,
@@ -77,9 +83,11 @@
 	}
 }
 
+// empty reports whether the transaction stages neither pages nor completed tasks.
 func (txn *placementTransaction) empty() bool { return len(txn.pages) == 0 && len(txn.completed) == 0 }
 
-// stagedOrCurrent is a page as the transaction would leave it.
+// stagedOrCurrent returns a page as the transaction would leave it: the staged copy if there is
+// one, or else the current page.
 func (txn *placementTransaction) stagedOrCurrent(current *page) *page {
 	if staged := txn.pages[current.key]; staged != nil {
 		return staged
@@ -87,8 +95,8 @@
 	return current
 }
 
-// stagePage is the copy of a page that the transaction may change. Completed tasks of completed
-// jobs are left out of it.
+// stagePage returns the transaction's copy of a page, which may be changed, and makes the copy if
+// there is none. The copy leaves out the completed tasks of completed jobs.
 func (txn *placementTransaction) stagePage(current *page) *page {
 	staged := txn.pages[current.key]
 	if staged == nil {
@@ -100,17 +108,18 @@
 	return staged
 }
 
-// copyPage is a copy of a page, without completed tasks of completed jobs.
+// copyPage returns a copy of a page without the completed tasks of completed jobs.
 func (txn *placementTransaction) copyPage(current *page) *page {
 	return &page{key: current.key, team: current.team, zone: current.zone, number: current.number,
 		version: current.version, size: current.size,
 		allocations: slices.Clone(current.allocations), completed: txn.cache.uncompletedOnly(current.completed)}
 }
 
-// hasCapacityFor reports whether the transaction may still take on more writes. What it demands
-// does not grow with its team: the head pages of its zones (those of zones in which it adds
-// allocations are among its pages), the pages that it writes, its jobs, the shards that it places
-// in, the token and the list of terminations.
+// hasCapacityFor reports whether the transaction can take the given number of further writes. The
+// number of its conditions does not grow with the size of the team. The conditions name the head
+// pages of all zones (those of zones with additions are among the staged pages), the pages that it
+// writes, its jobs, the shards in which it places tasks, the fencing token and the list of
+// terminations.
 func (txn *placementTransaction) hasCapacityFor(operations int) bool {
 	limits := &txn.cluster.State
 	heads := len(txn.cluster.Zones) - len(txn.zonesWithAdditions)
@@ -125,20 +134,21 @@
 	txn.conditions[record.JobKey(job.id)] = job.version
 }
 
-// stageAllocation adds an allocation to a page of its zone that has space, or to a new one. It
-// reports whether the transaction could take it.
+// stageAllocation adds an allocation to a page of its zone that has space, or to a new page. It
+// reports whether the allocation could be added.
 func (txn *placementTransaction) stageAllocation(zone string, added Allocation) bool {
 	return txn.stageAllocationExcept(zone, added, "")
 }
 
-// stageAllocationExcept is stageAllocation on any page but one.
+// stageAllocationExcept does the same as stageAllocation, but does not use the page with the key
+// exceptKey.
 func (txn *placementTransaction) stageAllocationExcept(zone string, added Allocation, exceptKey string) bool {
 	team := txn.team
 	limit := int(newAllocationFraction * float64(pageLimit(txn.cluster)))
 	number := 0
 	if added.Shape == wire.ShapeService {
-		// Replicas run for long. On pages of their own they are not rewritten again and again
-		// with tasks that come and go within seconds.
+		// Service replicas run for a long time. They are kept off the head page, so that they are
+		// not rewritten over and over with tasks that start and end within seconds.
 		number = 1
 	}
 	for ; ; number++ {
@@ -155,13 +165,14 @@
 			return txn.stageOnPage(current, added, size)
 		}
 		if number >= team.pageCount[zone] && len(target.allocations) == 0 {
-			return false // it would fit on no page
+			return false // too large even for an empty page
 		}
 	}
 }
 
-// stageOnPage adds an allocation of a size to a page, and stages the head page of the zone, which
-// is written with every addition. It reports whether the transaction could take that.
+// stageOnPage adds an allocation, whose encoded size is given in bytes, to a page. It also stages
+// the head page of the zone, which is written with every addition. It reports whether the
+// transaction had capacity for both.
 func (txn *placementTransaction) stageOnPage(current *page, added Allocation, size int) bool {
 	head := txn.team.headPage(current.zone)
 	if (txn.pages[current.key] == nil || txn.pages[head.key] == nil) && !txn.hasCapacityFor(2) {
@@ -176,7 +187,7 @@
 	return true
 }
 
-// unstageAttempt takes the new allocations of an attempt out of the transaction again.
+// unstageAttempt removes the new allocations of an attempt from the staged pages.
 func (txn *placementTransaction) unstageAttempt(attempt wire.Attempt) {
 	for _, staged := range txn.pages {
 		staged.allocations = slices.DeleteFunc(staged.allocations, func(a Allocation) bool { return a.Attempt == attempt })
--- a/internal/controller/placement_transaction_test.go
+++ b/internal/controller/placement_transaction_test.go
@@ -10,9 +10,9 @@
 	"lilacrill/wire"
 )
 
-// TestUnwrittenStagedPageKeepsItsVersion guards against taking a page for written that a transaction
-// only staged and demanded: its next write would demand a version that never existed, and fail
-// until another controller wrote the page.
+// TestUnwrittenStagedPageKeepsItsVersion guards against treating a page as written that a
+// transaction only staged and named in its conditions. The next write of the page would then
+// require a version that never existed, and conflict until another controller wrote the page.
 func TestUnwrittenStagedPageKeepsItsVersion(t *testing.T) {
 	settings := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(settings)
