--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -10,29 +10,29 @@
 	"lilacrill/wire"
 )
 
-// stateCache is the cache of the state store's keys. A watch keeps it current; transactions of
-// this controller that succeeded are applied at once, ahead of the watch.
+// stateCache is the cache of the state store's keys. A watch keeps it current. Successful
+// transactions of this controller are applied at once, ahead of the watch.
 type stateCache struct {
 	// revision is the revision up to which the cache holds every change.
 	revision wire.Revision
-	// ownRevision is the last revision written by this controller that the cache holds. It may
+	// ownRevision is the latest revision written by this controller that the cache holds. It may
 	// be ahead of revision.
 	ownRevision wire.Revision
-	// keyVersions holds the versions of the cached keys, and of deleted ones until the watch has
-	// passed their deletion. Changes may come twice and out of order, from the watch and from
-	// transactions of our own: one that is not newer than its key's version is ignored.
+	// keyVersions holds the versions of the cached keys, and of deleted keys until the watch has
+	// passed their deletion. A change may arrive twice and out of order, from the watch and from a
+	// transaction of this controller. A change that is not newer than its key's version is ignored.
 	keyVersions map[string]wire.Revision
 	deletedKeys map[string]wire.Revision
 
 	// token is the fencing token. It is taken from the watch only, never from a transaction of
-	// our own: a command that carries it is then based on everything that was written before the
-	// token was raised, which is what makes a raised token a fence.
+	// this controller. So a command with this token is based on all changes that were written
+	// before the token was raised. Fencing relies on that.
 	token        wire.FencingToken
 	tokenVersion wire.Revision
 
 	jobs map[wire.JobID]*job
-	// completedJobs holds all completions that are in the records of their jobs, archivedJobs
-	// the latest read of those that were archived under keys of their own.
+	// completedJobs holds all completions that are in the records of their jobs. archivedJobs
+	// holds up to maxArchivedJobs of the completions that were archived under separate keys.
 	completedJobs map[wire.JobID]record.Completion
 	archivedJobs  map[wire.JobID]record.Completion
 
@@ -45,23 +45,23 @@
 	terminations           record.Terminations
 	terminating            map[wire.MachineID]pendingTermination
 	provisionerIncarnation wire.FencingToken
-	// unreadable holds the keys of records that cannot be decoded, with the cause.
+	// unreadable holds the errors of records that cannot be decoded, by key.
 	unreadable        map[string]error
 	lastStoreResponse Time
 
 	loadState loadState
-	// catchUpRevision is the revision of the last page of a load: the cache is complete once its
-	// revision has reached it.
+	// catchUpRevision is the revision of the last page of a load. The cache is complete once its
+	// revision has reached catchUpRevision.
 	catchUpRevision wire.Revision
 	watching        bool // a watch request is open
 	nextWatch       Time
-	stale           bool // the state store was unreachable, and changes since then may be missing
-	catchingUp      bool // a read barrier for that is in flight
+	stale           bool // the state store was unreachable, so recent changes may be missing
+	catchingUp      bool // a read barrier after which the cache is no longer stale is in flight
 
 	barrier readBarrier
 }
 
-// loadState is whether the keys of the state store have been loaded.
+// loadState is the progress of loading the keys of the state store.
 type loadState int
 
 const (
@@ -75,19 +75,22 @@
 	return s.loadState == cacheLoaded && !s.behind()
 }
 
-// behind reports whether changes from during the load are missing.
+// behind reports whether changes that were made during the load may be missing.
 func (s *stateCache) behind() bool { return s.revision < s.catchUpRevision }
 
-// pendingTermination says why a machine is to be terminated, and since which revision.
+// pendingTermination holds the reason for which a machine is to be terminated, and the revision
+// since which this has been recorded.
 type pendingTermination struct {
 	reason string
 	since  wire.Revision
 }
 
-// maxArchivedJobs bounds the cached archived completions; others are read again when needed.
+// maxArchivedJobs bounds the number of cached archived completions. Others are read again when they
+// are needed.
 const maxArchivedJobs = 200_000
 
-// init empties what is read from the state store; the state of the requests to it stays.
+// init clears the content that was read from the state store. The state of requests to the store is
+// kept.
 func (s *stateCache) init() {
 	s.keyVersions = map[string]wire.Revision{}
 	s.deletedKeys = map[string]wire.Revision{}
@@ -102,7 +105,8 @@
 	s.terminations, s.terminating = record.Terminations{}, map[wire.MachineID]pendingTermination{}
 }
 
-// advance notes a change of a key, and reports whether it is newer than what the cache holds.
+// advance records the version of a change of a key. It reports whether the change is newer than the
+// cached version.
 func (s *stateCache) advance(key string, version wire.Revision, deleted bool) bool {
 	if version <= s.keyVersions[key] {
 		return false
@@ -116,8 +120,8 @@
 	return true
 }
 
-// forgetDeletedKeys drops the versions of deleted keys that the watch has passed: no older change
-// of them can come any more.
+// forgetDeletedKeys drops the versions of deleted keys once the watch has passed their deletion. No
+// older change of these keys can arrive after that.
 func (s *stateCache) forgetDeletedKeys() {
 	for key, version := range s.deletedKeys {
 		if version <= s.revision {
@@ -127,7 +131,7 @@
 	}
 }
 
-// team is a team's placement records; one without any is added.
+// team returns a team's placement records, and adds the team if it has none yet.
 func (s *stateCache) team(name string) *team {
 	t := s.teams[name]
 	if t == nil {
@@ -137,7 +141,7 @@
 	return t
 }
 
-// applyToken takes a newer fencing token into the cache.
+// applyToken applies the fencing token to the cache if it is newer than the cached token.
 func (s *stateCache) applyToken(value json.RawMessage, version wire.Revision) error {
 	if value == nil {
 		return nil
@@ -152,14 +156,15 @@
 	return nil
 }
 
-// apply takes a change of a key into the cache, unless the cache holds a newer one. A nil value
-// deletes the key. A record that cannot be decoded is noted and leaves the others as they are.
+// apply applies a change of a key to the cache, unless the cache holds this version or a newer one.
+// A nil value deletes the key. A record that cannot be decoded is added to stateCache.unreadable
+// and does not affect other records.
 func (c *Controller) apply(key string, value json.RawMessage, version wire.Revision) {
 	if c.rollout.shutdownCause != nil {
-		return // what follows may be in a format that this build does not read
+		return // further records may be in a format that this build does not read
 	}
 	if id, ok := strings.CutPrefix(key, record.CompletionPrefix); ok {
-		// Written once and never changed, so there is no version to keep.
+		// An archived completion never changes, so its version is not kept.
 		if err := c.applyArchivedJob(wire.JobID(id), value); err != nil {
 			c.log.Error("archived completion unreadable", "key", key, "err", err)
 		}
@@ -170,7 +175,8 @@
 	}
 }
 
-// applyRecord passes a newer record, or nil for a deleted one, to the handler of its kind.
+// applyRecord passes a newer record, or nil if it was deleted, to the function that handles its
+// kind of key.
 func (c *Controller) applyRecord(key string, value json.RawMessage, version wire.Revision) error {
 	switch key {
 	case record.RolloutKey:
@@ -209,7 +215,8 @@
 	return nil
 }
 
-// applyProvisioner notes which incarnation leads the scaling; without a record none does.
+// applyProvisioner applies the record of the provisioner's incarnation. Without a record there is
+// no provisioner.
 func (c *Controller) applyProvisioner(value json.RawMessage) error {
 	c.cache.provisionerIncarnation = 0
 	var err error
@@ -220,7 +227,8 @@
 	return err
 }
 
-// applyLiveness notes that a controller is alive or, with its record deleted, that it is not.
+// applyLiveness applies the liveness record of a controller. The controller is alive as long as its
+// record exists.
 func (c *Controller) applyLiveness(label string, value json.RawMessage, version wire.Revision) error {
 	defer c.assignOwnership()
 	if value == nil {
@@ -241,8 +249,7 @@
 	return nil
 }
 
-// applyTerminations takes the list of machines that are to be terminated and of those whose
-// termination is confirmed.
+// applyTerminations applies the list of machines whose termination is pending or confirmed.
 func (c *Controller) applyTerminations(value json.RawMessage, version wire.Revision) error {
 	var terminations record.Terminations
 	if value != nil {
@@ -257,8 +264,8 @@
 	return nil
 }
 
-// pendingTerminations are the machines of a list, by reason, each with the revision since which
-// it has been on the list.
+// pendingTerminations returns the pending terminations of a list of machines by reason, each with
+// the revision since which the machine has been on the list.
 func (s *stateCache) pendingTerminations(byReason map[string][]wire.MachineID, version wire.Revision) map[wire.MachineID]pendingTermination {
 	pending := map[wire.MachineID]pendingTermination{}
 	for reason, machines := range byReason {
@@ -273,7 +280,7 @@
 	return pending
 }
 
-// noteLiftedTerminations notes the machines that are not to be terminated any more.
+// noteLiftedTerminations records the time for machines whose termination is no longer pending.
 func (c *Controller) noteLiftedTerminations(pending map[wire.MachineID]pendingTermination) {
 	for id := range c.cache.terminating {
 		if machine := c.fleet.machines[id]; machine != nil && pending[id].reason == "" {
@@ -282,8 +289,7 @@
 	}
 }
 
-// noteConfirmedTerminations notes machines that are gone: their tasks may be placed again at
-// once.
+// noteConfirmedTerminations marks machines as terminated. Their tasks may be placed again at once.
 func (c *Controller) noteConfirmedTerminations(machines []wire.MachineID) {
 	for _, id := range machines {
 		if machine := c.machine(id); !machine.scaling.terminated {
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -10,9 +10,10 @@
 	"lilacrill/wire"
 )
 
-// TestCacheIgnoresOlderChanges: changes come from the watch and from transactions of our own, twice
-// and out of order. A key keeps its newest value, and a deleted one stays deleted until the watch
-// has passed its deletion, after which no older change can come.
+// TestCacheIgnoresOlderChanges checks that a key keeps its newest value, and that a deleted key
+// stays deleted until the watch has passed its deletion, after which no older change can arrive.
+// Changes come both from the watch and from the controller's own transactions, so they may arrive
+// twice and out of order.
 func TestCacheIgnoresOlderChanges(t *testing.T) {
 	var cache stateCache
 	cache.init()
@@ -29,9 +30,10 @@
 	require.Empty(t, cache.deletedKeys)
 }
 
-// TestTokenIsTakenFromTheWatchOnly guards what makes a raised token a fence: a command that carries
-// the token is based on everything that was written before it was raised. A transaction of our own
-// shows the token, but not what others wrote before.
+// TestTokenIsTakenFromTheWatchOnly checks that the cache does not take the fencing token from the
+// controller's own transaction. A command with a raised token must be based on everything that was
+// written before the token was raised. The result of an own transaction shows the token, but not
+// the earlier writes of other controllers.
 func TestTokenIsTakenFromTheWatchOnly(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100, WriteRPS: 50}}})
 	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.TokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -8,14 +8,14 @@
 	"lilacrill/wire"
 )
 
-// commit runs a transaction and, if it succeeds, applies its changes to the cache. The fencing
-// token is the exception: the cache takes it from the watch alone (see stateCache.token).
+// commit runs a transaction and, if it succeeds, applies its changes to the cache. Changes of the
+// fencing token are not applied, as the cache takes it from the watch only (see stateCache.token).
 func (c *Controller) commit(priority CallPriority, txn wire.Transaction, then func(CommitResult)) {
 	c.commitExceptPrefix(priority, txn, "", then)
 }
 
-// commitExceptPrefix is commit for a caller that applies the keys under a prefix itself; with
-// an empty prefix there are none.
+// commitExceptPrefix does the same as commit, but leaves it to the caller to apply changes of keys
+// under a prefix. With an empty prefix all keys are applied.
 func (c *Controller) commitExceptPrefix(priority CallPriority, txn wire.Transaction, prefix string, then func(CommitResult)) {
 	sent := c.now
 	c.spendWrites(len(txn.Then))
@@ -37,8 +37,8 @@
 	}), priority, txn})
 }
 
-// applyCommitted applies the changes of a transaction that succeeded, except those of the
-// fencing token and, unless the prefix is empty, of the keys under it.
+// applyCommitted applies the changes of a successful transaction to the cache, except changes of
+// the fencing token and, unless the prefix is empty, of keys under the prefix.
 func (c *Controller) applyCommitted(txn wire.Transaction, exceptPrefix string, revision wire.Revision) {
 	c.metrics.count(countWritten, len(txn.Then))
 	c.cache.ownRevision = max(c.cache.ownRevision, revision)
@@ -53,10 +53,10 @@
 	}
 }
 
-// putChange is a change that stores a record in the format in force.
+// putChange returns a change that stores a record in the format in force.
 func (c *Controller) putChange(key string, value any) wire.Change {
 	return wire.Change{Put: key, Value: record.Encode(c.rollout.tracker.Format(), key, value)}
 }
 
-// encodePlain encodes a record in the first format.
+// encodePlain encodes a record in the first format, which is uncompressed.
 func encodePlain(value any) json.RawMessage { return record.Encode(record.FormatPlain, "", value) }
--- a/internal/controller/read_barrier_test.go
+++ b/internal/controller/read_barrier_test.go
@@ -11,8 +11,9 @@
 	"lilacrill/wire"
 )
 
-// TestReadBarrierServesOnlyEarlierReaders: a reader that comes while a request is in flight
-// is not served by that request, whose response may not show what was written in between.
+// TestReadBarrierServesOnlyEarlierReaders checks that a reader that is queued while a request is in
+// flight is not served by that request. The response may not include writes that were made between
+// the request and the queueing of the reader.
 func TestReadBarrierServesOnlyEarlierReaders(t *testing.T) {
 	var served []string
 	reader := func(name string) func(bool) { return func(bool) { served = append(served, name) } }
@@ -23,7 +24,7 @@
 	}
 	var barrier readBarrier
 	require.True(t, barrier.idle())
-	require.False(t, barrier.ready(0), "nobody waits")
+	require.False(t, barrier.ready(0), "no reader is queued")
 
 	barrier.queued = append(barrier.queued, reader("first"))
 	require.True(t, barrier.ready(0))
@@ -42,8 +43,9 @@
 	require.True(t, barrier.idle())
 }
 
-// TestReadBarrierFailsAfterReload: if the cache was loaded anew at an earlier revision while the
-// request was in flight, its response leaves a gap: it is not applied, and readers are told.
+// TestReadBarrierFailsAfterReload checks that a response is not applied, and that the readers are
+// notified of the failure, if the cache was reloaded at an earlier revision while the request was
+// in flight. The response would leave a gap in the changes.
 func TestReadBarrierFailsAfterReload(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100}}})
 	c.cache.loadState, c.cache.revision = cacheLoaded, 100
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// watchTimeout is how long the state store holds a watch request open for want of changes.
+	// watchTimeout is the longest time for which the state store holds a watch request open if
+	// there are no changes.
 	watchTimeout  = 10 * time.Second
 	watchInterval = 40 * time.Millisecond
-	// watchIdleDelay is how long no change must have been read before a watch is opened: while
-	// users ask, read barriers bring every change, and a watch would only have them decoded
-	// twice.
+	// watchIdleDelay is the minimum time between a read of all changes and the opening of a watch.
+	// While user requests cause read barriers, these read every change, and a watch would only
+	// decode the same changes a second time.
 	watchIdleDelay  = 100 * time.Millisecond
 	storeRetryDelay = 250 * time.Millisecond
-	// watchRateFraction and barrierRateFraction are the parts of this controller's requests that
-	// watches and read barriers may take.
+	// watchRateFraction and barrierRateFraction are the fractions of this controller's request
+	// rate that watches and read barriers may use.
 	watchRateFraction   = 0.25
 	barrierRateFraction = 0.3
 )
 
-// keepCacheLoaded loads the cache, or watches the state store for changes of it.
+// keepCacheLoaded loads the cache if it is not loaded, or else opens a watch for changes when one
+// is due.
 func (c *Controller) keepCacheLoaded() {
 	switch {
 	case c.cache.loadState != cacheLoaded:
@@ -35,7 +37,7 @@
 	}
 }
 
-// catchUpAfterOutage reads what changed while the state store was unreachable.
+// catchUpAfterOutage reads the changes that were made while the state store was unreachable.
 func (c *Controller) catchUpAfterOutage() {
 	if !c.cache.stale || c.cache.catchingUp || !c.storeReachable() {
 		return
@@ -47,16 +49,16 @@
 	})
 }
 
-// reloadCache reads all keys: at the start, and when the state store has compacted the changes
-// that the cache is missing.
+// reloadCache reads all keys. This is needed at the start, and when the state store has compacted
+// the changes that the cache is missing.
 func (c *Controller) reloadCache() {
 	c.emit(LoadKeys{call(c, c.applyLoadResult), record.LoadPrefixes})
 }
 
-// applyLoadResult replaces the cache by the keys that were read. They were read page by page
-// while others wrote: what was read last may be newer than the first page's revision. So the
-// watch starts at the first page's revision, and the cache is complete once it has reached the
-// last one's.
+// applyLoadResult replaces the content of the cache by the keys that were read. They are read page
+// by page during concurrent writes, so later pages may be newer than the revision of the first
+// page. Therefore the watch starts at the revision of the first page, and the cache is complete
+// once the watch has reached the revision of the last page.
 func (c *Controller) applyLoadResult(result LoadResult) {
 	if result.Outcome != Succeeded {
 		c.cache.loadState = cacheNotLoaded
@@ -75,8 +77,8 @@
 	c.openWatch()
 }
 
-// resetCache drops everything that was read from the state store, and the indexes of it. Only
-// archived completions stay: they never change, and a load does not read them.
+// resetCache drops all content that was read from the state store, and its indexes. Only archived
+// completions are kept, since they never change and a load does not read them.
 func (c *Controller) resetCache() {
 	archived := c.cache.archivedJobs
 	c.cache.init()
@@ -90,8 +92,8 @@
 	}
 }
 
-// openWatch keeps one watch request open. It does not block while the cache is known to be
-// behind.
+// openWatch opens a watch request unless one is open. The request does not block while the cache is
+// known to be behind.
 func (c *Controller) openWatch() {
 	if c.cache.watching || c.cache.loadState != cacheLoaded {
 		return
@@ -105,29 +107,29 @@
 		Prefix: record.RootKey, After: c.cache.revision, Block: block})
 }
 
-// handleWatchResult applies the result of the open watch and decides when the next one opens.
+// handleWatchResult applies the result of the watch and sets when the next watch is opened.
 func (c *Controller) handleWatchResult(result WatchResult) {
 	c.cache.watching = false
 	if !c.applyWatchResult(result) {
 		c.cache.nextWatch = c.now.Add(storeRetryDelay)
 		return
 	}
-	// A short pause lets changes gather: those of a busy store are needed within a second, not
-	// at once.
+	// A short pause lets changes accumulate, so that a busy store causes fewer requests. Changes
+	// are needed within a second, not at once.
 	c.cache.nextWatch = c.now.Add(c.callInterval(watchInterval, watchRateFraction))
 	if c.cache.behind() {
 		c.openWatch()
 	}
 }
 
-// callInterval is the time between calls that may take a part of this controller's requests to
-// the state store.
+// callInterval returns the time between calls that may use a fraction of this controller's request
+// rate to the state store. It is at least the given duration.
 func (c *Controller) callInterval(least time.Duration, part float64) time.Duration {
 	return max(least, config.Seconds(1/(part*c.rateFraction()*c.settings.Cluster.State.RPS)))
 }
 
-// applyWatchResult applies the changes of a watch to the cache and reports whether the state
-// store gave any answer.
+// applyWatchResult applies the changes of a watch to the cache. It reports whether the watch
+// succeeded.
 func (c *Controller) applyWatchResult(result WatchResult) bool {
 	c.metrics.countFailure(result.Outcome, countStoreRefused, countStoreUnanswered)
 	switch result.Outcome {
@@ -151,15 +153,15 @@
 	}
 	c.cache.revision = max(c.cache.revision, result.Response.Revision)
 	if c.cache.loadState == cacheLoaded {
-		// The answer holds every change from before the call, however late it came.
+		// The response holds every change that was made before the call, however late it arrived.
 		c.cancellations.noteCacheCurrent(c.calls.currentStartedAt)
 	}
 	c.cache.forgetDeletedKeys()
 	return true
 }
 
-// keepCacheCurrent issues a read barrier if there was none for a while: an open watch shows
-// that something changed, never that nothing did.
+// keepCacheCurrent issues a read barrier if the cache has not been known to be current for longer
+// than barrierInterval. An open watch that reports no changes does not show that there are none.
 func (c *Controller) keepCacheCurrent() {
 	if c.cache.complete() && c.storeReachable() && c.cache.barrier.idle() && c.now.Sub(c.cancellations.cacheCurrentAt) > barrierInterval {
 		c.refreshCache()
--- a/internal/controller/write_budget.go
+++ b/internal/controller/write_budget.go
@@ -1,41 +1,42 @@
 package controller
 
-// writeBudget is a token bucket over the writes to the state store. It refills continuously at
-// the controller's write rate and holds the writes of one second at most. Unlike the limiter in
-// the state store's client, which makes calls wait, it is consulted before a decision is made:
-// a transaction that waits for tokens is based on records that change meanwhile, and is lost.
+// writeBudget is a token bucket for writes to the state store. It refills continuously at the
+// controller's write rate and holds at most the writes of one second. The rate limiter in the state
+// store's client makes calls wait. This budget is checked before a decision is made, because a
+// transaction that waits for tokens is based on records that change in the meantime, and conflicts.
 type writeBudget struct {
 	available  float64 // writes that may be made now; negative after a large transaction
 	refilledAt Time
 }
 
-// spend refills the budget at a rate, in writes a second, up to now and takes writes off it. A
-// negative number gives back writes that were not executed.
+// spend refills the budget for the time up to now, at a rate in writes per second, and subtracts
+// writes from it. A negative number returns writes that were not executed.
 func (b *writeBudget) spend(now Time, rate float64, writes int) {
 	refilled := b.available + rate*now.Sub(b.refilledAt).Seconds()
 	b.available = min(max(rate, 1), refilled) - float64(writes)
 	b.refilledAt = now
 }
 
-// affordsTransaction reports whether a typical transaction fits the budget; at low rates, the
-// greater part of a second's writes does.
+// affordsTransaction reports whether the budget holds the writes of a typical transaction. At low
+// rates, affordableFraction of a second's writes suffices.
 func (b *writeBudget) affordsTransaction(rate float64) bool {
 	return b.available >= min(rate*affordableFraction, typicalTransactionWrites)
 }
 
 const (
-	// backgroundWriteFraction is the part of this controller's writes that the budget gives out:
-	// the rest is for leases and submissions.
+	// backgroundWriteFraction is the fraction of this controller's write rate that the budget
+	// gives out. The rest is reserved for leases and submissions.
 	backgroundWriteFraction = 0.85
-	// typicalTransactionWrites is about how many records a placement transaction writes.
+	// typicalTransactionWrites is the approximate number of records that a placement transaction
+	// writes.
 	typicalTransactionWrites = 6
-	// affordableFraction is the part of a second's writes that suffices for a transaction where
-	// the rate is too low for typicalTransactionWrites.
+	// affordableFraction is the fraction of a second's writes that suffices for a transaction if
+	// it is less than typicalTransactionWrites.
 	affordableFraction = 0.6
 )
 
-// rateFraction is this controller's part of the state store's limits, which all controllers
-// share: all of them until the part is known.
+// rateFraction returns this controller's fraction of the state store's rate limits, which all
+// controllers share. It is 1 until the fraction is known.
 func (c *Controller) rateFraction() float64 {
 	if c.ownership.rateFraction == 0 {
 		return 1
@@ -43,24 +44,24 @@
 	return c.ownership.rateFraction
 }
 
-// writeRate is how many writes a second this controller may make.
+// writeRate returns the number of writes per second that the write budget provides.
 func (c *Controller) writeRate() float64 {
 	return backgroundWriteFraction * c.rateFraction() * c.settings.Cluster.State.WriteRPS
 }
 
-// spendWrites takes writes off the budget; a negative number gives them back.
+// spendWrites subtracts writes from the budget. A negative number returns them.
 func (c *Controller) spendWrites(writes int) {
 	c.writeBudget.spend(c.now, c.writeRate(), writes)
 }
 
-// canAffordWrite reports whether writes that can wait may be made now. While the budget is
-// short they gather, and go in fewer and larger transactions.
+// canAffordWrite reports whether writes that can wait may be made now. While the budget is low they
+// accumulate, and are then made in fewer, larger transactions.
 func (c *Controller) canAffordWrite() bool {
 	c.spendWrites(0)
 	return c.writeBudget.affordsTransaction(c.writeRate())
 }
 
-// writesOverdrawn reports whether earlier transactions took more than the budget holds by now.
+// writesOverdrawn reports whether the budget is still overdrawn by earlier transactions.
 func (c *Controller) writesOverdrawn() bool {
 	c.spendWrites(0)
 	return c.writeBudget.available < 0
--- a/internal/controller/write_budget_test.go
+++ b/internal/controller/write_budget_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWriteBudget: the budget holds the writes of a second at most, large transactions overdraw it,
-// and writes that were not executed come back.
+// TestWriteBudget checks that the budget holds at most the writes of one second, that large
+// transactions overdraw it, and that writes that were not executed are returned to it.
 func TestWriteBudget(t *testing.T) {
 	const rate = 20
 	var budget writeBudget
@@ -23,8 +23,8 @@
 	budget.spend(Time(time.Minute+time.Second/2), rate, -6)
 	require.True(t, budget.affordsTransaction(rate))
 
-	// Where less than a typical transaction's writes are allowed in a second, the greater part of
-	// them suffices.
+	// If the writes allowed in a second are fewer than those of a typical transaction, the greater
+	// part of them suffices.
 	const lowRate = 2
 	budget = writeBudget{available: 1.3, refilledAt: Time(time.Minute)}
 	require.True(t, budget.affordsTransaction(lowRate))
