--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -13,37 +13,37 @@
 	"lilacrill/wire"
 )
 
-// A completion is first written into the job's own record, in the place of its specification:
-// one write, where a completion under a key of its own and the deletion of the record take two.
-// Where hundreds of small jobs complete every minute this decides how many can be served. When
-// there are many, the oldest are archived while there are writes to spare: moved to keys of their
-// own, which need not be loaded when a controller starts.
+// A completion is first written into the job's own record, where it replaces the job's
+// specification. This takes one write, whereas a completion under a separate key and the deletion
+// of the record take two. If hundreds of small jobs complete every minute, the writes limit how
+// many jobs can be served. When there are many completions, the oldest are archived while the write
+// budget allows it. They are moved to separate keys, which are not loaded when a controller starts.
 //
-// At any moment one of the two keys exists, since a completion is moved by one transaction: a
-// delayed copy of a submission, which demands that neither exists, fails whenever it arrives.
+// A completion is moved by one transaction, so one of the two keys exists at any moment. A delayed
+// copy of a submission requires that neither key exists, and so fails whenever it arrives.
 
 const (
-	// maxCompletedInPlace is how many completions may be in their jobs' records before the oldest
-	// are archived. From twice as many on, archiving goes ahead of submissions.
+	// maxCompletedInPlace is the number of completions in their jobs' records above which the
+	// oldest are archived. Above twice that number, archiving takes precedence over submissions.
 	maxCompletedInPlace = 2000
 	archiveInterval     = time.Second
 )
 
 var errNotTerminal = errors.New("completion without a final status")
 
-// archiveState is the state of the moves of completions.
+// archiveState is the state of archiving completions.
 type archiveState struct {
 	inFlight bool
 	next     Time
 }
 
-// completedRecord is a job's record that holds its completion.
+// completedRecord identifies a job's record that holds its completion, with the record's version.
 type completedRecord struct {
 	id      wire.JobID
 	version wire.Revision
 }
 
-// completion is how a job was completed, if that is known here.
+// completion returns the completion of a job, and whether it is in the cache.
 func (s *stateCache) completion(id wire.JobID) (record.Completion, bool) {
 	if completion, ok := s.completedJobs[id]; ok {
 		return completion, true
@@ -52,7 +52,7 @@
 	return completion, ok
 }
 
-// applyArchivedJob takes an archived completion into the cache.
+// applyArchivedJob applies the record of an archived completion to the cache.
 func (c *Controller) applyArchivedJob(id wire.JobID, value json.RawMessage) error {
 	var completion record.Completion
 	if err := fastjson.Unmarshal(value, &completion); err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// addArchived caches an archived completion; if there are too many, any other one is dropped.
+// addArchived caches an archived completion. If the cache is full, it drops an arbitrary other one.
 func (s *stateCache) addArchived(id wire.JobID, completion record.Completion) {
 	if len(s.archivedJobs) >= maxArchivedJobs {
 		for other := range s.archivedJobs {
@@ -76,7 +76,7 @@
 	s.archivedJobs[id] = completion
 }
 
-// archiveDue reports whether completions are to be archived now.
+// archiveDue reports whether completions should be archived now.
 func (c *Controller) archiveDue() bool {
 	completed := len(c.cache.completedJobs)
 	if completed <= maxCompletedInPlace || c.archive.inFlight || !c.isDue(c.archive.next) || !c.canAffordWrite() {
@@ -85,8 +85,8 @@
 	return !c.submissionsCrowded() || completed > 2*maxCompletedInPlace
 }
 
-// archiveCompletedJobs archives some of the oldest completions. Each controller archives its part
-// of them.
+// archiveCompletedJobs archives some of the oldest completions. Each controller archives only the
+// jobs that isArchiverOf assigns to it.
 func (c *Controller) archiveCompletedJobs() {
 	if !c.archiveDue() {
 		return
@@ -100,7 +100,8 @@
 	c.commit(PriorityBackground, txn, func(CommitResult) { c.archive.inFlight = false })
 }
 
-// archiveTransaction moves as many of the oldest completions as a small transaction holds.
+// archiveTransaction returns a transaction that moves as many of the oldest completions as fit into
+// a small transaction. It is empty if this controller has none to move.
 func (c *Controller) archiveTransaction() wire.Transaction {
 	const operationsPerJob = 2
 	limit := min(c.settings.Cluster.State.TxnOps, typicalTransactionWrites)
@@ -120,7 +121,7 @@
 	return txn
 }
 
-// completedRecords lists the records that hold completions, the oldest first.
+// completedRecords returns the records that hold completions, the oldest first.
 func (s *stateCache) completedRecords() []completedRecord {
 	records := make([]completedRecord, 0, len(s.completedJobs))
 	for id := range s.completedJobs {
@@ -132,7 +133,7 @@
 	return records
 }
 
-// isArchiverOf reports whether this controller, rather than a sibling, archives a job.
+// isArchiverOf reports whether this controller, and no peer, archives the completion of a job.
 func (c *Controller) isArchiverOf(id wire.JobID) bool {
 	eligible := c.ownership.eligible
 	return len(eligible) == 0 || rendezvous.Highest(eligible, string(id)) == c.settings.Label
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -12,9 +12,10 @@
 	"lilacrill/wire"
 )
 
-// TestOldestCompletionsAreArchived: of very many completions the oldest are moved to keys of their
-// own, each by one transaction that demands both keys as they were, so that a delayed copy of a
-// submission never finds both missing. What was moved stays known.
+// TestOldestCompletionsAreArchived checks that the oldest completions are moved to separate keys
+// when there are more than maxCompletedInPlace. Each is moved by one transaction with conditions on
+// both keys, so that a delayed copy of a submission never finds both keys missing. Archived
+// completions stay in the cache.
 func TestOldestCompletionsAreArchived(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
--- a/internal/controller/image_pulls.go
+++ b/internal/controller/image_pulls.go
@@ -7,10 +7,11 @@
 	"lilacrill/wire"
 )
 
-// imagePullMargin is how many times its estimated time an image pull may take.
+// imagePullMargin is the factor by which an image pull may exceed its estimated time.
 const imagePullMargin = 4.0 / 3
 
-// imagePullTime is how long a machine may take to pull a job's image; 0 if it has the image.
+// imagePullTime returns the time that a machine may take to pull a job's image. It is 0 if the
+// machine has the image or its pull rate is not known.
 func (c *Controller) imagePullTime(machine *machine, job *job) time.Duration {
 	machineType := c.machineTypeNamed(machine.machineType)
 	if machineType == nil || machineType.PullGBPerS <= 0 || machine.images.cached[job.spec.Image] {
@@ -19,8 +20,8 @@
 	return config.Seconds(imagePullMargin * job.spec.ImageGB / machineType.PullGBPerS)
 }
 
-// gangImagePullTime is how long the slowest machine of a gang's attempt may take to pull the
-// image.
+// gangImagePullTime returns the time that the slowest machine of a gang's attempt may take to pull
+// the image.
 func (c *Controller) gangImagePullTime(job *job, attempt wire.Attempt) time.Duration {
 	longest := time.Duration(0)
 	for _, allocation := range c.cache.allocationsByJob[job.id] {
@@ -31,10 +32,10 @@
 	return longest
 }
 
-// defersGangLaunch reports whether the launch of a gang's task is deferred: other machines of
-// its attempt have to pull the image for so long that the task would give up waiting for
-// them. The whole gang would then exit, its image pulls would be aborted, and it would start
-// anew, over and over. Its allocation is kept meanwhile.
+// defersGangLaunch reports whether the launch of a gang's task is deferred, because other machines
+// of its attempt need so long to pull the image that the task would stop waiting for them. The
+// whole gang would then exit, its image pulls would be aborted, and it would be restarted
+// repeatedly. The allocation is kept while the launch is deferred.
 func (c *Controller) defersGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
 	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
 		return false
@@ -50,12 +51,12 @@
 	return c.now.Sub(job.launchStartedAt) < slowest-c.imagePullTime(machine, job)-maxWait
 }
 
-// slowImagePullS is how long an image may take to pull, in seconds, before it is worth
-// evicting other tasks to avoid the pull.
+// slowImagePullS is the time of an image pull, in seconds, above which it is worth evicting other
+// tasks to avoid the pull.
 const slowImagePullS = 0.5
 
-// imagePullIsSlow reports whether pulling a job's image delays its start noticeably, even on
-// the machine type that pulls fastest.
+// imagePullIsSlow reports whether pulling a job's image delays the start of its tasks noticeably,
+// even on the suitable machine type with the highest pull rate.
 func (c *Controller) imagePullIsSlow(job *job) bool {
 	best := 0.0
 	for i := range c.provisioner.catalogue {
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -13,8 +13,8 @@
 	"lilacrill/wire"
 )
 
-// noteImageUse notes that a machine has an image. Of more than maxCachedImages the one that
-// was seen in use the longest ago is forgotten.
+// noteImageUse records that an image was seen in use on a machine, which therefore has it. If there
+// are more than maxCachedImages, the least recently used image is forgotten.
 func (c *Controller) noteImageUse(machine *machine, image string) {
 	if _, known := machine.images.lastUsed[image]; !known && len(machine.images.lastUsed) >= maxCachedImages {
 		machine.images.forgetOldest(image)
@@ -22,7 +22,7 @@
 	machine.images.lastUsed[image], machine.images.cached[image] = c.now, true
 }
 
-// forgetOldest forgets the image that was seen in use the longest ago, except the given one.
+// forgetOldest forgets the least recently used image other than the given one.
 func (i *imageCache) forgetOldest(except string) {
 	oldest := except
 	for _, name := range sortedKeys(i.lastUsed) {
@@ -34,8 +34,8 @@
 	delete(i.cached, oldest)
 }
 
-// applyImageBucket applies a record of machines' images, so that a controller that has just
-// started knows them too.
+// applyImageBucket applies a record of the images of machines. From these records a controller that
+// has just started knows which images the machines have.
 func (c *Controller) applyImageBucket(name string, value json.RawMessage) error {
 	bucket, err := strconv.Atoi(name)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// restoreRecordedImages adds the images that the records name to what is known of a machine,
-// as ones that were not seen in use.
+// restoreRecordedImages adds the recorded images of a machine to its known images, with no time of
+// last use.
 func (c *Controller) restoreRecordedImages(machine *machine) {
 	for _, image := range c.fleet.recordedImages[machine.id] {
 		if _, known := machine.images.lastUsed[image]; !known && len(machine.images.lastUsed) < maxCachedImages {
@@ -70,8 +70,9 @@
 	}
 }
 
-// recordImages records which images machines have: a bucket of machines to a record, one
-// record at a time. This is up to the provisioner, which knows all machines.
+// recordImages records which images the machines have. There is one record for each bucket of
+// machines, and one record is written at a time. The provisioner does this, as it knows all
+// machines.
 func (c *Controller) recordImages() {
 	if c.fleet.recordingImages || !c.isDue(c.fleet.nextImageRecord) || !c.canAffordWrite() {
 		return
@@ -89,9 +90,10 @@
 	}, func(CommitResult) { c.fleet.recordingImages = false })
 }
 
-// imagesInBucket is what is recorded of a bucket's machines: of each the images seen in use
-// last, as many as let all of them fit into one value. With a fixed number of images, a part
-// of the machines of a fleet beyond some 3,000 was left out altogether.
+// imagesInBucket returns the images to record for the machines of a bucket. For each machine these
+// are the most recently used images, as many as allow all machines of the bucket to fit into one
+// value. With a fixed number of images per machine, a fleet of more than about 3,000 machines would
+// not fit, and some machines would be left out of the records entirely.
 func (c *Controller) imagesInBucket(bucket int) map[wire.MachineID][]string {
 	latestFirst := map[wire.MachineID][]string{}
 	for _, machine := range c.orderedMachines() {
@@ -111,9 +113,9 @@
 	return images
 }
 
-// fitImages takes up to perMachine images of each machine, the latest first, as long as the
-// encoded value stays within limit bytes, and reports whether all machines fit. The images of
-// those that do not are learned from the tasks that they run.
+// fitImages returns up to perMachine images of each machine, most recently used first, for as many
+// machines as the encoded value can hold within limit bytes. It reports whether all machines fit.
+// The images of the other machines become known from the tasks that they run.
 func fitImages(latestFirst map[wire.MachineID][]string, perMachine, limit int) (fitting map[wire.MachineID][]string, complete bool) {
 	fitting = map[wire.MachineID][]string{}
 	size := len(`{}`)
@@ -131,7 +133,7 @@
 	return fitting, true
 }
 
-// imageBucketOf is the number of the record that names a machine's images.
+// imageBucketOf returns the number of the bucket, and so of the record, that a machine belongs to.
 func imageBucketOf(id wire.MachineID) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/internal/controller/images_test.go
+++ b/internal/controller/images_test.go
@@ -10,8 +10,8 @@
 	"lilacrill/wire"
 )
 
-// TestImageRecordsOfLargeFleetFit: however many machines there are, some images of each are
-// recorded, and no value is too large.
+// TestImageRecordsOfLargeFleetFit checks that images are recorded for all machines of a fleet, or
+// for at least 6000 of a larger one, and that no value exceeds the size limit.
 func TestImageRecordsOfLargeFleetFit(t *testing.T) {
 	for _, machines := range []int{100, 4200, 9000} {
 		settings := &config.Settings{Cluster: config.Cluster{Zones: []string{"east"}, State: config.State{ValueKB: 8, TxnOps: 12}}}
@@ -31,7 +31,7 @@
 			require.LessOrEqual(t, len(encodePlain(recorded)), c.pageLimit())
 			for id, images := range recorded {
 				require.NotEmpty(t, images, id)
-				require.Contains(t, images, "image-07", "the latest")
+				require.Contains(t, images, "image-07", "the most recently used")
 			}
 		}
 		require.GreaterOrEqual(t, total, min(machines, 6000))
--- a/internal/controller/results.go
+++ b/internal/controller/results.go
@@ -6,29 +6,29 @@
 	"lilacrill/wire"
 )
 
-// CallID identifies a call that an output asked for.
+// CallID identifies a call that was requested by an output.
 type CallID uint64
 
-// Result is how a call ended. Each output that asks for a call says which type its
-// result has; see [CallCompleted].
+// Result is the result of a call. The type of the result is documented with each output that
+// requests a call. Results are delivered by [CallCompleted].
 type Result interface{ isResult() }
 
-// Outcome is how a call to the state store or the cloud ended.
+// Outcome is the outcome of a call to the state store, the cloud or a worker.
 type Outcome int
 
 // The outcomes of calls.
 const (
-	// Succeeded: it was executed.
+	// Succeeded means that the call was executed.
 	Succeeded Outcome = iota
-	// Conflict: a condition of the transaction failed, and nothing was changed.
+	// Conflict means that a condition of the transaction failed and nothing was changed.
 	Conflict
-	// NotExecuted: it was certainly not executed.
+	// NotExecuted means that the call was certainly not executed.
 	NotExecuted
-	// Unknown: it may have been executed, or may yet be.
+	// Unknown means that the call may have been executed, or may still be executed.
 	Unknown
-	// NotFound: what it names does not exist.
+	// NotFound means that the object named by the call does not exist.
 	NotFound
-	// Compacted: the state store no longer has the changes after the revision asked for.
+	// Compacted means that the state store no longer has the changes after the requested revision.
 	Compacted
 )
 
@@ -38,7 +38,7 @@
 	LoadResult struct {
 		Outcome Outcome
 		Entries []wire.Entry
-		// First is the revision before the first read, Last that of the last.
+		// First is the revision of the first page that was read, Last that of the last page.
 		First, Last wire.Revision
 	}
 	// WatchResult is the result of Watch.
@@ -73,8 +73,8 @@
 		Outcome  Outcome
 		Machines []wire.CloudMachine
 	}
-	// ProvisionResult is the result of ProvisionMachines. NoCapacity goes with
-	// NotExecuted: the cloud has no such machine to spare at present.
+	// ProvisionResult is the result of ProvisionMachines. NoCapacity is set with NotExecuted only,
+	// if the cloud currently has no capacity for such machines.
 	ProvisionResult struct {
 		Outcome    Outcome
 		NoCapacity bool
@@ -82,9 +82,9 @@
 	}
 	// TerminateResult is the result of TerminateMachines.
 	TerminateResult struct{ Outcome Outcome }
-	// WorkerResponse is the result of SendCommands or RequestHeartbeat. Executed says
-	// that the worker carried the commands out; one that refused them because it obeys
-	// a higher fencing token or has another agent epoch may send a heartbeat as well.
+	// WorkerResponse is the result of SendCommands or RequestHeartbeat. Executed reports whether
+	// the worker executed the commands. A worker that rejected them, because it has received a
+	// higher fencing token or has another agent epoch, may send a heartbeat as well.
 	WorkerResponse struct {
 		Outcome   Outcome
 		Executed  bool
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -5,16 +5,20 @@
 	"lilacrill/wire"
 )
 
-// The termination of a machine takes three steps, so that no placement slips in unseen:
-// recordTerminations records it as pending, which every placement's conditions name;
-// terminateRecorded has the cloud terminate it once that record is known to be committed;
-// and once the cloud confirms it, the machine is recorded as confirmed for as long as there
-// are allocations on it.
+// The termination of a machine takes three steps, so that no task is placed on the machine
+// concurrently:
+//
+//   - recordTerminations records the termination as pending. Every transaction that places tasks
+//     has a condition on the version of this record.
+//   - Once that record is known to be committed, terminateRecordedMachines requests the
+//     termination from the cloud.
+//   - Once the cloud has confirmed the termination, the machine is recorded as confirmed for as
+//     long as there are allocations on it.
 
-// terminationsDraft is the next record of terminations, as far as it fits a value.
+// terminationsDraft is the next record of terminations, limited to the size of a value.
 type terminationsDraft struct {
 	terminations record.Terminations
-	freeBytes    int // bytes
+	freeBytes    int // left in the value
 }
 
 // confirm adds a machine whose termination is confirmed.
@@ -29,15 +33,16 @@
 	d.terminations.Pending[reason] = append(d.terminations.Pending[reason], id)
 }
 
-// reserveReason takes off the room of a reason that has no machines yet.
+// reserveReason subtracts the encoded size of a reason from the free bytes, unless the reason has
+// machines already.
 func (d *terminationsDraft) reserveReason(reason string) {
 	if d.terminations.Pending[reason] == nil {
 		d.freeBytes -= len(reason) + len(`"":[],`)
 	}
 }
 
-// recordTerminations records which machines are to be terminated and which are gone.
-// Placements name this record's version in their conditions, so none can slip in unseen.
+// recordTerminations records the machines whose termination is pending or confirmed. Transactions
+// that place tasks have a condition on this record's version, so they conflict with this write.
 func (c *Controller) recordTerminations() {
 	if c.provisioner.recordingTerminations || !c.isDue(c.provisioner.nextTerminationRecord) {
 		return
@@ -52,7 +57,8 @@
 	added := c.addMarkedMachines(draft)
 	c.provisioner.recordingTerminations = true
 	c.provisioner.nextTerminationRecord = c.now.Add(terminationRecordInterval)
-	// One write for all of them, which replicas wait for: ahead of submissions.
+	// This is one write for all machines, and service replicas wait for it. So it has priority over
+	// submissions.
 	c.commit(PriorityUrgent, wire.Transaction{
 		If:   []wire.Condition{{Key: record.TerminationsKey, Version: c.cache.keyVersions[record.TerminationsKey]}},
 		Then: []wire.Change{c.putChange(record.TerminationsKey, draft.terminations)},
@@ -69,8 +75,8 @@
 	})
 }
 
-// carryOverTerminations adds to the draft what still holds of the current record, and reports
-// whether anything changed.
+// carryOverTerminations adds the entries of the current record that still apply to the draft, and
+// reports whether any entry changed or was dropped.
 func (c *Controller) carryOverTerminations(draft *terminationsDraft) (changed bool) {
 	for _, id := range sortedKeys(c.cache.terminating) {
 		pending := c.cache.terminating[id]
@@ -96,21 +102,22 @@
 	return changed
 }
 
-// shouldCancelIdleTermination reports whether an idle machine is kept: tasks were placed on it before
-// its termination was recorded.
+// shouldCancelIdleTermination reports whether the termination of an idle machine is to be
+// cancelled, because tasks were placed on it before the termination was recorded. It can no longer
+// be cancelled once it was requested from the cloud.
 func (c *Controller) shouldCancelIdleTermination(machine *machine, pending pendingTermination) bool {
 	return pending.reason == reasonIdle && len(machine.allocations) > 0 && !c.provisioner.terminateRequested[machine.id]
 }
 
-// addMarkedMachines adds the machines that are marked for termination to the draft, as far as
-// there is room, and returns them.
+// addMarkedMachines adds the machines that are marked for termination to the draft, as far as they
+// fit, and returns those added.
 func (c *Controller) addMarkedMachines(draft *terminationsDraft) []wire.MachineID {
 	added := make([]wire.MachineID, 0, len(c.provisioner.toTerminate))
 	for _, id := range sortedKeys(c.provisioner.toTerminate) {
 		reason := c.provisioner.toTerminate[id]
 		draft.reserveReason(reason)
 		if draft.freeBytes > 0 {
-			c.machine(id) // it is known again if it was forgotten meanwhile
+			c.machine(id) // adds the machine again if it was removed in the meantime
 			draft.addPending(reason, id)
 			added = append(added, id)
 		}
@@ -118,9 +125,9 @@
 	return added
 }
 
-// terminateRecordedMachines has the cloud terminate the machines that are recorded as pending. The
-// cloud's success means that they and all tasks on them are gone; only then do their
-// allocations leave the records.
+// terminateRecordedMachines requests from the cloud the termination of the machines that are
+// recorded as pending. If the call succeeds, the machines and all tasks on them are gone. Only then
+// are their allocations removed from the records.
 func (c *Controller) terminateRecordedMachines() {
 	if c.provisioner.terminateCallInFlight {
 		return
@@ -144,8 +151,8 @@
 	})
 }
 
-// callTerminate has the cloud terminate machines; terminated is called for each once the
-// cloud has confirmed it.
+// callTerminate requests the termination of machines from the cloud. It calls terminated for each
+// machine once the cloud has confirmed the termination.
 func (c *Controller) callTerminate(ids []wire.MachineID, terminated func(*machine)) {
 	c.provisioner.terminateCallInFlight = true
 	c.emit(TerminateMachines{call(c, func(result TerminateResult) {
--- a/internal/controller/unreadable.go
+++ b/internal/controller/unreadable.go
@@ -1,12 +1,13 @@
 package controller
 
-// maxDecodedSize is the most that a record may expand to, in bytes: what a value may take or,
-// where that limit was lowered since, what a transaction may.
+// maxDecodedSize returns the maximum size of a decompressed record, in bytes. It is the limit for a
+// value, but no less than that for a transaction, because the limit for values may have been
+// lowered after the record was written.
 func (c *Controller) maxDecodedSize() int { return max(c.pageLimit(), maxTxnBytes) }
 
-// noteDecodeResult notes whether a record could be understood. One that could not, damaged or of
-// a shape that is not known here, takes nothing else down: what is known of the job or the
-// team from before stays as it is, and nothing new is done on that ground.
+// noteDecodeResult records whether a record could be decoded. A record that cannot be decoded,
+// because it is damaged or has an unknown structure, does not affect other records. What is known
+// of its job or team from an earlier version is kept, and no new decision is based on it.
 func (c *Controller) noteDecodeResult(key string, err error) {
 	if err == nil {
 		delete(c.cache.unreadable, key)
