--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -105,9 +105,9 @@
 	s.terminations, s.terminating = record.Terminations{}, map[wire.MachineID]pendingTermination{}
 }
 
-// advance records the version of a change of a key. It reports whether the change is newer than the
-// cached version.
-func (s *stateCache) advance(key string, version wire.Revision, deleted bool) bool {
+// advanceVersion records the version of a change of a key. It reports whether the change is newer
+// than the cached version.
+func (s *stateCache) advanceVersion(key string, version wire.Revision, deleted bool) bool {
 	if version <= s.keyVersions[key] {
 		return false
 	}
@@ -170,7 +170,7 @@
 		}
 		return
 	}
-	if c.cache.advance(key, version, value == nil) {
+	if c.cache.advanceVersion(key, version, value == nil) {
 		c.noteDecodeResult(key, c.applyRecord(key, value, version))
 	}
 }
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -17,13 +17,13 @@
 func TestCacheIgnoresOlderChanges(t *testing.T) {
 	var cache stateCache
 	cache.init()
-	require.True(t, cache.advance("key", 5, false))
-	require.False(t, cache.advance("key", 5, false), "the same change again")
-	require.False(t, cache.advance("key", 4, true), "an older deletion")
-	require.True(t, cache.advance("key", 7, true))
+	require.True(t, cache.advanceVersion("key", 5, false))
+	require.False(t, cache.advanceVersion("key", 5, false), "the same change again")
+	require.False(t, cache.advanceVersion("key", 4, true), "an older deletion")
+	require.True(t, cache.advanceVersion("key", 7, true))
 	cache.revision = 6
 	cache.forgetDeletedKeys()
-	require.False(t, cache.advance("key", 6, false), "written before the deletion")
+	require.False(t, cache.advanceVersion("key", 6, false), "written before the deletion")
 	cache.revision = 7
 	cache.forgetDeletedKeys()
 	require.Empty(t, cache.keyVersions)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -93,7 +93,7 @@
 	if allocation.Launcher != c.membership.incarnation || machine.latestHeartbeat.Token < allocation.Fence {
 		return false
 	}
-	if !c.canLaunch() || c.defersGangLaunch(machine, allocation, job) {
+	if !c.canLaunch() || c.shouldDeferGangLaunch(machine, allocation, job) {
 		machine.reconciliation.launchDeferred = true
 		return false
 	}
--- a/internal/controller/image_pulls.go
+++ b/internal/controller/image_pulls.go
@@ -32,11 +32,11 @@
 	return longest
 }
 
-// defersGangLaunch reports whether the launch of a gang's task is deferred, because other machines
-// of its attempt need so long to pull the image that the task would stop waiting for them. The
-// whole gang would then exit, its image pulls would be aborted, and it would be restarted
+// shouldDeferGangLaunch reports whether the launch of a gang's task is deferred, because other
+// machines of its attempt need so long to pull the image that the task would stop waiting for them.
+// The whole gang would then exit, its image pulls would be aborted, and it would be restarted
 // repeatedly. The allocation is kept while the launch is deferred.
-func (c *Controller) defersGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
+func (c *Controller) shouldDeferGangLaunch(machine *machine, allocation *Allocation, job *job) bool {
 	if allocation.Shape != wire.ShapeGang || job.spec.Tasks < 2 {
 		return false
 	}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -17,13 +17,13 @@
 // are more than maxCachedImages, the least recently used image is forgotten.
 func (c *Controller) noteImageUse(machine *machine, image string) {
 	if _, known := machine.images.lastUsed[image]; !known && len(machine.images.lastUsed) >= maxCachedImages {
-		machine.images.forgetOldest(image)
+		machine.images.forgetLeastRecentlyUsed(image)
 	}
 	machine.images.lastUsed[image], machine.images.cached[image] = c.now, true
 }
 
-// forgetOldest forgets the least recently used image other than the given one.
-func (i *imageCache) forgetOldest(except string) {
+// forgetLeastRecentlyUsed forgets the least recently used image other than the given one.
+func (i *imageCache) forgetLeastRecentlyUsed(except string) {
 	oldest := except
 	for _, name := range sortedKeys(i.lastUsed) {
 		if oldest == except || i.lastUsed[name] < i.lastUsed[oldest] {
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -8,10 +8,10 @@
 // next request. The store may have answered the request in flight before the reader was queued, and
 // the response would not include writes between these two moments.
 type readBarrier struct {
-	inFlight bool
-	next     Time            // earliest time of the next request, which keeps user requests within the rate limit
-	waiting  []func(ok bool) // readers served by the request in flight
-	queued   []func(ok bool) // readers served by the request after it
+	inFlight    bool
+	nextRequest Time            // earliest time of the next request, which keeps user requests within the rate limit
+	waiting     []func(ok bool) // readers served by the request in flight
+	queued      []func(ok bool) // readers served by the request after it
 }
 
 // idle reports whether no request is in flight and no reader is queued.
@@ -19,13 +19,13 @@
 
 // ready reports whether a request may be sent now and there are readers for it to serve.
 func (b *readBarrier) ready(now Time) bool {
-	return !b.inFlight && len(b.queued) > 0 && now >= b.next
+	return !b.inFlight && len(b.queued) > 0 && now >= b.nextRequest
 }
 
 // begin records that a request is sent for the queued readers, and that no other may be sent before
-// next.
-func (b *readBarrier) begin(next Time) {
-	b.inFlight, b.next = true, next
+// nextRequest.
+func (b *readBarrier) begin(nextRequest Time) {
+	b.inFlight, b.nextRequest = true, nextRequest
 	b.waiting, b.queued = b.queued, nil
 }
 
