--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -37,17 +37,17 @@
 	return o.Type.OnDemandPrice
 }
 
-// Key identifies an offer.
-type Key struct {
+// OfferKey identifies an offer.
+type OfferKey struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // Key is the offer's key.
-func (o Offer) Key() Key { return Key{o.Type.Name, o.Zone, o.Spot} }
+func (o Offer) Key() OfferKey { return OfferKey{o.Type.Name, o.Zone, o.Spot} }
 
-// Host is an empty machine of the offer that takes up to taskSlots tasks.
-func (o Offer) Host(id wire.MachineID, taskSlots int) *placement.Host {
+// NewHost is an empty machine of the offer that takes up to taskSlots tasks.
+func (o Offer) NewHost(id wire.MachineID, taskSlots int) *placement.Host {
 	spot := "false"
 	if o.Spot {
 		spot = "true"
@@ -63,8 +63,8 @@
 	}
 }
 
-// Launch is a number of machines to provision.
-type Launch struct {
+// PlanEntry is a number of machines to provision.
+type PlanEntry struct {
 	Offer Offer
 	Count int
 }
@@ -74,8 +74,8 @@
 // machines in passing. The caller leaves out the offers that the cloud was short of lately.
 //
 // No offer is in the plan twice, and no launch is larger than the cloud allows for one call.
-func Plan(demands []Demand, expected placement.Fleet, offers []Offer, taskSlots int) []Launch {
-	var launches []Launch
+func Plan(demands []Demand, expected placement.Fleet, offers []Offer, taskSlots int) []PlanEntry {
+	var launches []PlanEntry
 	for _, demand := range demands {
 		unplaced := demand.Count
 		for _, assignment := range expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true}) {
@@ -88,22 +88,22 @@
 		if count == 0 {
 			continue
 		}
-		launches, count = addLaunch(launches, offer, count)
+		launches, count = addToPlan(launches, offer, count)
 		for range count {
-			expected = append(expected, offer.Host("", taskSlots))
+			expected = append(expected, offer.NewHost("", taskSlots))
 		}
 		expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true})
 	}
 	return launches
 }
 
-// addLaunch adds machines of an offer to the launches, up to what one call allows, and returns
+// addToPlan adds machines of an offer to the launches, up to what one call allows, and returns
 // how many it added.
-func addLaunch(launches []Launch, offer Offer, count int) ([]Launch, int) {
-	i := slices.IndexFunc(launches, func(launch Launch) bool { return launch.Offer.Key() == offer.Key() })
+func addToPlan(launches []PlanEntry, offer Offer, count int) ([]PlanEntry, int) {
+	i := slices.IndexFunc(launches, func(launch PlanEntry) bool { return launch.Offer.Key() == offer.Key() })
 	if i < 0 {
 		count = min(count, wire.MaxProvision)
-		return append(launches, Launch{offer, count}), count
+		return append(launches, PlanEntry{offer, count}), count
 	}
 	count = min(count, wire.MaxProvision-launches[i].Count)
 	launches[i].Count += count
@@ -122,7 +122,7 @@
 func cheapestOffer(demand Demand, count int, offers []Offer, taskSlots int) (Offer, int) {
 	var options []option
 	for _, offer := range offers {
-		if o, ok := optionFor(demand, count, offer, taskSlots); ok {
+		if o, ok := evaluateOffer(demand, count, offer, taskSlots); ok {
 			options = append(options, o)
 		}
 	}
@@ -138,19 +138,19 @@
 	return best.offer, best.count
 }
 
-// optionFor estimates what it costs to serve count tasks of a demand with an offer, and reports
+// evaluateOffer estimates what it costs to serve count tasks of a demand with an offer, and reports
 // whether the offer can serve them. Of a machine that the tasks do not fill, half of the unused
 // part counts: it will serve other tasks too, but not surely. An offer whose machines are
 // overdue costs more: they may come late, or never.
-func optionFor(demand Demand, count int, offer Offer, taskSlots int) (option, bool) {
-	host := offer.Host("", taskSlots)
+func evaluateOffer(demand Demand, count int, offer Offer, taskSlots int) (option, bool) {
+	host := offer.NewHost("", taskSlots)
 	if !(placement.Fleet{host}).Holds(demand.Request.Enforced, demand.Request.Team, host) {
 		return option{}, false
 	}
 	if demand.Zone != "" && offer.Zone != demand.Zone {
 		return option{}, false
 	}
-	perMachine := host.Free.Fits(demand.Request.Need, taskSlots)
+	perMachine := host.Free.FitCount(demand.Request.Need, taskSlots)
 	if perMachine == 0 {
 		return option{}, false
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -42,13 +42,13 @@
 			demands = append(demands, d)
 		}
 		var room placement.Resources
-		seen := map[Key]bool{}
+		seen := map[OfferKey]bool{}
 		for _, p := range Plan(demands, nil, offers(), 300) {
 			require.False(t, seen[p.Offer.Key()], "asked twice")
 			seen[p.Offer.Key()] = true
 			require.True(t, anySpot || !p.Offer.Spot)
 			require.LessOrEqual(t, p.Count, wire.MaxProvision)
-			h := p.Offer.Host("", 300)
+			h := p.Offer.NewHost("", 300)
 			room = room.Plus(h.Total, float64(p.Count))
 		}
 		require.True(t, room.Covers(need), "need %v, provisioned %v", need, room)
@@ -60,10 +60,10 @@
 func TestPlanPrefersCheapAndUsesExpected(t *testing.T) {
 	plan := Plan([]Demand{demand(1, 0, true, 4)}, nil, offers(), 300)
 	require.Len(t, plan, 1)
-	require.Equal(t, Key{"small", "a", true}, plan[0].Offer.Key())
+	require.Equal(t, OfferKey{"small", "a", true}, plan[0].Offer.Key())
 	plan = Plan([]Demand{demand(1, 0, false, 4)}, nil, offers(), 300)
 	require.False(t, plan[0].Offer.Spot)
-	expected := placement.Fleet{offers()[0].Host("m-1", 300)}
+	expected := placement.Fleet{offers()[0].NewHost("m-1", 300)}
 	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, expected, offers(), 300))
 	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, nil, nil, 300))
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -136,5 +136,5 @@
 // isArchiverOf reports whether this controller, and no peer, archives the completion of a job.
 func (c *Controller) isArchiverOf(id wire.JobID) bool {
 	eligible := c.ownership.eligible
-	return len(eligible) == 0 || rendezvous.Highest(eligible, string(id)) == c.settings.Label
+	return len(eligible) == 0 || rendezvous.HighestScoring(eligible, string(id)) == c.settings.Label
 }
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -125,7 +125,7 @@
 	if c.isProvisioner() && quiet > c.heartbeatTimeout(machine)+provisionerProbeDelay {
 		return true
 	}
-	return len(c.ownership.eligible) == 0 || rendezvous.Highest(c.ownership.eligible, string(machine.id)) == c.settings.Label
+	return len(c.ownership.eligible) == 0 || rendezvous.HighestScoring(c.ownership.eligible, string(machine.id)) == c.settings.Label
 }
 
 // confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -130,7 +130,7 @@
 func (c *Controller) countOffers(job *job, zone string) int {
 	n := 0
 	for _, offer := range c.offers() {
-		host := offer.Host("", 1)
+		host := offer.NewHost("", 1)
 		if (zone == "" || offer.Zone == zone) && host.Total.Covers(job.request.Need) &&
 			(placement.Fleet{host}).Holds(job.request.Enforced, job.spec.Team, host) {
 			n++
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -140,7 +140,7 @@
 		host.PreemptablePriorities |= 1 << allocation.Priority
 		host.HasUnguaranteedTasks = host.HasUnguaranteedTasks || allocation.Priority >= wire.PriorityNormal.Level() && !b.current.guaranteed
 	}
-	host.Groups = append(host.Groups, placement.Group{Team: team, Tags: b.current.tags, Count: count, Stopping: stopping})
+	host.TaskGroups = append(host.TaskGroups, placement.TaskGroup{Team: team, Tags: b.current.tags, Count: count, Stopping: stopping})
 }
 
 // acceptsTasks reports whether a machine may take new tasks now.
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -81,7 +81,7 @@
 		}
 	}
 	if schedule := &c.cache.team(job.spec.Team).schedule; j.stages && schedule.lostPlacements > 0 {
-		options.Probes, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
+		options.SampleSize, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
 }
@@ -164,7 +164,7 @@
 	}
 	cpus, gpus := settings.Limits()
 	limit := placement.Resources{Cores: cpus, Accelerators: gpus, MemGB: config.Unlimited}
-	count := limit.Plus(p.teamUsage[spec.Team], -1).Fits(pending.job.request.Need, pending.missing.Len())
+	count := limit.Plus(p.teamUsage[spec.Team], -1).FitCount(pending.job.request.Need, pending.missing.Len())
 	if spec.Shape == wire.ShapeGang && count < spec.Tasks {
 		return 0
 	}
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -50,7 +50,7 @@
 // shareRanking sets the ranking of a search to that of an earlier search with the same key,
 // or makes it.
 func (p *schedulingPass) shareRanking(key searchKey, job *job, cachedImageOnly bool, options *placement.Options) {
-	if !hasPlainConstraints(job) || options.Probes > 0 || options.AllOrNothing {
+	if !hasPlainConstraints(job) || options.SampleSize > 0 || options.AllOrNothing {
 		return
 	}
 	shared := rankingKey{key, job.request.Need, job.spec.Image, job.request.OneAtATime, cachedImageOnly}
@@ -91,7 +91,7 @@
 	p.shareRanking(key, job, false, &options)
 	others := p.fleet.Choose(job.request, unplaced, pending.zone, options)
 	unplaced -= p.noteAssignments(pending, others)
-	if unplaced > 0 && options.Probes == 0 && options.Relax {
+	if unplaced > 0 && options.SampleSize == 0 && options.Relax {
 		p.noteUnsatisfiable(key, job)
 	}
 	return append(assignments, others...), unplaced
@@ -117,7 +117,7 @@
 //
 // The rules have to be those of the placement itself. Where they were laxer, tasks would be
 // evicted pass after pass for room that is never taken.
-func (p *schedulingPass) awaitFreeingCapacity(pending *pendingJob, rules []placement.Node, count int, usable func(*placement.Host) bool) int {
+func (p *schedulingPass) awaitFreeingCapacity(pending *pendingJob, rules []placement.RuleTree, count int, usable func(*placement.Host) bool) int {
 	job := pending.job
 	if pending.zone != "" {
 		rules = append(slices.Clip(rules), placement.InZone(pending.zone))
@@ -139,7 +139,7 @@
 		if !room.Covers(job.request.Need) || !usable(host) || !evaluator.Holds(rules, job.spec.Team, host) {
 			continue
 		}
-		tasks := room.Fits(job.request.Need, count)
+		tasks := room.FitCount(job.request.Need, count)
 		if job.request.OneAtATime {
 			tasks = 1
 		}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -18,7 +18,7 @@
 	if owner, ok := o.teamOwners[team]; ok {
 		return owner
 	}
-	owner := rendezvous.Highest(o.eligible, team)
+	owner := rendezvous.HighestScoring(o.eligible, team)
 	o.teamOwners[team] = owner
 	return owner
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -13,7 +13,7 @@
 type preemption struct {
 	pass      *schedulingPass
 	evaluator *placement.Evaluator
-	rules     []placement.Node
+	rules     []placement.RuleTree
 	pending   *pendingJob
 	usable    func(*placement.Host) bool
 	// ofGuaranteed says that work within its team's guarantee is stopped as well.
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -108,13 +108,13 @@
 
 // overdueFractions is, for each offer, which part of the machines that were provisioned of it
 // and have not joined yet is overdue: other offers are preferred.
-func (c *Controller) overdueFractions() map[capacity.Key]float64 {
-	provisioning, overdue := map[capacity.Key]float64{}, map[capacity.Key]float64{}
+func (c *Controller) overdueFractions() map[capacity.OfferKey]float64 {
+	provisioning, overdue := map[capacity.OfferKey]float64{}, map[capacity.OfferKey]float64{}
 	for _, machine := range c.fleet.machines {
 		if _, terminating := c.cache.terminating[machine.id]; terminating || !machine.isProvisioning() || machine.scaling.status != wire.MachineBooting {
 			continue
 		}
-		key := capacity.Key{Type: machine.machineType, Zone: machine.zone, Spot: machine.spot}
+		key := capacity.OfferKey{Type: machine.machineType, Zone: machine.zone, Spot: machine.spot}
 		provisioning[key]++
 		if !c.expectedToJoin(machine) {
 			overdue[key]++
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -19,7 +19,7 @@
 
 // capacityShortages is the shortages by offer. They keep an offer from being asked for over
 // and over: cheap offers that are sold out must not hide expensive ones that are not.
-type capacityShortages map[capacity.Key]capacityShortage
+type capacityShortages map[capacity.OfferKey]capacityShortage
 
 const (
 	capacityBackoff    = 5 * time.Second // doubled with every shortage in a row
@@ -27,7 +27,7 @@
 )
 
 // note notes a shortage.
-func (s capacityShortages) note(key capacity.Key, now Time) {
+func (s capacityShortages) note(key capacity.OfferKey, now Time) {
 	shortage := s[key]
 	shortage.backoff = min(max(2*shortage.backoff, capacityBackoff), maxCapacityBackoff)
 	shortage.until = now.Add(shortage.backoff)
@@ -35,10 +35,10 @@
 }
 
 // clear ends a shortage: the cloud had machines.
-func (s capacityShortages) clear(key capacity.Key) { delete(s, key) }
+func (s capacityShortages) clear(key capacity.OfferKey) { delete(s, key) }
 
 // isShort reports whether an offer is not to be asked for now.
-func (s capacityShortages) isShort(key capacity.Key, now Time) bool { return now < s[key].until }
+func (s capacityShortages) isShort(key capacity.OfferKey, now Time) bool { return now < s[key].until }
 
 // scaleOut provisions machines for the unmet demand and the missing headroom, less what the
 // machines that are expected to join will satisfy.
@@ -50,7 +50,7 @@
 	for _, m := range c.orderedMachines() {
 		if c.expectedToJoin(m) {
 			offer := capacity.Offer{Type: *c.machineTypeNamed(m.machineType), Zone: m.zone, Spot: m.spot}
-			expected = append(expected, offer.Host(m.id, maxTasksPerMachine))
+			expected = append(expected, offer.NewHost(m.id, maxTasksPerMachine))
 		}
 	}
 	demands := c.scaleOutDemands()
@@ -178,7 +178,7 @@
 	c.provisioner.provisionCallsInFlight++
 	c.emit(ProvisionMachines{call(c, func(result ProvisionResult) {
 		c.provisioner.provisionCallsInFlight--
-		key := capacity.Key{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+		key := capacity.OfferKey{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 		switch {
 		case result.Outcome == Succeeded:
 			c.applyProvisioned(request, result.Machines)
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -13,7 +13,7 @@
 // stays short, and at once after the cloud had machines.
 func TestCapacityShortageBacksOff(t *testing.T) {
 	shortages := capacityShortages{}
-	key := capacity.Key{Type: "small", Zone: "east"}
+	key := capacity.OfferKey{Type: "small", Zone: "east"}
 	now := Time(time.Hour)
 	for _, backoff := range []time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, 40 * time.Second} {
 		require.False(t, shortages.isShort(key, now))
--- a/internal/controller/zone_capacity.go
+++ b/internal/controller/zone_capacity.go
@@ -30,8 +30,8 @@
 			continue
 		}
 		free := host.Free.Plus(host.Freeing, 1)
-		capacity := hostCapacity{host: host, now: free.Fits(need, count)}
-		capacity.preempted = addPreemptable(host, free).Fits(need, count)
+		capacity := hostCapacity{host: host, now: free.FitCount(need, count)}
+		capacity.preempted = addPreemptable(host, free).FitCount(need, count)
 		if capacity.preempted == 0 {
 			continue
 		}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -22,10 +22,10 @@
 	// Excluded holds machines that are not candidates, such as those of a lost write. Rules
 	// still read the tasks on them.
 	Excluded map[wire.MachineID]bool
-	// Probes, if above 0, limits the candidates to that many machines drawn at random with
+	// SampleSize, if above 0, limits the candidates to that many machines drawn at random with
 	// Rand, so that controllers whose writes conflicted choose different machines.
-	Probes int
-	Rand   *rand.Rand
+	SampleSize int
+	Rand       *rand.Rand
 	// Relax allows the preferred rules to be ignored when no candidate that meets them has
 	// room.
 	Relax bool
@@ -45,9 +45,9 @@
 	request   *Request
 	evaluator *Evaluator
 	ranking   *Ranking
-	enforced  []Node // the request's, and the zone
-	// undo holds the hosts as they were before the search placed tasks on them.
-	undo map[*Host]Host
+	enforced  []RuleTree // the request's, and the zone
+	// savedHosts holds the hosts as they were before the search placed tasks on them.
+	savedHosts map[*Host]Host
 }
 
 // Choose places up to count tasks of the request and reserves their room on the hosts.
@@ -60,15 +60,15 @@
 	if ranking == nil {
 		ranking = f.Rank(request, options)
 	}
-	if ranking.candidates() == 0 {
+	if ranking.candidateCount() == 0 {
 		return nil
 	}
 	s := &search{
-		request:   request,
-		evaluator: f.NewEvaluator(options.JobHosts),
-		ranking:   ranking,
-		enforced:  request.Enforced,
-		undo:      map[*Host]Host{},
+		request:    request,
+		evaluator:  f.NewEvaluator(options.JobHosts),
+		ranking:    ranking,
+		enforced:   request.Enforced,
+		savedHosts: map[*Host]Host{},
 	}
 	if request.SingleZone {
 		if zone == "" {
@@ -103,10 +103,10 @@
 
 // fill places up to count tasks on the candidates that meet the enforced and the preferred
 // rules, best first.
-func (s *search) fill(preferred []Node, count int) []Assignment {
+func (s *search) fill(preferred []RuleTree, count int) []Assignment {
 	var assignments []Assignment
 	ranking := s.ranking
-	for i := ranking.firstWithRoom; i < ranking.candidates(); i++ {
+	for i := ranking.firstWithRoom; i < ranking.candidateCount(); i++ {
 		host := ranking.at(i)
 		if i == ranking.firstWithRoom && !host.hasRoomFor(s.request.Need) {
 			ranking.firstWithRoom++
@@ -125,16 +125,16 @@
 
 // fillHost places up to count tasks on a host and returns how many. The rules are evaluated
 // again before each step, as they may read the tasks that were just placed.
-func (s *search) fillHost(host *Host, preferred []Node, count int) int {
+func (s *search) fillHost(host *Host, preferred []RuleTree, count int) int {
 	placed := 0
 	for placed < count && host.hasRoomFor(s.request.Need) &&
 		s.evaluator.Holds(s.enforced, s.request.Team, host) && s.evaluator.Holds(preferred, s.request.Team, host) {
 		step := 1
 		if !s.request.OneAtATime {
-			step = host.Free.Fits(s.request.Need, min(count-placed, host.TaskSlots))
+			step = host.Free.FitCount(s.request.Need, min(count-placed, host.TaskSlots))
 		}
-		if _, ok := s.undo[host]; !ok {
-			s.undo[host] = Host{Free: host.Free, TaskSlots: host.TaskSlots, Groups: slices.Clone(host.Groups)}
+		if _, ok := s.savedHosts[host]; !ok {
+			s.savedHosts[host] = Host{Free: host.Free, TaskSlots: host.TaskSlots, TaskGroups: slices.Clone(host.TaskGroups)}
 		}
 		s.evaluator.Reserve(s.request, host, step)
 		placed += step
@@ -144,8 +144,8 @@
 
 // rollBack takes the tasks that the search placed off the hosts again.
 func (s *search) rollBack() {
-	for host, before := range s.undo {
-		host.Free, host.TaskSlots, host.Groups = before.Free, before.TaskSlots, before.Groups
+	for host, before := range s.savedHosts {
+		host.Free, host.TaskSlots, host.TaskGroups = before.Free, before.TaskSlots, before.TaskGroups
 	}
 }
 
@@ -155,13 +155,13 @@
 func (s *search) bestZone(count int) string {
 	room := map[string]int{}
 	best := ""
-	for i := range s.ranking.candidates() {
+	for i := range s.ranking.candidateCount() {
 		host := s.ranking.at(i)
 		if !s.evaluator.Holds(s.request.Enforced, s.request.Team, host) {
 			continue
 		}
 		zone := host.Labels[LabelZone]
-		room[zone] = min(count, room[zone]+host.Free.Fits(s.request.Need, count))
+		room[zone] = min(count, room[zone]+host.Free.FitCount(s.request.Need, count))
 		if best == "" || room[zone] > room[best] {
 			best = zone
 		}
@@ -173,7 +173,7 @@
 // them, so it orders no more of them than are asked for.
 type Ranking struct {
 	ordered       []*Host
-	unordered     scoreHeap
+	unordered     candidateHeap
 	firstWithRoom int // the candidates before it have no room left
 }
 
@@ -188,11 +188,11 @@
 			hosts = append(hosts, host)
 		}
 	}
-	if options.Probes > 0 && len(hosts) > 0 {
+	if options.SampleSize > 0 && len(hosts) > 0 {
 		options.Rand.Shuffle(len(hosts), func(i, k int) { hosts[i], hosts[k] = hosts[k], hosts[i] })
-		hosts = hosts[:min(options.Probes, len(hosts))]
+		hosts = hosts[:min(options.SampleSize, len(hosts))]
 	}
-	ranking := &Ranking{unordered: make(scoreHeap, len(hosts))}
+	ranking := &Ranking{unordered: make(candidateHeap, len(hosts))}
 	for i, host := range hosts {
 		ranking.unordered[i] = candidate{scoreOf(request, host), host}
 	}
@@ -200,8 +200,8 @@
 	return ranking
 }
 
-// candidates is how many candidates there are.
-func (r *Ranking) candidates() int { return len(r.ordered) + len(r.unordered) }
+// candidateCount is how many candidateCount there are.
+func (r *Ranking) candidateCount() int { return len(r.ordered) + len(r.unordered) }
 
 // at is the candidate at position i.
 func (r *Ranking) at(i int) *Host {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -21,17 +21,17 @@
 	return rapid.MapOfN(rapid.SampledFrom(keys), rapid.SampledFrom(values), least, 2).Draw(t, name)
 }
 
-func genNode(t *rapid.T, depth int) Node {
+func genNode(t *rapid.T, depth int) RuleTree {
 	switch kind := rapid.IntRange(0, 5).Draw(t, "node"); {
 	case kind == 0 && depth > 0, kind == 1 && depth > 0:
-		var kids []Node
+		var kids []RuleTree
 		for range rapid.IntRange(1, 3).Draw(t, "kids") {
 			kids = append(kids, genNode(t, depth-1))
 		}
 		if kind == 0 {
-			return Node{AnyOf: kids}
+			return RuleTree{AnyOf: kids}
 		}
-		return Node{AllOf: kids}
+		return RuleTree{AllOf: kids}
 	}
 	r := &Rule{Subject: Subject(rapid.IntRange(0, 1).Draw(t, "resource")),
 		Operator: Operator(rapid.IntRange(0, 1).Draw(t, "operator")), Tags: genTags(t, "tags", 1)}
@@ -42,7 +42,7 @@
 			r.Limit = rapid.IntRange(0, 2).Draw(t, "allow")
 		}
 	}
-	return Node{Rule: r}
+	return RuleTree{Rule: r}
 }
 
 func genFleet(t *rapid.T) Fleet {
@@ -53,7 +53,7 @@
 			h.Labels["zone"] = rapid.SampledFrom(values).Draw(t, "zone")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "groups") {
-			h.Groups = append(h.Groups, Group{Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+			h.TaskGroups = append(h.TaskGroups, TaskGroup{Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
 				Tags: genTags(t, "task", 0), Count: rapid.IntRange(1, 2).Draw(t, "count"), Stopping: rapid.Bool().Draw(t, "gone")})
 		}
 		f = append(f, h)
@@ -62,7 +62,7 @@
 }
 
 // plain evaluates a node by the definitions of the rules, task by task and without caches.
-func plain(f Fleet, n Node, team string, h *Host) bool {
+func plain(f Fleet, n RuleTree, team string, h *Host) bool {
 	switch {
 	case n.AnyOf != nil:
 		anyHolds := false
@@ -100,7 +100,7 @@
 			its, ok := o.Labels[r.GroupedBy]
 			inGroup = ok && its == mine
 		}
-		for _, g := range o.Groups {
+		for _, g := range o.TaskGroups {
 			for range g.Count {
 				if inGroup && g.Team == team && matches(g.Tags) && (r.CountsStopping || !g.Stopping) {
 					count++
@@ -118,7 +118,7 @@
 		f := genFleet(t)
 		n := genNode(t, 3)
 		for _, h := range f {
-			require.Equal(t, plain(f, n, "red", h), f.Holds([]Node{n}, "red", h))
+			require.Equal(t, plain(f, n, "red", h), f.Holds([]RuleTree{n}, "red", h))
 		}
 	})
 }
@@ -146,7 +146,7 @@
 		}
 		o := Options{Relax: rapid.Bool().Draw(t, "relax"), AllOrNothing: j.Shape == wire.ShapeGang}
 		if rapid.Bool().Draw(t, "probing") {
-			o.Probes, o.Rand = 3, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
+			o.SampleSize, o.Rand = 3, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
 		}
 		before := map[wire.MachineID]Resources{}
 		byID := map[wire.MachineID]*Host{}
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -37,11 +37,11 @@
 	TagService = "service"
 )
 
-// Node is one node of a rule tree: exactly one of its fields is set.
-type Node struct {
+// RuleTree is one node of a rule tree: exactly one of its fields is set.
+type RuleTree struct {
 	Rule  *Rule
-	AnyOf []Node
-	AllOf []Node
+	AnyOf []RuleTree
+	AllOf []RuleTree
 }
 
 // Rule is one condition on a candidate machine.
@@ -59,8 +59,8 @@
 	CountsStopping bool
 }
 
-// Group is a number of equal tasks on one machine.
-type Group struct {
+// TaskGroup is a number of equal tasks on one machine.
+type TaskGroup struct {
 	Team     string
 	Tags     Tags
 	Count    int
@@ -85,8 +85,8 @@
 	return a.Cores+roundingTolerance >= b.Cores && a.Accelerators+roundingTolerance >= b.Accelerators && a.MemGB+roundingTolerance >= b.MemGB
 }
 
-// Fits is how many times b fits into a, at most limit.
-func (a Resources) Fits(b Resources, limit int) int {
+// FitCount is how many times b fits into a, at most limit.
+func (a Resources) FitCount(b Resources, limit int) int {
 	times := limit
 	for _, pair := range [3][2]float64{{a.Cores, b.Cores}, {a.Accelerators, b.Accelerators}, {a.MemGB, b.MemGB}} {
 		if available, needed := pair[0], pair[1]; needed > 0 {
@@ -103,8 +103,8 @@
 	Total  Resources
 	Free   Resources
 	// Freeing is what tasks that are being evicted will free.
-	Freeing Resources
-	Groups  []Group
+	Freeing    Resources
+	TaskGroups []TaskGroup
 	// PreemptablePriorities has a bit (by wire.Priority's level) for the priority of every
 	// task on it that could be evicted; HasUnguaranteedTasks says that some of them are beyond
 	// their team's quota guarantee.
@@ -127,18 +127,18 @@
 // hasRoomFor reports whether the host has room for one more task.
 func (h *Host) hasRoomFor(need Resources) bool { return h.TaskSlots > 0 && h.Free.Covers(need) }
 
-// Add places count tasks on the host.
-func (h *Host) Add(team string, tags Tags, need Resources, count int) {
+// AddTasks places count tasks on the host.
+func (h *Host) AddTasks(team string, tags Tags, need Resources, count int) {
 	h.Free = h.Free.Plus(need, -float64(count))
 	h.TaskSlots -= count
-	for i := range h.Groups {
-		group := &h.Groups[i]
+	for i := range h.TaskGroups {
+		group := &h.TaskGroups[i]
 		if group.Team == team && !group.Stopping && sameTags(group.Tags, tags) {
 			group.Count += count
 			return
 		}
 	}
-	h.Groups = append(h.Groups, Group{Team: team, Tags: tags, Count: count})
+	h.TaskGroups = append(h.TaskGroups, TaskGroup{Team: team, Tags: tags, Count: count})
 }
 
 func sameTags(a, b Tags) bool { return len(a) == len(b) && hasAll(a, b) }
@@ -158,7 +158,7 @@
 type Fleet []*Host
 
 // Holds reports whether all nodes hold for a team's task on a host.
-func (f Fleet) Holds(nodes []Node, team string, host *Host) bool {
+func (f Fleet) Holds(nodes []RuleTree, team string, host *Host) bool {
 	return f.NewEvaluator(nil).Holds(nodes, team, host)
 }
 
@@ -178,22 +178,22 @@
 }
 
 // Holds reports whether all nodes hold for a team's task on a host.
-func (e *Evaluator) Holds(nodes []Node, team string, host *Host) bool {
+func (e *Evaluator) Holds(nodes []RuleTree, team string, host *Host) bool {
 	for i := range nodes {
-		if !e.nodeHolds(&nodes[i], team, host) {
+		if !e.treeHolds(&nodes[i], team, host) {
 			return false
 		}
 	}
 	return true
 }
 
-func (e *Evaluator) nodeHolds(node *Node, team string, host *Host) bool {
+func (e *Evaluator) treeHolds(node *RuleTree, team string, host *Host) bool {
 	switch {
 	case node.Rule != nil:
 		return e.ruleHolds(node.Rule, team, host)
 	case node.AnyOf != nil:
 		for i := range node.AnyOf {
-			if e.nodeHolds(&node.AnyOf[i], team, host) {
+			if e.treeHolds(&node.AnyOf[i], team, host) {
 				return true
 			}
 		}
@@ -208,13 +208,13 @@
 	}
 	var matching int
 	if rule.GroupedBy == "" {
-		matching = host.matching(rule, team)
+		matching = host.countMatching(rule, team)
 	} else {
 		value, ok := host.Labels[rule.GroupedBy]
 		if !ok {
 			return false
 		}
-		matching = e.matchingByLabel(rule, team)[value]
+		matching = e.countMatchingByLabel(rule, team)[value]
 	}
 	if rule.Operator == Requires {
 		return matching > 0
@@ -222,8 +222,8 @@
 	return matching <= rule.Limit
 }
 
-// matchingByLabel counts the tasks that match a grouped rule by the value of its label.
-func (e *Evaluator) matchingByLabel(rule *Rule, team string) map[string]int {
+// countMatchingByLabel counts the tasks that match a grouped rule by the value of its label.
+func (e *Evaluator) countMatchingByLabel(rule *Rule, team string) map[string]int {
 	if counts := e.counts[rule]; counts != nil {
 		return counts
 	}
@@ -241,7 +241,7 @@
 			counted[host] = true
 		}
 		if value, ok := host.Labels[rule.GroupedBy]; ok {
-			counts[value] += host.matching(rule, team)
+			counts[value] += host.countMatching(rule, team)
 		}
 	}
 	if e.counts == nil {
@@ -253,7 +253,7 @@
 
 // Reserve places count tasks of a request on a host, and counts them for the rules.
 func (e *Evaluator) Reserve(request *Request, host *Host, count int) {
-	host.Add(request.Team, request.Tags, request.Need, count)
+	host.AddTasks(request.Team, request.Tags, request.Need, count)
 	for rule, counts := range e.counts {
 		if hasAll(request.Tags, rule.Tags) {
 			counts[host.Labels[rule.GroupedBy]] += count
@@ -261,11 +261,11 @@
 	}
 }
 
-// matching counts a team's tasks on the host that match a rule.
-func (h *Host) matching(rule *Rule, team string) int {
+// countMatching counts a team's tasks on the host that match a rule.
+func (h *Host) countMatching(rule *Rule, team string) int {
 	count := 0
-	for i := range h.Groups {
-		group := &h.Groups[i]
+	for i := range h.TaskGroups {
+		group := &h.TaskGroups[i]
 		if group.Team == team && (rule.CountsStopping || !group.Stopping) && hasAll(group.Tags, rule.Tags) {
 			count += group.Count
 		}
@@ -280,9 +280,9 @@
 	Need  Resources // of each of its tasks
 	Image string
 	// Enforced rules are never ignored.
-	Enforced []Node
+	Enforced []RuleTree
 	// Preferred rules are ignored only when no machine that meets them has room.
-	Preferred []Node
+	Preferred []RuleTree
 	// SingleZone keeps all tasks in the zone of the first.
 	SingleZone bool
 	// OneAtATime says that rules read the job's own tasks, so that they must be evaluated
@@ -307,22 +307,22 @@
 		Spot:       job.Spot,
 	}
 	if len(job.Types) > 0 {
-		var ofType []Node
+		var ofType []RuleTree
 		for _, machineType := range job.Types {
-			ofType = append(ofType, label(Requires, LabelType, machineType))
+			ofType = append(ofType, labelRule(Requires, LabelType, machineType))
 		}
-		request.Enforced = append(request.Enforced, Node{AnyOf: ofType})
+		request.Enforced = append(request.Enforced, RuleTree{AnyOf: ofType})
 	}
 	if job.Zone != "" {
 		request.Enforced = append(request.Enforced, InZone(job.Zone))
 	}
 	if !job.Spot {
-		request.Enforced = append(request.Enforced, label(Forbids, LabelSpot, "true"))
+		request.Enforced = append(request.Enforced, labelRule(Forbids, LabelSpot, "true"))
 	}
 	if job.SpreadZones {
 		// Tasks that are being evicted are still in their zone, so they count.
 		request.OneAtATime = true
-		request.Enforced = append(request.Enforced, Node{Rule: &Rule{
+		request.Enforced = append(request.Enforced, RuleTree{Rule: &Rule{
 			Subject:        TaskTags,
 			Operator:       Forbids,
 			Tags:           jobTag,
@@ -334,7 +334,7 @@
 	if job.Shape == wire.ShapeService {
 		request.OneAtATime = true
 		request.Tags[TagService] = string(job.ID)
-		request.Preferred = append(request.Preferred, Node{Rule: &Rule{
+		request.Preferred = append(request.Preferred, RuleTree{Rule: &Rule{
 			Subject:  TaskTags,
 			Operator: Forbids,
 			Tags:     Tags{TagService: string(job.ID)},
@@ -343,9 +343,9 @@
 	return request
 }
 
-func label(operator Operator, key, value string) Node {
-	return Node{Rule: &Rule{Subject: MachineLabels, Operator: operator, Tags: Tags{key: value}}}
+func labelRule(operator Operator, key, value string) RuleTree {
+	return RuleTree{Rule: &Rule{Subject: MachineLabels, Operator: operator, Tags: Tags{key: value}}}
 }
 
 // InZone is the rule that keeps a task in one zone.
-func InZone(zone string) Node { return label(Requires, LabelZone, zone) }
+func InZone(zone string) RuleTree { return labelRule(Requires, LabelZone, zone) }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,9 +6,9 @@
 type score struct {
 	penalty            float64 // of machines that did badly lately
 	wastesAccelerators float64 // 1 if the machine has accelerators and the request needs none
-	image              int     // 0 if the machine has the image; otherwise 1 and one for each that it pulls
+	imagePulls         int     // 0 if the machine has the image; otherwise 1 and one for each that it pulls
 	onDemand           int     // 1 if spot machines are allowed and this is none
-	size               float64 // cores of the machine, for services
+	totalCores         float64 // cores of the machine, for services
 	freeCores          float64
 }
 
@@ -23,13 +23,13 @@
 		s.wastesAccelerators = 1
 	}
 	if !host.Images[request.Image] {
-		s.image = 1 + host.PullingImages
+		s.imagePulls = 1 + host.PullingImages
 	}
 	if request.Spot && host.Labels[LabelSpot] != "true" {
 		s.onDemand = 1
 	}
 	if request.OneAtATime {
-		s.size = host.Total.Cores
+		s.totalCores = host.Total.Cores
 	}
 	s.freeCores = host.Free.Cores
 	return s
@@ -49,35 +49,35 @@
 		return cmp.Compare(a.penalty, b.penalty)
 	case a.wastesAccelerators != b.wastesAccelerators:
 		return cmp.Compare(a.wastesAccelerators, b.wastesAccelerators)
-	case a.image != b.image:
-		return cmp.Compare(a.image, b.image)
+	case a.imagePulls != b.imagePulls:
+		return cmp.Compare(a.imagePulls, b.imagePulls)
 	case a.onDemand != b.onDemand:
 		return cmp.Compare(a.onDemand, b.onDemand)
-	case a.size != b.size:
-		return cmp.Compare(a.size, b.size)
+	case a.totalCores != b.totalCores:
+		return cmp.Compare(a.totalCores, b.totalCores)
 	case a.freeCores != b.freeCores:
 		return cmp.Compare(a.freeCores, b.freeCores)
 	}
 	return cmp.Compare(a.host.ID, b.host.ID)
 }
 
-// scoreHeap is a heap (container/heap) of candidates with the best first.
-type scoreHeap []candidate
+// candidateHeap is a heap (container/heap) of candidates with the best first.
+type candidateHeap []candidate
 
 // Len implements heap.Interface.
-func (h scoreHeap) Len() int { return len(h) }
+func (h candidateHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h scoreHeap) Less(a, b int) bool { return h[a].compare(&h[b]) < 0 }
+func (h candidateHeap) Less(a, b int) bool { return h[a].compare(&h[b]) < 0 }
 
 // Swap implements heap.Interface.
-func (h scoreHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h candidateHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
-func (h *scoreHeap) Push(x any) { *h = append(*h, x.(candidate)) }
+func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
 // Pop implements heap.Interface. It returns the candidate's host.
-func (h *scoreHeap) Pop() any {
+func (h *candidateHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last.host
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Highest is the owner that scores highest for a name, "" if there are no owners.
-func Highest(owners []string, name string) string {
+// HighestScoring is the owner that scores highest for a name, "" if there are no owners.
+func HighestScoring(owners []string, name string) string {
 	best, bestScore := "", uint64(0)
 	for _, owner := range owners {
 		if s := score(owner, name); s >= bestScore {
@@ -41,7 +41,7 @@
 	assignedCount := map[string]int{}
 	for _, name := range slices.Sorted(slices.Values(names)) {
 		open := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return assignedCount[owner] >= maxPerOwner })
-		best := Highest(open, name)
+		best := HighestScoring(open, name)
 		assignedCount[best]++
 		assigned[name] = best
 	}
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -40,13 +40,13 @@
 		gone := rapid.SampledFrom(owners).Draw(t, "gone")
 		left := slices.DeleteFunc(slices.Clone(owners), func(o string) bool { return o == gone })
 		for _, name := range names {
-			if before := Highest(owners, name); before != gone {
-				require.Equal(t, before, Highest(left, name))
+			if before := HighestScoring(owners, name); before != gone {
+				require.Equal(t, before, HighestScoring(left, name))
 			}
 		}
 	})
 	require.Empty(t, Assign(nil, []string{"team-0"}))
-	require.Empty(t, Highest(nil, "team-0"))
+	require.Empty(t, HighestScoring(nil, "team-0"))
 }
 
 // TestHighestAsEver: controllers of different builds that run side by side agree on owners.
@@ -54,7 +54,7 @@
 	owners := []string{"rig-0", "rig-1", "rig-2", "rig-3", "rig-4"}
 	var got []string
 	for i := range 8 {
-		got = append(got, Highest(owners, fmt.Sprint("team-", i)))
+		got = append(got, HighestScoring(owners, fmt.Sprint("team-", i)))
 	}
 	require.Equal(t, []string{"rig-0", "rig-4", "rig-4", "rig-0", "rig-0", "rig-4", "rig-1", "rig-1"}, got)
 }
--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -22,9 +22,9 @@
 	return best, found
 }
 
-// eligible lists the controllers that may own shards: those that are alive, reach workers
+// eligibleControllers lists the controllers that may own shards: those that are alive, reach workers
 // and are not drained; if there are none, all that are alive. They are in order of label.
-func (t *Table) eligible() []string {
+func (t *Table) eligibleControllers() []string {
 	labels := slices.Sorted(maps.Keys(t.controllers))
 	healthy := slices.DeleteFunc(slices.Clone(labels), func(label string) bool {
 		_, drained := t.policy.Drained[label]
@@ -58,7 +58,7 @@
 // controller that owns fewest. Controllers that know the same come to the same result, so
 // that they rarely compete for a shard.
 func (t *Table) successors() map[wire.ShardID]string {
-	eligible := t.eligible()
+	eligible := t.eligibleControllers()
 	owned := t.ownedCounts()
 	successors := map[wire.ShardID]string{}
 	var unassigned []wire.ShardID
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -10,14 +10,14 @@
 // Each change of shards is one transaction, whose conditions are the versions of the records
 // that it changes: of two concurrent changes one fails, and so does one that arrives late.
 
-// put adds the write of a shard's record, on the condition that it has not changed.
-func (t *Table) put(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
+// addPut adds the write of a shard's record, on the condition that it has not changed.
+func (t *Table) addPut(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
 	txn.If = append(txn.If, t.Condition(id))
 	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatSharding, record.ShardKey(id), next)})
 }
 
-// requireOnce adds a condition unless the transaction has it.
-func requireOnce(txn *wire.Transaction, condition wire.Condition) {
+// addCondition adds a condition unless the transaction has it.
+func addCondition(txn *wire.Transaction, condition wire.Condition) {
 	if !slices.Contains(txn.If, condition) {
 		txn.If = append(txn.If, condition)
 	}
@@ -31,9 +31,9 @@
 	for _, id := range ids {
 		s := &t.shards[id]
 		if s.Owner.Label != "" {
-			requireOnce(&txn, t.livenessCondition(s.Owner.Label))
+			addCondition(&txn, t.livenessCondition(s.Owner.Label))
 		}
-		t.put(&txn, id, record.Shard{Owner: t.self, Epoch: s.Epoch + 1})
+		t.addPut(&txn, id, record.Shard{Owner: t.self, Epoch: s.Epoch + 1})
 	}
 	return txn
 }
@@ -49,11 +49,11 @@
 func (t *Table) propose(proposals []proposal, reason string, wall int64) wire.Transaction {
 	var txn wire.Transaction
 	for _, move := range proposals {
-		requireOnce(&txn, t.livenessCondition(move.to))
+		addCondition(&txn, t.livenessCondition(move.to))
 		next := t.shards[move.id].Shard
 		next.Move = &record.ShardMove{To: record.ShardOwner{Label: move.to, Incarnation: t.controllers[move.to].Incarnation},
 			Phase: record.MoveProposed, Since: wall, Reason: reason}
-		t.put(&txn, move.id, next)
+		t.addPut(&txn, move.id, next)
 	}
 	return txn
 }
@@ -67,7 +67,7 @@
 		move := *next.Move
 		move.Phase = record.MoveReleased
 		next.Move = &move
-		t.put(&txn, id, next)
+		t.addPut(&txn, id, next)
 	}
 	return txn
 }
@@ -76,7 +76,7 @@
 func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
-		t.put(&txn, id, record.Shard{Owner: t.self, Epoch: t.shards[id].Epoch + 1})
+		t.addPut(&txn, id, record.Shard{Owner: t.self, Epoch: t.shards[id].Epoch + 1})
 	}
 	return txn
 }
@@ -87,9 +87,9 @@
 	var txn wire.Transaction
 	for _, id := range ids {
 		next := t.shards[id].Shard
-		requireOnce(&txn, t.livenessCondition(next.Move.To.Label))
+		addCondition(&txn, t.livenessCondition(next.Move.To.Label))
 		next.Move = nil
-		t.put(&txn, id, next)
+		t.addPut(&txn, id, next)
 	}
 	return txn
 }
--- a/internal/shard/operator.go
+++ b/internal/shard/operator.go
@@ -78,7 +78,7 @@
 		return wire.Transaction{}, apierror.Field("reason", "longer than %d bytes", maxReasonLength)
 	case drained:
 		return wire.Transaction{}, apierror.Conflict("%s is drained already: %s", label, t.policy.Drained[label])
-	case !slices.ContainsFunc(t.eligible(), func(other string) bool { return other != label }):
+	case !slices.ContainsFunc(t.eligibleControllers(), func(other string) bool { return other != label }):
 		return wire.Transaction{}, apierror.Conflict("nobody else could own the shares of %s", label)
 	}
 	next := record.ShardPolicy{Enabled: true, Drained: maps.Clone(t.policy.Drained)}
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -15,9 +15,9 @@
 	// movesPerSecond bounds how fast one controller rebalances. A move takes three writes.
 	movesPerSecond = 1.5
 	moveBurst      = 1
-	// Tolerance is how many more shards than another a controller may own before it hands
+	// BalanceTolerance is how many more shards than another a controller may own before it hands
 	// some over: with less, shards would move back and forth.
-	Tolerance = 2
+	BalanceTolerance = 2
 	// minLifetime is how long a controller must have been alive before shards are moved to
 	// it.
 	minLifetime = 4 * time.Second
@@ -57,14 +57,14 @@
 type Planner struct {
 	table *Table
 	// maxRecords is how many shards one transaction may change.
-	maxRecords int
-	moves      *rate.Limiter
+	maxRecords  int
+	moveLimiter *rate.Limiter
 }
 
 // NewPlanner makes a planner whose transactions change at most maxRecords records, but at
 // least one.
 func NewPlanner(t *Table, maxRecords int) *Planner {
-	return &Planner{table: t, maxRecords: max(1, maxRecords), moves: rate.NewLimiter(movesPerSecond, moveBurst)}
+	return &Planner{table: t, maxRecords: max(1, maxRecords), moveLimiter: rate.NewLimiter(movesPerSecond, moveBurst)}
 }
 
 // Next is the most urgent action, if there is any. scheduling reports whether this process
@@ -125,7 +125,7 @@
 		}
 		reason = ReasonBalance
 	}
-	targets := slices.DeleteFunc(t.eligible(), func(label string) bool {
+	targets := slices.DeleteFunc(t.eligibleControllers(), func(label string) bool {
 		return label == t.self.Label || now-t.controllers[label].Since < Time(minLifetime)
 	})
 	if len(targets) == 0 {
@@ -133,7 +133,7 @@
 	}
 	proposals := p.chooseMoves(targets, evacuate)
 	// An evacuation is bounded by what one transaction takes, rebalancing by the limiter.
-	if len(proposals) == 0 || !evacuate && !p.moves.AllowN(time.Unix(0, int64(now)), 1) {
+	if len(proposals) == 0 || !evacuate && !p.moveLimiter.AllowN(time.Unix(0, int64(now)), 1) {
 		return Action{}, false
 	}
 	return t.proposeAction(proposals, reason, wall), true
@@ -156,7 +156,7 @@
 	var proposals []proposal
 	for len(proposals) < p.maxRecords {
 		target := slices.MinFunc(targets, func(a, b string) int { return cmp.Or(cmp.Compare(owned[a], owned[b]), cmp.Compare(a, b)) })
-		if !evacuate && (owned[t.self.Label]-owned[target] <= Tolerance || len(proposals) > 0) {
+		if !evacuate && (owned[t.self.Label]-owned[target] <= BalanceTolerance || len(proposals) > 0) {
 			break
 		}
 		id, found := t.nextToMove(target, proposals)
--- a/internal/shard/policy.go
+++ b/internal/shard/policy.go
@@ -19,7 +19,7 @@
 	if t.format < record.FormatSharding || len(t.controllers) == 0 {
 		return Action{}, false
 	}
-	enable := t.allEnable()
+	enable := t.enabledByAll()
 	if enable == t.policy.Enabled {
 		return Action{}, false
 	}
@@ -31,9 +31,9 @@
 	return Action{Kind: Switch, Txn: txn}, true
 }
 
-// allEnable reports whether the present processes of all live controllers have registered
+// enabledByAll reports whether the present processes of all live controllers have registered
 // that they enable sharding.
-func (t *Table) allEnable() bool {
+func (t *Table) enabledByAll() bool {
 	for label, live := range t.controllers {
 		registered := t.registrations[label]
 		if registered.Incarnation != live.Incarnation || !registered.Sharding {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -285,7 +285,7 @@
 		case drained[n.label]:
 			require.Zero(t, owned[n.label], "%s is drained", n.label)
 		default:
-			require.InDelta(t, float64(shard.Count)/float64(able), owned[n.label], shard.Tolerance)
+			require.InDelta(t, float64(shard.Count)/float64(able), owned[n.label], shard.BalanceTolerance)
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	c.start(3)
 	changed := c.ownerChanges
 	c.converge()
-	require.GreaterOrEqual(t, c.ownedCounts()["rig-3"], shard.Count/4-shard.Tolerance)
+	require.GreaterOrEqual(t, c.ownedCounts()["rig-3"], shard.Count/4-shard.BalanceTolerance)
 	require.Equal(t, c.ownedCounts()["rig-3"], c.ownerChanges-changed, "none went to and fro")
 	changed = c.ownerChanges
 	c.start(3) // back at once
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -82,7 +82,7 @@
 	submitMixedJobs(cluster, 60, 6)
 	cluster.Run(20 * time.Second)
 	for i := range 3 {
-		require.InDelta(t, shard.Count/3, cluster.shardsByOwner()[controllerLabel(i)], shard.Tolerance)
+		require.InDelta(t, shard.Count/3, cluster.shardsByOwner()[controllerLabel(i)], shard.BalanceTolerance)
 	}
 	cluster.Stop(2)
 	cluster.Run(9 * time.Second)
@@ -91,7 +91,7 @@
 	cluster.startWithShards(2)
 	cluster.Run(25 * time.Second)
 	for i := range 3 {
-		require.InDelta(t, shard.Count/3, cluster.shardsByOwner()[controllerLabel(i)], shard.Tolerance)
+		require.InDelta(t, shard.Count/3, cluster.shardsByOwner()[controllerLabel(i)], shard.BalanceTolerance)
 	}
 	require.Greater(t, cluster.Observed[placedInShard], 50)
 	requireAllFinished(t, cluster)
@@ -184,7 +184,7 @@
 	require.Zero(t, cluster.shardsByOwner()["rig-1"], "it is drained still")
 	cluster.changeShards(2, wire.AdminShardChange{EndDrain: "rig-1"})
 	cluster.Run(20 * time.Second)
-	require.InDelta(t, shard.Count/3, cluster.shardsByOwner()["rig-1"], shard.Tolerance)
+	require.InDelta(t, shard.Count/3, cluster.shardsByOwner()["rig-1"], shard.BalanceTolerance)
 	finishSharded(t, cluster)
 }
 
