--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -8,53 +8,56 @@
 	"lilacrill/wire"
 )
 
-// Assignment is a number of a request's tasks assigned to one machine.
+// Assignment is a number of tasks of one request that are assigned to one machine.
 type Assignment struct {
 	Machine wire.MachineID
 	Zone    string
 	Count   int
-	// Relaxed says that the machine does not meet the preferred rules.
+	// Relaxed reports that the preferred rules were ignored for these tasks.
 	Relaxed bool
 }
 
-// Options say how a choice is made.
+// Options controls how Choose and Rank select machines.
 type Options struct {
-	// Excluded holds machines that are not candidates, such as those of a lost write. Rules
-	// still read the tasks on them.
+	// Excluded holds machines that are not candidates, such as those of a placement
+	// transaction that failed in a conflict. Rules still count the tasks on them.
 	Excluded map[wire.MachineID]bool
-	// SampleSize, if above 0, limits the candidates to that many machines drawn at random with
-	// Rand, so that controllers whose writes conflicted choose different machines.
+	// SampleSize, if above 0, limits the candidates to that many machines, drawn at random
+	// with Rand. Controllers whose writes conflicted then choose different machines.
 	SampleSize int
 	Rand       *rand.Rand
-	// Relax allows the preferred rules to be ignored when no candidate that meets them has
+	// Relax allows the preferred rules to be ignored once no candidate that meets them has
 	// room.
 	Relax bool
-	// AllOrNothing demands room for all tasks, and places none otherwise.
+	// AllOrNothing places either all tasks or none.
 	AllOrNothing bool
-	// Usable, if set, filters machines that may not take this job's tasks for now.
+	// Usable, if set, reports whether a machine may take tasks of this job at present.
 	Usable func(*Host) bool
-	// Ranking, if set, is what Rank made for a search with an equal request and equal options.
-	// Since then hosts may only have lost room.
+	// Ranking, if set, is used instead of a new ranking. It must have been made by Rank for
+	// an equal request and equal options, and no host may have gained room since.
 	Ranking *Ranking
-	// JobHosts, if not nil, is the machines with tasks of the same job.
+	// JobHosts, if not nil, holds every machine that has tasks of the job. Rules that count the
+	// job's tasks then read only these machines instead of the whole fleet.
 	JobHosts []*Host
 }
 
-// search is one search for machines.
+// search is the state of one call of Choose.
 type search struct {
 	request   *Request
 	evaluator *Evaluator
 	ranking   *Ranking
-	enforced  []RuleTree // the request's, and the zone
-	// savedHosts holds the hosts as they were before the search placed tasks on them.
+	enforced  []RuleTree // the request's enforced rules, and the rule for the chosen zone
+	// savedHosts holds the state of hosts before the search placed tasks on them.
 	savedHosts map[*Host]Host
 }
 
-// Choose places up to count tasks of the request and reserves their room on the hosts.
-// Zone, if not empty, is where the job's other tasks are (for requests with SingleZone).
+// Choose assigns up to count tasks of the request to machines and reserves resources for them
+// on the hosts. For requests with SingleZone, zone is the zone of the job's other tasks, or
+// empty if there are none yet.
 //
-// It tries the candidates best first, at first those that also meet the preferred rules, and
-// fills each before the next (best fit, see score).
+// Choose tries the candidates in the order of their score and fills each before it goes on to
+// the next (best fit, see score). Candidates that meet the preferred rules are all tried before
+// these rules are relaxed.
 func (f Fleet) Choose(request *Request, count int, zone string, options Options) []Assignment {
 	ranking := options.Ranking
 	if ranking == nil {
@@ -93,6 +96,7 @@
 	return assignments
 }
 
+// totalCount returns the number of tasks in all assignments.
 func totalCount(assignments []Assignment) int {
 	count := 0
 	for _, assignment := range assignments {
@@ -101,8 +105,8 @@
 	return count
 }
 
-// fill places up to count tasks on the candidates that meet the enforced and the preferred
-// rules, best first.
+// fill places up to count tasks on the candidates that meet the enforced rules and the given
+// preferred rules, best candidates first.
 func (s *search) fill(preferred []RuleTree, count int) []Assignment {
 	var assignments []Assignment
 	ranking := s.ranking
@@ -123,8 +127,8 @@
 	return assignments
 }
 
-// fillHost places up to count tasks on a host and returns how many. The rules are evaluated
-// again before each step, as they may read the tasks that were just placed.
+// fillHost places up to count tasks on a host and returns how many it placed. It evaluates the
+// rules again before each step, since they may count the tasks that were just placed.
 func (s *search) fillHost(host *Host, preferred []RuleTree, count int) int {
 	placed := 0
 	for placed < count && host.hasRoomFor(s.request.Need) &&
@@ -142,16 +146,15 @@
 	return placed
 }
 
-// rollBack takes the tasks that the search placed off the hosts again.
+// rollBack restores the hosts to their state before the search placed tasks on them.
 func (s *search) rollBack() {
 	for host, before := range s.savedHosts {
 		host.Free, host.TaskSlots, host.TaskGroups = before.Free, before.TaskSlots, before.TaskGroups
 	}
 }
 
-// bestZone is the zone with room for most of count tasks; "" if none has room. The candidates
-// are in order of their score, so of zones with equal room the one whose machines score better
-// wins.
+// bestZone returns the zone that has room for most of the count tasks, or "" if no zone has
+// room. Of zones with equal room it prefers the one whose machines rank better.
 func (s *search) bestZone(count int) string {
 	room := map[string]int{}
 	best := ""
@@ -169,18 +172,19 @@
 	return best
 }
 
-// Ranking yields the candidates of a search, best first. Most searches are over after a few of
-// them, so it orders no more of them than are asked for.
+// Ranking holds the candidates of a search, ordered by score, best first. Most searches need
+// only a few candidates, so the ranking sorts them on demand.
 type Ranking struct {
 	ordered       []*Host
 	unordered     candidateHeap
-	firstWithRoom int // the candidates before it have no room left
+	firstWithRoom int // candidates before this position have no room left
 }
 
-// Rank makes the ranking of the candidates for searches with equal requests and options, one
-// after the other: where hundreds of jobs need the same, scoring every machine for each of
-// them costs more than all else. A candidate is a machine that is open to new tasks and has
-// room for one.
+// Rank returns a ranking of the candidates for a request. Consecutive searches with equal
+// requests and options can share it (see Options.Ranking). With hundreds of jobs that have equal
+// requests, scoring every machine again for each job would dominate the cost of a scheduling
+// pass. The candidates are the schedulable machines with room for at least one task that the
+// options allow.
 func (f Fleet) Rank(request *Request, options Options) *Ranking {
 	var hosts []*Host
 	for _, host := range f {
@@ -200,10 +204,11 @@
 	return ranking
 }
 
-// candidateCount is how many candidateCount there are.
+// candidateCount returns the number of candidates.
 func (r *Ranking) candidateCount() int { return len(r.ordered) + len(r.unordered) }
 
-// at is the candidate at position i.
+// at returns the candidate at position i, where 0 is the best. It sorts further candidates as
+// needed.
 func (r *Ranking) at(i int) *Host {
 	for len(r.ordered) <= i {
 		r.ordered = append(r.ordered, heap.Pop(&r.unordered).(*Host))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,217 +13,223 @@
 
 var (
 	zoneNames = []string{"a", "b", "c"}
-	keys      = []string{"job", "role", "zone"}
-	values    = []string{"1", "2"}
+	tagKeys   = []string{"job", "role", "zone"}
+	tagValues = []string{"1", "2"}
 )
 
-func genTags(t *rapid.T, name string, least int) Tags {
-	return rapid.MapOfN(rapid.SampledFrom(keys), rapid.SampledFrom(values), least, 2).Draw(t, name)
+// genTags draws minTags to 2 tags.
+func genTags(t *rapid.T, name string, minTags int) Tags {
+	return rapid.MapOfN(rapid.SampledFrom(tagKeys), rapid.SampledFrom(tagValues), minTags, 2).Draw(t, name)
 }
 
-func genNode(t *rapid.T, depth int) RuleTree {
-	switch kind := rapid.IntRange(0, 5).Draw(t, "node"); {
+// genRuleTree draws a rule tree with at most depth levels above its rules.
+func genRuleTree(t *rapid.T, depth int) RuleTree {
+	switch kind := rapid.IntRange(0, 5).Draw(t, "kind"); {
 	case kind == 0 && depth > 0, kind == 1 && depth > 0:
-		var kids []RuleTree
-		for range rapid.IntRange(1, 3).Draw(t, "kids") {
-			kids = append(kids, genNode(t, depth-1))
+		var subtrees []RuleTree
+		for range rapid.IntRange(1, 3).Draw(t, "subtrees") {
+			subtrees = append(subtrees, genRuleTree(t, depth-1))
 		}
 		if kind == 0 {
-			return RuleTree{AnyOf: kids}
+			return RuleTree{AnyOf: subtrees}
 		}
-		return RuleTree{AllOf: kids}
+		return RuleTree{AllOf: subtrees}
 	}
-	r := &Rule{Subject: Subject(rapid.IntRange(0, 1).Draw(t, "resource")),
+	rule := &Rule{Subject: Subject(rapid.IntRange(0, 1).Draw(t, "subject")),
 		Operator: Operator(rapid.IntRange(0, 1).Draw(t, "operator")), Tags: genTags(t, "tags", 1)}
-	if r.Subject == TaskTags {
-		r.GroupedBy = rapid.SampledFrom([]string{"", "zone", "rack"}).Draw(t, "within")
-		r.CountsStopping = rapid.Bool().Draw(t, "stopping")
-		if r.Operator == Forbids {
-			r.Limit = rapid.IntRange(0, 2).Draw(t, "allow")
+	if rule.Subject == TaskTags {
+		rule.GroupedBy = rapid.SampledFrom([]string{"", "zone", "rack"}).Draw(t, "groupedBy")
+		rule.CountsStopping = rapid.Bool().Draw(t, "countsStopping")
+		if rule.Operator == Forbids {
+			rule.Limit = rapid.IntRange(0, 2).Draw(t, "limit")
 		}
 	}
-	return RuleTree{Rule: r}
+	return RuleTree{Rule: rule}
 }
 
+// genFleet draws a fleet of machines that run tasks of two teams.
 func genFleet(t *rapid.T) Fleet {
-	var f Fleet
+	var fleet Fleet
 	for i := range rapid.IntRange(1, 5).Draw(t, "hosts") {
-		h := &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{}}
+		host := &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{}}
 		if rapid.IntRange(0, 4).Draw(t, "labelled") > 0 {
-			h.Labels["zone"] = rapid.SampledFrom(values).Draw(t, "zone")
+			host.Labels["zone"] = rapid.SampledFrom(tagValues).Draw(t, "zone")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "groups") {
-			h.TaskGroups = append(h.TaskGroups, TaskGroup{Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
-				Tags: genTags(t, "task", 0), Count: rapid.IntRange(1, 2).Draw(t, "count"), Stopping: rapid.Bool().Draw(t, "gone")})
+			host.TaskGroups = append(host.TaskGroups, TaskGroup{Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
+				Tags: genTags(t, "task", 0), Count: rapid.IntRange(1, 2).Draw(t, "count"), Stopping: rapid.Bool().Draw(t, "stopping")})
 		}
-		f = append(f, h)
+		fleet = append(fleet, host)
 	}
-	return f
+	return fleet
 }
 
-// plain evaluates a node by the definitions of the rules, task by task and without caches.
-func plain(f Fleet, n RuleTree, team string, h *Host) bool {
+// holdsByDefinition evaluates a rule tree by the definitions of the rules, task by task and
+// without caches.
+func holdsByDefinition(fleet Fleet, tree RuleTree, team string, host *Host) bool {
 	switch {
-	case n.AnyOf != nil:
+	case tree.AnyOf != nil:
 		anyHolds := false
-		for _, k := range n.AnyOf {
-			anyHolds = plain(f, k, team, h) || anyHolds
+		for _, subtree := range tree.AnyOf {
+			anyHolds = holdsByDefinition(fleet, subtree, team, host) || anyHolds
 		}
 		return anyHolds
-	case n.AllOf != nil:
-		all := true
-		for _, k := range n.AllOf {
-			all = plain(f, k, team, h) && all
+	case tree.AllOf != nil:
+		allHold := true
+		for _, subtree := range tree.AllOf {
+			allHold = holdsByDefinition(fleet, subtree, team, host) && allHold
 		}
-		return all
+		return allHold
 	}
-	r := n.Rule
+	rule := tree.Rule
 	matches := func(tags Tags) bool {
-		for k := range r.Tags {
-			if tags[k] != r.Tags[k] {
+		for key := range rule.Tags {
+			if tags[key] != rule.Tags[key] {
 				return false
 			}
 		}
 		return true
 	}
-	if r.Subject == MachineLabels {
-		return matches(h.Labels) == (r.Operator == Requires)
+	if rule.Subject == MachineLabels {
+		return matches(host.Labels) == (rule.Operator == Requires)
 	}
 	count := 0
-	for _, o := range f {
-		inGroup := o == h
-		if r.GroupedBy != "" {
-			mine, labelled := h.Labels[r.GroupedBy]
+	for _, other := range fleet {
+		inGroup := other == host
+		if rule.GroupedBy != "" {
+			value, labelled := host.Labels[rule.GroupedBy]
 			if !labelled {
 				return false
 			}
-			its, ok := o.Labels[r.GroupedBy]
-			inGroup = ok && its == mine
+			otherValue, ok := other.Labels[rule.GroupedBy]
+			inGroup = ok && otherValue == value
 		}
-		for _, g := range o.TaskGroups {
-			for range g.Count {
-				if inGroup && g.Team == team && matches(g.Tags) && (r.CountsStopping || !g.Stopping) {
+		for _, group := range other.TaskGroups {
+			for range group.Count {
+				if inGroup && group.Team == team && matches(group.Tags) && (rule.CountsStopping || !group.Stopping) {
 					count++
 				}
 			}
 		}
 	}
-	return (r.Operator == Requires && count > 0) || (r.Operator == Forbids && count <= r.Limit)
+	return (rule.Operator == Requires && count > 0) || (rule.Operator == Forbids && count <= rule.Limit)
 }
 
-// TestRulesAgainstDefinitions compares the evaluator with a plain evaluation of the rules'
-// definitions.
+// TestRulesAgainstDefinitions compares the evaluator with a straightforward evaluation of the
+// definitions of the rules.
 func TestRulesAgainstDefinitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := genFleet(t)
-		n := genNode(t, 3)
-		for _, h := range f {
-			require.Equal(t, plain(f, n, "red", h), f.Holds([]RuleTree{n}, "red", h))
+		fleet := genFleet(t)
+		tree := genRuleTree(t, 3)
+		for _, host := range fleet {
+			require.Equal(t, holdsByDefinition(fleet, tree, "red", host), fleet.Holds([]RuleTree{tree}, "red", host))
 		}
 	})
 }
 
-// TestChooseKeepsTheRules places generated jobs and checks every assignment against the job's
-// fields, without rules.
-func TestChooseKeepsTheRules(t *testing.T) {
+// TestChooseObeysConstraints places generated jobs and checks every assignment directly against
+// the fields of the job instead of the rules made from them.
+func TestChooseObeysConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var f Fleet
+		var fleet Fleet
 		for i := range rapid.IntRange(1, 8).Draw(t, "hosts") {
-			total := Resources{float64(rapid.IntRange(1, 8).Draw(t, "cores")), float64(rapid.IntRange(0, 2).Draw(t, "gpus")), 32}
+			total := Resources{float64(rapid.IntRange(1, 8).Draw(t, "cores")), float64(rapid.IntRange(0, 2).Draw(t, "accelerators")), 32}
 			spot := rapid.Bool().Draw(t, "spot")
-			f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Total: total, Free: total, TaskSlots: 50,
+			fleet = append(fleet, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Total: total, Free: total, TaskSlots: 50,
 				Labels: Tags{LabelZone: rapid.SampledFrom(zoneNames).Draw(t, "zone"), LabelSpot: fmt.Sprint(spot),
 					LabelType: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "type")}})
 		}
-		j := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: rapid.SampledFrom([]wire.Shape{wire.ShapeArray, wire.ShapeService, wire.ShapeGang}).Draw(t, "shape"),
+		job := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: rapid.SampledFrom([]wire.Shape{wire.ShapeArray, wire.ShapeService, wire.ShapeGang}).Draw(t, "shape"),
 			Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), Cores: float64(rapid.IntRange(1, 3).Draw(t, "need")), MemGB: 1,
-			SingleZone: rapid.Bool().Draw(t, "together"), SpreadZones: rapid.Bool().Draw(t, "apart"), Spot: rapid.Bool().Draw(t, "spotOK")}
-		if rapid.Bool().Draw(t, "typed") {
-			j.Types = []string{"x"}
+			SingleZone: rapid.Bool().Draw(t, "singleZone"), SpreadZones: rapid.Bool().Draw(t, "spreadZones"), Spot: rapid.Bool().Draw(t, "allowsSpot")}
+		if rapid.Bool().Draw(t, "limitsTypes") {
+			job.Types = []string{"x"}
 		}
-		if rapid.Bool().Draw(t, "zoned") {
-			j.Zone = "a"
+		if rapid.Bool().Draw(t, "limitsZone") {
+			job.Zone = "a"
 		}
-		o := Options{Relax: rapid.Bool().Draw(t, "relax"), AllOrNothing: j.Shape == wire.ShapeGang}
-		if rapid.Bool().Draw(t, "probing") {
-			o.SampleSize, o.Rand = 3, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
+		options := Options{Relax: rapid.Bool().Draw(t, "relax"), AllOrNothing: job.Shape == wire.ShapeGang}
+		if rapid.Bool().Draw(t, "samples") {
+			options.SampleSize, options.Rand = 3, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
 		}
 		before := map[wire.MachineID]Resources{}
 		byID := map[wire.MachineID]*Host{}
-		for _, h := range f {
-			before[h.ID], byID[h.ID] = h.Free, h
-		}
-		assignments := f.Choose(NewRequest(j), j.Tasks, "", o)
-		inZone, onHost, sum := map[string]int{}, map[wire.MachineID]int{}, 0
-		for _, c := range assignments {
-			h := byID[c.Machine]
-			inZone[c.Zone] += c.Count
-			sum += c.Count
-			onHost[c.Machine] += c.Count
-			require.True(t, j.Types == nil || h.Labels[LabelType] == "x")
-			require.True(t, j.Zone == "" || c.Zone == "a")
-			require.True(t, j.Spot || h.Labels[LabelSpot] == "false")
-			if j.Shape == wire.ShapeService && !c.Relaxed {
-				require.Equal(t, 1, c.Count, "replicas share a machine though the rule was not relaxed")
+		for _, host := range fleet {
+			before[host.ID], byID[host.ID] = host.Free, host
+		}
+		assignments := fleet.Choose(NewRequest(job), job.Tasks, "", options)
+		inZone, onHost, total := map[string]int{}, map[wire.MachineID]int{}, 0
+		for _, assignment := range assignments {
+			host := byID[assignment.Machine]
+			inZone[assignment.Zone] += assignment.Count
+			total += assignment.Count
+			onHost[assignment.Machine] += assignment.Count
+			require.True(t, job.Types == nil || host.Labels[LabelType] == "x")
+			require.True(t, job.Zone == "" || assignment.Zone == "a")
+			require.True(t, job.Spot || host.Labels[LabelSpot] == "false")
+			if job.Shape == wire.ShapeService && !assignment.Relaxed {
+				require.Equal(t, 1, assignment.Count, "replicas share a machine though the rule was not relaxed")
 			}
 		}
-		require.LessOrEqual(t, sum, j.Tasks)
-		if o.AllOrNothing {
-			require.True(t, sum == 0 || sum == j.Tasks, "part of a gang placed")
+		require.LessOrEqual(t, total, job.Tasks)
+		if options.AllOrNothing {
+			require.True(t, total == 0 || total == job.Tasks, "only part of a gang placed")
 		}
-		for _, n := range inZone {
-			require.True(t, !j.SpreadZones || n <= (j.Tasks+1)/2, "too many in one zone")
+		for _, count := range inZone {
+			require.True(t, !job.SpreadZones || count <= (job.Tasks+1)/2, "too many tasks in one zone")
 		}
-		require.True(t, !j.SingleZone || len(inZone) <= 1, "not in a single zone")
-		for id, h := range byID {
-			require.InDelta(t, before[id].Cores-float64(onHost[id])*j.Cores, h.Free.Cores, 1e-9, "reserved wrongly")
-			require.GreaterOrEqual(t, h.Free.Cores, 0.0)
+		require.True(t, !job.SingleZone || len(inZone) <= 1, "tasks not in a single zone")
+		for id, host := range byID {
+			require.InDelta(t, before[id].Cores-float64(onHost[id])*job.Cores, host.Free.Cores, 1e-9, "wrong reservation")
+			require.GreaterOrEqual(t, host.Free.Cores, 0.0)
 		}
 	})
 }
 
-// TestPreferredIsRelaxedOnlyForRoom: replicas share a machine when no other has room, but not
-// when the others are merely excluded.
-func TestPreferredIsRelaxedOnlyForRoom(t *testing.T) {
+// TestPreferredRulesRelaxedOnlyForRoom checks that replicas of a service share a machine if
+// relaxing is allowed and no other machine has room. They do not share one if relaxing is not
+// allowed, also when another machine is excluded.
+func TestPreferredRulesRelaxedOnlyForRoom(t *testing.T) {
 	fleet := func() Fleet {
-		var f Fleet
+		var hosts Fleet
 		for _, id := range []wire.MachineID{"m1", "m2"} {
-			f = append(f, &Host{ID: id, Labels: labels("a"), Total: Resources{4, 0, 8}, Free: Resources{4, 0, 8}, TaskSlots: 9})
+			hosts = append(hosts, &Host{ID: id, Labels: labels("a"), Total: Resources{4, 0, 8}, Free: Resources{4, 0, 8}, TaskSlots: 9})
 		}
-		return f
+		return hosts
 	}
-	j := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeService, Tasks: 3, Cores: 1, MemGB: 1}
-	assignments := fleet().Choose(NewRequest(j), 3, "", Options{Relax: true})
+	job := &wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeService, Tasks: 3, Cores: 1, MemGB: 1}
+	assignments := fleet().Choose(NewRequest(job), 3, "", Options{Relax: true})
 	require.Len(t, assignments, 3)
 	require.True(t, assignments[2].Relaxed)
-	require.Equal(t, 2, totalCount(fleet().Choose(NewRequest(j), 3, "", Options{})))
-	excluded := fleet().Choose(NewRequest(j), 3, "", Options{Excluded: map[wire.MachineID]bool{"m2": true}})
-	require.Equal(t, 1, totalCount(excluded), "an excluded machine made replicas share")
+	require.Equal(t, 2, totalCount(fleet().Choose(NewRequest(job), 3, "", Options{})))
+	withExclusion := fleet().Choose(NewRequest(job), 3, "", Options{Excluded: map[wire.MachineID]bool{"m2": true}})
+	require.Equal(t, 1, totalCount(withExclusion), "replicas share a machine because another was excluded")
 }
 
+// labels returns the labels of an on-demand machine.
 func labels(zone string) Tags { return Tags{LabelZone: zone, LabelSpot: "false", LabelType: "x"} }
 
-// TestSharedRanking: searches for the same resources that share a ranking place as many tasks
-// as ones that score every machine anew, and no machine is overcommitted.
+// TestSharedRanking checks that searches with equal requests place as many tasks if they share
+// a ranking as if each makes its own, and that no machine is overcommitted.
 func TestSharedRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := func() Fleet {
-			var f Fleet
+			var hosts Fleet
 			for i, cores := range []float64{1, 4, 2, 8, 3} {
-				a := Resources{Cores: cores, MemGB: 10}
-				f = append(f, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{LabelSpot: "false"}, Total: a, Free: a, TaskSlots: 4})
+				total := Resources{Cores: cores, MemGB: 10}
+				hosts = append(hosts, &Host{ID: wire.MachineID(fmt.Sprint("m", i)), Labels: Tags{LabelSpot: "false"}, Total: total, Free: total, TaskSlots: 4})
 			}
-			return f
+			return hosts
 		}
-		r := NewRequest(&wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeArray, Cores: rapid.SampledFrom([]float64{0.5, 1, 3}).Draw(t, "cores"), MemGB: 1})
-		shared, anew := fleet(), fleet()
-		ranking := shared.Rank(r, Options{})
+		request := NewRequest(&wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeArray, Cores: rapid.SampledFrom([]float64{0.5, 1, 3}).Draw(t, "cores"), MemGB: 1})
+		shared, separate := fleet(), fleet()
+		ranking := shared.Rank(request, Options{})
 		for range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			n := rapid.IntRange(1, 4).Draw(t, "tasks")
-			require.Equal(t, totalCount(anew.Choose(r, n, "", Options{})), totalCount(shared.Choose(r, n, "", Options{Ranking: ranking})))
+			tasks := rapid.IntRange(1, 4).Draw(t, "tasks")
+			require.Equal(t, totalCount(separate.Choose(request, tasks, "", Options{})), totalCount(shared.Choose(request, tasks, "", Options{Ranking: ranking})))
 		}
-		for _, h := range shared {
-			require.True(t, h.Free.Covers(Resources{}) && h.TaskSlots >= 0)
+		for _, host := range shared {
+			require.True(t, host.Free.Covers(Resources{}) && host.TaskSlots >= 0)
 		}
 	})
 }
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -4,19 +4,19 @@
 	"lilacrill/wire"
 )
 
-// Subject is what a rule reads.
+// Subject selects the tags that a rule reads.
 type Subject int
 
 // The subjects of rules.
 const (
 	// MachineLabels are the labels of the candidate machine.
 	MachineLabels Subject = iota
-	// TaskTags are the tags of the same team's tasks on the machine, or on all machines of
-	// its group (see Rule.GroupedBy).
+	// TaskTags are the tags of the tasks of the same team on the candidate machine, or on all
+	// machines of its group (see Rule.GroupedBy).
 	TaskTags
 )
 
-// Operator says whether a rule requires or forbids its tags.
+// Operator states whether a rule requires or forbids its tags.
 type Operator int
 
 // The operators of rules.
@@ -25,10 +25,10 @@
 	Forbids
 )
 
-// Tags are key and value pairs, on machines (labels) or on tasks.
+// Tags are key-value pairs attached to machines (labels) or to tasks.
 type Tags map[string]string
 
-// The labels and tags lilacrill itself uses.
+// The keys of the machine labels and task tags that lilacrill itself sets.
 const (
 	LabelType  = "type"
 	LabelZone  = "zone"
@@ -37,7 +37,8 @@
 	TagService = "service"
 )
 
-// RuleTree is one node of a rule tree: exactly one of its fields is set.
+// RuleTree is a boolean expression of rules. Exactly one of its fields is set: a single rule, or
+// subtrees of which any or all must hold.
 type RuleTree struct {
 	Rule  *Rule
 	AnyOf []RuleTree
@@ -49,17 +50,19 @@
 	Subject  Subject
 	Operator Operator
 	Tags     Tags
-	// GroupedBy names a label: the rule then reads the tasks on all machines with the same
-	// value of it as the candidate. A candidate without the label fails.
+	// GroupedBy, if set, is the key of a machine label. The rule then reads the tasks on all
+	// machines that have the same value of this label as the candidate. It does not hold for
+	// a candidate without the label.
 	GroupedBy string
-	// Limit is how many matching tasks a rule that forbids still allows.
+	// Limit is the number of matching tasks that a rule with the operator Forbids still allows.
 	Limit int
-	// CountsStopping makes the rule count tasks that are being evicted as well: for what must
-	// hold until they are gone.
+	// CountsStopping makes the rule also count tasks that are being evicted. It is set where
+	// the rule must hold until these tasks have ended.
 	CountsStopping bool
 }
 
-// TaskGroup is a number of equal tasks on one machine.
+// TaskGroup is a number of tasks on one machine that have the same team and tags, and of which
+// either all or none are being evicted.
 type TaskGroup struct {
 	Team     string
 	Tags     Tags
@@ -67,15 +70,17 @@
 	Stopping bool
 }
 
-// Resources is what a task needs of a machine, or what a machine has.
+// Resources is an amount of resources: what a task needs, or what a machine has. MemGB is in
+// gigabytes.
 type Resources struct {
 	Cores, Accelerators, MemGB float64
 }
 
-// roundingTolerance forgives rounding in sums of decimal fractions.
+// roundingTolerance is the excess, in the unit of each resource, that comparisons of resources
+// accept, since sums of decimal fractions are subject to rounding errors.
 const roundingTolerance = 1e-6
 
-// Plus adds n times b.
+// Plus returns the sum of a and n times b.
 func (a Resources) Plus(b Resources, n float64) Resources {
 	return Resources{a.Cores + n*b.Cores, a.Accelerators + n*b.Accelerators, a.MemGB + n*b.MemGB}
 }
@@ -85,7 +90,7 @@
 	return a.Cores+roundingTolerance >= b.Cores && a.Accelerators+roundingTolerance >= b.Accelerators && a.MemGB+roundingTolerance >= b.MemGB
 }
 
-// FitCount is how many times b fits into a, at most limit.
+// FitCount returns how many times b fits into a, at most limit.
 func (a Resources) FitCount(b Resources, limit int) int {
 	times := limit
 	for _, pair := range [3][2]float64{{a.Cores, b.Cores}, {a.Accelerators, b.Accelerators}, {a.MemGB, b.MemGB}} {
@@ -96,38 +101,40 @@
 	return max(times, 0)
 }
 
-// Host is a machine as placement sees it.
+// Host is the state of a machine that placement reads. Placing tasks updates it.
 type Host struct {
 	ID     wire.MachineID
 	Labels Tags
 	Total  Resources
 	Free   Resources
-	// Freeing is what tasks that are being evicted will free.
+	// Freeing is the sum of the resources that tasks being evicted will free.
 	Freeing    Resources
 	TaskGroups []TaskGroup
-	// PreemptablePriorities has a bit (by wire.Priority's level) for the priority of every
-	// task on it that could be evicted; HasUnguaranteedTasks says that some of them are beyond
-	// their team's quota guarantee.
+	// PreemptablePriorities is a bit set of the priorities of the tasks on the machine that
+	// could be evicted; bit i stands for the priority with Level i. HasUnguaranteedTasks
+	// reports that some of these tasks exceed their team's quota guarantee.
 	PreemptablePriorities uint8
 	HasUnguaranteedTasks  bool
-	// Unschedulable says that the machine takes no new tasks now.
+	// Unschedulable reports that the machine accepts no new tasks at present.
 	Unschedulable bool
-	// TaskSlots is how many more tasks the machine may take.
+	// TaskSlots is the number of further tasks that the machine may take.
 	TaskSlots int
-	// Images holds the images the machine is known to have.
+	// Images holds the images that the machine is known to have.
 	Images map[string]bool
-	// PullingImages is how many images the machine is pulling: they share its rate.
+	// PullingImages is the number of images that the machine is pulling. They share its
+	// bandwidth.
 	PullingImages int
-	// Price is what the machine costs per hour.
+	// Price is the cost of the machine per hour.
 	Price float64
-	// Penalty worsens the score of a machine that did badly lately.
+	// Penalty, if above 0, makes the machine score worse than all machines with a smaller
+	// penalty. It is set for quarantined machines.
 	Penalty float64
 }
 
-// hasRoomFor reports whether the host has room for one more task.
+// hasRoomFor reports whether the host has room for one more task that needs these resources.
 func (h *Host) hasRoomFor(need Resources) bool { return h.TaskSlots > 0 && h.Free.Covers(need) }
 
-// AddTasks places count tasks on the host.
+// AddTasks adds count tasks, each of which needs the given resources, to the host.
 func (h *Host) AddTasks(team string, tags Tags, need Resources, count int) {
 	h.Free = h.Free.Plus(need, -float64(count))
 	h.TaskSlots -= count
@@ -143,7 +150,7 @@
 
 func sameTags(a, b Tags) bool { return len(a) == len(b) && hasAll(a, b) }
 
-// hasAll reports whether tags has all pairs of want.
+// hasAll reports whether tags contains all pairs of want.
 func hasAll(tags, want Tags) bool {
 	for k, v := range want {
 		if got, ok := tags[k]; !ok || got != v {
@@ -153,53 +160,54 @@
 	return true
 }
 
-// Fleet is the machines that a pass knows: the candidates, and the others that grouped rules
-// read.
+// Fleet holds all machines that a scheduling pass takes into account: the candidates, and the
+// other machines that grouped rules read.
 type Fleet []*Host
 
-// Holds reports whether all nodes hold for a team's task on a host.
-func (f Fleet) Holds(nodes []RuleTree, team string, host *Host) bool {
-	return f.NewEvaluator(nil).Holds(nodes, team, host)
+// Holds reports whether all rules hold for a task of the team on the host.
+func (f Fleet) Holds(rules []RuleTree, team string, host *Host) bool {
+	return f.NewEvaluator(nil).Holds(rules, team, host)
 }
 
-// Evaluator evaluates rules over a fleet and caches the tasks that it counted, since grouped
-// rules read many machines for every candidate. It is valid as long as tasks are added through
-// its Reserve alone.
+// Evaluator evaluates rules over a fleet. It caches the numbers of matching tasks, since a
+// grouped rule reads many machines for every candidate. The cache stays correct only if all
+// changes to the tasks of the fleet are made by its method Reserve.
 type Evaluator struct {
 	fleet    Fleet
 	jobHosts []*Host
-	counts   map[*Rule]map[string]int // matching tasks by the value of the rule's GroupedBy
+	counts   map[*Rule]map[string]int // by rule, then by value of the label GroupedBy
 }
 
-// NewEvaluator makes an evaluator. JobHosts, if not nil, is the machines with tasks of the job
-// that rules about a job's tag name.
+// NewEvaluator returns an evaluator for the fleet. jobHosts, if not nil, must hold every machine
+// that has tasks of the job named by the rules with the tag TagJob. The evaluator then reads
+// only these machines for such rules.
 func (f Fleet) NewEvaluator(jobHosts []*Host) *Evaluator {
 	return &Evaluator{fleet: f, jobHosts: jobHosts}
 }
 
-// Holds reports whether all nodes hold for a team's task on a host.
-func (e *Evaluator) Holds(nodes []RuleTree, team string, host *Host) bool {
-	for i := range nodes {
-		if !e.treeHolds(&nodes[i], team, host) {
+// Holds reports whether all rules hold for a task of the team on the host.
+func (e *Evaluator) Holds(rules []RuleTree, team string, host *Host) bool {
+	for i := range rules {
+		if !e.treeHolds(&rules[i], team, host) {
 			return false
 		}
 	}
 	return true
 }
 
-func (e *Evaluator) treeHolds(node *RuleTree, team string, host *Host) bool {
+func (e *Evaluator) treeHolds(tree *RuleTree, team string, host *Host) bool {
 	switch {
-	case node.Rule != nil:
-		return e.ruleHolds(node.Rule, team, host)
-	case node.AnyOf != nil:
-		for i := range node.AnyOf {
-			if e.treeHolds(&node.AnyOf[i], team, host) {
+	case tree.Rule != nil:
+		return e.ruleHolds(tree.Rule, team, host)
+	case tree.AnyOf != nil:
+		for i := range tree.AnyOf {
+			if e.treeHolds(&tree.AnyOf[i], team, host) {
 				return true
 			}
 		}
 		return false
 	}
-	return e.Holds(node.AllOf, team, host)
+	return e.Holds(tree.AllOf, team, host)
 }
 
 func (e *Evaluator) ruleHolds(rule *Rule, team string, host *Host) bool {
@@ -222,7 +230,8 @@
 	return matching <= rule.Limit
 }
 
-// countMatchingByLabel counts the tasks that match a grouped rule by the value of its label.
+// countMatchingByLabel returns the number of the team's tasks that match a grouped rule, for each
+// value of the label GroupedBy.
 func (e *Evaluator) countMatchingByLabel(rule *Rule, team string) map[string]int {
 	if counts := e.counts[rule]; counts != nil {
 		return counts
@@ -235,7 +244,7 @@
 	counted := make(map[*Host]bool, len(e.jobHosts))
 	for _, host := range hosts {
 		if counted[host] {
-			continue // jobHosts may hold a host more than once
+			continue // jobHosts may contain a host more than once
 		}
 		if e.jobHosts != nil {
 			counted[host] = true
@@ -251,7 +260,7 @@
 	return counts
 }
 
-// Reserve places count tasks of a request on a host, and counts them for the rules.
+// Reserve adds count tasks of the request to the host and to the cached counts of the rules.
 func (e *Evaluator) Reserve(request *Request, host *Host, count int) {
 	host.AddTasks(request.Team, request.Tags, request.Need, count)
 	for rule, counts := range e.counts {
@@ -261,7 +270,7 @@
 	}
 }
 
-// countMatching counts a team's tasks on the host that match a rule.
+// countMatching returns the number of the team's tasks on the host that match the rule.
 func (h *Host) countMatching(rule *Rule, team string) int {
 	count := 0
 	for i := range h.TaskGroups {
@@ -273,29 +282,31 @@
 	return count
 }
 
-// Request is what placement needs to know of a job.
+// Request describes the tasks of a job and the machines that they may run on.
 type Request struct {
 	Team  string
-	Tags  Tags      // of each of its tasks
-	Need  Resources // of each of its tasks
+	Tags  Tags      // of each task
+	Need  Resources // of each task
 	Image string
-	// Enforced rules are never ignored.
+	// Enforced holds the rules that must always be met.
 	Enforced []RuleTree
-	// Preferred rules are ignored only when no machine that meets them has room.
+	// Preferred holds the rules that may be ignored only if no machine that meets them has
+	// room (see Options.Relax).
 	Preferred []RuleTree
-	// SingleZone keeps all tasks in the zone of the first.
+	// SingleZone restricts all tasks of the job to one zone.
 	SingleZone bool
-	// OneAtATime says that rules read the job's own tasks, so that they must be evaluated
-	// again after each one.
+	// OneAtATime reports that the rules count the job's own tasks, so that they must be
+	// evaluated again after each task that is placed.
 	OneAtATime bool
-	// Spot says that spot machines are allowed, and so preferred.
+	// Spot reports that spot machines are allowed. They are then preferred.
 	Spot bool
 }
 
-// maxPerZone is how many of a job's tasks one zone may hold if the job is spread over zones.
+// maxPerZone returns how many tasks one zone may hold of a job with this many tasks that is
+// spread over zones: half of them, rounded up.
 func maxPerZone(tasks int) int { return (tasks + 1) / 2 }
 
-// NewRequest turns a job's fields into rules.
+// NewRequest returns the request for the tasks of a job, with the job's constraints as rules.
 func NewRequest(job *wire.JobSpec) *Request {
 	jobTag := Tags{TagJob: string(job.ID)}
 	request := &Request{
@@ -320,7 +331,7 @@
 		request.Enforced = append(request.Enforced, labelRule(Forbids, LabelSpot, "true"))
 	}
 	if job.SpreadZones {
-		// Tasks that are being evicted are still in their zone, so they count.
+		// Tasks that are being evicted still run in their zone, so they are counted.
 		request.OneAtATime = true
 		request.Enforced = append(request.Enforced, RuleTree{Rule: &Rule{
 			Subject:        TaskTags,
@@ -343,9 +354,10 @@
 	return request
 }
 
+// labelRule returns a rule that requires or forbids a machine label.
 func labelRule(operator Operator, key, value string) RuleTree {
 	return RuleTree{Rule: &Rule{Subject: MachineLabels, Operator: operator, Tags: Tags{key: value}}}
 }
 
-// InZone is the rule that keeps a task in one zone.
+// InZone returns a rule that requires a machine in the zone.
 func InZone(zone string) RuleTree { return labelRule(Requires, LabelZone, zone) }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -2,21 +2,25 @@
 
 import "cmp"
 
-// score orders candidates: the smaller, the better, field by field.
+// score orders candidates. Scores are compared field by field in the order of declaration, and
+// a smaller value is better.
 type score struct {
-	penalty            float64 // of machines that did badly lately
+	penalty            float64 // Host.Penalty
 	wastesAccelerators float64 // 1 if the machine has accelerators and the request needs none
-	imagePulls         int     // 0 if the machine has the image; otherwise 1 and one for each that it pulls
-	onDemand           int     // 1 if spot machines are allowed and this is none
-	totalCores         float64 // cores of the machine, for services
+	imagePulls         int     // 0 if the machine has the image, otherwise 1 plus the number of images it is pulling
+	onDemand           int     // 1 if the request allows spot machines and the machine is on-demand
+	totalCores         float64 // cores of the machine; 0 unless the request has OneAtATime
 	freeCores          float64
 }
 
-// scoreOf scores a machine for a request. It prefers machines that did not do badly lately,
-// that do not waste accelerators on tasks without any, that have the image or at least pull no
-// other, that are cheap where spot machines are allowed, and that have the fewest free cores
-// (best fit), so that large tasks find whole machines. Replicas of services go to small
-// machines first: each machine that is lost takes fewer of them along.
+// scoreOf returns the score of a machine for a request. It prefers, in this order:
+//   - machines without a penalty (Host.Penalty),
+//   - machines without accelerators, if the tasks need none,
+//   - machines that have the image, then those that are pulling the fewest images,
+//   - spot machines, which are cheaper, if the request allows them,
+//   - small machines, if tasks are placed one at a time as for services, so that the loss of
+//     one machine affects fewer tasks,
+//   - machines with the fewest free cores (best fit), so that large tasks find empty machines.
 func scoreOf(request *Request, host *Host) score {
 	s := score{penalty: host.Penalty}
 	if request.Need.Accelerators == 0 && host.Total.Accelerators > 0 {
@@ -41,8 +45,8 @@
 	host *Host
 }
 
-// compare orders candidates by their score and then by name. It is called very often, so no
-// field is compared in vain.
+// compare orders candidates by score and then by machine ID. It is called very often, so it
+// returns at the first field that differs instead of comparing all fields.
 func (a *candidate) compare(b *candidate) int {
 	switch {
 	case a.penalty != b.penalty:
@@ -61,7 +65,7 @@
 	return cmp.Compare(a.host.ID, b.host.ID)
 }
 
-// candidateHeap is a heap (container/heap) of candidates with the best first.
+// candidateHeap implements heap.Interface with the best candidate at the root.
 type candidateHeap []candidate
 
 // Len implements heap.Interface.
@@ -76,7 +80,7 @@
 // Push implements heap.Interface.
 func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-// Pop implements heap.Interface. It returns the candidate's host.
+// Pop implements heap.Interface. It returns the *Host of the removed candidate.
 func (h *candidateHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
