--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity plans which machines to provision: it sets the demands against the machines
-// that are expected to join, and chooses the cheapest offer for what is left. It has no clock
-// and no randomness.
+// Package capacity plans which machines to provision. It places the unmet demand on the machines
+// that are expected to join, and chooses the cheapest offer for the tasks that remain. It reads
+// no clock and uses no randomness.
 package capacity
 
 import (
@@ -12,24 +12,25 @@
 	"lilacrill/wire"
 )
 
-// Demand is a number of equal tasks without room.
+// Demand is a number of tasks with equal requests for which no machine has room.
 type Demand struct {
 	Request *placement.Request
 	Count   int
-	Zone    string // where they must run; "" if anywhere
+	Zone    string // where the tasks must run, or "" if they may run in any zone
 }
 
-// Offer is a kind of machine in a zone that the cloud may have.
+// Offer is a machine type in one zone, either spot or on-demand, that the cloud may have
+// available.
 type Offer struct {
 	Type wire.MachineType
 	Zone string
 	Spot bool
-	// OverdueFraction is which part of the machines that were provisioned of it and have not
-	// joined yet is overdue, from 0 to 1.
+	// OverdueFraction is the fraction, from 0 to 1, of the machines of this offer being
+	// provisioned that are overdue to join.
 	OverdueFraction float64
 }
 
-// Price is what a machine of the offer costs per hour.
+// Price returns the cost of a machine of the offer per hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
 		return o.Type.SpotPrice
@@ -43,10 +44,10 @@
 	Spot       bool
 }
 
-// Key is the offer's key.
+// Key returns the key of the offer.
 func (o Offer) Key() OfferKey { return OfferKey{o.Type.Name, o.Zone, o.Spot} }
 
-// NewHost is an empty machine of the offer that takes up to taskSlots tasks.
+// NewHost returns an empty machine of the offer that takes up to taskSlots tasks.
 func (o Offer) NewHost(id wire.MachineID, taskSlots int) *placement.Host {
 	spot := "false"
 	if o.Spot {
@@ -63,19 +64,22 @@
 	}
 }
 
-// PlanEntry is a number of machines to provision.
+// PlanEntry is a number of machines of one offer to provision.
 type PlanEntry struct {
 	Offer Offer
 	Count int
 }
 
-// Plan is what to provision for the demands, most urgent first, that the expected machines
-// (provisioned, but not joined yet) do not satisfy. It places the demands on the expected
-// machines in passing. The caller leaves out the offers that the cloud was short of lately.
+// Plan returns the machines to provision for the demands that the expected machines do not
+// satisfy. The demands are sorted by urgency, most urgent first. The expected machines are
+// provisioned but have not joined yet; Plan reserves their resources for the demands that it
+// places on them. The caller leaves out offers for which the cloud recently reported a capacity
+// shortage.
 //
-// No offer is in the plan twice, and no launch is larger than the cloud allows for one call.
+// The plan has at most one entry for each offer, with no more machines than one call to the
+// cloud may provision. Demand that exceeds this remains unmet.
 func Plan(demands []Demand, expected placement.Fleet, offers []Offer, taskSlots int) []PlanEntry {
-	var launches []PlanEntry
+	var plan []PlanEntry
 	for _, demand := range demands {
 		unplaced := demand.Count
 		for _, assignment := range expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true}) {
@@ -88,26 +92,26 @@
 		if count == 0 {
 			continue
 		}
-		launches, count = addToPlan(launches, offer, count)
+		plan, count = addToPlan(plan, offer, count)
 		for range count {
 			expected = append(expected, offer.NewHost("", taskSlots))
 		}
 		expected.Choose(demand.Request, unplaced, demand.Zone, placement.Options{Relax: true})
 	}
-	return launches
+	return plan
 }
 
-// addToPlan adds machines of an offer to the launches, up to what one call allows, and returns
-// how many it added.
-func addToPlan(launches []PlanEntry, offer Offer, count int) ([]PlanEntry, int) {
-	i := slices.IndexFunc(launches, func(launch PlanEntry) bool { return launch.Offer.Key() == offer.Key() })
+// addToPlan adds machines of an offer to the plan, up to the number that one call to the cloud may
+// provision, and returns how many it added.
+func addToPlan(plan []PlanEntry, offer Offer, count int) ([]PlanEntry, int) {
+	i := slices.IndexFunc(plan, func(entry PlanEntry) bool { return entry.Offer.Key() == offer.Key() })
 	if i < 0 {
 		count = min(count, wire.MaxProvision)
-		return append(launches, PlanEntry{offer, count}), count
+		return append(plan, PlanEntry{offer, count}), count
 	}
-	count = min(count, wire.MaxProvision-launches[i].Count)
-	launches[i].Count += count
-	return launches, count
+	count = min(count, wire.MaxProvision-plan[i].Count)
+	plan[i].Count += count
+	return plan, count
 }
 
 // option is an offer that can serve a demand.
@@ -117,8 +121,9 @@
 	costPerTask float64
 }
 
-// cheapestOffer finds the offer that serves count tasks of a demand at the lowest cost, and how
-// many machines of it they need; 0 if no offer can serve them.
+// cheapestOffer returns the offer that serves count tasks of a demand at the lowest estimated
+// cost, and the number of its machines that the tasks need. The number is 0 if no offer can serve
+// them. Of offers with equal cost it prefers the machine type that starts faster.
 func cheapestOffer(demand Demand, count int, offers []Offer, taskSlots int) (Offer, int) {
 	var options []option
 	for _, offer := range offers {
@@ -138,10 +143,11 @@
 	return best.offer, best.count
 }
 
-// evaluateOffer estimates what it costs to serve count tasks of a demand with an offer, and reports
-// whether the offer can serve them. Of a machine that the tasks do not fill, half of the unused
-// part counts: it will serve other tasks too, but not surely. An offer whose machines are
-// overdue costs more: they may come late, or never.
+// evaluateOffer estimates the cost of serving count tasks of a demand with an offer, and reports
+// whether the offer can serve them. If the tasks do not fill the last machine, half of its unused
+// part is included in the cost, since other tasks may use that part but need not. The cost of an
+// offer increases with its fraction of overdue machines, since further machines of it may join
+// late or never.
 func evaluateOffer(demand Demand, count int, offer Offer, taskSlots int) (option, bool) {
 	host := offer.NewHost("", taskSlots)
 	if !(placement.Fleet{host}).Holds(demand.Request.Enforced, demand.Request.Team, host) {
@@ -155,10 +161,10 @@
 		return option{}, false
 	}
 	machines := (count + perMachine - 1) / perMachine
-	filled := float64(count) / float64(perMachine)
-	paid := (filled + float64(machines)) / 2
-	return option{offer, machines, offer.Price() * paid / float64(count) * (1 + offer.OverdueFraction)}, true
+	filledMachines := float64(count) / float64(perMachine)
+	chargedMachines := (filledMachines + float64(machines)) / 2
+	return option{offer, machines, offer.Price() * chargedMachines / float64(count) * (1 + offer.OverdueFraction)}, true
 }
 
-// roundCost makes costs equal that differ by rounding.
+// roundCost rounds a cost so that costs compare as equal if they differ by rounding errors only.
 func roundCost(cost float64) float64 { return math.Round(cost*1e9) / 1e9 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,32 +10,34 @@
 	"lilacrill/wire"
 )
 
+// offers returns spot and on-demand offers of two machine types in two zones.
 func offers() []Offer {
 	small := wire.MachineType{Name: "small", Cores: 4, MemGB: 16, OnDemandPrice: 4, SpotPrice: 1}
 	large := wire.MachineType{Name: "large", Cores: 16, Accelerators: 2, MemGB: 64, OnDemandPrice: 40, SpotPrice: 12}
-	var out []Offer
-	for _, t := range []wire.MachineType{small, large} {
+	var offers []Offer
+	for _, machineType := range []wire.MachineType{small, large} {
 		for _, zone := range []string{"a", "b"} {
-			out = append(out, Offer{Type: t, Zone: zone}, Offer{Type: t, Zone: zone, Spot: true})
+			offers = append(offers, Offer{Type: machineType, Zone: zone}, Offer{Type: machineType, Zone: zone, Spot: true})
 		}
 	}
-	return out
+	return offers
 }
 
+// demand returns a demand for tasks of an array job.
 func demand(cores, accelerators float64, spot bool, count int) Demand {
 	return Demand{Request: placement.NewRequest(&wire.JobSpec{ID: "wk-1", Team: "red", Shape: wire.ShapeArray, Tasks: count,
 		Cores: cores, Accelerators: accelerators, MemGB: 1, Spot: spot}), Count: count}
 }
 
-// TestPlanServesAllAndAsksOnce: the machines of a plan have room for every demand; no offer
-// is in it twice, and none that a job may not use.
-func TestPlanServesAllAndAsksOnce(t *testing.T) {
+// TestPlanServesAllDemands checks that the machines of a plan have room for all demands, that the
+// plan lists no offer twice, and that it has no spot machines unless a job allows them.
+func TestPlanServesAllDemands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
 		var need placement.Resources
 		anySpot := false
 		for range rapid.IntRange(1, 6).Draw(t, "demands") {
-			d := demand(float64(rapid.IntRange(1, 4).Draw(t, "cores")), float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
+			d := demand(float64(rapid.IntRange(1, 4).Draw(t, "cores")), float64(rapid.IntRange(0, 1).Draw(t, "accelerators")),
 				rapid.Bool().Draw(t, "spot"), rapid.IntRange(1, 9).Draw(t, "count"))
 			anySpot = anySpot || d.Request.Spot
 			need = need.Plus(d.Request.Need, float64(d.Count))
@@ -43,20 +45,20 @@
 		}
 		var room placement.Resources
 		seen := map[OfferKey]bool{}
-		for _, p := range Plan(demands, nil, offers(), 300) {
-			require.False(t, seen[p.Offer.Key()], "asked twice")
-			seen[p.Offer.Key()] = true
-			require.True(t, anySpot || !p.Offer.Spot)
-			require.LessOrEqual(t, p.Count, wire.MaxProvision)
-			h := p.Offer.NewHost("", 300)
-			room = room.Plus(h.Total, float64(p.Count))
+		for _, entry := range Plan(demands, nil, offers(), 300) {
+			require.False(t, seen[entry.Offer.Key()], "offer listed twice")
+			seen[entry.Offer.Key()] = true
+			require.True(t, anySpot || !entry.Offer.Spot)
+			require.LessOrEqual(t, entry.Count, wire.MaxProvision)
+			host := entry.Offer.NewHost("", 300)
+			room = room.Plus(host.Total, float64(entry.Count))
 		}
 		require.True(t, room.Covers(need), "need %v, provisioned %v", need, room)
 	})
 }
 
-// TestPlanPrefersCheapAndUsesExpected: a plan takes the cheapest offer that the job may use,
-// and nothing if the expected machines have room.
+// TestPlanPrefersCheapAndUsesExpected checks that a plan uses the cheapest offer that the job
+// allows, and that it is empty if the expected machines have room or there are no offers.
 func TestPlanPrefersCheapAndUsesExpected(t *testing.T) {
 	plan := Plan([]Demand{demand(1, 0, true, 4)}, nil, offers(), 300)
 	require.Len(t, plan, 1)
@@ -68,8 +70,8 @@
 	require.Empty(t, Plan([]Demand{demand(1, 0, false, 4)}, nil, nil, 300))
 }
 
-// TestOverdueOffersLast: where machines are overdue, other offers at a similar price are
-// preferred.
+// TestOverdueOffersLast checks that of offers at the same price, those without overdue machines
+// are preferred.
 func TestOverdueOffersLast(t *testing.T) {
 	all := offers()
 	for i := range all {
@@ -77,8 +79,8 @@
 			all[i].OverdueFraction = 0.5
 		}
 	}
-	for _, p := range Plan([]Demand{demand(1, 0, true, 3)}, nil, all, 300) {
-		require.Equal(t, "b", p.Offer.Zone)
-		require.True(t, p.Offer.Spot)
+	for _, entry := range Plan([]Demand{demand(1, 0, true, 3)}, nil, all, 300) {
+		require.Equal(t, "b", entry.Offer.Zone)
+		require.True(t, entry.Offer.Spot)
 	}
 }
