--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous assigns names to owners by rendezvous hashing: all that know the same
-// owners come to the same result, and when an owner goes only its names get another one.
+// Package rendezvous assigns names to owners by rendezvous hashing. All processes that know the
+// same owners compute the same assignment.
 package rendezvous
 
 import (
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// HighestScoring is the owner that scores highest for a name, "" if there are no owners.
+// HighestScoring returns the owner that scores highest for the name, or "" if there are no owners.
+// If an owner is removed, only the names for which it scored highest get another owner.
 func HighestScoring(owners []string, name string) string {
 	best, bestScore := "", uint64(0)
 	for _, owner := range owners {
@@ -18,10 +19,11 @@
 	return best
 }
 
-// score must be the same in all builds that run side by side: they have to agree on owners.
+// score returns the score of an owner for a name. The function must not change between releases,
+// since controllers of different releases that run side by side have to agree on the owners.
 func score(owner, name string) uint64 {
 	hash := fnv.New64a()
-	// Writing to a hash cannot fail.
+	// Writing to a hash never returns an error.
 	_, _ = hash.Write([]byte(owner))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(name))
@@ -30,8 +32,9 @@
 	return sum * 0x9e3779b97f4a7c15
 }
 
-// Assign gives each name to the owner that scores highest for it and has fewer than its equal
-// part of the names, rounded up.
+// Assign assigns each name to the owner that scores highest for it among those that do not have
+// their equal part of the names, rounded up, yet. The result does not depend on the order of the
+// names.
 func Assign(owners, names []string) map[string]string {
 	assigned := make(map[string]string, len(names))
 	if len(owners) == 0 {
@@ -40,10 +43,10 @@
 	maxPerOwner := (len(names) + len(owners) - 1) / len(owners)
 	assignedCount := map[string]int{}
 	for _, name := range slices.Sorted(slices.Values(names)) {
-		open := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return assignedCount[owner] >= maxPerOwner })
-		best := HighestScoring(open, name)
-		assignedCount[best]++
-		assigned[name] = best
+		available := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return assignedCount[owner] >= maxPerOwner })
+		owner := HighestScoring(available, name)
+		assignedCount[owner]++
+		assigned[name] = owner
 	}
 	return assigned
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -13,8 +13,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// TestAssign: every name has an owner, none has more than its part, and the order in which
-// names are given makes no difference. When an owner goes, only its names find another.
+// TestAssign checks that Assign gives every name an owner, gives no owner more than its equal
+// part, and does not depend on the order of the names. It also checks that the removal of an
+// owner changes HighestScoring only for the names of this owner.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var owners, names []string
@@ -25,23 +26,23 @@
 			names = append(names, fmt.Sprint("team-", i))
 		}
 		assigned := Assign(owners, names)
-		load := map[string]int{}
+		assignedCount := map[string]int{}
 		for _, name := range names {
 			require.Contains(t, owners, assigned[name])
-			load[assigned[name]]++
+			assignedCount[assigned[name]]++
 		}
-		for owner, n := range load {
-			require.LessOrEqual(t, n, (len(names)+len(owners)-1)/len(owners), owner)
+		for owner, count := range assignedCount {
+			require.LessOrEqual(t, count, (len(names)+len(owners)-1)/len(owners), owner)
 		}
 		reversed := slices.Clone(names)
 		slices.Reverse(reversed)
 		require.Equal(t, assigned, Assign(owners, reversed))
 
-		gone := rapid.SampledFrom(owners).Draw(t, "gone")
-		left := slices.DeleteFunc(slices.Clone(owners), func(o string) bool { return o == gone })
+		removed := rapid.SampledFrom(owners).Draw(t, "removed")
+		remaining := slices.DeleteFunc(slices.Clone(owners), func(owner string) bool { return owner == removed })
 		for _, name := range names {
-			if before := HighestScoring(owners, name); before != gone {
-				require.Equal(t, before, HighestScoring(left, name))
+			if before := HighestScoring(owners, name); before != removed {
+				require.Equal(t, before, HighestScoring(remaining, name))
 			}
 		}
 	})
@@ -49,8 +50,9 @@
 	require.Empty(t, HighestScoring(nil, "team-0"))
 }
 
-// TestHighestAsEver: controllers of different builds that run side by side agree on owners.
-func TestHighestAsEver(t *testing.T) {
+// TestHighestScoringIsStable compares HighestScoring with recorded results. If they changed,
+// controllers of different releases that run side by side would disagree on the owners.
+func TestHighestScoringIsStable(t *testing.T) {
 	owners := []string{"rig-0", "rig-1", "rig-2", "rig-3", "rig-4"}
 	var got []string
 	for i := range 8 {
