--- a/internal/shard/assignment.go
+++ b/internal/shard/assignment.go
@@ -8,11 +8,11 @@
 	"lilacrill/wire"
 )
 
-// nextToMove is the shard of this process with the highest affinity to a target, of those
-// that are not proposed already.
+// nextToMove returns the shard of this process with the highest affinity to a target, leaving
+// out shards whose move is under way or among the proposals.
 func (t *Table) nextToMove(target string, proposals []proposal) (best wire.ShardID, found bool) {
 	for id := range wire.ShardID(Count) {
-		if !t.MaySchedule(id) || slices.ContainsFunc(proposals, func(move proposal) bool { return move.id == id }) {
+		if !t.MaySchedule(id) || slices.ContainsFunc(proposals, func(proposed proposal) bool { return proposed.id == id }) {
 			continue
 		}
 		if !found || affinity(target, id) > affinity(target, best) {
@@ -22,8 +22,9 @@
 	return best, found
 }
 
-// eligibleControllers lists the controllers that may own shards: those that are alive, reach workers
-// and are not drained; if there are none, all that are alive. They are in order of label.
+// eligibleControllers returns the labels, in order, of the controllers that may own shards. These
+// are the live controllers that reach workers and are not drained or, if there are none, all live
+// controllers.
 func (t *Table) eligibleControllers() []string {
 	labels := slices.Sorted(maps.Keys(t.controllers))
 	healthy := slices.DeleteFunc(slices.Clone(labels), func(label string) bool {
@@ -36,8 +37,8 @@
 	return labels
 }
 
-// ownedCounts is how many shards each live controller owns once all moves under way are
-// finished.
+// ownedCounts returns the number of shards that each live controller will own once all moves
+// under way have finished.
 func (t *Table) ownedCounts() map[string]int {
 	owned := map[string]int{}
 	for i := range t.shards {
@@ -53,10 +54,11 @@
 	return owned
 }
 
-// successors is which controller takes over each shard without a live owner: the target of a
-// move that was under way; a new process of the controller that owned the shard; else the
-// controller that owns fewest. Controllers that know the same come to the same result, so
-// that they rarely compete for a shard.
+// successors returns, for each shard without a live owner, the label of the controller that takes
+// it over. This is the target of the shard's move if one was under way, else a new process of the
+// controller that owned the shard, else the controller that owns the fewest shards. Only eligible
+// controllers take over shards. Controllers with the same view compute the same result, so they
+// rarely compete for a shard.
 func (t *Table) successors() map[wire.ShardID]string {
 	eligible := t.eligibleControllers()
 	owned := t.ownedCounts()
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -7,25 +7,28 @@
 	"lilacrill/wire"
 )
 
-// Each change of shards is one transaction, whose conditions are the versions of the records
-// that it changes: of two concurrent changes one fails, and so does one that arrives late.
+// Each change of shards is one transaction, with the versions of the changed records as its
+// conditions. Of two concurrent changes to the same shard one fails, and so does a change that
+// arrives after another one.
 
-// addPut adds the write of a shard's record, on the condition that it has not changed.
+// addPut adds the write of a shard's record to a transaction, with the condition that the record
+// has not changed.
 func (t *Table) addPut(txn *wire.Transaction, id wire.ShardID, next record.Shard) {
 	txn.If = append(txn.If, t.Condition(id))
 	txn.Then = append(txn.Then, wire.Change{Put: record.ShardKey(id), Value: record.Encode(record.FormatSharding, record.ShardKey(id), next)})
 }
 
-// addCondition adds a condition unless the transaction has it.
+// addCondition adds a condition to a transaction unless the transaction has this condition already.
 func addCondition(txn *wire.Transaction, condition wire.Condition) {
 	if !slices.Contains(txn.If, condition) {
 		txn.If = append(txn.If, condition)
 	}
 }
 
-// failOver makes this process the owner of shards that have no owner, or whose owner is gone.
-// That it is gone is a condition: a controller's liveness record is on its lease, so a shard
-// is never taken from an owner that may still be alive.
+// failOver returns the transaction that makes this process the owner of shards that have no owner
+// or whose owner is gone. It has the condition that the liveness record of the owner has not
+// changed, i.e. that the owner is still gone. The record is attached to the lease of the owner, so
+// a shard is never taken from an owner that may still be alive.
 func (t *Table) failOver(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -38,28 +41,28 @@
 	return txn
 }
 
-// proposal is a shard with the controller that it is to be handed over to.
+// proposal is a proposed move of a shard to the controller with label to.
 type proposal struct {
 	id wire.ShardID
 	to string
 }
 
-// propose asks the owners of shards to hand them over. That the targets are alive is a
-// condition.
+// propose returns the transaction that asks the owners of shards to hand them over. It has the
+// condition that the targets are alive.
 func (t *Table) propose(proposals []proposal, reason string, wall int64) wire.Transaction {
 	var txn wire.Transaction
-	for _, move := range proposals {
-		addCondition(&txn, t.livenessCondition(move.to))
-		next := t.shards[move.id].Shard
-		next.Move = &record.ShardMove{To: record.ShardOwner{Label: move.to, Incarnation: t.controllers[move.to].Incarnation},
+	for _, proposed := range proposals {
+		addCondition(&txn, t.livenessCondition(proposed.to))
+		next := t.shards[proposed.id].Shard
+		next.Move = &record.ShardMove{To: record.ShardOwner{Label: proposed.to, Incarnation: t.controllers[proposed.to].Incarnation},
 			Phase: record.MoveProposed, Since: wall, Reason: reason}
-		t.addPut(&txn, move.id, next)
+		t.addPut(&txn, proposed.id, next)
 	}
 	return txn
 }
 
-// release records that this process, the owner, has no placement under way in shards that it
-// is to hand over: their targets may adopt them.
+// release returns the transaction that records that this process, the owner of shards to be
+// handed over, has no placement under way in them. The targets may then adopt the shards.
 func (t *Table) release(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -72,7 +75,8 @@
 	return txn
 }
 
-// adopt makes this process the owner of shards that were released to it.
+// adopt returns the transaction that makes this process the owner of shards that were released to
+// it.
 func (t *Table) adopt(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
@@ -81,8 +85,9 @@
 	return txn
 }
 
-// undo ends moves whose targets are gone: the shards stay with their owners. That the targets
-// are gone is a condition, since one that is alive may adopt at any moment.
+// undo returns the transaction that ends moves whose targets are gone, so that the shards stay
+// with their owners. It has the condition that the targets are gone, since a target that is alive
+// may adopt a released shard at any moment.
 func (t *Table) undo(ids []wire.ShardID) wire.Transaction {
 	var txn wire.Transaction
 	for _, id := range ids {
--- a/internal/shard/operator.go
+++ b/internal/shard/operator.go
@@ -13,7 +13,8 @@
 // maxReasonLength bounds an operator's reason, in bytes, so that the record stays small.
 const maxReasonLength = 200
 
-// CheckInUse returns why sharding is not in use, so that nothing can be changed, or nil.
+// CheckInUse returns an error that states why sharding is not in use, in which case operators
+// cannot change shards, or nil if it is in use.
 func (t *Table) CheckInUse() error {
 	switch {
 	case t.format < record.FormatSharding:
@@ -24,12 +25,12 @@
 	return nil
 }
 
-// reasonOperator is the reason of moves that operators ask for.
+// reasonOperator is the reason stored with moves that operators request.
 const reasonOperator = "by an operator"
 
-// Move is the transaction by which an operator has a shard moved to a controller. epoch is the
-// one that the operator saw; wall is in Unix milliseconds. Its errors are those of package
-// apierror.
+// Move returns the transaction that proposes an operator's move of a shard to the controller with
+// label to. epoch is the shard epoch that the operator saw; the move is refused if the shard has
+// another one. wall is the current time in Unix milliseconds. Errors are of package apierror.
 func (t *Table) Move(id wire.ShardID, to string, epoch wire.ShardEpoch, wall int64) (wire.Transaction, error) {
 	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
@@ -60,8 +61,8 @@
 	return t.propose([]proposal{{id, to}}, reasonOperator, wall), nil
 }
 
-// Drain is the transaction after which a controller hands over all its shards and gets none.
-// Its errors are those of package apierror.
+// Drain returns the transaction that drains a controller: the controller hands over all its
+// shards, and gets no others. Errors are of package apierror.
 func (t *Table) Drain(label, reason string) (wire.Transaction, error) {
 	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
@@ -89,7 +90,8 @@
 	return t.putPolicy(next), nil
 }
 
-// EndDrain is the transaction that ends a drain.
+// EndDrain returns the transaction that ends the drain of a controller. Errors are of package
+// apierror.
 func (t *Table) EndDrain(label string) (wire.Transaction, error) {
 	if err := t.CheckInUse(); err != nil {
 		return wire.Transaction{}, err
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// movesPerSecond bounds how fast one controller rebalances. A move takes three writes.
+	// movesPerSecond bounds the rate at which one controller moves shards for balance. Each
+	// move takes three writes.
 	movesPerSecond = 1.5
-	moveBurst      = 1
-	// BalanceTolerance is how many more shards than another a controller may own before it hands
-	// some over: with less, shards would move back and forth.
+	// moveBurst is the number of moves that this rate allows at once.
+	moveBurst = 1
+	// BalanceTolerance is the number of shards that a controller may own in excess of another
+	// before it hands some over. With a smaller tolerance shards would move back and forth.
 	BalanceTolerance = 2
-	// minLifetime is how long a controller must have been alive before shards are moved to
-	// it.
+	// minLifetime is the time for which a controller must have been alive before shards are
+	// moved to it.
 	minLifetime = 4 * time.Second
 )
 
-// The reasons for moves that controllers make by themselves. Operators see them, and they
-// are stored with the move.
+// The reasons for moves that controllers propose on their own. They are stored with the move and
+// shown to operators.
 const (
 	ReasonBalance  = "to even out the shares"
 	ReasonDrain    = "its owner is drained"
@@ -32,7 +34,7 @@
 	ReasonGang     = "a job needs the room of several controllers at once"
 )
 
-// ActionKind says what an action does.
+// ActionKind states what an action does.
 type ActionKind string
 
 // The kinds of actions.
@@ -45,32 +47,32 @@
 	Switch   ActionKind = "shares switched on or off"
 )
 
-// Action is a transaction that this controller should commit now.
+// Action is a change of shards that this controller should commit now.
 type Action struct {
 	Kind   ActionKind
 	Shards []wire.ShardID
-	Reason string // only of moves
+	Reason string // set for Propose only
 	Txn    wire.Transaction
 }
 
-// Planner decides which action a controller takes next.
+// Planner decides which change of shards a controller makes next.
 type Planner struct {
 	table *Table
-	// maxRecords is how many shards one transaction may change.
+	// maxRecords is the number of shard records that one transaction may change.
 	maxRecords  int
 	moveLimiter *rate.Limiter
 }
 
-// NewPlanner makes a planner whose transactions change at most maxRecords records, but at
-// least one.
+// NewPlanner returns a planner whose transactions change at most maxRecords shard records. A
+// maxRecords below 1 is taken as 1.
 func NewPlanner(t *Table, maxRecords int) *Planner {
 	return &Planner{table: t, maxRecords: max(1, maxRecords), moveLimiter: rate.NewLimiter(movesPerSecond, moveBurst)}
 }
 
-// Next is the most urgent action, if there is any. scheduling reports whether this process
-// has placements under way in a shard, hold that it needs the shards that it has for the
-// moment; wall is in Unix milliseconds.
-func (p *Planner) Next(now Time, wall int64, scheduling func(wire.ShardID) bool, hold bool) (Action, bool) {
+// Next returns the most urgent action, if any is due. scheduling reports whether this process has
+// placements under way in a shard. keepShards suspends moves for balance, for a process that
+// currently needs the shards that it owns. wall is the current time in Unix milliseconds.
+func (p *Planner) Next(now Time, wall int64, scheduling func(wire.ShardID) bool, keepShards bool) (Action, bool) {
 	t := p.table
 	if !t.Enabled() || !t.Alive(t.self) {
 		return Action{}, false
@@ -85,12 +87,12 @@
 			return Action{Kind: step.kind, Shards: ids, Txn: step.transaction(ids)}, true
 		}
 	}
-	return p.proposeMoves(now, wall, hold)
+	return p.proposeMoves(now, wall, keepShards)
 }
 
-// dueActions lists the shards by what this process has to do about them. The handover of a
-// shard is proposed, then released by its owner, then adopted by its target; it is undone if
-// the target is gone.
+// dueActions returns the shards for which this process has to take an action, by kind of action.
+// A move of a shard is first proposed, then released by the owner, then adopted by the target. The
+// owner undoes it if the target is gone.
 func (t *Table) dueActions(scheduling func(wire.ShardID) bool) map[ActionKind][]wire.ShardID {
 	due := map[ActionKind][]wire.ShardID{}
 	successors := t.successors()
@@ -114,13 +116,14 @@
 	return due
 }
 
-// proposeMoves proposes moves of this controller's own shards: all of them if it is drained
-// or isolated, else one at a time to a controller that owns far fewer.
-func (p *Planner) proposeMoves(now Time, wall int64, hold bool) (Action, bool) {
+// proposeMoves proposes moves of shards of this controller. A drained or isolated controller hands
+// over all its shards. Any other controller hands over one shard at a time, to a controller that
+// owns fewer shards by more than BalanceTolerance.
+func (p *Planner) proposeMoves(now Time, wall int64, keepShards bool) (Action, bool) {
 	t := p.table
 	reason, evacuate := t.evacuationReason()
 	if !evacuate {
-		if hold {
+		if keepShards {
 			return Action{}, false
 		}
 		reason = ReasonBalance
@@ -132,14 +135,14 @@
 		return Action{}, false
 	}
 	proposals := p.chooseMoves(targets, evacuate)
-	// An evacuation is bounded by what one transaction takes, rebalancing by the limiter.
+	// Evacuation is bounded by the size of a transaction only, rebalancing also by the limiter.
 	if len(proposals) == 0 || !evacuate && !p.moveLimiter.AllowN(time.Unix(0, int64(now)), 1) {
 		return Action{}, false
 	}
 	return t.proposeAction(proposals, reason, wall), true
 }
 
-// evacuationReason says whether this controller must hand over all its shards, and why.
+// evacuationReason reports whether this controller must hand over all its shards, and the reason.
 func (t *Table) evacuationReason() (reason string, evacuate bool) {
 	if _, drained := t.policy.Drained[t.self.Label]; drained {
 		return ReasonDrain, true
@@ -147,9 +150,9 @@
 	return ReasonIsolated, t.controllers[t.self.Label].Isolated
 }
 
-// chooseMoves chooses shards of this controller and their targets: as many as one
-// transaction takes to evacuate it, else one at most, and only if a target owns so many
-// fewer that the move makes the shards more even.
+// chooseMoves chooses shards of this controller to move, with their targets. To evacuate the
+// controller it chooses as many shards as one transaction may change. Otherwise it chooses at most
+// one, and only if a target owns fewer shards by more than BalanceTolerance.
 func (p *Planner) chooseMoves(targets []string, evacuate bool) []proposal {
 	t := p.table
 	owned := t.ownedCounts()
@@ -170,8 +173,9 @@
 	return proposals
 }
 
-// Acquire proposes that shards be handed over to this process, for a job that needs the
-// capacity of several controllers at once. Shards that are being moved already are left out.
+// Acquire returns the action that proposes moves of shards to this process, for a job that needs
+// the capacity of several controllers at once. It leaves out shards that are being moved already,
+// and reports false if no shard remains. wall is the current time in Unix milliseconds.
 func (p *Planner) Acquire(ids []wire.ShardID, wall int64) (Action, bool) {
 	t := p.table
 	var proposals []proposal
@@ -188,10 +192,11 @@
 	return t.proposeAction(proposals, ReasonGang, wall), true
 }
 
+// proposeAction returns the action that commits the proposals.
 func (t *Table) proposeAction(proposals []proposal, reason string, wall int64) Action {
 	action := Action{Kind: Propose, Reason: reason, Txn: t.propose(proposals, reason, wall)}
-	for _, move := range proposals {
-		action.Shards = append(action.Shards, move.id)
+	for _, proposed := range proposals {
+		action.Shards = append(action.Shards, proposed.id)
 	}
 	return action
 }
--- a/internal/shard/policy.go
+++ b/internal/shard/policy.go
@@ -8,13 +8,13 @@
 	"lilacrill/wire"
 )
 
-// SwitchPolicy is the transaction that switches sharding on, once the latest processes of
-// all live controllers enable it, or off, once one of them does not. Its conditions are the
-// registrations that it relies on.
+// SwitchPolicy returns the action, if it is due, that switches sharding on once the current
+// processes of all live controllers enable it, or off once one of them does not. The conditions of
+// its transaction are the liveness records and registrations that the decision relies on.
 //
-// It has to be committed together with a change of a record that is a condition of every
-// placement: else a placement on any machine that was under way, from a process of any
-// build, could come after it.
+// The caller must commit it together with a write of a record on which every placement has a
+// condition. Otherwise a placement on any machine that is under way, from a process of any release,
+// could be committed after the switch.
 func (t *Table) SwitchPolicy() (Action, bool) {
 	if t.format < record.FormatSharding || len(t.controllers) == 0 {
 		return Action{}, false
@@ -31,19 +31,20 @@
 	return Action{Kind: Switch, Txn: txn}, true
 }
 
-// enabledByAll reports whether the present processes of all live controllers have registered
-// that they enable sharding.
+// enabledByAll reports whether the current processes of all live controllers have registered that
+// they enable sharding.
 func (t *Table) enabledByAll() bool {
-	for label, live := range t.controllers {
+	for label, controller := range t.controllers {
 		registered := t.registrations[label]
-		if registered.Incarnation != live.Incarnation || !registered.Sharding {
+		if registered.Incarnation != controller.Incarnation || !registered.Sharding {
 			return false
 		}
 	}
 	return true
 }
 
-// putPolicy writes whether sharding is in use, and which controllers are drained.
+// putPolicy returns the transaction that stores whether sharding is in use and which controllers
+// are drained.
 func (t *Table) putPolicy(next record.ShardPolicy) wire.Transaction {
 	return wire.Transaction{
 		If:   []wire.Condition{t.policyCondition()},
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,8 +1,9 @@
-// Package shard divides the machines among the controllers. A machine belongs to a shard by
-// its name, and a shard to one process of a controller, which alone may schedule tasks on its
-// machines. The package holds the records of the shards, decides what this controller should
-// do about them (failover, handover, adoption, rebalancing), and returns the transactions that
-// do it. Like the controller it has no clock, no socket and no goroutine.
+// Package shard divides the machines among the controllers. The ID of a machine determines its
+// shard. A shard is owned by one process of a controller, and only this process may schedule tasks
+// on the machines of the shard. The package caches the records of the shards, decides which changes
+// this controller should make to them (failover, handover, adoption, rebalancing), and returns the
+// transactions for these changes. Like package controller, it uses no clock, no sockets and no
+// goroutines.
 package shard
 
 import (
@@ -13,25 +14,25 @@
 	"lilacrill/wire"
 )
 
-// Count is the number of shards. The record of each shard that a placement uses is a
-// condition of its transaction; with this many, a placement in all of them stays within the
-// limit of conditions (docs/shards.md). It must never change: it decides which shard a
-// machine belongs to.
+// Count is the number of shards. It must never change, since it determines to which shard a machine
+// belongs. A placement transaction has a condition on the record of each shard in which it places
+// tasks. With this number of shards, a placement in all of them stays within the limit of
+// conditions per transaction (docs/shards.md).
 const Count = 32
 
-// Time is a moment on the monotonic clock of the process, since its start.
+// Time is a point in time on the monotonic clock, as the time since the start of the process.
 type Time time.Duration
 
-// Of is the shard that a machine belongs to.
+// Of returns the shard to which a machine belongs.
 func Of(machine wire.MachineID) wire.ShardID {
 	return wire.ShardID(xxhash.Sum64String(string(machine)) % Count)
 }
 
-// Valid reports whether a shard has this number.
+// Valid reports whether id is the number of a shard.
 func Valid(id wire.ShardID) bool { return id >= 0 && id < Count }
 
-// affinity orders controllers for a shard, or shards for a controller, by rendezvous hashing:
-// pseudo-randomly, and the same on all controllers.
+// affinity returns the rendezvous hash of a controller and a shard. It orders controllers for a
+// shard, or shards for a controller, pseudo-randomly but equally in all processes.
 func affinity(label string, id wire.ShardID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(label) // writing to a digest cannot fail
--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -10,49 +10,49 @@
 	"lilacrill/wire"
 )
 
-// Table is what one controller knows of the shards, from their records, and of the
-// controllers that may own them.
+// Table is the view that one controller has of the shards and of the controllers that may own
+// them, built from their records.
 type Table struct {
 	self record.ShardOwner
 
 	policy        record.ShardPolicy
 	policyVersion wire.Revision
 	shards        [Count]shardState
-	controllers   map[string]Controller   // that are alive, by label
+	controllers   map[string]Controller   // the live controllers, by label
 	registrations map[string]registration // by label
-	format        wire.Format             // in force
+	format        wire.Format             // the format in force
 }
 
-// shardState is a shard's record. Its version is 0 while there is none.
+// shardState is the record of a shard. Its version is 0 while the record does not exist.
 type shardState struct {
 	record.Shard
 	version    wire.Revision
 	unreadable bool
 }
 
-// registration is what a controller's latest process registered.
+// registration is the registration of the latest process of a controller.
 type registration struct {
 	record.Registration
 	version wire.Revision
 }
 
-// Controller is a controller that is alive.
+// Controller is a live controller.
 type Controller struct {
 	Incarnation wire.FencingToken
-	Isolated    bool // it reports that it reaches no workers
-	Version     wire.Revision
-	// Since is when this process was first known to be alive.
+	Isolated    bool          // whether it reports that it reaches no workers
+	Version     wire.Revision // of its liveness record
+	// Since is the time at which this incarnation was first known to be alive.
 	Since Time
 }
 
-// New makes a table for the controller label.
+// New returns an empty table for the controller with the given label.
 func New(label string) *Table {
 	t := &Table{self: record.ShardOwner{Label: label}}
 	t.Reset()
 	return t
 }
 
-// Reset forgets all records, before they are read anew.
+// Reset discards all records, before they are read again.
 func (t *Table) Reset() {
 	t.policy, t.policyVersion = record.ShardPolicy{}, 0
 	t.shards = [Count]shardState{}
@@ -60,14 +60,14 @@
 	t.format = record.FormatPlain
 }
 
-// SetIncarnation sets the incarnation of this process, once it has joined.
+// SetIncarnation sets the incarnation of this process, which is known once the process has joined.
 func (t *Table) SetIncarnation(incarnation wire.FencingToken) { t.self.Incarnation = incarnation }
 
 // ApplyFormat sets the format in force.
 func (t *Table) ApplyFormat(format wire.Format) { t.format = format }
 
-// ApplyPolicy applies the record that says whether sharding is in use; a nil value means that
-// there is none.
+// ApplyPolicy applies the record that states whether sharding is in use and which controllers are
+// drained. A nil value means that the record does not exist.
 func (t *Table) ApplyPolicy(value []byte, version wire.Revision) error {
 	t.policy, t.policyVersion = record.ShardPolicy{}, version
 	if value == nil {
@@ -77,12 +77,13 @@
 	return fastjson.Unmarshal(value, &t.policy)
 }
 
-// ApplyShard applies a shard's record by its key. One that cannot be decoded has no owner
-// here: this controller schedules nothing in it, and leaves the record alone.
+// ApplyShard applies the record of the shard that key identifies. A nil value means that the record
+// does not exist. A shard whose record cannot be decoded is treated as having no owner: this
+// controller places no tasks in it and does not change the record.
 func (t *Table) ApplyShard(key string, value []byte, version wire.Revision) error {
 	number, err := strconv.Atoi(strings.TrimPrefix(key, record.ShardPrefix))
 	if err != nil || !Valid(wire.ShardID(number)) {
-		return fmt.Errorf("share record %q: no such share", key)
+		return fmt.Errorf("shard record %q: no such shard", key)
 	}
 	s := shardState{version: version}
 	if value == nil {
@@ -94,7 +95,8 @@
 	return err
 }
 
-// ApplyRegistration applies what a controller's latest process has registered.
+// ApplyRegistration applies the registration of the latest process of a controller. It treats a
+// record that cannot be decoded as missing.
 func (t *Table) ApplyRegistration(label string, value []byte, version wire.Revision) {
 	delete(t.registrations, label)
 	registered := registration{version: version}
@@ -103,8 +105,8 @@
 	}
 }
 
-// ApplyLiveness applies a controller's liveness record, which has no incarnation if the
-// controller is not alive.
+// ApplyLiveness applies the liveness record of a controller. The incarnation is 0 if the controller
+// is not alive.
 func (t *Table) ApplyLiveness(label string, liveness record.Liveness, version wire.Revision, now Time) {
 	before, known := t.controllers[label]
 	if liveness.Incarnation == 0 {
@@ -121,26 +123,26 @@
 // Enabled reports whether sharding is in use.
 func (t *Table) Enabled() bool { return t.policy.Enabled }
 
-// Alive reports whether a process is known to be alive.
+// Alive reports whether a process of a controller is known to be alive.
 func (t *Table) Alive(owner record.ShardOwner) bool {
-	c, ok := t.controllers[owner.Label]
-	return ok && owner.Incarnation != 0 && c.Incarnation == owner.Incarnation
+	controller, ok := t.controllers[owner.Label]
+	return ok && owner.Incarnation != 0 && controller.Incarnation == owner.Incarnation
 }
 
-// Owner is the process that owns a shard. It may be gone.
+// Owner returns the process that owns a shard according to its record. The process may be gone.
 func (t *Table) Owner(id wire.ShardID) record.ShardOwner { return t.shards[id].Owner }
 
-// Epoch counts the changes of a shard's owner.
+// Epoch returns the epoch of a shard, which increases with each change of its owner.
 func (t *Table) Epoch(id wire.ShardID) wire.ShardEpoch { return t.shards[id].Epoch }
 
-// MaySchedule reports whether this process may start placements on the machines of a shard:
-// it owns the shard, and no move of it is under way.
+// MaySchedule reports whether this process may start placements on the machines of a shard. This is
+// the case if the process owns the shard and no move of the shard is under way.
 func (t *Table) MaySchedule(id wire.ShardID) bool {
 	s := &t.shards[id]
 	return t.self.Incarnation != 0 && s.Owner == t.self && s.Move == nil && !s.unreadable
 }
 
-// OwnedCount counts the shards that a controller's live process owns.
+// OwnedCount returns the number of shards that the live process of a controller owns.
 func (t *Table) OwnedCount(label string) int {
 	count := 0
 	for i := range t.shards {
@@ -151,18 +153,20 @@
 	return count
 }
 
-// Condition is the condition that a shard's record has not changed. It is part of every
-// placement in the shard.
+// Condition returns the condition that the record of a shard has not changed. Every transaction
+// that places tasks in the shard has this condition.
 func (t *Table) Condition(id wire.ShardID) wire.Condition {
 	return wire.Condition{Key: record.ShardKey(id), Version: t.shards[id].version}
 }
 
+// policyCondition returns the condition that the policy has not changed.
 func (t *Table) policyCondition() wire.Condition {
 	return wire.Condition{Key: record.ShardPolicyKey, Version: t.policyVersion}
 }
 
-// livenessCondition is the condition that a controller is still alive, or still gone, as this
-// controller knows it. The record of a live controller is on its lease.
+// livenessCondition returns the condition that the liveness record of a controller has not changed,
+// so that the controller is still alive or still gone, whichever this table states. The record is
+// attached to the controller's lease.
 func (t *Table) livenessCondition(label string) wire.Condition {
 	return wire.Condition{Key: record.LivenessKey(label), Version: t.controllers[label].Version}
 }
--- a/internal/shard/view.go
+++ b/internal/shard/view.go
@@ -5,12 +5,13 @@
 	"lilacrill/wire"
 )
 
-// waitsForFailover is what a shard without a live owner waits for.
+// waitsForFailover states what a shard without a live owner waits for, for operators.
 const waitsForFailover = "its owner is gone: it is about to be taken over"
 
 const millisecondsPerSecond = 1000
 
-// View is what operators see of the shards; wall is in Unix milliseconds.
+// View returns the state of the shards for operators. wall is the current time in Unix
+// milliseconds.
 func (t *Table) View(wall int64) wire.AdminShards {
 	view := wire.AdminShards{State: "in use", Drained: t.policy.Drained, Owned: map[string]int{}, Shards: []wire.AdminShard{}}
 	if err := t.CheckInUse(); err != nil {
@@ -36,7 +37,7 @@
 	return view
 }
 
-// moveWaitsFor says what a move waits for, for operators to read.
+// moveWaitsFor states what a move waits for, for operators.
 func (t *Table) moveWaitsFor(s *shardState) string {
 	switch {
 	case !t.Alive(s.Owner):
