--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -294,7 +294,7 @@
 	for _, id := range machines {
 		if machine := c.machine(id); !machine.scaling.terminated {
 			machine.scaling.terminated, machine.scaling.terminatedAt = true, c.now
-			machine.markForReview()
+			machine.markPagesForReview()
 			c.scheduler.machinesLost, c.scheduler.criticalDirty = true, true
 		}
 	}
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -119,7 +119,7 @@
 // receive are not gossiped: each controller then probes for itself, or it would take most
 // machines for silent after a while, and place nothing on them.
 func (c *Controller) shouldProbe(machine *machine, quiet time.Duration) bool {
-	if quiet > c.defaultHeartbeatTimeout() && !c.allPeersHeard() {
+	if quiet > c.defaultHeartbeatTimeout() && !c.receivesFromAllPeers() {
 		return true
 	}
 	if c.isProvisioner() && quiet > c.heartbeatTimeout(machine)+provisionerProbeDelay {
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -102,7 +102,7 @@
 func (f *fleet) kindLabels(kind machineKind) placement.Tags {
 	labels := f.labelSets[kind]
 	if labels == nil {
-		labels = machineLabels(kind.kind, kind.zone, kind.spot)
+		labels = machineLabels(kind.machineType, kind.zone, kind.spot)
 		f.labelSets[kind] = labels
 	}
 	return labels
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -243,7 +243,7 @@
 	offers := make([]wire.CapacityOffer, 0, len(kinds))
 	for _, k := range kinds {
 		free := mostFree[k]
-		offers = append(offers, wire.CapacityOffer{Type: k.kind, Zone: k.zone, Spot: k.spot, Cores: free.Cores, Accelerators: free.Accelerators, MemGB: free.MemGB})
+		offers = append(offers, wire.CapacityOffer{Type: k.machineType, Zone: k.zone, Spot: k.spot, Cores: free.Cores, Accelerators: free.Accelerators, MemGB: free.MemGB})
 	}
 	return offers
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -94,8 +94,8 @@
 	best := slices.MaxFunc(zones, func(a, b string) int {
 		ca, cb := capacityOf(a), capacityOf(b)
 		return cmp.Or(
-			cmp.Compare(min(ca.now, count), min(cb.now, count)),
-			cmp.Compare(min(ca.preempted, count), min(cb.preempted, count)),
+			cmp.Compare(min(ca.available, count), min(cb.available, count)),
+			cmp.Compare(min(ca.withPreemption, count), min(cb.withPreemption, count)),
 			cmp.Compare(p.c.countOffers(job, a), p.c.countOffers(job, b)))
 	})
 	return best, len(open) > 0
@@ -108,14 +108,14 @@
 	if zone == nil {
 		return count
 	}
-	preempts := zone.preempted >= count && p.c.schedulesJob(pending.job)
+	preempts := zone.withPreemption >= count && p.c.schedulesJob(pending.job)
 	slices.SortFunc(zone.hosts, func(a, b hostCapacity) int {
-		return cmp.Or(-cmp.Compare(a.now, b.now), cmp.Compare(a.host.ID, b.host.ID))
+		return cmp.Or(-cmp.Compare(a.available, b.available), cmp.Compare(a.host.ID, b.host.ID))
 	})
 	left := count
 	for _, capacity := range zone.hosts {
-		for n := 0; n < capacity.preempted && left > 0; n++ {
-			if n >= capacity.now && (!preempts || !p.c.makeRoom(p.transactions, capacity.host, pending, false)) {
+		for n := 0; n < capacity.withPreemption && left > 0; n++ {
+			if n >= capacity.available && (!preempts || !p.c.makeRoom(p.transactions, capacity.host, pending, false)) {
 				break
 			}
 			capacity.host.Free = capacity.host.Free.Plus(pending.job.request.Need, -1)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if machine.directHeartbeat == nil || !sameStatus(machine.directHeartbeat, heartbeat) {
-		machine.markForReview()
+		machine.markPagesForReview()
 		c.scheduler.dirty = true
 	}
 	machine.directHeartbeat, machine.directTasks, machine.liveness.lastDirectAt = heartbeat, tasksByAttempt(heartbeat), c.now
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -49,7 +49,7 @@
 	for i, machine := range c.orderedMachines() {
 		machine.host = nil
 		machineType := c.machineTypeNamed(machine.machineType)
-		if machineType == nil || machine.latestHeartbeat == nil || machine.scaling.terminated || b.isForeign(machine) {
+		if machineType == nil || machine.latestHeartbeat == nil || machine.scaling.terminated || b.outsideOwnShards(machine) {
 			continue
 		}
 		hosts[i] = c.emptyHost(machine, machineType)
@@ -58,8 +58,8 @@
 	}
 }
 
-// isForeign reports whether a machine is left out as another controller's.
-func (b *hostBuilder) isForeign(machine *machine) bool {
+// outsideOwnShards reports whether a machine is left out as another controller's.
+func (b *hostBuilder) outsideOwnShards(machine *machine) bool {
 	return b.ownShards && !b.controller.shards.table.MaySchedule(machine.shard)
 }
 
@@ -93,7 +93,7 @@
 		machine = b.controller.machine(allocation.Machine) // it is staged, and in no index
 	}
 	if machine.host == nil {
-		if b.isForeign(machine) && !b.schedules(allocation.Job) {
+		if b.outsideOwnShards(machine) && !b.schedules(allocation.Job) {
 			return nil
 		}
 		// Rules about zones read the zone of a machine that is not known, too.
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -140,7 +140,7 @@
 	status := wire.JobStatus{ID: job.id, Status: wire.StatusPending, Done: job.completed.Len()}
 	for _, allocation := range c.cache.allocationsByJob[job.id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
-			status.Running += machine.running(allocation)
+			status.Running += machine.countRunning(allocation)
 		}
 	}
 	if status.Running > 0 {
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -10,8 +10,8 @@
 
 // machineKind is what the labels of a machine say.
 type machineKind struct {
-	kind, zone string
-	spot       bool
+	machineType, zone string
+	spot              bool
 }
 
 // machine is one machine as its worker reports it and the cloud lists it.
@@ -131,8 +131,8 @@
 	}
 }
 
-// running counts an allocation's tasks that run by the latest heartbeat.
-func (m *machine) running(allocation *Allocation) int {
+// countRunning counts an allocation's tasks that run by the latest heartbeat.
+func (m *machine) countRunning(allocation *Allocation) int {
 	count := 0
 	for i := range allocation.Tasks.All {
 		if task := m.tasks[allocation.key(i)]; task != nil && task.State == wire.TaskRunning {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -34,12 +34,12 @@
 // longer than silence after that, or after partitionLifetime.
 func (d *partitionDetector) update(review *terminationReview, silence time.Duration, now Time) {
 	for name, zone := range review.zones {
-		if zone.silent > minSilentMachines && zone.silent > partitionSilentRatio*zone.heard && 2*review.silent < review.reporting {
+		if zone.silent > minSilentMachines && zone.silent > partitionSilentRatio*zone.responsive && 2*review.silent < review.reporting {
 			d.zones[name] = partition{now, zone.silent}
 		}
 	}
 	for name, seen := range d.zones {
-		if now.Sub(seen.lastSeenAt) > partitionLifetime || review.zone(name).lastHeardAt > seen.lastSeenAt.Add(silence) {
+		if now.Sub(seen.lastSeenAt) > partitionLifetime || review.zone(name).lastHeartbeatAt > seen.lastSeenAt.Add(silence) {
 			delete(d.zones, name)
 		}
 	}
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -22,33 +22,33 @@
 	abandonSlack          = 10 * time.Second
 	// lateFactor is how many times that delay a machine takes that joins late.
 	lateFactor = 2.5
-	// lateObservationLifetime is how long a machine that joined late has others of its type
+	// lateJoinLifetime is how long a machine that joined late has others of its type
 	// waited for longer.
-	lateObservationLifetime = 3 * time.Minute
+	lateJoinLifetime = 3 * time.Minute
 )
 
 // provisioningDelay is what is known of how long machines of a type take to join.
 type provisioningDelay struct {
-	lastJoinedLaunch Time // when the last launched of them that has joined was launched
-	lastLateAt       Time // when one last joined late; 0: none yet
+	latestJoinedLaunchAt Time // when the last launched of them that has joined was launched
+	lastLateJoinAt       Time // when one last joined late; 0: none yet
 }
 
 // provisioningDelays is the provisioning delays by machine type.
 type provisioningDelays map[string]provisioningDelay
 
-// lateLately reports whether a machine of the type joined late not long ago.
-func (d provisioningDelay) lateLately(now Time) bool {
-	return d.lastLateAt != 0 && now.Sub(d.lastLateAt) <= lateObservationLifetime
+// hasRecentLateJoin reports whether a machine of the type joined late not long ago.
+func (d provisioningDelay) hasRecentLateJoin(now Time) bool {
+	return d.lastLateJoinAt != 0 && now.Sub(d.lastLateJoinAt) <= lateJoinLifetime
 }
 
 // noteJoined notes that a machine of a type joined now, and whether it was late. It reports
 // whether it is the first late one for a while.
 func (d provisioningDelays) noteJoined(machineType string, launchedAt Time, late bool, now Time) (firstLate bool) {
 	delay := d[machineType]
-	delay.lastJoinedLaunch = max(delay.lastJoinedLaunch, launchedAt)
+	delay.latestJoinedLaunchAt = max(delay.latestJoinedLaunchAt, launchedAt)
 	if late {
-		firstLate = !delay.lateLately(now)
-		delay.lastLateAt = now
+		firstLate = !delay.hasRecentLateJoin(now)
+		delay.lastLateJoinAt = now
 	}
 	d[machineType] = delay
 	return firstLate
@@ -59,7 +59,7 @@
 // them may be late: terminated too soon, none would ever join.
 func (d provisioningDelays) abandonFactor(machineType string, launchedAt, now Time) float64 {
 	delay := d[machineType]
-	if delay.lastJoinedLaunch > launchedAt && !delay.lateLately(now) {
+	if delay.latestJoinedLaunchAt > launchedAt && !delay.hasRecentLateJoin(now) {
 		return abandonFactor
 	}
 	return abandonFactorWhenLate
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -29,9 +29,9 @@
 	// minPartitionedMachines is how many machines of a partitioned zone must be silent for
 	// those with critical tasks to be left alone.
 	minPartitionedMachines = 5
-	// partitionLeases is for how many leases machines with accelerators in a partitioned zone
+	// partitionToleranceLeases is for how many leases machines with accelerators in a partitioned zone
 	// are left alone.
-	partitionLeases = 3
+	partitionToleranceLeases = 3
 	// allReportedFactor times the heartbeat interval is when all machines had to report.
 	allReportedFactor = 1.3
 )
@@ -48,8 +48,8 @@
 
 // zoneReview is the same for one zone.
 type zoneReview struct {
-	heard, silent int
-	lastHeardAt   Time
+	responsive, silent int
+	lastHeartbeatAt    Time
 }
 
 // zone is the review of a zone.
@@ -100,14 +100,14 @@
 		}
 		review.reporting++
 		zone := review.zone(machine.zone)
-		zone.lastHeardAt = max(zone.lastHeardAt, machine.liveness.lastHeartbeatAt)
+		zone.lastHeartbeatAt = max(zone.lastHeartbeatAt, machine.liveness.lastHeartbeatAt)
 		// Heartbeats may be further apart than the silence that is tolerated: only what was
 		// probed and did not answer is silent, or should have been probed by somebody long
 		// ago. Where all that had no reason to report counted, a partitioned zone was never
 		// seen to be, and with one peer out of hearing no machine was given up.
 		switch quiet := c.now.Sub(c.lastSeen(machine)); {
 		case quiet <= silence/2:
-			zone.heard++
+			zone.responsive++
 		case machine.liveness.unansweredProbes > 0 || quiet > c.heartbeatTimeout(machine)+probeGracePeriod:
 			zone.silent++
 			review.silent++
@@ -117,23 +117,23 @@
 	// Many are silent at once, and not all peers are heard: it may be this controller that is
 	// cut off.
 	manySilent := review.silent > minSilentMachines && 2*review.silent > review.reporting
-	review.isolationPossible = manySilent && !c.allPeersHeard() ||
-		c.isolationSuspected() && (review.silent < review.reporting || !c.allPeersHeard())
+	review.isolationPossible = manySilent && !c.receivesFromAllPeers() ||
+		c.isolationSuspected() && (review.silent < review.reporting || !c.receivesFromAllPeers())
 	return review
 }
 
 // updateIdleTime notes since when a machine has had no tasks and held no headroom.
 func (c *Controller) updateIdleTime(machine *machine) {
-	if len(machine.allocations) > 0 || machine.scaling.holdsHeadroom || machine.latestHeartbeat == nil || c.runsUnreadableTasks(machine) {
+	if len(machine.allocations) > 0 || machine.scaling.holdsHeadroom || machine.latestHeartbeat == nil || c.runsTasksOfUnreadableJobs(machine) {
 		machine.scaling.idleSince = 0
 	} else if machine.scaling.idleSince == 0 {
 		machine.scaling.idleSince = c.now
 	}
 }
 
-// runsUnreadableTasks reports whether a machine reports tasks whose records cannot be read: it
+// runsTasksOfUnreadableJobs reports whether a machine reports tasks whose records cannot be read: it
 // may be busy though it has no allocations.
-func (c *Controller) runsUnreadableTasks(machine *machine) bool {
+func (c *Controller) runsTasksOfUnreadableJobs(machine *machine) bool {
 	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(machine.latestHeartbeat.Tasks, func(status wire.TaskStatus) bool {
 		return c.jobUnreadable(status.Task.Job)
 	})
@@ -154,11 +154,11 @@
 		// Tasks of completed jobs must be gone in time, and the machine cannot be told:
 		// it is terminated whatever the bounds.
 		return reasonHoldsCompletedWork
-	case c.isSilent(machine, review):
+	case c.silentTooLong(machine, review):
 		if c.admitSilentTermination(machine, review) {
 			return reasonSilent
 		}
-	case c.losesLeaseUnseen(machine) && !review.isolationPossible:
+	case c.unreachableTooLong(machine) && !review.isolationPossible:
 		if c.admitSilentTermination(machine, review) {
 			return reasonUnreachable
 		}
@@ -168,8 +168,8 @@
 	return ""
 }
 
-// isSilent reports whether a machine has been silent for so long that it is given up.
-func (c *Controller) isSilent(machine *machine, review *terminationReview) bool {
+// silentTooLong reports whether a machine has been silent for so long that it is given up.
+func (c *Controller) silentTooLong(machine *machine, review *terminationReview) bool {
 	quiet := c.now.Sub(c.lastSeen(machine))
 	tolerance := c.silenceTolerance(machine)
 	if quiet <= tolerance || review.isolationPossible {
@@ -177,16 +177,16 @@
 	}
 	probedInVain := machine.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(machine, quiet)
 	matters := len(machine.allocations) > 0 || c.now.Sub(machine.scaling.lastListedAt) < forgetMachineAfter
-	return probedInVain && !c.maybePartitioned(machine, review.zone(machine.zone).lastHeardAt, quiet-tolerance) && matters
+	return probedInVain && !c.zoneMayBePartitioned(machine, review.zone(machine.zone).lastHeartbeatAt, quiet-tolerance) && matters
 }
 
-// losesLeaseUnseen reports whether a machine's heartbeats come, but it hears nothing: its
+// unreachableTooLong reports whether a machine's heartbeats come, but it hears nothing: its
 // lease runs out without anybody noticing.
 //
 // A machine whose heartbeats do not come either is silent, and may be in a partitioned zone:
 // once all machines of such a zone were terminated this way, and later one whose heartbeat
 // had come just after the first call that the partition swallowed.
-func (c *Controller) losesLeaseUnseen(machine *machine) bool {
+func (c *Controller) unreachableTooLong(machine *machine) bool {
 	return machine.unreachable() && machine.liveness.lastHeartbeatAt > machine.liveness.unreachableSince &&
 		c.heartbeatsOnTime(machine) && !c.fleet.outboundSuspect &&
 		c.now.Sub(machine.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
@@ -233,7 +233,7 @@
 func (c *Controller) silenceTolerance(machine *machine) time.Duration {
 	silence := config.Seconds(c.operator.values.UnresponsiveS)
 	workers := &c.settings.Cluster.Workers
-	if hasPriority(machine, wire.PriorityCritical) {
+	if hasTasksOfPriority(machine, wire.PriorityCritical) {
 		if c.provisioner.partitions.silentMachines(machine.zone) >= minPartitionedMachines {
 			// A partitioned zone works on, and its workers' leases last for a while: so long
 			// none of its tasks are lost, unless the machine is terminated.
@@ -245,33 +245,33 @@
 		if c.isPartitioned(machine.zone) {
 			// Machines with accelerators could not be replaced in their zone, and are the
 			// scarcest: once the partition is over, they are there with their images.
-			return partitionLeases * config.Seconds(workers.LeaseS)
+			return partitionToleranceLeases * config.Seconds(workers.LeaseS)
 		}
 		// Until all machines of the zone had to report, it may be partitioned.
 		silence += config.Seconds(allReportedFactor * workers.ReportS)
 	}
-	if hasPriority(machine, wire.PriorityHigh) {
+	if hasTasksOfPriority(machine, wire.PriorityHigh) {
 		return silence
 	}
 	return max(silence, 2*config.Seconds(workers.ReportS))
 }
 
-// hasPriority reports whether tasks of a priority are placed on a machine.
-func hasPriority(machine *machine, priority wire.Priority) bool {
+// hasTasksOfPriority reports whether tasks of a priority are placed on a machine.
+func hasTasksOfPriority(machine *machine, priority wire.Priority) bool {
 	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool { return allocation.Priority == priority.Level() })
 }
 
-// maybePartitioned reports whether there is no evidence yet that a silent machine fell silent
+// zoneMayBePartitioned reports whether there is no evidence yet that a silent machine fell silent
 // by itself: no machine of its zone was heard after it first left a call unanswered. Where
 // few machines of a zone are probed early, a partition is seen only once the others should
 // have reported; the first of them was terminated meanwhile.
-func (c *Controller) maybePartitioned(machine *machine, zoneHeardAt Time, overdue time.Duration) bool {
+func (c *Controller) zoneMayBePartitioned(machine *machine, zoneHeardAt Time, overdue time.Duration) bool {
 	othersReport := config.Seconds(allReportedFactor*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
 	return machine.liveness.unansweredCalls > 0 && zoneHeardAt <= machine.liveness.unreachableSince && overdue < othersReport
 }
 
-// allPeersHeard reports whether all other live controllers are heard.
-func (c *Controller) allPeersHeard() bool {
+// receivesFromAllPeers reports whether all other live controllers are heard.
+func (c *Controller) receivesFromAllPeers() bool {
 	for label := range c.cache.liveControllers {
 		if label == c.settings.Label {
 			continue
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -46,7 +46,7 @@
 			review := &terminationReview{
 				reporting: test.heard + test.silent + test.heardElsewhere,
 				silent:    test.silent,
-				zones:     map[string]*zoneReview{"east": {heard: test.heard, silent: test.silent}, "west": {heard: test.heardElsewhere}},
+				zones:     map[string]*zoneReview{"east": {responsive: test.heard, silent: test.silent}, "west": {responsive: test.heardElsewhere}},
 			}
 			now := Time(time.Hour)
 			detector.update(review, silence, now)
@@ -75,7 +75,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detector := partitionDetector{zones: map[string]partition{"east": {lastSeenAt: seenAt, silent: 7}}}
-			detector.update(&terminationReview{zones: map[string]*zoneReview{"east": {lastHeardAt: test.lastHeardAt}}}, silence, seenAt.Add(test.after))
+			detector.update(&terminationReview{zones: map[string]*zoneReview{"east": {lastHeartbeatAt: test.lastHeardAt}}}, silence, seenAt.Add(test.after))
 			require.Equal(t, test.partitioned, detector.silentMachines("east") == 7)
 		})
 	}
@@ -125,5 +125,5 @@
 	require.True(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "the first that is late")
 	require.False(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "one more")
 	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("small", launchedAt, now))
-	require.Equal(t, abandonFactor, delays.abandonFactor("small", launchedAt, now.Add(lateObservationLifetime+1)))
+	require.Equal(t, abandonFactor, delays.abandonFactor("small", launchedAt, now.Add(lateJoinLifetime+1)))
 }
--- a/internal/controller/shard_acquisition.go
+++ b/internal/controller/shard_acquisition.go
@@ -47,12 +47,12 @@
 	if best == nil {
 		return nil
 	}
-	slices.SortStableFunc(best.hosts, func(a, b hostCapacity) int { return b.now - a.now })
+	slices.SortStableFunc(best.hosts, func(a, b hostCapacity) int { return b.available - a.available })
 	shardOf := func(capacity hostCapacity) wire.ShardID { return c.fleet.machines[capacity.host.ID].shard }
 	room := 0
 	for _, capacity := range best.hosts {
 		if c.shards.table.MaySchedule(shardOf(capacity)) {
-			room += capacity.preempted
+			room += capacity.withPreemption
 		}
 	}
 	var ids []wire.ShardID
@@ -67,7 +67,7 @@
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
-		room += capacity.preempted
+		room += capacity.withPreemption
 	}
 	return ids
 }
--- a/internal/controller/sums_test.go
+++ b/internal/controller/sums_test.go
@@ -12,10 +12,10 @@
 	"lilacrill/wire"
 )
 
-// TestSumsDoNotDependOnMaps guards the replay of a controller's inputs: sums of fractions of cores
+// TestSumsDoNotDependOnMapOrder guards the replay of a controller's inputs: sums of fractions of cores
 // are the same every time, where operators see them and where they decide whether a job is
 // deferred.
-func TestSumsDoNotDependOnMaps(t *testing.T) {
+func TestSumsDoNotDependOnMapOrder(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "north", "west"},
 		Teams: []config.Team{{Name: "desk"}}, Workers: config.Workers{ReportS: 2, LeaseS: 15},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// markForReview notes that a machine showed something new: exits of tasks
+// markPagesForReview notes that a machine showed something new: exits of tasks
 // of its allocations may be confirmed by it.
-func (m *machine) markForReview() {
+func (m *machine) markPagesForReview() {
 	for _, allocation := range m.allocations {
 		allocation.page.needsReview = true
 	}
@@ -86,7 +86,7 @@
 	}
 	observed := c.observeTasks(machine, allocation)
 	if !observed.missing.Empty() {
-		if c.fencedOff(allocation, heartbeat) {
+		if c.isFencedOff(allocation, heartbeat) {
 			observed.exited = observed.exited.With(observed.missing)
 		} else {
 			c.fenceMissingTasks(txn, page, allocation)
@@ -121,9 +121,9 @@
 	return observed
 }
 
-// fencedOff reports whether no launch of an allocation that is to end can reach its worker
+// isFencedOff reports whether no launch of an allocation that is to end can reach its worker
 // any more: what the worker does not list then will never run.
-func (c *Controller) fencedOff(allocation *Allocation, heartbeat *wire.Heartbeat) bool {
+func (c *Controller) isFencedOff(allocation *Allocation, heartbeat *wire.Heartbeat) bool {
 	return allocation.Eviction != record.EvictionNone && allocation.Fence > 0 && heartbeat.Token >= allocation.Fence
 }
 
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -164,7 +164,7 @@
 		for _, id := range ids {
 			machine := c.machine(id)
 			machine.scaling.terminated, machine.scaling.terminatedAt, c.scheduler.dirty = true, c.now, true
-			machine.markForReview()
+			machine.markPagesForReview()
 			terminated(machine)
 		}
 	}), ids})
--- a/internal/controller/zone_capacity.go
+++ b/internal/controller/zone_capacity.go
@@ -7,14 +7,14 @@
 // hostCapacity is how many tasks of a job a host has room for: free or being freed, and if
 // less urgent tasks are evicted as well.
 type hostCapacity struct {
-	host           *placement.Host
-	now, preempted int
+	host                      *placement.Host
+	available, withPreemption int
 }
 
 // zoneCapacity is the capacity of a zone's hosts for the tasks of a job.
 type zoneCapacity struct {
-	hosts          []hostCapacity
-	now, preempted int
+	hosts                     []hostCapacity
+	available, withPreemption int
 }
 
 // capacityByZone sums up the capacity of the hosts for up to count tasks of a job that must
@@ -30,9 +30,9 @@
 			continue
 		}
 		free := host.Free.Plus(host.Freeing, 1)
-		capacity := hostCapacity{host: host, now: free.FitCount(need, count)}
-		capacity.preempted = addPreemptable(host, free).FitCount(need, count)
-		if capacity.preempted == 0 {
+		capacity := hostCapacity{host: host, available: free.FitCount(need, count)}
+		capacity.withPreemption = addPreemptable(host, free).FitCount(need, count)
+		if capacity.withPreemption == 0 {
 			continue
 		}
 		zone := ""
@@ -43,8 +43,8 @@
 			zones[zone] = &zoneCapacity{}
 		}
 		zones[zone].hosts = append(zones[zone].hosts, capacity)
-		zones[zone].now += capacity.now
-		zones[zone].preempted += capacity.preempted
+		zones[zone].available += capacity.available
+		zones[zone].withPreemption += capacity.withPreemption
 	}
 	return zones
 }
@@ -55,7 +55,7 @@
 	var best *zoneCapacity
 	for _, name := range sortedKeys(zones) {
 		zone := zones[name]
-		if zone.preempted >= count && (best == nil || zone.now > best.now || zone.now == best.now && zone.preempted > best.preempted) {
+		if zone.withPreemption >= count && (best == nil || zone.available > best.available || zone.available == best.available && zone.withPreemption > best.withPreemption) {
 			best = zone
 		}
 	}
