--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -9,56 +9,59 @@
 	"lilacrill/wire"
 )
 
-// completedTasks tracks the machines on which, by the placement records, tasks of completed jobs
-// may still run. They have to be gone by the time for a cancellation (setting cancel_s): the
-// machine is commanded to stop them, and one that cannot be commanded is terminated.
+// completedTasks tracks the machines on which, according to the placement records, tasks of
+// completed jobs may still run. These tasks must have stopped within the time for a
+// cancellation (setting cancel_s). The machine is commanded to stop them, and is terminated
+// if commands do not reach it.
 type completedTasks struct {
-	// since holds, for each such machine, the latest moment before which no user can have been
-	// told that the job was cancelled.
+	// since holds, for each such machine, the latest time before which no controller can have
+	// told the user that the job was cancelled.
 	since map[wire.MachineID]Time
 }
 
 func (t *completedTasks) init() { t.since = map[wire.MachineID]Time{} }
 
-// reset forgets all machines: the cache is loaded anew.
+// reset forgets all machines before the cache is loaded anew.
 func (t *completedTasks) reset() { clear(t.since) }
 
-// add notes a machine, unless it is known already.
+// add adds a machine, unless it is tracked already.
 func (t *completedTasks) add(id wire.MachineID, since Time) {
 	if _, known := t.since[id]; !known {
 		t.since[id] = since
 	}
 }
 
-// heldLongerThan reports whether a machine has been known for longer than a time.
+// heldLongerThan reports whether a machine has been tracked for longer than limit.
 func (t *completedTasks) heldLongerThan(id wire.MachineID, now Time, limit time.Duration) bool {
 	since, known := t.since[id]
 	return known && now.Sub(since) > limit
 }
 
-// completedTaskState is what the placement records and a machine's latest heartbeat say of tasks
-// of completed jobs on the machine.
+// completedTaskState is the state of the tasks of completed jobs on a machine, according to
+// the placement records and the machine's latest heartbeat.
 type completedTaskState struct {
-	recorded bool // the records have such tasks there
+	recorded bool // the records have such tasks on the machine
 	active   bool // one of them may still run or start
-	// launchable says that one may still start: no heartbeat has shown that its launch can no
-	// longer arrive.
+	// launchable is set if one of them may still start: no heartbeat has shown yet that its
+	// launch can no longer arrive.
 	launchable bool
 }
 
 const (
-	// The parts of the time for a cancellation (cancel_s) after which a machine is terminated
-	// though that cannot be recorded: by any controller, by one that does not reach the state
-	// store, and by the provisioner that does not reach it.
+	// The fractions of the time for a cancellation (cancel_s) after which a machine is
+	// terminated although the termination cannot be recorded. They apply to any controller,
+	// to a controller that does not reach the state store, and to the provisioner if it does
+	// not reach the state store.
 	unrecordedFraction            = 0.7
 	unrecordedFractionIsolated    = 0.55
 	unrecordedFractionProvisioner = 0.3
 )
 
-// noteCompletedTasksOn notes that a machine may hold tasks of a completed job. What a process
-// reads at its start may have been cancelled any time ago: once a machine hung with such a task
-// from before all controllers ended until after its time was up, as the controller that came
-// back gave it all of the time again.
+// noteCompletedTasksOn records that a machine may hold a task of a completed job. A job that
+// is found completed while the cache is loaded may have been cancelled any time ago, so all
+// of the time for its cancellation counts as spent. If a controller granted the whole time
+// again after a restart, a machine could hold such a task beyond that time by hanging while
+// all controllers are down.
 func (c *Controller) noteCompletedTasksOn(id wire.MachineID) {
 	since := c.cancellationsKnownAt()
 	if c.cache.loadState == cacheLoading {
@@ -67,7 +70,7 @@
 	c.completedTasks.add(id, since)
 }
 
-// completedTasksOn is the state of the tasks of completed jobs on a machine.
+// completedTasksOn returns the state of the tasks of completed jobs on a machine.
 func (c *Controller) completedTasksOn(id wire.MachineID) completedTaskState {
 	var state completedTaskState
 	machine := c.fleet.machines[id]
@@ -80,17 +83,17 @@
 		}
 		state.recorded = true
 		if machine.latestHeartbeat.AgentEpoch > allocation.AgentEpoch || machine.scaling.terminated {
-			continue // its agent epoch is over, and a launch on its way is for that one
+			continue // the agent epoch of the allocation is over, and its launches are valid in no other
 		}
 		state.addTasks(machine, allocation)
 	}
 	return state
 }
 
-// addTasks adds the state of an allocation's tasks, of a completed job, on a machine.
+// addTasks adds the state of the tasks of an allocation of a completed job.
 func (s *completedTaskState) addTasks(machine *machine, allocation *Allocation) {
-	// Only a heartbeat that carries the token of the eviction proves that a task which it lacks
-	// will not start.
+	// Only a heartbeat that carries the fencing token of the eviction proves that a task that
+	// it does not list will not start.
 	launchFenced := allocation.Eviction != record.EvictionNone && allocation.Fence != 0 &&
 		machine.latestHeartbeat.Token >= allocation.Fence
 	for i := range allocation.Tasks.All {
@@ -104,16 +107,16 @@
 	}
 }
 
-// mayStartCancelledTask reports whether a task may still start on a machine whose job was
-// cancelled so long ago that the machine's lease must not be renewed: a launch that was sent in
-// time may be delayed for as long as the machine's agent epoch lasts.
+// mayStartCancelledTask reports whether a task may still start on a machine although its job
+// was cancelled so long ago that the machine's lease must not be renewed. A launch that was
+// sent in time may be delayed for as long as the machine's agent epoch lasts.
 func (c *Controller) mayStartCancelledTask(machine *machine) bool {
 	return c.completedTasks.heldLongerThan(machine.id, c.now, c.maxRenewalStaleness()) &&
 		c.completedTasksOn(machine.id).launchable
 }
 
-// tickCompletedTasks commands machines to stop tasks of completed jobs until they have, and
-// terminates those that cannot be commanded.
+// tickCompletedTasks commands machines to stop tasks of completed jobs until the tasks have
+// stopped, and terminates machines that commands do not reach.
 func (c *Controller) tickCompletedTasks() {
 	var unresponsive []wire.MachineID
 	for _, id := range sortedKeys(c.completedTasks.since) {
@@ -137,8 +140,8 @@
 	}
 }
 
-// stopCompletedTasks sends a machine its commands if this is due. One without a heartbeat is
-// probed first, since commands need its agent epoch.
+// stopCompletedTasks sends a machine its commands if they are due. A machine without a
+// heartbeat is probed first, since commands need its agent epoch.
 func (c *Controller) stopCompletedTasks(machine *machine) {
 	if c.isDue(machine.reconciliation.nextSend) && !machine.reconciliation.callInFlight && (!c.storeReachable() || c.isResponsibleFor(machine)) {
 		c.sendCommands(machine)
@@ -148,8 +151,8 @@
 	}
 }
 
-// cannotCommand reports whether a machine leaves calls unanswered or, where its address is not
-// known here, had time for a heartbeat and sent none.
+// cannotCommand reports whether commands do not reach a machine: it leaves calls unanswered
+// or, if its address is not known, has sent no heartbeat although it had the time to.
 func (c *Controller) cannotCommand(machine *machine) bool {
 	if machine.addr != "" {
 		return machine.liveness.unansweredCalls >= unreachableThreshold
@@ -158,8 +161,9 @@
 	return c.now.Sub(listeningSince) > c.maxHeartbeatInterval()+time.Second && !c.isolationSuspected()
 }
 
-// isResponsibleFor reports whether this controller repeats the commands to a machine: it owns a
-// team with completed tasks there, or the machine sends its heartbeats here.
+// isResponsibleFor reports whether this controller repeats the commands to a machine: it owns
+// a team with tasks of completed jobs there, or the machine sends its heartbeats to this
+// controller.
 func (c *Controller) isResponsibleFor(machine *machine) bool {
 	return machine.directHeartbeat != nil && machine.directHeartbeat == machine.latestHeartbeat ||
 		slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
@@ -167,9 +171,9 @@
 		})
 }
 
-// unrecordedTerminationDelay is how long a machine that cannot be commanded may hold completed
-// tasks before it is terminated without a record of that. While the state store is reachable the
-// provisioner terminates it with a record well before.
+// unrecordedTerminationDelay returns how long a machine that commands do not reach may hold
+// tasks of completed jobs before it is terminated without a record. While the state store is
+// reachable, the provisioner terminates such a machine with a record well before.
 func (c *Controller) unrecordedTerminationDelay() time.Duration {
 	part := unrecordedFraction
 	if !c.storeReachable() {
@@ -181,10 +185,11 @@
 	return config.Seconds(part * c.settings.Cluster.Workers.CancelS)
 }
 
-// terminateUnrecorded terminates machines though their termination cannot be recorded. A machine
-// that is terminated is gone, so nothing runs twice by this: its other tasks are lost, and are
-// found to be lost once the state store is reachable, when the machine, unresponsive and holding
-// completed tasks, is terminated once more with a record.
+// terminateUnrecorded terminates machines although their termination cannot be recorded. This
+// causes no task to run twice, since nothing runs on a terminated machine. The other tasks of
+// the machine are lost. Their loss is detected once the state store is reachable: the
+// machine, which does not respond and still holds completed tasks, is then terminated once
+// more with a record.
 func (c *Controller) terminateUnrecorded(machines []wire.MachineID) {
 	for _, id := range machines {
 		c.log.Info("machine terminated without a record", "reason", "holds completed tasks and does not respond",
@@ -193,9 +198,9 @@
 	c.callTerminate(machines, func(*machine) { c.metrics.count(countTerminatedUnrecorded, 1) })
 }
 
-// stopCommands are the commands to stop the tasks of completed jobs on a machine, recorded or
-// not. They are right whatever else was written meanwhile, since a job that is completed stays
-// so.
+// stopCommands returns the commands to stop the tasks of completed jobs on a machine, whether
+// the records have these tasks or not. The commands are correct whatever else has been
+// written meanwhile, since a completed job stays completed.
 func (c *Controller) stopCommands(machine *machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.latestHeartbeat.Tasks {
--- a/internal/controller/crash_loop_test.go
+++ b/internal/controller/crash_loop_test.go
@@ -10,9 +10,9 @@
 	"lilacrill/wire"
 )
 
-// TestCrashLoopLimitsJobToCanaries guards machines against a wide array that fails on every
-// machine: after a pause only a few of its tasks are tried, and none while others are still
-// placed; one that succeeds ends the limit.
+// TestCrashLoopLimitsJobToCanaries guards against a large array job that fails on every
+// machine and keeps occupying machines. After a pause only a few of its tasks are tried, none
+// while other canary tasks are still placed, and a success ends the limit.
 func TestCrashLoopLimitsJobToCanaries(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{
 		Zones: []string{"east"},
@@ -33,7 +33,7 @@
 	before := j.crashLoop.retryAt
 	c.now = before
 	c.noteTaskFailure(j, c.machine("m-000004"))
-	require.Greater(t, j.crashLoop.retryAt.Sub(before), minCrashLoopBackoff, "pauses grow")
+	require.Greater(t, j.crashLoop.retryAt.Sub(before), minCrashLoopBackoff, "the pause must grow")
 	c.noteTaskSuccess(j)
 	require.Equal(t, 198, c.limitToCanaries(j, 198))
 	require.False(t, c.inBackoff(j))
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -16,8 +16,8 @@
 // reserveHeadroom reserves room for critical tasks that must start at once, before less
 // urgent tasks are placed.
 //
-// In its own shards a controller reserves its part of the headroom; what is lacking is up to
-// the provisioner's pass over the whole fleet.
+// A pass over this controller's shards reserves this controller's part of the headroom.
+// Missing headroom is determined by the provisioner's pass over the whole fleet.
 func (p *schedulingPass) reserveHeadroom() {
 	c := p.c
 	if p.ownShards {
@@ -40,9 +40,9 @@
 	}
 }
 
-// ownHeadroom is how many tasks of some headroom this controller reserves room for. Each task
-// belongs to a shard, as machines do: so all parts together are the whole, however small it
-// is.
+// ownHeadroom returns for how many tasks of a headroom demand this controller reserves room.
+// Each task belongs to a shard, as machines do, so the parts of all controllers add up to the
+// whole demand, however small it is.
 func (c *Controller) ownHeadroom(demand capacity.Demand) int {
 	own := 0
 	for i := range demand.Count {
@@ -54,19 +54,19 @@
 	return own
 }
 
-// headroomKey groups jobs by class and image: headroom on a machine that must pull the image
-// first would not do.
+// headroomKey groups jobs by class and image. Headroom on a machine without the image would
+// be of no use, since the machine would have to pull the image first.
 type headroomKey struct{ class, image string }
 
-// headroomClass is the jobs of one class and image.
+// headroomClass summarizes the jobs of one class and image.
 type headroomClass struct {
-	spec  *wire.JobSpec // of the last of them
-	tasks int           // that are not completed
+	spec  *wire.JobSpec // of the last of these jobs
+	tasks int           // number of tasks that are not completed
 }
 
-// headroomDemands is the headroom to keep: for every critical class with an objective for its
-// wait, room for some part of the tasks that it has now. Other classes have their room made
-// by preemption.
+// headroomDemands returns the headroom to keep: for every critical class with an objective
+// for its wait, room for a minimum of tasks plus a fraction of the tasks that it has now. For
+// other classes, room is made by preemption.
 func (c *Controller) headroomDemands() []capacity.Demand {
 	classes := c.headroomClasses()
 	hasWaitObjective := map[string]bool{}
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -8,18 +8,18 @@
 	"lilacrill/wire"
 )
 
-// hostBuilder builds the fleet as the placement rules see it, from the machines and then from the
-// allocations on them.
+// hostBuilder builds the fleet in the form that the placement rules use, first from the
+// machines and then from the allocations on them.
 type hostBuilder struct {
 	controller *Controller
-	// ownShards says that only the machines in this controller's shards are wanted.
+	// ownShards restricts the schedulable machines to those in this controller's shards.
 	ownShards bool
 	fleet     placement.Fleet
 	current   allocatedJob
 }
 
-// allocatedJob is the job of the allocation last added: allocations of one job are mostly
-// adjacent, and its lookups are made once for all of them.
+// allocatedJob caches the lookups for the job of the allocation that was added last, since
+// allocations of one job are mostly adjacent.
 type allocatedJob struct {
 	id         wire.JobID
 	job        *job // nil if it is completed
@@ -27,11 +27,11 @@
 	guaranteed bool // within its team's quota guarantee
 }
 
-// buildHosts builds the fleet as the placement rules see it: the machines with what the records
-// and the transactions that are being written put on them. With ownShards it has the machines in
-// this controller's shards and, as unschedulable, those with tasks of jobs that it schedules,
-// since rules read these. Every allocation is passed to visit, with a nil host if its machine is
-// left out.
+// buildHosts builds the fleet in the form that the placement rules use: the machines with the
+// allocations of the records and of the transactions that are being written. With ownShards
+// it contains the machines in this controller's shards and, as unschedulable, those with
+// tasks of jobs that this controller schedules, since the rules read these. Every allocation
+// is passed to visit, with a nil host if its machine is left out.
 func (c *Controller) buildHosts(transactions map[string]*placementTransaction, ownShards bool, visit func(*page, *Allocation, *placement.Host)) placement.Fleet {
 	builder := &hostBuilder{controller: c, ownShards: ownShards}
 	builder.addMachines()
@@ -41,7 +41,8 @@
 	return builder.fleet
 }
 
-// addMachines adds the machines that are there and that this controller may place on.
+// addMachines adds the machines that have joined, are not terminated and are not left out as
+// outside this controller's shards.
 func (b *hostBuilder) addMachines() {
 	c := b.controller
 	hosts := make([]placement.Host, len(c.fleet.machines))
@@ -58,12 +59,13 @@
 	}
 }
 
-// outsideOwnShards reports whether a machine is left out as another controller's.
+// outsideOwnShards reports whether a machine is left out because it is not in this
+// controller's shards.
 func (b *hostBuilder) outsideOwnShards(machine *machine) bool {
 	return b.ownShards && !b.controller.shards.table.MaySchedule(machine.shard)
 }
 
-// emptyHost is a machine without any tasks, as the placement rules see it.
+// emptyHost returns the host for a machine without any tasks.
 func (c *Controller) emptyHost(machine *machine, machineType *wire.MachineType) placement.Host {
 	resources := machineResources(machineType)
 	host := placement.Host{
@@ -86,17 +88,19 @@
 	return host
 }
 
-// addAllocation adds an allocation to its host, and returns that host or nil if it is left out.
+// addAllocation adds an allocation to its host and returns that host, or nil if the machine
+// is left out.
 func (b *hostBuilder) addAllocation(page *page, allocation *Allocation) *placement.Host {
 	machine := allocation.host
 	if machine == nil {
-		machine = b.controller.machine(allocation.Machine) // it is staged, and in no index
+		machine = b.controller.machine(allocation.Machine) // a staged allocation is in no index
 	}
 	if machine.host == nil {
 		if b.outsideOwnShards(machine) && !b.schedules(allocation.Job) {
 			return nil
 		}
-		// Rules about zones read the zone of a machine that is not known, too.
+		// The host may stand for a machine that is not known. It gets the zone of the page,
+		// which rules about zones read.
 		machine.host = &placement.Host{ID: allocation.Machine, Labels: placement.Tags{placement.LabelZone: page.zone}, Unschedulable: true}
 		b.fleet = append(b.fleet, machine.host)
 	}
@@ -160,7 +164,7 @@
 	return c.heartbeatsOnTime(machine) && slices.Contains(c.settings.Cluster.Zones, machine.zone)
 }
 
-// heartbeatsOnTime reports whether the last heartbeat of a machine came within its interval.
+// heartbeatsOnTime reports whether the next heartbeat of a machine is not overdue.
 func (c *Controller) heartbeatsOnTime(machine *machine) bool {
 	return c.now.Sub(machine.liveness.lastHeartbeatAt) < c.maxHeartbeatInterval()+heartbeatSlack
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -8,13 +8,14 @@
 	"lilacrill/wire"
 )
 
-// machineKind is what the labels of a machine say.
+// machineKind holds the properties that determine the labels of a machine.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// machine is one machine as its worker reports it and the cloud lists it.
+// machine is the state of one machine, from its worker's heartbeats, the cloud's list and the
+// records.
 type machine struct {
 	id           wire.MachineID
 	addr         string
@@ -24,15 +25,16 @@
 	shard        wire.ShardID
 	firstKnownAt Time
 
-	// allocations is what the records place on it, host what the scheduling pass under
-	// way makes of it.
+	// allocations are the allocations that the records have on the machine. host represents
+	// the machine in the current scheduling pass.
 	allocations         []*Allocation
 	criticalAllocations int // of these, allocations of critical tasks
 	host                *placement.Host
 
-	// latestHeartbeat is the newest heartbeat, whichever controller received it;
-	// directHeartbeat is the newest that this controller received itself. Only direct
-	// heartbeats prove anything. tasks and directTasks index their tasks.
+	// latestHeartbeat is the newest heartbeat, whichever controller received it.
+	// directHeartbeat is the newest one that this controller received itself. Only direct
+	// heartbeats can confirm an exit, since gossiped ones may be late. tasks and directTasks
+	// index the tasks of these heartbeats.
 	latestHeartbeat, directHeartbeat *wire.Heartbeat
 	tasks, directTasks               map[attemptKey]*wire.TaskStatus
 
@@ -43,57 +45,57 @@
 	quarantine     quarantine
 }
 
-// liveness is what the failure detector knows of a machine.
+// liveness is the state of the failure detector for a machine.
 type liveness struct {
-	lastHeartbeatAt Time // when a heartbeat with news last came, direct or gossiped
+	lastHeartbeatAt Time // when the last new heartbeat arrived, direct or gossiped
 	lastDirectAt    Time
 
-	unansweredCalls  int  // direct calls without a response since the last that had one, whatever its heartbeats show
-	unreachableSince Time // when the first of them was made
+	unansweredCalls  int  // direct calls without a response since the last one with a response, regardless of heartbeats
+	unreachableSince Time // when the first of these calls was made
 
-	probing          bool // a probe is under way
-	nextProbe        Time // no probe before
-	unansweredProbes int  // probes in a row that were not answered
+	probing          bool // a probe is in flight
+	nextProbe        Time // no probe before this time
+	unansweredProbes int  // consecutive probes without a response
 
-	gossipedHeartbeat   *wire.Heartbeat // the last heartbeat that the siblings were sent
-	redirectedToPeerAt  Time            // when it was redirected to any other controller
-	redirectedToOwnerAt Time            // when it was redirected to the owner of its shard
+	gossipedHeartbeat   *wire.Heartbeat // the last heartbeat that was sent to peers
+	redirectedToPeerAt  Time            // when the worker was last redirected to any other controller
+	redirectedToOwnerAt Time            // when the worker was last redirected to the owner of the machine's shard
 }
 
-// reconciliation compares what a machine runs with what the records say, and tracks
-// the commands that follow from it.
+// reconciliation is the state of the comparison of the tasks that a machine runs with the
+// records, and of the commands that follow from it.
 type reconciliation struct {
 	callInFlight   bool
-	queued         bool // waits for other calls to end
-	launchDeferred bool // a launch is deferred until the rest of its gang is nearer
-	resend         bool // something new came up while sending
-	nextSend       Time // not before
+	queued         bool // commands wait for other calls to end
+	launchDeferred bool // a launch waits for the rest of its gang, or until cancellations are known
+	resend         bool // new commands came up during a call
+	nextSend       Time // no commands before this time
 
 	reconciledHeartbeat *wire.Heartbeat // the latest heartbeat if no command follows from it
 
-	pendingCleanup map[attemptKey]wire.Revision // exited tasks without an allocation, and the revision that is known to lack it
-	missingSince   map[attemptKey]Time          // tasks of allocations that its heartbeats lack, and since when
+	pendingCleanup map[attemptKey]wire.Revision // exited tasks without an allocation, and the revision that is known to lack the allocation
+	missingSince   map[attemptKey]Time          // tasks of allocations that the heartbeats do not list, and since when
 	orphanTasks    map[attemptKey]Time          // running tasks without an allocation, and since when
 }
 
-// scaling is a machine's life in the cloud, from its launch to its termination.
+// scaling is the life cycle of a machine in the cloud, from its launch to its termination.
 type scaling struct {
 	status              wire.MachineStatus
-	lastListedAt        Time // when the cloud's list last had it
-	launchedAt          Time // when it was requested, as far as known
-	preemptionAt        Time // when the cloud takes it, if the latest heartbeat has a notice
+	lastListedAt        Time // when the cloud's list last contained the machine
+	launchedAt          Time // when the machine was launched, as far as known
+	preemptionAt        Time // when the cloud reclaims the machine, by the preemption notice in the latest heartbeat; 0 if none
 	idleSince           Time
 	holdsHeadroom       bool
 	terminated          bool // the cloud confirmed its termination
 	terminatedAt        Time
-	terminationLiftedAt Time // when it left the list of machines to terminate: it is terminated unless a heartbeat came since
+	terminationLiftedAt Time // when the machine left the list of pending terminations; it counts as terminated unless a heartbeat arrived since
 }
 
-// imageCache is which images a machine has.
+// imageCache tracks the images that a machine has.
 type imageCache struct {
-	lastUsed map[string]Time // images it has, and when they were last seen in use
-	cached   map[string]bool // the same, as placement reads it
-	pulling  int             // images that it is pulling
+	lastUsed map[string]Time // images on the machine, and when each was last seen in use
+	cached   map[string]bool // the same images, in the form that placement reads
+	pulling  int             // number of images that the machine is pulling
 }
 
 // quarantine keeps tasks away from a machine on which several jobs failed.
@@ -108,7 +110,7 @@
 	attempt wire.Attempt
 }
 
-// key identifies the allocation's attempt of the job's task with an index.
+// key returns the attempt key of the job's task with the given index.
 func (a *Allocation) key(index int) attemptKey {
 	return attemptKey{wire.TaskID{Job: a.Job, Index: index}, a.Attempt}
 }
@@ -131,7 +133,8 @@
 	}
 }
 
-// countRunning counts an allocation's tasks that run by the latest heartbeat.
+// countRunning returns how many tasks of an allocation are running according to the latest
+// heartbeat.
 func (m *machine) countRunning(allocation *Allocation) int {
 	count := 0
 	for i := range allocation.Tasks.All {
@@ -147,8 +150,8 @@
 	return m.reconciliation.reconciledHeartbeat == m.latestHeartbeat
 }
 
-// isTerminated reports whether a machine was terminated, as far as can be told: probing
-// it would only cost calls.
+// isTerminated reports whether a machine is known or presumed to be terminated. Probing such
+// a machine would only cost calls.
 func (m *machine) isTerminated() bool {
 	return m.scaling.terminated || m.scaling.terminationLiftedAt > m.liveness.lastHeartbeatAt
 }
@@ -156,16 +159,16 @@
 const (
 	imageRecordInterval = time.Second
 	imageBuckets        = 24
-	maxRecordedImages   = 6  // of one machine, those seen in use last
-	maxCachedImages     = 40 // remembered of one machine
+	maxRecordedImages   = 6  // per machine; those last seen in use
+	maxCachedImages     = 40 // per machine
 )
 
-func machineLabels(kind, zone string, spot bool) placement.Tags {
+func machineLabels(machineType, zone string, spot bool) placement.Tags {
 	isSpot := "false"
 	if spot {
 		isSpot = "true"
 	}
-	return placement.Tags{placement.LabelType: kind, placement.LabelZone: zone, placement.LabelSpot: isSpot}
+	return placement.Tags{placement.LabelType: machineType, placement.LabelZone: zone, placement.LabelSpot: isSpot}
 }
 
 func machineResources(machineType *wire.MachineType) placement.Resources {
--- a/internal/controller/price_limit.go
+++ b/internal/controller/price_limit.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// capacityMargin is how much more work than is known of the machines within the price
-	// limit should be able to do.
+	// capacityMargin is the ratio of the work that the machines within the price limit must
+	// be able to do to the work that is known.
 	capacityMargin = 1.25
-	// priceTolerance forgives rounding in prices, relative to them.
+	// priceTolerance is the relative tolerance for rounding errors in prices.
 	priceTolerance = 1e-9
 )
 
-// updatePriceLimit finds the price of a core up to which machines are needed for jobs that
-// tolerate a wait to be expected to start in time. Such jobs then leave more expensive
-// machines alone, unless services keep them anyway, so that those become idle and are
+// updatePriceLimit determines the price of a core up to which machines are needed for the
+// jobs that tolerate a wait to be expected to start in time. These jobs avoid more expensive
+// machines, except those with critical tasks. The avoided machines then become idle and are
 // terminated, while the jobs wait a little longer.
 func (c *Controller) updatePriceLimit(queue []pendingJob) {
 	c.provisioner.priceLimit = math.Inf(1)
@@ -33,8 +33,8 @@
 	}
 }
 
-// coresNeeded is how many cores the finite jobs need for all to be expected to start in time,
-// and whether any of the pending ones tolerates a wait.
+// coresNeeded returns how many cores the finite jobs (all but services) need for all of them
+// to be expected to start in time, and whether any of the pending ones tolerates a wait.
 func (c *Controller) coresNeeded(queue []pendingJob) (cores float64, anyTolerant bool) {
 	_, work := c.finiteWork()
 	for i := range queue {
@@ -55,8 +55,8 @@
 	return cores, anyTolerant
 }
 
-// finiteCoresByPrice is the cores of the machines that accept tasks, without those that
-// services take, by the price of a core.
+// finiteCoresByPrice returns the cores of the machines that accept tasks, without those that
+// services use, by price per core.
 func (c *Controller) finiteCoresByPrice() map[float64]float64 {
 	coresByPrice := map[float64]float64{}
 	for _, machine := range c.orderedMachines() {
@@ -75,7 +75,7 @@
 	return coresByPrice
 }
 
-// pricePerCore is the price of a core for an hour.
+// pricePerCore returns the price of a core per hour.
 func pricePerCore(machineType *wire.MachineType, spot bool) float64 {
 	if spot {
 		return machineType.SpotPrice / max(machineType.Cores, 1)
@@ -84,25 +84,26 @@
 }
 
 // abovePriceLimit reports whether a machine is so expensive that jobs that tolerate a wait
-// leave it alone.
+// avoid it. Machines with critical tasks are not avoided.
 func (c *Controller) abovePriceLimit(machine *machine) bool {
 	machineType := c.machineTypeNamed(machine.machineType)
 	return machineType != nil && c.provisioner.priceLimit > 0 &&
 		pricePerCore(machineType, machine.spot) > c.provisioner.priceLimit*(1+priceTolerance) && !machine.hasCriticalTasks()
 }
 
-// avoidsExpensive reports whether a job leaves machines above the price limit alone.
+// avoidsExpensive reports whether a job avoids machines above the price limit.
 func (c *Controller) avoidsExpensive(pending *pendingJob) bool {
 	return !pending.guaranteed && !math.IsInf(c.provisioner.priceLimit, 1) && c.waitTolerance(pending.job) > 0
 }
 
-// finiteWork is the cores that finite jobs (all but services) have at their disposal, and how
-// many core-seconds of work their running tasks still have, half of them on average.
+// finiteWork returns the number of cores available to finite jobs (all but services), and the
+// remaining work of their running tasks in core-seconds. The tasks are assumed to have half
+// of their run time left on average.
 func (c *Controller) finiteWork() (cores, work float64) {
 	for _, machine := range c.orderedMachines() {
 		machineType := c.machineTypeNamed(machine.machineType)
 		if machineType == nil || !c.acceptsTasks(machine) {
-			continue // machines that have yet to join are set against the demands by scaleOut
+			continue // scaleOut deducts machines that have yet to join from the demands
 		}
 		cores += machineType.Cores
 		for _, allocation := range machine.allocations {
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -9,24 +9,24 @@
 	"lilacrill/wire"
 )
 
-// provisioner is what this controller knows of the cloud and, if it is the leader for scaling,
-// what it is doing there.
+// provisioner holds what this controller knows of the cloud and, if it is the leader for
+// scaling, the state of its operations in the cloud.
 type provisioner struct {
 	catalogue             []wire.MachineType
 	catalogueReadAt       Time
 	catalogueReadInFlight bool
 
-	unmetDemands    []unmetDemand // as the last pass over the whole fleet left them
-	missingHeadroom int           // tasks that the headroom lacks room for
-	priceLimit      float64       // the price of a core above which machines are left alone; 0: not known
+	unmetDemands    []unmetDemand // from the last scheduling pass over the whole fleet
+	missingHeadroom int           // tasks of the headroom for which there is no room
+	priceLimit      float64       // price of a core per hour above which jobs that can wait avoid a machine; 0 if not known
 
 	// Leadership and the machine list.
 	writingLeadership bool
-	leaderlessSince   Time // since when no leader is known
+	leaderlessSince   Time // since when no leader has been known; 0 if there is one
 	listInFlight      bool
 	nextList          Time
 	listsSinceElected int                                   // lists read since this controller became the leader
-	gossipedStatus    map[wire.MachineID]wire.MachineStatus // as peers were last sent it
+	gossipedStatus    map[wire.MachineID]wire.MachineStatus // as last sent to peers
 
 	// Scaling out.
 	provisionCallsInFlight int
@@ -38,9 +38,9 @@
 	partitions            partitionDetector
 	silentTerminations    terminationLimiter
 	terminateCallInFlight bool
-	terminateRequested    map[wire.MachineID]bool   // machines that the cloud was asked to terminate
-	toTerminate           map[wire.MachineID]string // machines to be recorded as pending, and why
-	recordingTerminations bool                      // the record of them is being written
+	terminateRequested    map[wire.MachineID]bool   // machines whose termination was requested from the cloud
+	toTerminate           map[wire.MachineID]string // machines to be recorded as pending, and the reasons
+	recordingTerminations bool                      // the terminations record is being written
 	nextTerminationRecord Time
 	nextMachineReview     Time
 }
@@ -62,19 +62,21 @@
 	machineReviewInterval     = 200 * time.Millisecond
 	maxMachineReviewInterval  = 500 * time.Millisecond
 	terminationRecordInterval = 300 * time.Millisecond
-	// leadershipClaimDelay is how long the leadership is left to the preferred controller.
+	// leadershipClaimDelay is how long the other controllers leave the leadership to the
+	// preferred one.
 	leadershipClaimDelay = 3 * time.Second
-	// maxProvisionCalls bounds the calls that one plan makes.
+	// maxProvisionCalls limits the number of calls for one plan.
 	maxProvisionCalls = 4
-	// maxProvisionTries bounds how often a call without an answer is made.
+	// maxProvisionTries limits how often a call without a response is made.
 	maxProvisionTries = 3
 )
 
-// leadershipKey is hashed like a team's name to spread the preference for the leadership over
-// the controllers.
+// leadershipKey is hashed like the name of a team to select the controller that is preferred
+// as leader for scaling. This spreads the preference over the controllers.
 const leadershipKey = "buyer"
 
-// machineTypeNamed is a machine type of the catalogue; nil if it is not known.
+// machineTypeNamed returns the named machine type of the catalogue, or nil if it is not
+// known.
 func (c *Controller) machineTypeNamed(name string) *wire.MachineType {
 	for i := range c.provisioner.catalogue {
 		if c.provisioner.catalogue[i].Name == name {
@@ -89,8 +91,8 @@
 	return c.cache.provisionerIncarnation == c.membership.incarnation
 }
 
-// tickCloud carries out what is due in the cloud. Only the leader for scaling lists, reviews,
-// provisions and terminates machines.
+// tickCloud carries out the operations in the cloud that are due. Only the leader for scaling
+// lists, reviews, provisions and terminates machines.
 func (c *Controller) tickCloud() {
 	if c.provisioner.catalogueDue(c.now) {
 		c.readCatalogue()
@@ -132,14 +134,14 @@
 	return !p.catalogueReadInFlight && outdated && now >= p.catalogueReadAt
 }
 
-// readCatalogue reads the machine types that the cloud has.
+// readCatalogue reads the machine types that the cloud offers.
 func (c *Controller) readCatalogue() {
 	c.provisioner.catalogueReadInFlight = true
 	c.emit(ReadCatalogue{call(c, func(result CatalogueResult) {
 		c.provisioner.catalogueReadInFlight = false
 		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
 		if result.Outcome != Succeeded {
-			// An old catalogue still serves; without any, it is read again soon.
+			// An outdated catalogue remains usable. If there is none, it is read again soon.
 			c.provisioner.catalogueReadAt = c.now.Add(catalogueRetryDelay)
 			return
 		}
@@ -147,7 +149,7 @@
 	})})
 }
 
-// claimProvisionerLeadership tries to become the leader for scaling when there is none: a
+// claimProvisionerLeadership tries to become the leader for scaling if there is none. A
 // single leader at a time keeps controllers from provisioning twice for the same demand.
 func (c *Controller) claimProvisionerLeadership() {
 	if c.cache.provisionerIncarnation != 0 {
@@ -174,8 +176,9 @@
 	})
 }
 
-// resignProvisionerLeadership leaves scaling to another controller: one that reaches no workers
-// cannot tell which machines are to be terminated. If all controllers are isolated, none can.
+// resignProvisionerLeadership leaves scaling to another controller, since a controller that
+// reaches no workers cannot decide which machines to terminate. If all controllers are
+// isolated, the leader does not resign, as none of the others could decide it either.
 func (c *Controller) resignProvisionerLeadership() {
 	if c.provisioner.writingLeadership || len(c.ownership.eligible) == 0 || slices.Contains(c.ownership.eligible, c.settings.Label) {
 		return
@@ -187,7 +190,8 @@
 	})
 }
 
-// commitLeadership writes a change of the leadership, unless it changed meanwhile.
+// commitLeadership writes a change of the leadership, unless the leadership has changed
+// meanwhile.
 func (c *Controller) commitLeadership(change wire.Change, then func(CommitResult)) {
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: record.ProvisionerKey, Version: c.cache.keyVersions[record.ProvisionerKey]}},
@@ -198,7 +202,7 @@
 	})
 }
 
-// listMachines reads the cloud's list of machines and gossips it.
+// listMachines reads the cloud's machine list, applies it and gossips what changed.
 func (c *Controller) listMachines() {
 	c.provisioner.listInFlight = true
 	c.provisioner.nextList = c.now.Add(listInterval)
@@ -210,14 +214,15 @@
 		}
 		c.provisioner.listsSinceElected++
 		c.applyMachineList(result.Machines)
-		// A list of several pages takes as many calls, which provisioning needs as well.
+		// A list takes a call for every page, and provisioning needs calls as well. A longer
+		// list is therefore read less often.
 		pages := len(result.Machines) / wire.MaxMachinesPerPage
 		c.provisioner.nextList = max(c.provisioner.nextList, c.now.Add(listInterval*time.Duration(pages)))
 		c.gossipMachineList(result.Machines)
 	})})
 }
 
-// gossipMachineList sends peers what is new in the list: most of it never changes.
+// gossipMachineList sends peers what has changed in the list, since most of it never changes.
 func (c *Controller) gossipMachineList(list []wire.CloudMachine) {
 	changed := c.provisioner.takeChanged(list)
 	if len(changed) == 0 {
@@ -228,8 +233,8 @@
 	c.broadcast(message)
 }
 
-// takeChanged is the listed machines whose status differs from the one that was last gossiped,
-// and notes their status as gossiped.
+// takeChanged returns the listed machines whose status differs from the one last gossiped,
+// and marks all statuses as gossiped.
 func (p *provisioner) takeChanged(list []wire.CloudMachine) []wire.CloudMachine {
 	statuses := make(map[wire.MachineID]wire.MachineStatus, len(list))
 	var changed []wire.CloudMachine
@@ -243,8 +248,8 @@
 	return changed
 }
 
-// applyMachineList applies the cloud's list. The list lags, so the absence of a machine proves
-// nothing.
+// applyMachineList applies the cloud's machine list. The list lags behind, so a machine that
+// is absent from it may exist nonetheless.
 func (c *Controller) applyMachineList(list []wire.CloudMachine) {
 	for _, listed := range list {
 		machine := c.machine(listed.ID)
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// expectedDelayFactor is how many times its type's usual provisioning delay a machine may
-	// take and still be expected to join; what takes longer is provisioned elsewhere as well,
-	// if it can be.
+	// expectedDelayFactor times the usual provisioning delay of its type, plus
+	// expectedDelaySlack, is how long a machine is expected to join. Machines are provisioned
+	// elsewhere, if possible, in place of one that takes longer.
 	expectedDelayFactor = 1.8
 	expectedDelaySlack  = 3 * time.Second
-	// abandonFactor is how many times that delay it may take until it is terminated as one
-	// that never joined, and abandonFactorWhenLate the same while machines of its type join
-	// late, so that they are not terminated just before they join.
+	// abandonFactor times the usual provisioning delay, plus abandonSlack, is how long a
+	// machine may take to join before it is terminated. abandonFactorWhenLate applies instead
+	// while machines of its type join late, so that they are not terminated just before they
+	// join.
 	abandonFactor         = 4.0
 	abandonFactorWhenLate = 9.0
 	abandonSlack          = 10 * time.Second
-	// lateFactor is how many times that delay a machine takes that joins late.
+	// lateFactor times the usual provisioning delay is the time after which a machine counts
+	// as joining late.
 	lateFactor = 2.5
-	// lateJoinLifetime is how long a machine that joined late has others of its type
-	// waited for longer.
+	// lateJoinLifetime is how long abandonFactorWhenLate applies to a machine type after a
+	// machine of it has joined late.
 	lateJoinLifetime = 3 * time.Minute
 )
 
-// provisioningDelay is what is known of how long machines of a type take to join.
+// provisioningDelay holds what was observed when machines of one type joined.
 type provisioningDelay struct {
-	latestJoinedLaunchAt Time // when the last launched of them that has joined was launched
-	lastLateJoinAt       Time // when one last joined late; 0: none yet
+	latestJoinedLaunchAt Time // latest launch time of those that have joined
+	lastLateJoinAt       Time // when one last joined late; 0 if none has
 }
 
-// provisioningDelays is the provisioning delays by machine type.
+// provisioningDelays holds these observations by machine type.
 type provisioningDelays map[string]provisioningDelay
 
-// hasRecentLateJoin reports whether a machine of the type joined late not long ago.
+// hasRecentLateJoin reports whether a machine of the type joined late within
+// lateJoinLifetime.
 func (d provisioningDelay) hasRecentLateJoin(now Time) bool {
 	return d.lastLateJoinAt != 0 && now.Sub(d.lastLateJoinAt) <= lateJoinLifetime
 }
 
-// noteJoined notes that a machine of a type joined now, and whether it was late. It reports
-// whether it is the first late one for a while.
+// noteJoined records that a machine of a type joined now, and whether it was late. It reports
+// whether this is the first late machine of the type within lateJoinLifetime.
 func (d provisioningDelays) noteJoined(machineType string, launchedAt Time, late bool, now Time) (firstLate bool) {
 	delay := d[machineType]
 	delay.latestJoinedLaunchAt = max(delay.latestJoinedLaunchAt, launchedAt)
@@ -54,9 +57,10 @@
 	return firstLate
 }
 
-// abandonFactor is how many times the usual delay a machine of a type may take that was
-// launched at a time. As long as none of its type that was launched later has joined, all of
-// them may be late: terminated too soon, none would ever join.
+// abandonFactor returns how many times the usual provisioning delay a machine that was
+// launched at launchedAt may take to join. As long as no machine of its type that was
+// launched later has joined, all of them may be late. If they were terminated too soon, none
+// would ever join.
 func (d provisioningDelays) abandonFactor(machineType string, launchedAt, now Time) float64 {
 	delay := d[machineType]
 	if delay.latestJoinedLaunchAt > launchedAt && !delay.hasRecentLateJoin(now) {
@@ -70,7 +74,7 @@
 	return m.latestHeartbeat == nil && !m.scaling.terminated && m.scaling.status != wire.MachineFailed
 }
 
-// expectedToJoin reports whether a provisioned machine may still be expected to join soon.
+// expectedToJoin reports whether a provisioned machine is still expected to join soon.
 func (c *Controller) expectedToJoin(machine *machine) bool {
 	machineType := c.machineTypeNamed(machine.machineType)
 	if machineType == nil || !machine.isProvisioning() {
@@ -82,7 +86,8 @@
 	return c.now.Sub(machine.scaling.launchedAt) < config.Seconds(expectedDelayFactor*machineType.StartupS)+expectedDelaySlack
 }
 
-// neverJoined reports whether a machine that has not joined is to be given up.
+// neverJoined reports whether a machine has taken so long to join that it is to be
+// terminated.
 func (c *Controller) neverJoined(machine *machine) bool {
 	machineType := c.machineTypeNamed(machine.machineType)
 	if machineType == nil {
@@ -92,8 +97,8 @@
 	return c.now.Sub(machine.scaling.launchedAt) > config.Seconds(factor*machineType.StartupS)+abandonSlack
 }
 
-// noteJoined notes how long a machine took to join. Machines that were launched before this
-// controller was ready may have joined unseen, and do not count.
+// noteJoined records how long a machine took to join. Machines that were launched before this
+// controller was ready do not count, since they may have joined unnoticed.
 func (c *Controller) noteJoined(machine *machine) {
 	machineType := c.machineTypeNamed(machine.machineType)
 	if machineType == nil || machine.scaling.launchedAt == 0 || machine.scaling.launchedAt < c.membership.readyAt {
@@ -106,8 +111,8 @@
 	}
 }
 
-// overdueFractions is, for each offer, which part of the machines that were provisioned of it
-// and have not joined yet is overdue: other offers are preferred.
+// overdueFractions returns, for each offer, which part of its machines that have been
+// provisioned and have not joined yet is overdue. Offers with a smaller part are preferred.
 func (c *Controller) overdueFractions() map[capacity.OfferKey]float64 {
 	provisioning, overdue := map[capacity.OfferKey]float64{}, map[capacity.OfferKey]float64{}
 	for _, machine := range c.fleet.machines {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -8,51 +8,59 @@
 	"lilacrill/wire"
 )
 
-// The reasons for the termination of machines, as placement records, metrics and operators
-// see them.
+// The reasons for terminating a machine. They are stored in the terminations record, appear
+// in metric names and are shown to operators.
 const (
-	reasonIdle               = "idle"                 // no tasks run on it
-	reasonFailed             = "failed"               // the cloud lists it as failed
+	reasonIdle               = "idle"                 // no tasks run on the machine
+	reasonFailed             = "failed"               // the cloud lists the machine as failed
 	reasonNeverJoined        = "never came up"        // its worker sent no heartbeat in time
-	reasonSilent             = "silent"               // no heartbeat for too long
-	reasonUnreachable        = "unreachable"          // its heartbeats come, but it answers no call
-	reasonHoldsCompletedWork = "holds ended work"     // it cannot be told to stop tasks of completed jobs
-	reasonAlreadyTerminated  = "gone with work on it" // it is gone, with allocations on it
+	reasonSilent             = "silent"               // its worker has sent no heartbeat for too long
+	reasonUnreachable        = "unreachable"          // its heartbeats arrive, but it answers no calls
+	reasonHoldsCompletedWork = "holds ended work"     // it may run tasks of completed jobs and receives no commands
+	reasonAlreadyTerminated  = "gone with work on it" // it no longer exists, but has allocations
 )
 
 const (
-	completedTaskFraction         = 0.2 // of the time for a cancellation, in which a machine must learn of it
-	completedTaskFractionIsolated = 0.5 // the same while this controller may be isolated
-	probeGracePeriod              = 2 * time.Second
-	// minUnansweredProbes is how many probes a silent machine must have left unanswered.
+	// completedTaskFraction is the fraction of cancel_s for which a machine that receives no
+	// commands may hold tasks of completed jobs before it is terminated.
+	// completedTaskFractionIsolated applies instead while this controller may be isolated.
+	completedTaskFraction         = 0.2
+	completedTaskFractionIsolated = 0.5
+	// probeGracePeriod is added to the time after which a machine should have been probed, or
+	// should have sent a heartbeat.
+	probeGracePeriod = 2 * time.Second
+	// minUnansweredProbes is how many consecutive probes a silent machine must leave
+	// unanswered before it is terminated.
 	minUnansweredProbes = 2
 	// minPartitionedMachines is how many machines of a partitioned zone must be silent for
-	// those with critical tasks to be left alone.
+	// those with critical tasks to be given more time.
 	minPartitionedMachines = 5
-	// partitionToleranceLeases is for how many leases machines with accelerators in a partitioned zone
-	// are left alone.
+	// partitionToleranceLeases is how long machines with accelerators in a partitioned zone
+	// may be silent before they are terminated, in leases of their workers (lease_s).
 	partitionToleranceLeases = 3
-	// allReportedFactor times the heartbeat interval is when all machines had to report.
+	// allReportedFactor times the heartbeat interval (report_s) is the time after which every
+	// healthy machine has sent a heartbeat.
 	allReportedFactor = 1.3
 )
 
-// terminationReview is what a review of the machines finds of the fleet as a whole.
+// terminationReview summarizes the liveness of the whole fleet, as a basis for the decision
+// which machines to terminate.
 type terminationReview struct {
-	reporting int // machines that send heartbeats
-	silent    int // of these, the ones that should have been heard and were not
+	reporting int // machines that have sent a heartbeat and are not being terminated
+	silent    int // of these, machines that should have been heard from and were not
 	zones     map[string]*zoneReview
-	// isolationPossible says that this controller, and not the silent machines, may be
-	// cut off.
+	// isolationPossible is set if this controller, and not the silent machines, may be cut
+	// off.
 	isolationPossible bool
 }
 
-// zoneReview is the same for one zone.
+// zoneReview summarizes the liveness of the machines in one zone.
 type zoneReview struct {
-	responsive, silent int
+	responsive, silent int // numbers of machines
 	lastHeartbeatAt    Time
 }
 
-// zone is the review of a zone.
+// zone returns the review of a zone, which it adds if there is none yet.
 func (r *terminationReview) zone(name string) *zoneReview {
 	if r.zones[name] == nil {
 		r.zones[name] = &zoneReview{}
@@ -60,7 +68,8 @@
 	return r.zones[name]
 }
 
-// reviewMachines finds the machines to terminate: failed, silent, never joined, or idle.
+// reviewMachines marks the machines for termination that were terminated without a record or
+// for which terminationReason finds a reason.
 func (c *Controller) reviewMachines() {
 	review := c.reviewZones()
 	for _, machine := range c.orderedMachines() {
@@ -80,31 +89,33 @@
 	}
 }
 
-// isUnrecordedTermination reports whether a machine is gone, still has allocations, and is not
-// recorded as terminated: it was terminated while that could not be recorded, or a controller
-// that did not know placed tasks on it. All have to learn that those tasks are gone.
+// isUnrecordedTermination reports whether a machine is terminated and still has allocations,
+// but is not recorded as terminated. Either it was terminated while that could not be
+// recorded, or a controller that did not know of the termination placed tasks on it. The
+// record lets all controllers know that these tasks are lost.
 func (c *Controller) isUnrecordedTermination(machine *machine, terminating bool) bool {
 	return machine.scaling.terminated && len(machine.allocations) > 0 && !terminating && !slices.Contains(c.cache.terminations.Confirmed, machine.id)
 }
 
-// reviewZones counts the machines that are heard and that are silent, and looks for
-// partitioned zones.
+// reviewZones counts the responsive and the silent machines of each zone, and updates the set
+// of partitioned zones.
 func (c *Controller) reviewZones() *terminationReview {
 	silence := config.Seconds(c.operator.values.UnresponsiveS)
 	review := &terminationReview{zones: map[string]*zoneReview{}}
 	for id, machine := range c.fleet.machines {
-		// A machine that is being terminated falls silent, which says nothing about the
-		// network.
+		// A machine that is being terminated stops sending heartbeats, which is no sign of a
+		// network fault.
 		if _, terminating := c.cache.terminating[id]; machine.latestHeartbeat == nil || machine.isTerminated() || terminating {
 			continue
 		}
 		review.reporting++
 		zone := review.zone(machine.zone)
 		zone.lastHeartbeatAt = max(zone.lastHeartbeatAt, machine.liveness.lastHeartbeatAt)
-		// Heartbeats may be further apart than the silence that is tolerated: only what was
-		// probed and did not answer is silent, or should have been probed by somebody long
-		// ago. Where all that had no reason to report counted, a partitioned zone was never
-		// seen to be, and with one peer out of hearing no machine was given up.
+		// Heartbeats may be further apart than the tolerated silence. A machine therefore
+		// counts as silent only if it left a probe unanswered, or if some controller should
+		// have probed it long ago. If machines counted that had no heartbeat to send yet, a
+		// partitioned zone would never be detected, and no machine would be terminated while
+		// a single peer is not heard from.
 		switch quiet := c.now.Sub(c.lastSeen(machine)); {
 		case quiet <= silence/2:
 			zone.responsive++
@@ -114,15 +125,15 @@
 		}
 	}
 	c.provisioner.partitions.update(review, silence, c.now)
-	// Many are silent at once, and not all peers are heard: it may be this controller that is
-	// cut off.
+	// If many machines are silent at once and some peer is not heard from either, it may be
+	// this controller that is cut off.
 	manySilent := review.silent > minSilentMachines && 2*review.silent > review.reporting
 	review.isolationPossible = manySilent && !c.receivesFromAllPeers() ||
 		c.isolationSuspected() && (review.silent < review.reporting || !c.receivesFromAllPeers())
 	return review
 }
 
-// updateIdleTime notes since when a machine has had no tasks and held no headroom.
+// updateIdleTime keeps track of since when a machine has had no tasks and held no headroom.
 func (c *Controller) updateIdleTime(machine *machine) {
 	if len(machine.allocations) > 0 || machine.scaling.holdsHeadroom || machine.latestHeartbeat == nil || c.runsTasksOfUnreadableJobs(machine) {
 		machine.scaling.idleSince = 0
@@ -131,17 +142,17 @@
 	}
 }
 
-// runsTasksOfUnreadableJobs reports whether a machine reports tasks whose records cannot be read: it
-// may be busy though it has no allocations.
+// runsTasksOfUnreadableJobs reports whether the latest heartbeat of a machine lists tasks of
+// jobs whose records cannot be read. Such a machine may be busy though it has no allocations.
 func (c *Controller) runsTasksOfUnreadableJobs(machine *machine) bool {
 	return len(c.cache.unreadable) > 0 && slices.ContainsFunc(machine.latestHeartbeat.Tasks, func(status wire.TaskStatus) bool {
 		return c.jobUnreadable(status.Task.Job)
 	})
 }
 
-// terminationReason is why a machine is to be terminated; "" if it is not. The first reason
-// that applies counts, and also suppresses those after it while its own bound holds the
-// termination back.
+// terminationReason returns why a machine is to be terminated, or "" if it is not. The first
+// case that applies decides: the later ones are not considered, even if a limit of that case
+// prevents the termination for now.
 func (c *Controller) terminationReason(machine *machine, review *terminationReview) string {
 	switch {
 	case machine.scaling.status == wire.MachineFailed:
@@ -151,8 +162,8 @@
 			return reasonNeverJoined
 		}
 	case c.holdsCompletedTasks(machine.id, c.completedTaskTolerance(review.isolationPossible)) && machine.liveness.unansweredCalls >= unreachableThreshold:
-		// Tasks of completed jobs must be gone in time, and the machine cannot be told:
-		// it is terminated whatever the bounds.
+		// Tasks of completed jobs must be stopped in time, and the machine receives no
+		// commands. It is terminated regardless of the limits on terminations.
 		return reasonHoldsCompletedWork
 	case c.silentTooLong(machine, review):
 		if c.admitSilentTermination(machine, review) {
@@ -168,32 +179,36 @@
 	return ""
 }
 
-// silentTooLong reports whether a machine has been silent for so long that it is given up.
+// silentTooLong reports whether a machine has been silent for so long that it is terminated.
 func (c *Controller) silentTooLong(machine *machine, review *terminationReview) bool {
 	quiet := c.now.Sub(c.lastSeen(machine))
 	tolerance := c.silenceTolerance(machine)
 	if quiet <= tolerance || review.isolationPossible {
 		return false
 	}
-	probedInVain := machine.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(machine, quiet)
-	matters := len(machine.allocations) > 0 || c.now.Sub(machine.scaling.lastListedAt) < forgetMachineAfter
-	return probedInVain && !c.zoneMayBePartitioned(machine, review.zone(machine.zone).lastHeartbeatAt, quiet-tolerance) && matters
+	unresponsive := machine.liveness.unansweredProbes >= minUnansweredProbes || c.hadTimeToReport(machine, quiet)
+	relevant := len(machine.allocations) > 0 || c.now.Sub(machine.scaling.lastListedAt) < forgetMachineAfter
+	return unresponsive && !c.zoneMayBePartitioned(machine, review.zone(machine.zone).lastHeartbeatAt, quiet-tolerance) && relevant
 }
 
-// unreachableTooLong reports whether a machine's heartbeats come, but it hears nothing: its
-// lease runs out without anybody noticing.
+// unreachableTooLong reports whether the heartbeats of a machine arrive, but it has answered
+// no calls for more than half a lease. Such a machine receives no responses to its heartbeats
+// either, so its lease runs out although it looks alive.
 //
-// A machine whose heartbeats do not come either is silent, and may be in a partitioned zone:
-// once all machines of such a zone were terminated this way, and later one whose heartbeat
-// had come just after the first call that the partition swallowed.
+// A machine whose heartbeats do not arrive is silent instead, and may be in a partitioned
+// zone. Therefore a heartbeat must have arrived after the first unanswered call, or all
+// machines of a partitioned zone would be terminated as unreachable. The last heartbeat must
+// also be on time, or this would happen to a machine whose last heartbeat arrived just after
+// the first call that was lost in the partition.
 func (c *Controller) unreachableTooLong(machine *machine) bool {
 	return machine.unreachable() && machine.liveness.lastHeartbeatAt > machine.liveness.unreachableSince &&
 		c.heartbeatsOnTime(machine) && !c.fleet.outboundSuspect &&
 		c.now.Sub(machine.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
 }
 
-// idleTooLong reports whether a machine is to be terminated as idle: there is enough headroom,
-// and no pending job can use the machine.
+// idleTooLong reports whether a machine is to be terminated as idle. The headroom must be
+// complete, and no pending job may be able to use the machine: while there is unmet demand,
+// the machine must be above the price limit or have been idle for twice as long.
 func (c *Controller) idleTooLong(machine *machine) bool {
 	limit := config.Seconds(c.operator.values.IdleS)
 	if machine.scaling.idleSince == 0 || c.provisioner.missingHeadroom != 0 {
@@ -203,9 +218,10 @@
 	return idle > limit && (len(c.provisioner.unmetDemands) == 0 || c.abovePriceLimit(machine) || idle > 2*limit)
 }
 
-// hadTimeToReport reports whether a machine that only the records name has had the time to be
-// listed, or to be heard by somebody. A provisioner that had just started once gave up dozens
-// of machines before it had read the list, while their workers were about to report.
+// hadTimeToReport reports whether a machine that is known only from the records has had time
+// to appear in the machine list, or to send a heartbeat to any controller. Without this
+// check, a provisioner that has just started could terminate dozens of machines before it has
+// read the list, while their workers are about to send heartbeats.
 func (c *Controller) hadTimeToReport(machine *machine, quiet time.Duration) bool {
 	return machine.addr == "" && c.provisioner.listsSinceElected > 0 &&
 		quiet > c.maxHeartbeatInterval()+heartbeatSlack
@@ -217,8 +233,9 @@
 	return c.completedTasks.heldLongerThan(id, c.now, tolerance) && c.completedTasksOn(id).recorded
 }
 
-// completedTaskTolerance is how long a machine that cannot be told to stop tasks of completed
-// jobs may hold them. While this controller may be isolated, others have time to stop them.
+// completedTaskTolerance returns how long a machine that receives no commands may hold tasks
+// of completed jobs. It is longer while this controller may be isolated, which gives other
+// controllers time to stop the tasks.
 func (c *Controller) completedTaskTolerance(isolationPossible bool) time.Duration {
 	fraction := completedTaskFraction
 	if isolationPossible {
@@ -227,27 +244,29 @@
 	return config.Seconds(fraction * c.settings.Cluster.Workers.CancelS)
 }
 
-// silenceTolerance is how long a machine may be silent before it is given up. A machine that
-// hangs often recovers after a while: where no urgent tasks run on it, waiting costs less
-// than starting its tasks anew on a machine that has yet to be provisioned.
+// silenceTolerance returns how long a machine may be silent before it is terminated. A
+// machine that hangs often recovers after a while. Unless urgent tasks run on it, waiting
+// costs less than restarting its tasks on a machine that has yet to be provisioned.
 func (c *Controller) silenceTolerance(machine *machine) time.Duration {
 	silence := config.Seconds(c.operator.values.UnresponsiveS)
 	workers := &c.settings.Cluster.Workers
 	if hasTasksOfPriority(machine, wire.PriorityCritical) {
 		if c.provisioner.partitions.silentMachines(machine.zone) >= minPartitionedMachines {
-			// A partitioned zone works on, and its workers' leases last for a while: so long
-			// none of its tasks are lost, unless the machine is terminated.
+			// Tasks in a partitioned zone continue to run until the leases of their workers
+			// run out. Until then none of them is lost unless its machine is terminated.
 			return max(silence, config.Seconds(workers.LeaseS-heartbeatJitter*workers.ReportS))
 		}
 		return silence
 	}
 	if machineType := c.machineTypeNamed(machine.machineType); machineType != nil && machineType.Accelerators > 0 {
 		if c.isPartitioned(machine.zone) {
-			// Machines with accelerators could not be replaced in their zone, and are the
-			// scarcest: once the partition is over, they are there with their images.
+			// Machines with accelerators are the scarcest and cannot be replaced in a
+			// partitioned zone. Once the partition ends, they are available again with their
+			// images.
 			return partitionToleranceLeases * config.Seconds(workers.LeaseS)
 		}
-		// Until all machines of the zone had to report, it may be partitioned.
+		// Until every machine of the zone should have sent a heartbeat, the zone may be
+		// partitioned without having been detected as such.
 		silence += config.Seconds(allReportedFactor * workers.ReportS)
 	}
 	if hasTasksOfPriority(machine, wire.PriorityHigh) {
@@ -261,16 +280,18 @@
 	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool { return allocation.Priority == priority.Level() })
 }
 
-// zoneMayBePartitioned reports whether there is no evidence yet that a silent machine fell silent
-// by itself: no machine of its zone was heard after it first left a call unanswered. Where
-// few machines of a zone are probed early, a partition is seen only once the others should
-// have reported; the first of them was terminated meanwhile.
-func (c *Controller) zoneMayBePartitioned(machine *machine, zoneHeardAt Time, overdue time.Duration) bool {
+// zoneMayBePartitioned reports whether a silent machine's zone may be partitioned: no machine
+// of the zone has sent a heartbeat since this machine first left a call unanswered, and the
+// others may not have been due to send one. Where few machines of a zone are probed early, a
+// partition is detected only once the heartbeats of the others are overdue. Without this
+// check, the machines probed first would be terminated before that.
+func (c *Controller) zoneMayBePartitioned(machine *machine, lastZoneHeartbeatAt Time, overdue time.Duration) bool {
 	othersReport := config.Seconds(allReportedFactor*c.settings.Cluster.Workers.ReportS) + probeGracePeriod
-	return machine.liveness.unansweredCalls > 0 && zoneHeardAt <= machine.liveness.unreachableSince && overdue < othersReport
+	return machine.liveness.unansweredCalls > 0 && lastZoneHeartbeatAt <= machine.liveness.unreachableSince && overdue < othersReport
 }
 
-// receivesFromAllPeers reports whether all other live controllers are heard.
+// receivesFromAllPeers reports whether messages from all other live controllers arrive. It is
+// false if there are no others.
 func (c *Controller) receivesFromAllPeers() bool {
 	for label := range c.cache.liveControllers {
 		if label == c.settings.Label {
@@ -283,13 +304,14 @@
 	return len(c.cache.liveControllers) > 1
 }
 
-// admitSilentTermination bounds how many silent machines are terminated at once.
+// admitSilentTermination reports whether the limit on terminations of silent machines admits
+// one more, and counts it if so.
 func (c *Controller) admitSilentTermination(machine *machine, review *terminationReview) bool {
 	return c.provisioner.silentTerminations.admit(review.reporting, machine.hasCriticalTasks(), c.now)
 }
 
-// markForTermination notes that a machine is to be terminated; recordTerminations records it
-// together with others.
+// markForTermination marks a machine for termination. recordTerminations records all marked
+// machines together.
 func (c *Controller) markForTermination(machine *machine, reason string) {
 	c.provisioner.toTerminate[machine.id] = reason
 	c.log.Info("machine marked for termination", "machine_id", machine.id, "reason", reason,
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -11,22 +11,24 @@
 	"lilacrill/wire"
 )
 
-// capacityShortage is an offer that the cloud had no machine for.
+// capacityShortage is the state of an offer for which the cloud had no machines.
 type capacityShortage struct {
-	until   Time // the offer is not asked for before
-	backoff time.Duration
+	until   Time          // the offer is not requested before
+	backoff time.Duration // the last pause
 }
 
-// capacityShortages is the shortages by offer. They keep an offer from being asked for over
-// and over: cheap offers that are sold out must not hide expensive ones that are not.
+// capacityShortages holds the capacity shortages by offer. An offer is not requested again
+// for a while after a shortage, so that cheap offers that are sold out do not keep more
+// expensive ones from being requested.
 type capacityShortages map[capacity.OfferKey]capacityShortage
 
 const (
-	capacityBackoff    = 5 * time.Second // doubled with every shortage in a row
+	capacityBackoff    = 5 * time.Second // doubled with every consecutive shortage
 	maxCapacityBackoff = 40 * time.Second
 )
 
-// note notes a shortage.
+// note records a shortage of an offer, and doubles the pause until the offer is requested
+// again.
 func (s capacityShortages) note(key capacity.OfferKey, now Time) {
 	shortage := s[key]
 	shortage.backoff = min(max(2*shortage.backoff, capacityBackoff), maxCapacityBackoff)
@@ -34,14 +36,14 @@
 	s[key] = shortage
 }
 
-// clear ends a shortage: the cloud had machines.
+// clear ends the shortage of an offer after the cloud provided machines.
 func (s capacityShortages) clear(key capacity.OfferKey) { delete(s, key) }
 
-// isShort reports whether an offer is not to be asked for now.
+// isShort reports whether an offer is not to be requested yet.
 func (s capacityShortages) isShort(key capacity.OfferKey, now Time) bool { return now < s[key].until }
 
-// scaleOut provisions machines for the unmet demand and the missing headroom, less what the
-// machines that are expected to join will satisfy.
+// scaleOut provisions machines for the unmet demand and the missing headroom, as far as the
+// machines that are expected to join do not cover them.
 func (c *Controller) scaleOut() {
 	if c.provisioner.listsSinceElected == 0 || len(c.provisioner.catalogue) == 0 || c.provisioner.provisionCallsInFlight > 0 {
 		return
@@ -74,24 +76,26 @@
 	}
 }
 
-// minCoresPerTask keeps the count of tasks that need next to no cores finite.
+// minCoresPerTask is the minimum number of cores with which a task is counted. It keeps the
+// computed number of tasks finite for tasks that need next to no cores.
 const minCoresPerTask = 0.01
 
-// demandKey is what demands have in common that are provisioned for together.
+// demandKey holds the properties in which demands must agree to be added up.
 type demandKey struct {
 	spot       bool
 	need       placement.Resources
 	oneAtATime bool
 }
 
-// demandList is demands in the order in which they were added first. Equal demands are added
-// up: each is set against all machines that are expected to join.
+// demandList collects demands in the order in which they were first added. Equal demands are
+// added up, since each demand is tried on all machines that are expected to join.
 type demandList struct {
 	demands []capacity.Demand
 	index   map[demandKey]int
 }
 
-// add adds count tasks of an unmet demand.
+// add adds count tasks of an unmet demand. Demands with constraints that demandKey does not
+// cover are kept separate.
 func (l *demandList) add(unmet unmetDemand, count int) {
 	request := unmet.job.request
 	demand := capacity.Demand{Request: request, Count: count, Zone: unmet.zone}
@@ -108,10 +112,11 @@
 	l.demands = append(l.demands, demand)
 }
 
-// scaleOutDemands is the unmet demand that machines are provisioned for. Demand that tolerates
-// a wait is not provisioned for as long as all of it can be expected to start in time on the
-// machines that there are: a burst then does not provision machines, expensive ones among
-// them, that are idle after it. Otherwise as much is provisioned as makes up the difference.
+// scaleOutDemands returns the unmet demand for which machines are provisioned. Demand that
+// tolerates a wait is left out as long as all of it is expected to start in time on the
+// existing machines. Otherwise a burst of jobs would provision machines, expensive ones among
+// them, that are idle after it. If the existing machines do not suffice, only enough demand
+// is included to make up the difference.
 func (c *Controller) scaleOutDemands() []capacity.Demand {
 	list := &demandList{index: map[demandKey]int{}}
 	var tolerant []unmetDemand
@@ -140,17 +145,18 @@
 	return list.demands
 }
 
-// isUrgentDemand reports whether machines are provisioned at once for an unmet demand: it
-// tolerates no wait, or has waited for too long and so may be unable to use the machines that
-// there are, all of which scaleOutDemands counts otherwise.
+// isUrgentDemand reports whether machines are provisioned at once for an unmet demand: it is
+// guaranteed, tolerates no wait, or has waited for too long. A job that has waited for too
+// long may be unable to use the existing machines, all of which scaleOutDemands counts for
+// other demand.
 func (c *Controller) isUrgentDemand(unmet unmetDemand) bool {
 	tolerance, waited := c.waitTolerance(unmet.job), c.pendingFor(unmet.job)
 	return unmet.guaranteed || tolerance == 0 || waited > overdueToleranceFactor*tolerance ||
 		!hasPlainConstraints(unmet.job) && waited > tolerance
 }
 
-// offers is all that the cloud may have in the zones that are not partitioned, less what it
-// has been short of lately.
+// offers returns the offers of the catalogue in the zones of the cluster that are not
+// partitioned, without those in a capacity shortage.
 func (c *Controller) offers() []capacity.Offer {
 	var offers []capacity.Offer
 	overdue := c.overdueFractions()
@@ -171,9 +177,9 @@
 	return offers
 }
 
-// requestMachines has the cloud provision machines. A call without an answer is repeated, up
-// to tries calls in all: its name makes that safe, as the cloud provisions nothing twice for
-// one name.
+// requestMachines requests machines from the cloud. A call without a response is repeated, up
+// to tries calls in all. This is safe because the cloud provisions machines only once for a
+// request name.
 func (c *Controller) requestMachines(request wire.ProvisionRequest, tries int) {
 	c.provisioner.provisionCallsInFlight++
 	c.emit(ProvisionMachines{call(c, func(result ProvisionResult) {
@@ -197,7 +203,7 @@
 	}), request})
 }
 
-// applyProvisioned notes the machines that the cloud provisioned.
+// applyProvisioned records the machines that the cloud provisioned.
 func (c *Controller) applyProvisioned(request wire.ProvisionRequest, machines []wire.MachineID) {
 	c.metrics.count(countProvisioned, len(machines))
 	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -9,8 +9,9 @@
 	"lilacrill/internal/capacity"
 )
 
-// TestCapacityShortageBacksOff: an offer is not asked for again at once, ever later while it
-// stays short, and at once after the cloud had machines.
+// TestCapacityShortageBacksOff checks that an offer is not requested again during the pause
+// after a shortage, that the pause grows with consecutive shortages up to a limit, and that
+// the offer may be requested at once after the cloud provided machines.
 func TestCapacityShortageBacksOff(t *testing.T) {
 	shortages := capacityShortages{}
 	key := capacity.OfferKey{Type: "small", Zone: "east"}
@@ -27,26 +28,26 @@
 	require.False(t, shortages.isShort(key, now))
 }
 
-// TestPartitionDetector: a zone counts as partitioned when nearly all of its machines are
-// silent while most of the fleet is heard.
+// TestPartitionDetector checks that a zone counts as partitioned if nearly all of its
+// machines are silent while most of the fleet is responsive.
 func TestPartitionDetector(t *testing.T) {
 	const silence = 5 * time.Second
 	for _, test := range []struct {
-		name                          string
-		heard, silent, heardElsewhere int
-		partitioned                   bool
+		name                                    string
+		responsive, silent, responsiveElsewhere int
+		partitioned                             bool
 	}{
 		{"nearly all silent", 1, 10, 20, true},
-		{"two are too few", 0, 2, 20, false},
-		{"many are heard", 4, 10, 20, false},
+		{"too few machines", 0, 2, 20, false},
+		{"many are responsive", 4, 10, 20, false},
 		{"the whole fleet is silent", 1, 10, 5, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detector := partitionDetector{zones: map[string]partition{}}
 			review := &terminationReview{
-				reporting: test.heard + test.silent + test.heardElsewhere,
+				reporting: test.responsive + test.silent + test.responsiveElsewhere,
 				silent:    test.silent,
-				zones:     map[string]*zoneReview{"east": {responsive: test.heard, silent: test.silent}, "west": {responsive: test.heardElsewhere}},
+				zones:     map[string]*zoneReview{"east": {responsive: test.responsive, silent: test.silent}, "west": {responsive: test.responsiveElsewhere}},
 			}
 			now := Time(time.Hour)
 			detector.update(review, silence, now)
@@ -57,37 +58,37 @@
 	}
 }
 
-// TestPartitionEnds: a zone is no longer partitioned once its machines are heard again, or
-// nothing has shown the partition for a while.
+// TestPartitionEnds checks that a zone no longer counts as partitioned once its machines send
+// heartbeats again, or if nothing has indicated the partition for a while.
 func TestPartitionEnds(t *testing.T) {
 	const silence = 5 * time.Second
 	seenAt := Time(time.Hour)
 	for _, test := range []struct {
-		name        string
-		after       time.Duration
-		lastHeardAt Time
-		partitioned bool
+		name            string
+		after           time.Duration
+		lastHeartbeatAt Time
+		partitioned     bool
 	}{
-		{"nothing heard", partitionLifetime, 0, true},
-		{"heard just after it was seen", silence, seenAt.Add(silence), true},
-		{"heard for longer", silence, seenAt.Add(silence + 1), false},
+		{"no heartbeat", partitionLifetime, 0, true},
+		{"heartbeat soon after the last evidence", silence, seenAt.Add(silence), true},
+		{"heartbeat later", silence, seenAt.Add(silence + 1), false},
 		{"lifetime over", partitionLifetime + 1, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detector := partitionDetector{zones: map[string]partition{"east": {lastSeenAt: seenAt, silent: 7}}}
-			detector.update(&terminationReview{zones: map[string]*zoneReview{"east": {lastHeartbeatAt: test.lastHeardAt}}}, silence, seenAt.Add(test.after))
+			detector.update(&terminationReview{zones: map[string]*zoneReview{"east": {lastHeartbeatAt: test.lastHeartbeatAt}}}, silence, seenAt.Add(test.after))
 			require.Equal(t, test.partitioned, detector.silentMachines("east") == 7)
 		})
 	}
 }
 
-// TestTerminationLimiter: the terminations of silent machines are bounded by a part of the
-// fleet, half of it kept for machines with critical tasks, and the bound is per window.
+// TestTerminationLimiter checks that the terminations of silent machines within a time window
+// are limited to a part of the fleet, half of which is kept for machines with critical tasks.
 func TestTerminationLimiter(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
 		reporting             int
-		nonCritical, critical int // terminations that are admitted
+		nonCritical, critical int // expected numbers of admitted terminations
 	}{
 		{"small fleet", 3, 2, 2},
 		{"large fleet", 100, 13, 12},
@@ -112,18 +113,19 @@
 	}
 }
 
-// TestLateMachinesAreAwaitedLonger: a machine is given up early only if one of its type that
-// was launched later has joined, and none joined late lately.
+// TestLateMachinesAreAwaitedLonger checks that the shorter time limit for joining applies to
+// a machine only if a machine of its type that was launched later has joined, and none has
+// joined late recently.
 func TestLateMachinesAreAwaitedLonger(t *testing.T) {
 	launchedAt := Time(time.Hour)
 	now := launchedAt.Add(time.Minute)
 	delays := provisioningDelays{}
-	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("small", launchedAt, now), "none has joined yet")
+	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("small", launchedAt, now), "no machine has joined yet")
 	require.False(t, delays.noteJoined("small", launchedAt.Add(time.Second), false, now))
 	require.Equal(t, abandonFactor, delays.abandonFactor("small", launchedAt, now))
-	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("large", launchedAt, now), "of another type")
-	require.True(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "the first that is late")
-	require.False(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "one more")
+	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("large", launchedAt, now), "no machine of this type has joined yet")
+	require.True(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "first late machine")
+	require.False(t, delays.noteJoined("small", launchedAt.Add(time.Second), true, now), "second late machine")
 	require.Equal(t, abandonFactorWhenLate, delays.abandonFactor("small", launchedAt, now))
 	require.Equal(t, abandonFactor, delays.abandonFactor("small", launchedAt, now.Add(lateJoinLifetime+1)))
 }
--- a/internal/controller/sums_test.go
+++ b/internal/controller/sums_test.go
@@ -12,9 +12,10 @@
 	"lilacrill/wire"
 )
 
-// TestSumsDoNotDependOnMapOrder guards the replay of a controller's inputs: sums of fractions of cores
-// are the same every time, where operators see them and where they decide whether a job is
-// deferred.
+// TestSumsDoNotDependOnMapOrder checks that sums of fractions of cores are the same every
+// time, both where operators see them and where they decide whether a job is deferred.
+// Floating-point sums in the random iteration order of a map would differ in rounding, and
+// replaying the inputs of a controller would give other results.
 func TestSumsDoNotDependOnMapOrder(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "north", "west"},
 		Teams: []config.Team{{Name: "desk"}}, Workers: config.Workers{ReportS: 2, LeaseS: 15},
@@ -38,7 +39,7 @@
 		late = c.deferLargestLateJobs(pending)
 		return c.viewTeams()[0].CPUsUsed, late
 	}
-	// The most work for which a job is not deferred, found by bisection.
+	// Finds the maximum work for which a job is not deferred, by bisection.
 	low, high := 0.0, 4.0
 	for range 60 {
 		if _, late := sums((low + high) / 2); late {
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -8,39 +8,42 @@
 )
 
 // A task is removed from its allocation only once its exit is confirmed, since its room is
-// then given to others and the task may be placed again. One of three things confirms it:
+// then given to other tasks and the task may be placed again. Any of the following confirms
+// an exit:
 //
-//   - a direct heartbeat of the agent epoch for which it was launched lists the task as
+//   - a direct heartbeat of the agent epoch for which the task was launched lists the task as
 //     exited;
-//   - a direct heartbeat has a later agent epoch: the worker's lease ran out, and it killed
-//     everything;
+//   - a direct heartbeat has a later agent epoch, which means that the worker's lease ran out
+//     and the worker killed all tasks;
 //   - the machine was terminated.
 //
-// That a heartbeat does not list a task confirms its exit only if no launch of it can still
-// arrive: the allocation was fenced, and the worker has seen the fencing token. Silence
-// confirms nothing, and gossiped heartbeats do not either: they may be late.
+// A heartbeat that does not list a task confirms its exit only if no launch of the task can
+// still arrive: the allocation was fenced, and the worker has seen the fencing token. The
+// absence of heartbeats confirms nothing. Neither do gossiped heartbeats, since they may be
+// late.
 
 const (
-	// exitOperations is the most operations of a transaction that the exits of an allocation
-	// take: the page and the token. completionOperations has the job's record as well.
+	// exitOperations is the maximum number of operations of a transaction that the exits of
+	// one allocation take: the writes of the page and of the fencing token.
+	// completionOperations includes the write of the job's record.
 	exitOperations       = 2
 	completionOperations = 3
 )
 
-// launchTimeout is how long a launcher has to get a launch to a worker before the
+// launchTimeout is how long a launcher may take to deliver a launch to a worker before the
 // controller that receives the worker's heartbeats becomes the launcher.
 const launchTimeout = 3 * time.Second
 
-// observedTasks is the tasks of an allocation by what a direct heartbeat of its agent
-// epoch says of them.
+// observedTasks holds the tasks of an allocation by their state in a direct heartbeat of the
+// allocation's agent epoch.
 type observedTasks struct {
 	exited  record.TaskSet
-	done    record.TaskSet // of the exited: those that need not run again
-	missing record.TaskSet // not listed
+	done    record.TaskSet // those of exited that need not run again
+	missing record.TaskSet // not listed in the heartbeat
 }
 
 // collectTaskExits removes tasks with a confirmed exit from the pages of a team, and fences
-// off launches that may still arrive.
+// launches that may still arrive.
 func (c *Controller) collectTaskExits(txn *placementTransaction) {
 	for _, page := range txn.team.orderedPages() {
 		if !page.needsReview || c.cache.unreadable[page.key] != nil {
@@ -49,8 +52,9 @@
 		page.needsReview = false
 		c.metrics.count(countPagesReviewed, 1)
 		for i := range page.allocations {
-			// Room is left for the pages of the zones that it may place in. On a page
-			// that is written anyway, more exits cost no further write.
+			// Operations are left for the pages of the zones in which the transaction may
+			// place tasks. On a page that is written anyway, further exits take no further
+			// write.
 			if txn.pages[page.key] == nil && !c.canCompleteJob(txn) || !txn.hasCapacityFor(exitOperations) {
 				page.needsReview = true
 				break
@@ -62,21 +66,22 @@
 	}
 }
 
-// markPagesForReview notes that a machine showed something new: exits of tasks
-// of its allocations may be confirmed by it.
+// markPagesForReview marks the pages with allocations on a machine for review after something
+// new became known of the machine, since that may confirm exits of their tasks.
 func (m *machine) markPagesForReview() {
 	for _, allocation := range m.allocations {
 		allocation.page.needsReview = true
 	}
 }
 
-// collectTaskExit removes the exited tasks of one allocation, and reports whether to look
-// at it again even if its machine shows nothing new: something is open, or was removed and
-// is yet to be written. Most allocations run for long and cost nothing meanwhile.
+// collectTaskExit removes the exited tasks of one allocation. It reports whether to review
+// the allocation again even if nothing new becomes known of its machine, because an exit is
+// still unconfirmed or a removal is yet to be committed. Most allocations run for a long time
+// and need no review meanwhile.
 func (c *Controller) collectTaskExit(txn *placementTransaction, page *page, allocation *Allocation) bool {
 	machine := allocation.host
 	heartbeat := machine.directHeartbeat
-	// After a new agent epoch the worker obeys no command that was meant for the one before.
+	// A worker in a new agent epoch obeys no command that was meant for an earlier one.
 	if machine.scaling.terminated || heartbeat != nil && heartbeat.AgentEpoch > allocation.AgentEpoch {
 		c.removeTasks(txn, page, allocation, allocation.Tasks, record.TaskSet{})
 		return true
@@ -102,7 +107,7 @@
 	return true
 }
 
-// observeTasks sorts an allocation's tasks by what the direct heartbeat says of them.
+// observeTasks groups the tasks of an allocation by their state in the direct heartbeat.
 func (c *Controller) observeTasks(machine *machine, allocation *Allocation) observedTasks {
 	var observed observedTasks
 	countsAsDone := c.cache.jobs[allocation.Job] != nil && allocation.Shape != wire.ShapeService
@@ -121,20 +126,20 @@
 	return observed
 }
 
-// isFencedOff reports whether no launch of an allocation that is to end can reach its worker
-// any more: what the worker does not list then will never run.
+// isFencedOff reports whether no launch of an allocation that is to be stopped can reach its
+// worker any more. Tasks that the worker does not list then will never run.
 func (c *Controller) isFencedOff(allocation *Allocation, heartbeat *wire.Heartbeat) bool {
 	return allocation.Eviction != record.EvictionNone && allocation.Fence > 0 && heartbeat.Token >= allocation.Fence
 }
 
-// fenceMissingTasks fences off a launch of tasks that a worker does not list, where it may
-// still arrive though it should not: the tasks are to end, or their launcher has failed and
-// this process takes its place (failover). With the fence, a launch that the other sent is
-// refused or shows in the next heartbeat.
+// fenceMissingTasks fences the launch of tasks that a worker does not list, if the launch may
+// still arrive although it should not: the tasks are to be stopped, or their launcher has
+// failed and this process takes its place (failover). With the fence, a launch that was sent
+// by the earlier launcher is refused or appears in the next heartbeat.
 func (c *Controller) fenceMissingTasks(txn *placementTransaction, page *page, allocation *Allocation) {
 	switch {
 	case allocation.Eviction != record.EvictionNone && allocation.Fence > 0:
-		// fenced already: the worker has yet to see it
+		// already fenced, but the worker has not seen the fencing token yet
 	case allocation.Eviction != record.EvictionNone || c.cache.jobs[allocation.Job] == nil:
 		c.raiseFence(txn, page, allocation, func(staged *Allocation) {
 			if staged.Eviction == record.EvictionNone {
@@ -149,8 +154,8 @@
 	}
 }
 
-// launcherFailed reports whether an allocation's launcher has ended, or lives but does not
-// reach the worker.
+// launcherFailed reports whether the launcher of an allocation is not alive, or is alive but
+// does not reach the worker.
 func (c *Controller) launcherFailed(allocation *Allocation) bool {
 	if !c.isAlive(allocation.Launcher) {
 		return true
@@ -159,30 +164,31 @@
 		(c.isIsolatedIncarnation(allocation.Launcher) || c.launchTimedOut(allocation.host, allocation))
 }
 
-// noteTasksDone has the transaction record tasks as done, and complete the job if they were
-// its last. It returns the tasks to record: those of a gang complete together.
+// noteTasksDone makes the transaction record tasks as done, and complete the job if they were
+// its last ones. It returns the tasks to record, which are all tasks of the job for a gang,
+// since these complete together.
 func (c *Controller) noteTasksDone(txn *placementTransaction, allocation *Allocation, done record.TaskSet) record.TaskSet {
 	job := c.cache.jobs[allocation.Job]
 	if allocation.Shape == wire.ShapeGang {
 		done = record.Span(0, job.spec.Tasks)
 	}
 	txn.completed[job.id] = txn.completed[job.id].With(done)
-	// Where there is no room for the completion it is written later (completeJobs): the
-	// machine's room is free all the same.
+	// If the transaction has no capacity left for the completion, completeJobs writes it
+	// later. The room on the machine is freed in either case.
 	if !txn.completedJobs[job.id] && job.completed.With(txn.completed[job.id]).Len() == job.spec.Tasks && c.canCompleteJob(txn) {
 		txn.completeJob(job)
 	}
 	return done
 }
 
-// canCompleteJob reports whether a transaction may take on another change and still have
-// room to place tasks in all zones.
+// canCompleteJob reports whether a transaction has the capacity to complete a job and still
+// place tasks in all zones.
 func (c *Controller) canCompleteJob(txn *placementTransaction) bool {
 	return txn.hasCapacityFor(completionOperations + len(c.settings.Cluster.Zones))
 }
 
-// launchTimedOut reports whether a worker that sends heartbeats to this controller has
-// lacked an allocation's tasks for so long that its launcher does not seem to reach it.
+// launchTimedOut reports whether a worker that sends heartbeats to this controller has lacked
+// the tasks of an allocation for so long that the launcher does not seem to reach the worker.
 func (c *Controller) launchTimedOut(machine *machine, allocation *Allocation) bool {
 	first := allocation.key(allocation.Tasks.First())
 	since, ok := machine.reconciliation.missingSince[first]
@@ -192,13 +198,13 @@
 	}
 	timeout := launchTimeout
 	if job := c.cache.jobs[allocation.Job]; job != nil && allocation.Shape == wire.ShapeGang {
-		timeout += c.gangImagePullTime(job, allocation.Attempt) // its launcher may defer it
+		timeout += c.gangImagePullTime(job, allocation.Attempt) // the launcher may defer the launch of a gang
 	}
 	return c.now.Sub(max(since, c.resumedAt)) > timeout && c.now.Sub(machine.liveness.lastDirectAt) < launchTimeout
 }
 
-// raiseFence changes an allocation and raises the token in the same transaction: whoever
-// knows of the token knows of the change.
+// raiseFence changes an allocation and raises the fencing token in the same transaction, so
+// that every controller that knows the token also knows the change.
 func (c *Controller) raiseFence(txn *placementTransaction, page *page, allocation *Allocation, change func(*Allocation)) {
 	staged := txn.stagePage(page)
 	for i := range staged.allocations {
@@ -222,7 +228,7 @@
 	return a.Job == b.Job && a.Attempt == b.Attempt && a.Machine == b.Machine && a.Eviction == b.Eviction
 }
 
-// removeTasks takes exited tasks out of an allocation and records those of them that are
+// removeTasks removes exited tasks from an allocation and records those of them that are
 // done.
 func (c *Controller) removeTasks(txn *placementTransaction, page *page, allocation *Allocation, exited, done record.TaskSet) {
 	staged := txn.stagePage(page)
@@ -242,9 +248,10 @@
 	}
 }
 
-// completeJobs completes jobs whose last tasks were recorded by several controllers at
-// once, none of which saw them all, or by a transaction that had no room left for the
-// completions: when hundreds of small jobs end together, these come after their tasks'.
+// completeJobs completes jobs that were not completed together with their last tasks. Either
+// several controllers recorded the last tasks at once and none of them saw all tasks, or the
+// transaction had no capacity left for the completion, as may happen when hundreds of small
+// jobs end together.
 func (c *Controller) completeJobs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
 		job := c.cache.jobs[id]
--- a/internal/controller/zone_capacity.go
+++ b/internal/controller/zone_capacity.go
@@ -4,23 +4,24 @@
 	"lilacrill/internal/placement"
 )
 
-// hostCapacity is how many tasks of a job a host has room for: free or being freed, and if
-// less urgent tasks are evicted as well.
+// hostCapacity is how many tasks of a job a host has room for: in what is free or being
+// freed, and if less urgent tasks are evicted as well.
 type hostCapacity struct {
 	host                      *placement.Host
 	available, withPreemption int
 }
 
-// zoneCapacity is the capacity of a zone's hosts for the tasks of a job.
+// zoneCapacity is the capacity of the hosts of a zone for the tasks of a job.
 type zoneCapacity struct {
 	hosts                     []hostCapacity
 	available, withPreemption int
 }
 
 // capacityByZone sums up the capacity of the hosts for up to count tasks of a job that must
-// start at once: by zone if the job needs a single zone, and under "" otherwise.
-// fits says whether the job may run on a host at all; addPreemptable adds to the free
-// resources of a host those of the tasks that may be evicted there.
+// start at once. The result is keyed by zone if the job needs a single zone, and has the
+// single key "" otherwise. fits reports whether the job may run on a host at all.
+// addPreemptable adds the resources of the tasks that may be evicted on a host to its free
+// resources.
 func capacityByZone(job *job, fleet placement.Fleet, count int, fits func(*placement.Host) bool,
 	addPreemptable func(*placement.Host, placement.Resources) placement.Resources) map[string]*zoneCapacity {
 	need := job.request.Need
@@ -49,8 +50,8 @@
 	return zones
 }
 
-// largestZone is the zone with the most free room of those that have room for count tasks if
-// less urgent ones are evicted; nil if there is none.
+// largestZone returns the zone with the most available room among those that have room for
+// count tasks if less urgent ones are evicted, or nil if there is none.
 func largestZone(zones map[string]*zoneCapacity, count int) *zoneCapacity {
 	var best *zoneCapacity
 	for _, name := range sortedKeys(zones) {
