--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -52,9 +52,9 @@
 	// terminated although the termination cannot be recorded. They apply to any controller,
 	// to a controller that does not reach the state store, and to the provisioner if it does
 	// not reach the state store.
-	unrecordedFraction            = 0.7
-	unrecordedFractionIsolated    = 0.55
-	unrecordedFractionProvisioner = 0.3
+	unrecordedTerminationFraction            = 0.7
+	unrecordedTerminationFractionIsolated    = 0.55
+	unrecordedTerminationFractionProvisioner = 0.3
 )
 
 // noteCompletedTasksOn records that a machine may hold a task of a completed job. A job that
@@ -175,11 +175,11 @@
 // tasks of completed jobs before it is terminated without a record. While the state store is
 // reachable, the provisioner terminates such a machine with a record well before.
 func (c *Controller) unrecordedTerminationDelay() time.Duration {
-	part := unrecordedFraction
+	part := unrecordedTerminationFraction
 	if !c.storeReachable() {
-		part = unrecordedFractionIsolated
+		part = unrecordedTerminationFractionIsolated
 		if c.isProvisioner() && !c.isolationSuspected() {
-			part = unrecordedFractionProvisioner
+			part = unrecordedTerminationFractionProvisioner
 		}
 	}
 	return config.Seconds(part * c.settings.Cluster.Workers.CancelS)
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -96,7 +96,7 @@
 		machine = b.controller.machine(allocation.Machine) // a staged allocation is in no index
 	}
 	if machine.host == nil {
-		if b.outsideOwnShards(machine) && !b.schedules(allocation.Job) {
+		if b.outsideOwnShards(machine) && !b.schedulesJob(allocation.Job) {
 			return nil
 		}
 		// The host may stand for a machine that is not known. It gets the zone of the page,
@@ -109,8 +109,8 @@
 	return machine.host
 }
 
-// schedules reports whether this controller schedules a job.
-func (b *hostBuilder) schedules(id wire.JobID) bool {
+// schedulesJob reports whether this controller schedulesJob a job.
+func (b *hostBuilder) schedulesJob(id wire.JobID) bool {
 	job := b.controller.cache.jobs[id]
 	return job != nil && b.controller.schedulesJob(job)
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// completedTaskFraction is the fraction of cancel_s for which a machine that receives no
+	// completedTaskToleranceFraction is the fraction of cancel_s for which a machine that receives no
 	// commands may hold tasks of completed jobs before it is terminated.
 	// completedTaskFractionIsolated applies instead while this controller may be isolated.
-	completedTaskFraction         = 0.2
-	completedTaskFractionIsolated = 0.5
+	completedTaskToleranceFraction         = 0.2
+	completedTaskToleranceFractionIsolated = 0.5
 	// probeGracePeriod is added to the time after which a machine should have been probed, or
 	// should have sent a heartbeat.
 	probeGracePeriod = 2 * time.Second
@@ -237,9 +237,9 @@
 // of completed jobs. It is longer while this controller may be isolated, which gives other
 // controllers time to stop the tasks.
 func (c *Controller) completedTaskTolerance(isolationPossible bool) time.Duration {
-	fraction := completedTaskFraction
+	fraction := completedTaskToleranceFraction
 	if isolationPossible {
-		fraction = completedTaskFractionIsolated
+		fraction = completedTaskToleranceFractionIsolated
 	}
 	return config.Seconds(fraction * c.settings.Cluster.Workers.CancelS)
 }
