--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -15,7 +15,7 @@
 // if commands do not reach it.
 type completedTasks struct {
 	// since holds, for each such machine, the latest time before which no controller can have
-	// told the user that the job was cancelled.
+	// reported to the user that the job was cancelled.
 	since map[wire.MachineID]Time
 }
 
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -21,9 +21,10 @@
 )
 
 const (
-	// completedTaskToleranceFraction is the fraction of cancel_s for which a machine that receives no
-	// commands may hold tasks of completed jobs before it is terminated.
-	// completedTaskFractionIsolated applies instead while this controller may be isolated.
+	// completedTaskToleranceFraction is the fraction of cancel_s for which a machine that
+	// receives no commands may hold tasks of completed jobs before it is terminated.
+	// completedTaskToleranceFractionIsolated applies instead while this controller may be
+	// isolated.
 	completedTaskToleranceFraction         = 0.2
 	completedTaskToleranceFractionIsolated = 0.5
 	// probeGracePeriod is added to the time after which a machine should have been probed, or
@@ -47,7 +48,7 @@
 // which machines to terminate.
 type terminationReview struct {
 	reporting int // machines that have sent a heartbeat and are not being terminated
-	silent    int // of these, machines that should have been heard from and were not
+	silent    int // of these, machines that left a probe unanswered or whose heartbeats are long overdue
 	zones     map[string]*zoneReview
 	// isolationPossible is set if this controller, and not the silent machines, may be cut
 	// off.
@@ -115,7 +116,7 @@
 		// counts as silent only if it left a probe unanswered, or if some controller should
 		// have probed it long ago. If machines counted that had no heartbeat to send yet, a
 		// partitioned zone would never be detected, and no machine would be terminated while
-		// a single peer is not heard from.
+		// messages of a single peer are missing.
 		switch quiet := c.now.Sub(c.lastSeen(machine)); {
 		case quiet <= silence/2:
 			zone.responsive++
@@ -125,8 +126,8 @@
 		}
 	}
 	c.provisioner.partitions.update(review, silence, c.now)
-	// If many machines are silent at once and some peer is not heard from either, it may be
-	// this controller that is cut off.
+	// If many machines are silent at once and messages of some peer are missing as well, it
+	// may be this controller that is cut off.
 	manySilent := review.silent > minSilentMachines && 2*review.silent > review.reporting
 	review.isolationPossible = manySilent && !c.receivesFromAllPeers() ||
 		c.isolationSuspected() && (review.silent < review.reporting || !c.receivesFromAllPeers())
