--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -207,9 +207,10 @@
 		c.now.Sub(machine.liveness.unreachableSince) > config.Seconds(c.settings.Cluster.Workers.LeaseS/2)
 }
 
-// idleTooLong reports whether a machine is to be terminated as idle. The headroom must be
-// complete, and no pending job may be able to use the machine: while there is unmet demand,
-// the machine must be above the price limit or have been idle for twice as long.
+// idleTooLong reports whether a machine is to be terminated as idle. It must have been idle
+// for longer than idle_s, the headroom must be complete, and no pending job may be able to
+// use the machine: while there is unmet demand, the machine must be above the price limit or
+// have been idle for twice that time.
 func (c *Controller) idleTooLong(machine *machine) bool {
 	limit := config.Seconds(c.operator.values.IdleS)
 	if machine.scaling.idleSince == 0 || c.provisioner.missingHeadroom != 0 {
