--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -11,34 +11,36 @@
 	"lilacrill/wire"
 )
 
-// Failure detection. A worker that sends no heartbeats is probed, by one of the
-// controllers; one that leaves probes unanswered is unresponsive, and one whose
-// heartbeats arrive while calls to it fail is unreachable.
+// Failure detection. One of the controllers probes a worker that sends no heartbeats. A
+// machine that leaves probes unanswered is unresponsive. A machine whose heartbeats arrive
+// while direct calls to it fail is unreachable.
 //
-// Silence proves nothing of what runs on a machine: the worker may be out of reach of
-// this controller alone, it keeps its tasks running until its own lease runs out, and
-// this process may have stalled itself. So an unresponsive machine only gets no new
-// tasks; its tasks count as exited once a direct heartbeat says so or the machine is
-// terminated.
+// Missing heartbeats do not show that the tasks on a machine have exited. The worker may be
+// unreachable from this controller only, it keeps its tasks running until its lease expires,
+// and this process may have been stalled. An unresponsive machine therefore only gets no new
+// tasks. Its tasks count as exited once a direct heartbeat reports their exit or the machine
+// is terminated.
 
 const (
-	// heartbeatJitter is the longest interval between two heartbeats, relative to the
-	// configured one: workers spread them by a quarter.
+	// heartbeatJitter is the longest interval between two heartbeats as a multiple of the
+	// configured one. Workers vary the interval by up to a quarter.
 	heartbeatJitter = 1.25
-	// heartbeatTimeoutFactor is how long a worker may be silent before it is probed,
-	// relative to the configured interval.
+	// heartbeatTimeoutFactor determines how long a worker may send no heartbeat before it
+	// is probed, as a multiple of the configured heartbeat interval.
 	heartbeatTimeoutFactor = 1.3
-	// criticalProbeAfter is the same where critical tasks run.
+	// criticalProbeAfter bounds the same time for machines with critical tasks.
 	criticalProbeAfter = 1500 * time.Millisecond
-	// provisionerProbeDelay is how much later the provisioner probes on its own account.
+	// provisionerProbeDelay is how long the provisioner waits beyond the heartbeat timeout
+	// before it probes a machine that another controller is responsible for probing.
 	provisionerProbeDelay = 500 * time.Millisecond
-	// probeInterval is how long a machine is left alone after a probe.
+	// probeInterval is the shortest time between two probes of a machine.
 	probeInterval = 900 * time.Millisecond
-	// unreachableThreshold is how many direct calls in a row a machine may leave
-	// unanswered before it counts as unreachable.
+	// unreachableThreshold is the number of consecutive unanswered direct calls from
+	// which a machine counts as unreachable.
 	unreachableThreshold = 2
-	// Of the direct calls that may be under way, one in probeCallDivisor is for probes,
-	// and one in urgentCallDivisor is kept for commands to machines with critical tasks.
+	// probeCallDivisor reserves one in so many of the concurrent direct calls for probes.
+	// urgentCallDivisor reserves one in so many of the others for commands to machines
+	// with critical tasks.
 	probeCallDivisor, urgentCallDivisor = 4, 4
 
 	reachabilityProbeAfter      = 500 * time.Millisecond
@@ -48,27 +50,27 @@
 	isolatedAfter               = 3 * time.Second
 )
 
-// lastSeen is when a machine last showed itself. One that has only just become known, or
-// that this controller has had no chance to hear yet, as when this process stalled, is
-// not silent.
+// lastSeen returns the time from which a machine's silence is counted: its last heartbeat,
+// or a later time before which this controller could not have received one. A machine that
+// has just become known is not silent, nor is any machine just after this process stalled.
 func (c *Controller) lastSeen(machine *machine) Time {
 	return max(machine.liveness.lastHeartbeatAt, machine.firstKnownAt, c.membership.readyAt, c.resumedAt, c.fleet.reachableSince)
 }
 
-// maxHeartbeatInterval is the longest time between two heartbeats of a healthy worker.
+// maxHeartbeatInterval returns the longest time between two heartbeats of a healthy worker.
 func (c *Controller) maxHeartbeatInterval() time.Duration {
 	return config.Seconds(heartbeatJitter * c.settings.Cluster.Workers.ReportS)
 }
 
-// defaultHeartbeatTimeout is how long a worker without critical tasks may be silent before
-// it is probed.
+// defaultHeartbeatTimeout returns how long a worker without critical tasks may send no
+// heartbeat before it is probed.
 func (c *Controller) defaultHeartbeatTimeout() time.Duration {
 	return config.Seconds(heartbeatTimeoutFactor * c.settings.Cluster.Workers.ReportS)
 }
 
-// heartbeatTimeout is how long a worker may be silent before it is probed. Where critical
-// tasks run, somebody waits for them at every moment, and heartbeats may be too far apart
-// to wait for the next.
+// heartbeatTimeout returns how long a worker may send no heartbeat before it is probed.
+// Critical tasks are needed at every moment, so the failure of their machine must be detected
+// quickly, and the next heartbeat may be too far off for that.
 func (c *Controller) heartbeatTimeout(machine *machine) time.Duration {
 	if machine.hasCriticalTasks() {
 		return min(c.defaultHeartbeatTimeout(), criticalProbeAfter)
@@ -76,25 +78,27 @@
 	return c.defaultHeartbeatTimeout()
 }
 
-// hasCriticalTasks reports whether critical tasks are placed on a machine.
+// hasCriticalTasks reports whether critical tasks are placed on the machine.
 func (m *machine) hasCriticalTasks() bool { return m.criticalAllocations > 0 }
 
-// noteHeartbeat notes a heartbeat that is newer than all before.
+// noteHeartbeat records the arrival of a heartbeat that is newer than all before.
 func (l *liveness) noteHeartbeat(now Time) {
 	l.lastHeartbeatAt, l.unansweredProbes = now, 0
 }
 
-// resetUnansweredAfterSilence is called when a heartbeat arrives. Calls that a machine left
-// unanswered while nothing came from it either do not show that it is unreachable.
+// resetUnansweredAfterSilence resets the count of unanswered calls if a heartbeat that has
+// just arrived ends a longer silence. Calls that went unanswered while no heartbeats arrived
+// either do not show that the machine is unreachable.
 func (l *liveness) resetUnansweredAfterSilence(now Time, maxInterval time.Duration) {
 	if now.Sub(l.lastHeartbeatAt) > maxInterval+heartbeatSlack {
 		l.unansweredCalls = 0
 	}
 }
 
-// noteCallResult notes whether a worker answered a direct call made at calledAt. One whose
-// heartbeats arrive, but which no call reaches, looks healthy while its lease runs out.
-// A failure from before reachableSince is this controller's own: it reached no worker.
+// noteCallResult records whether a worker answered a direct call made at calledAt. A worker
+// whose heartbeats arrive but which no call reaches looks healthy while its lease expires.
+// Failed calls from before reachableSince are ignored, since this controller reached no
+// worker then.
 func (l *liveness) noteCallResult(calledAt, reachableSince Time, answered bool) {
 	if answered {
 		l.unansweredCalls = 0
@@ -109,15 +113,16 @@
 	l.unansweredCalls++
 }
 
-// unreachable reports whether a machine seems not to receive commands: it gets no new
-// tasks.
+// unreachable reports whether the machine seems not to receive direct calls. An unreachable
+// machine gets no new tasks.
 func (m *machine) unreachable() bool { return m.liveness.unansweredCalls >= unreachableThreshold }
 
-// shouldProbe reports whether it is up to this controller to probe a machine: one of the
-// live controllers does, chosen by the machine's name, and the provisioner a little later,
-// since it must know for itself. While siblings are out of reach, the heartbeats that they
-// receive are not gossiped: each controller then probes for itself, or it would take most
-// machines for silent after a while, and place nothing on them.
+// shouldProbe reports whether this controller is responsible for probing a machine from which
+// no heartbeat has come for the given time. One live controller is chosen by the machine's
+// name. The provisioner also probes, a little later, because it terminates silent machines by
+// the results of its own probes. While a peer cannot be heard, the heartbeats that it receives
+// are not gossiped to this controller. Each controller then probes every machine, since it
+// would otherwise come to regard most machines as silent and place nothing on them.
 func (c *Controller) shouldProbe(machine *machine, quiet time.Duration) bool {
 	if quiet > c.defaultHeartbeatTimeout() && !c.receivesFromAllPeers() {
 		return true
@@ -128,8 +133,9 @@
 	return len(c.ownership.eligible) == 0 || rendezvous.HighestScoring(c.ownership.eligible, string(machine.id)) == c.settings.Label
 }
 
-// confirmDirectly probes a machine when a gossiped heartbeat hints at something that this
-// controller, as the team's owner, should write down: hints prove nothing.
+// confirmDirectly probes a machine if a gossiped heartbeat suggests a change that this
+// controller, as the owner of the team, has to commit. A gossiped heartbeat does not suffice
+// for that, since it may be out of date.
 func (c *Controller) confirmDirectly(machine *machine) {
 	if machine.directHeartbeat == machine.latestHeartbeat || !machine.liveness.probeAllowed(c.now) || !c.fleet.canProbe() {
 		return
@@ -147,8 +153,8 @@
 	}
 }
 
-// hintsAtChange reports whether a task's status in the latest heartbeat, nil if it is not
-// listed, suggests that a direct heartbeat would prove something about its allocation.
+// hintsAtChange reports whether a direct heartbeat may prove that an allocation has to change.
+// task is the task's status in the latest heartbeat, or nil if the heartbeat does not list it.
 func (c *Controller) hintsAtChange(machine *machine, allocation *Allocation, task *wire.TaskStatus) bool {
 	if task != nil {
 		return task.State == wire.TaskExited
@@ -157,19 +163,19 @@
 		!c.isAlive(allocation.Launcher) || machine.latestHeartbeat.AgentEpoch > allocation.AgentEpoch
 }
 
-// probeAllowed reports whether no probe is under way, and the last one was long enough ago.
+// probeAllowed reports whether no probe is under way and the last probe was long enough ago.
 func (l *liveness) probeAllowed(now Time) bool { return !l.probing && now >= l.nextProbe }
 
-// canProbe reports whether another machine may be probed now. When hundreds hang, calls
-// to them would pile up otherwise, with a socket each.
+// canProbe reports whether another machine may be probed now. Without this bound, calls to
+// hundreds of hanging machines would accumulate, each with a socket of its own.
 func (f *fleet) canProbe() bool {
 	return f.probesInFlight < max(1, f.maxWorkerCalls/probeCallDivisor)
 }
 
-// probeMachines probes machines, as many as may be at a time: those with critical tasks
-// first, and of the rest those that were not probed for the longest time. In the order of
-// their names, a few that hang were probed over and over while others that hang were never
-// found silent.
+// probeMachines probes the machines that are due, up to the limit on concurrent probes.
+// Machines with critical tasks come first, then those that have not been probed for the
+// longest time. In the order of their names, the same few hanging machines would be probed
+// over and over, and other hanging machines would never be found silent.
 func (c *Controller) probeMachines(due []*machine) {
 	if len(due) == 0 || !c.fleet.canProbe() {
 		return
@@ -209,29 +215,31 @@
 	}), machine.addr})
 }
 
-// isolated reports whether this controller reaches no workers, though there are some that
-// are up: where machines were only just provisioned, or none joins, no controller hears
-// any, and if all took that for their own fault none would provision others.
+// isolated reports whether this controller receives no direct heartbeats although some
+// machines are up. While all machines are newly provisioned, or none of them joins, no
+// controller receives heartbeats. If all controllers then considered themselves isolated,
+// none would provision further machines.
 func (c *Controller) isolated() bool {
 	return c.membership.ready && c.fleet.machinesUp > 0 && c.sinceDirectHeartbeat() > isolatedAfter
 }
 
-// isolationSuspected reports whether no worker has reached this controller for a moment,
-// though it probed some that siblings hear: whatever it takes for silent meanwhile, it may
-// be the one that is isolated. Once a provisioner gave up hundreds of machines in the time
-// that it took to find that out.
+// isolationSuspected reports whether this controller has received no direct heartbeat for a
+// short while, although it probes machines that peers receive heartbeats from. Machines that
+// appear silent meanwhile may be healthy. Without this check, an isolated provisioner could
+// terminate hundreds of machines before it detects its own isolation.
 func (c *Controller) isolationSuspected() bool {
 	return c.sinceDirectHeartbeat() > isolationSuspectedAfter
 }
 
-// sinceDirectHeartbeat is for how long no worker has reached this controller, while it was
-// ready and not stalled.
+// sinceDirectHeartbeat returns the time without a direct heartbeat during which this
+// controller was ready and not stalled.
 func (c *Controller) sinceDirectHeartbeat() time.Duration {
 	return c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt, c.resumedAt))
 }
 
-// probeOwnReachability probes some worker when none has reached this controller for a
-// while: they may all send their heartbeats to others, or this controller may be isolated.
+// probeOwnReachability probes a worker if no direct heartbeat has arrived for a while. Either
+// all workers send their heartbeats to other controllers, or this controller is isolated, and
+// the probe tells the two apart.
 func (c *Controller) probeOwnReachability() {
 	if c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
 		return
@@ -242,8 +250,9 @@
 	}
 }
 
-// reachabilityCandidates is the machines that are most likely to answer a probe, the best
-// first: those that answered the last call, and of them those heard last.
+// reachabilityCandidates returns the machines that are most likely to answer a probe, the
+// likeliest first. Machines that answered the last call come first, and among them those with
+// the latest heartbeats.
 func (c *Controller) reachabilityCandidates() []*machine {
 	var candidates []*machine
 	for _, machine := range c.orderedMachines() {
@@ -260,8 +269,9 @@
 	return candidates
 }
 
-// compareReachability orders machines by how likely they are to answer a probe. One that
-// answered the last call is as good as any other; one that did not may be dead.
+// compareReachability orders machines by how likely they are to answer a probe. Machines that
+// answered the last call differ only in the age of their heartbeats, and a machine that did
+// not answer may be dead.
 func compareReachability(a, b *machine) int {
 	return cmp.Or(
 		cmp.Compare(a.liveness.unansweredCalls, b.liveness.unansweredCalls),
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -11,14 +11,14 @@
 	"lilacrill/wire"
 )
 
-// fleet is what this controller knows of the machines.
+// fleet holds what this controller knows about the machines.
 type fleet struct {
 	machines     map[wire.MachineID]*machine
-	machinesByID []*machine // the same in order; nil if that changed
-	machinesUp   int        // machines that are up, as far as known
+	machinesByID []*machine // the same in the order of their IDs; nil if machines has changed since
+	machinesUp   int        // machines that are up, as of the last review
 	labelSets    map[machineKind]placement.Tags
 
-	recordedImages  map[wire.MachineID][]string // as the state store has them
+	recordedImages  map[wire.MachineID][]string // images of each machine as recorded in the state store
 	imageBuckets    map[int]map[wire.MachineID][]string
 	nextImageBucket int
 	recordingImages bool
@@ -27,20 +27,20 @@
 	maxWorkerCalls       int        // direct calls to workers that may be under way at once
 	probesInFlight       int        // probes under way
 	commandCallsInFlight int        // calls with commands under way
-	queuedUrgentCommands []*machine // have commands, but too many calls are under way
-	queuedCommands       []*machine // the same, without critical tasks
+	queuedUrgentCommands []*machine // machines with critical tasks whose commands wait for other calls to end
+	queuedCommands       []*machine // the same for machines without critical tasks
 
-	outboundSuspect       bool // most machines leave our calls unanswered: our outbound path is at fault
-	lastDirectHeartbeatAt Time // when a worker last reached this controller
-	reachableSince        Time // since when workers do, after a while in which none did
+	outboundSuspect       bool // this controller's outbound path seems at fault (see fleetReview)
+	lastDirectHeartbeatAt Time // when a worker's heartbeat last arrived here directly
+	reachableSince        Time // when direct heartbeats resumed after isolation was last suspected
 	nextReachabilityProbe Time
 
 	nextReview       Time
-	lastTokenRaiseAt Time // for the cleanup of exited tasks
+	lastTokenRaiseAt Time // when the token was last raised for the cleanup of exited tasks
 	timers           []timer
 }
 
-// timer is something to do at a moment, whatever becomes of its cause meanwhile.
+// timer is a function to run once at a given time. A timer cannot be cancelled.
 type timer struct {
 	at  Time
 	run func()
@@ -54,12 +54,12 @@
 	f.labelSets = map[machineKind]placement.Tags{}
 }
 
-// addTimer has run called at the first tick at or after a moment.
+// addTimer schedules run for the first tick at or after the given time.
 func (f *fleet) addTimer(at Time, run func()) {
 	f.timers = append(f.timers, timer{at, run})
 }
 
-// runTimers runs the timers that are due.
+// runTimers runs and removes the timers that are due.
 func (f *fleet) runTimers(now Time) {
 	kept := f.timers[:0]
 	for _, timer := range f.timers {
@@ -72,7 +72,7 @@
 	f.timers = kept
 }
 
-// ordered is the machines in the order of their IDs. It must not be changed.
+// ordered returns the machines in the order of their IDs. The caller must not modify the slice.
 func (f *fleet) ordered() []*machine {
 	if f.machinesByID == nil {
 		f.machinesByID = slices.SortedFunc(maps.Values(f.machines), func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
@@ -90,7 +90,7 @@
 	f.machinesByID = nil
 }
 
-// allocationsOn is the allocations that the records have on a machine.
+// allocationsOn returns the recorded allocations on a machine.
 func (f *fleet) allocationsOn(id wire.MachineID) []*Allocation {
 	if machine := f.machines[id]; machine != nil {
 		return machine.allocations
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// kindLabels is the labels that all machines of a kind share.
+// kindLabels returns the labels that all machines of a kind share.
 func (f *fleet) kindLabels(kind machineKind) placement.Tags {
 	labels := f.labelSets[kind]
 	if labels == nil {
@@ -108,7 +108,7 @@
 	return labels
 }
 
-// machine finds a machine, or adds it as one that has only just become known.
+// machine returns the machine with an ID, and adds it if it is not known yet.
 func (c *Controller) machine(id wire.MachineID) *machine {
 	machine := c.fleet.machines[id]
 	if machine == nil {
@@ -119,10 +119,11 @@
 	return machine
 }
 
-// orderedMachines is the machines in the order of their IDs. It must not be changed.
+// orderedMachines returns the machines in the order of their IDs. The caller must not modify
+// the slice.
 func (c *Controller) orderedMachines() []*machine { return c.fleet.ordered() }
 
-// labelsOf is a machine's labels; all of a kind share them.
+// labelsOf returns a machine's labels, which all machines of its kind share.
 func (c *Controller) labelsOf(machine *machine) placement.Tags {
 	return c.fleet.kindLabels(machineKind{machine.machineType, machine.zone, machine.spot})
 }
@@ -130,28 +131,30 @@
 const (
 	// fleetReviewInterval is how often all machines are reviewed.
 	fleetReviewInterval = 200 * time.Millisecond
-	// forgetMachineAfter is how long a machine that nothing shows any more is remembered.
+	// forgetMachineAfter is how long a machine is kept after its last heartbeat and its last
+	// appearance in the cloud's list, or after its termination.
 	forgetMachineAfter = 2 * time.Minute
-	// cleanupFenceInterval is how often the token is raised for the cleanup of exited
-	// tasks; cleanupFenceThreshold is with how many on one machine it is raised at once.
+	// cleanupFenceInterval is how often the fencing token is raised for the cleanup of
+	// exited tasks. With more than cleanupFenceThreshold of them on one machine, it is
+	// raised without waiting for the interval to end.
 	cleanupFenceInterval  = 45 * time.Second
 	cleanupFenceThreshold = 40
-	// outboundSuspectMinimum is how many machines must be unreachable at least, and
-	// outboundSuspectDivisor which part of those that send heartbeats, for this
-	// controller's own outbound path to be suspect.
+	// This controller's own outbound path is suspect if more than outboundSuspectMinimum
+	// machines, and more than one in outboundSuspectDivisor of those that send heartbeats,
+	// are unreachable.
 	outboundSuspectMinimum, outboundSuspectDivisor = 2, 3
 )
 
-// fleetReview is what one review of all machines found.
+// fleetReview holds the findings of one review of all machines.
 type fleetReview struct {
-	due             []*machine // to be probed
+	due             []*machine // machines to probe
 	reporting       int        // machines that send heartbeats
-	unreachable     int        // of these, machines that leave direct calls unanswered
-	pendingCleanups int        // the most exited tasks on one machine that wait for their cleanup
+	unreachable     int        // of these, the unreachable ones
+	pendingCleanups int        // the largest number of exited tasks on one machine that wait for cleanup
 }
 
-// outboundSuspect reports whether so many machines are unreachable, though their
-// heartbeats arrive, that it must be this controller's own path to them.
+// outboundSuspect reports whether so many machines are unreachable, although their
+// heartbeats arrive, that this controller's own outbound path is the likely cause.
 func (r *fleetReview) outboundSuspect() bool {
 	return r.unreachable > outboundSuspectMinimum && outboundSuspectDivisor*r.unreachable > r.reporting
 }
@@ -169,7 +172,7 @@
 }
 
 // reviewFleet forgets machines that are gone, retries launches that have had no effect,
-// probes silent machines, and raises the token where exited tasks wait for their cleanup.
+// probes silent machines, and raises the fencing token if exited tasks wait for cleanup.
 func (c *Controller) reviewFleet() {
 	var review fleetReview
 	c.fleet.machinesUp = 0
@@ -187,22 +190,22 @@
 	}
 }
 
-// isGone reports whether a machine was terminated, or neither its worker nor the cloud's
-// list has shown it for long.
+// isGone reports whether a machine was terminated, or has neither sent a heartbeat nor
+// appeared in the cloud's list for forgetMachineAfter.
 func (c *Controller) isGone(machine *machine) bool {
 	return machine.scaling.terminated ||
 		c.now.Sub(c.lastSeen(machine)) > forgetMachineAfter && c.now.Sub(machine.scaling.lastListedAt) > forgetMachineAfter
 }
 
-// forgetUnused drops a machine that is gone and has no allocations. A terminated one is
-// remembered for a while: a late heartbeat of it must not make it a new machine.
+// forgetUnused drops a machine that is gone and has no allocations. A terminated machine is
+// kept for a while, so that a delayed heartbeat does not add it again as a new machine.
 func (c *Controller) forgetUnused(machine *machine) {
 	if len(machine.allocations) == 0 && (!machine.scaling.terminated || c.now.Sub(machine.scaling.terminatedAt) > forgetMachineAfter) {
 		c.fleet.remove(machine)
 	}
 }
 
-// reviewLiveness reviews one machine that is not gone.
+// reviewLiveness reviews one machine that is not gone and adds the findings to review.
 func (c *Controller) reviewLiveness(machine *machine, review *fleetReview) {
 	if !machine.isTerminated() && (machine.latestHeartbeat != nil || machine.scaling.status == wire.MachineRunning) {
 		c.fleet.machinesUp++
@@ -226,7 +229,7 @@
 	}
 }
 
-// retryLaunches sends commands again to a machine with allocations that this process
+// retryLaunches sends the commands of a machine again if it has allocations that this process
 // launches.
 func (c *Controller) retryLaunches(machine *machine) {
 	launches := slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
@@ -237,9 +240,8 @@
 	}
 }
 
-// probeDue reports whether to probe a machine that has been silent for so long: it may
-// have lost its way to this controller. One that left a call unanswered is probed though
-// its heartbeats go on.
+// probeDue reports whether to probe a machine that has sent no heartbeat for the time quiet.
+// A machine that left a call unanswered is probed even if its heartbeats continue.
 func (c *Controller) probeDue(machine *machine, quiet time.Duration) bool {
 	if machine.addr == "" || machine.scaling.status == wire.MachineBooting || !machine.liveness.probeAllowed(c.now) {
 		return false
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// renewalWait is how long a worker waits for a controller that cannot answer it now to
-	// learn what it lacks.
+	// renewalWait is how long a heartbeat waits for its response if this controller does not
+	// know of recent enough cancellations to renew the lease at once.
 	renewalWait = 1500 * time.Millisecond
-	// peerQuorumLossDelay is how long the state store and the siblings must be out of reach
-	// before workers are redirected.
+	// peerQuorumLossDelay is how long the state store must have been unreachable before
+	// workers are redirected on the loss of the peer quorum.
 	peerQuorumLossDelay = 3 * time.Second
-	// workerTimeout and workerRetryDelay are how long the protocol has a worker wait for a
-	// response, and between two controllers.
+	// In the worker protocol, a worker waits workerTimeout for a response, and
+	// workerRetryDelay before it tries another controller.
 	workerTimeout    = 4 * time.Second
 	workerRetryDelay = time.Second
-	// returnedAfterIntervals is after how many heartbeat intervals without a direct
-	// heartbeat a worker counts as one that has only just come to this controller.
+	// returnedAfterIntervals is the number of heartbeat intervals without a direct heartbeat
+	// after which the next one counts as the first from a worker that has changed to this
+	// controller.
 	returnedAfterIntervals = 2
 )
 
-// handleHeartbeat answers a worker's heartbeat. The response renews the worker's lease, and
-// the commands in it are obeyed in the name of this controller's fencing token.
+// handleHeartbeat answers a worker's heartbeat. The response renews the worker's lease, and it
+// carries commands and this controller's fencing token, under which the worker obeys them.
 func (c *Controller) handleHeartbeat(in HeartbeatReceived) {
 	if !c.membership.ready {
 		c.rejectHeartbeat(in.Request, "starting")
@@ -35,8 +36,8 @@
 		c.handleHeartbeatAtToken(in)
 		return
 	}
-	// Somebody raised the token; until this controller knows everything that was written
-	// before, it is not entitled to command this worker.
+	// The token was raised. This controller may not send the worker commands until it knows
+	// everything that was written before the raise.
 	c.readBarrier(func(bool) {
 		if in.Heartbeat.Token > c.cache.token {
 			c.redirectToPeer(in.Request)
@@ -46,7 +47,8 @@
 	})
 }
 
-// handleHeartbeatAtToken answers a worker that has seen no token which is not known here.
+// handleHeartbeatAtToken answers a worker that has not seen a higher fencing token than this
+// controller knows.
 func (c *Controller) handleHeartbeatAtToken(in HeartbeatReceived) {
 	if !c.canRenewLeaseOf(in.Heartbeat.Machine) {
 		c.applyHeartbeat(in.Heartbeat, true)
@@ -67,16 +69,16 @@
 	}
 }
 
-// canRenewLeaseOf reports whether a worker may be answered: what runs on it, or may yet
-// start there, may have been cancelled so long ago that another lease would keep it alive
-// for too long.
+// canRenewLeaseOf reports whether a worker's lease may be renewed. It must not be if a task
+// that runs on the worker, or may still start there, may have been cancelled so long ago that
+// another lease would keep the task alive for too long.
 func (c *Controller) canRenewLeaseOf(id wire.MachineID) bool {
 	return c.canRenewLeases() && !c.mayStartCancelledTask(c.machine(id))
 }
 
-// respondOnceRenewable answers a worker a moment later if its lease may be renewed then.
-// Rejected at once, it would try one controller after the other, a second each, and so
-// would all others.
+// respondOnceRenewable answers a worker after renewalWait if its lease may be renewed then, and
+// rejects the heartbeat otherwise. If heartbeats were rejected at once, every worker would try
+// one controller after another, one per second.
 func (c *Controller) respondOnceRenewable(in HeartbeatReceived) {
 	c.fleet.addTimer(c.now.Add(renewalWait), func() {
 		if in.Heartbeat.Token <= c.cache.token && c.canRenewLeaseOf(in.Heartbeat.Machine) {
@@ -87,17 +89,19 @@
 	})
 }
 
-// rejectHeartbeat leaves a worker's lease as it is; the worker tries another controller.
+// rejectHeartbeat answers a heartbeat without renewing the worker's lease. The worker then
+// tries another controller.
 func (c *Controller) rejectHeartbeat(request RequestID, reason string) {
 	c.reply(request, http.StatusServiceUnavailable, wire.ErrorResponse{Error: reason})
 }
 
-// shouldRedirectToPeer reports whether a worker is to try another controller. One that has
-// lost the state store and all its siblings cannot tell whether that is an outage, in which
-// its workers' leases hang on it alone, or whether the others are well, and nobody can write
-// down what exits here. So each worker is redirected once: where others are well it stays
-// with them, and if it comes back, having found none, it is kept. It is redirected only if
-// its lease lasts for the tour of all controllers.
+// shouldRedirectToPeer reports whether a worker is to try another controller, and records that
+// it was redirected. A controller that has lost the state store and the peer quorum cannot
+// distinguish two cases. In an outage, its workers' leases depend on it alone. If the other
+// controllers still work, they should have the workers, because this controller cannot commit
+// the exits of tasks. Each worker is therefore redirected once. If another controller works,
+// the worker stays with it, and otherwise it comes back and is kept. A worker is redirected
+// only if its lease lasts until it has tried all controllers.
 func (c *Controller) shouldRedirectToPeer(machine *machine) bool {
 	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay ||
 		machine.liveness.redirectedToPeerAt > c.cache.lastStoreResponse || !c.leaseOutlastsTour() {
@@ -108,35 +112,36 @@
 	return true
 }
 
-// leaseOutlastsTour reports whether a worker's lease lasts until it has tried every other
-// controller in vain and come back.
+// leaseOutlastsTour reports whether a worker's lease lasts until the worker has tried every
+// other controller in vain and come back.
 func (c *Controller) leaseOutlastsTour() bool {
-	tour := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
-	return tour+c.maxHeartbeatInterval()+workerTimeout <= config.Seconds(c.settings.Cluster.Workers.LeaseS)
+	tryingPeers := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
+	return tryingPeers+c.maxHeartbeatInterval()+workerTimeout <= config.Seconds(c.settings.Cluster.Workers.LeaseS)
 }
 
+// redirectToPeer redirects a worker to a peer that reaches the state store, or to any other
+// controller if no peer is known to.
 func (c *Controller) redirectToPeer(request RequestID) {
 	c.reply(request, http.StatusMisdirectedRequest, wire.Redirect{Controller: c.peerWithStore()})
 }
 
-// respondToHeartbeat renews a worker's lease and sends it the commands that it needs.
+// respondToHeartbeat renews a worker's lease and sends the worker the commands that it needs.
 func (c *Controller) respondToHeartbeat(in HeartbeatReceived) {
 	machine := c.machine(in.Heartbeat.Machine)
 	returned := machine.directHeartbeat == nil ||
 		c.now.Sub(machine.liveness.lastDirectAt) > config.Seconds(returnedAfterIntervals*c.settings.Cluster.Workers.ReportS)
 	c.applyHeartbeat(in.Heartbeat, true)
 	if returned && !machine.liveness.probing && !machine.scaling.terminated && c.fleet.canProbe() {
-		// It may have come because no call reaches it, or this may be a late copy of a
-		// heartbeat that it sent long ago.
+		// The worker may have changed controllers because no call reaches it, or this may be
+		// a late copy of a heartbeat that it sent long ago.
 		c.probeMachine(machine)
 	}
 	var commands []wire.Command
 	if machine.latestHeartbeat == in.Heartbeat {
 		commands = append(c.commandsFor(machine), c.cleanupCommands(machine)...)
 	} else {
-		// A heartbeat that is older than the latest was held up on its way: commands that
-		// follow from it could repeat what is over. The response may renew the lease all
-		// the same.
+		// A heartbeat that is older than the latest was delayed. Commands derived from it
+		// could repeat what is already done. The response may still renew the lease.
 		commands = c.stopCommands(machine)
 	}
 	c.reply(in.Request, http.StatusOK, wire.HeartbeatResponse{Token: c.cache.token, Commands: commands})
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -8,8 +8,8 @@
 	"lilacrill/wire"
 )
 
-// tasksByAttempt indexes a heartbeat's tasks. A machine may list an exited attempt
-// beside another attempt of the same task, so the task alone does not identify them.
+// tasksByAttempt indexes a heartbeat's tasks by task and attempt. A machine may list an
+// exited attempt beside another attempt of the same task.
 func tasksByAttempt(heartbeat *wire.Heartbeat) map[attemptKey]*wire.TaskStatus {
 	tasks := make(map[attemptKey]*wire.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
@@ -19,7 +19,8 @@
 	return tasks
 }
 
-// sortedTasks is a heartbeat's tasks in an order that depends on their identity alone.
+// sortedTasks returns a heartbeat's tasks in the order of job, index and attempt, whatever
+// their order in the heartbeat.
 func sortedTasks(heartbeat *wire.Heartbeat) []*wire.TaskStatus {
 	tasks := make([]*wire.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
@@ -31,15 +32,16 @@
 	return tasks
 }
 
-// sameStatus reports whether two heartbeats of a machine differ in nothing but their
-// sequence and the token. A preemption notice counts down, so it always differs.
+// sameStatus reports whether two heartbeats of a machine differ only in their sequence number
+// and fencing token. Heartbeats with a preemption notice always differ, since the notice
+// counts down.
 func sameStatus(a, b *wire.Heartbeat) bool {
 	return a.AgentEpoch == b.AgentEpoch && a.PreemptionNoticeS == nil && b.PreemptionNoticeS == nil && a.Addr == b.Addr && slices.Equal(a.Tasks, b.Tasks)
 }
 
-// applyHeartbeat takes a heartbeat into what is known of its machine. A direct one comes
-// from the worker itself: it alone proves that a task has exited. Another was gossiped
-// by a sibling and is a hint: it may be late, so it may show a state that is over.
+// applyHeartbeat updates a machine's state from its heartbeat. A direct heartbeat comes from
+// the worker itself, and only a direct one proves that a task has exited. Other heartbeats
+// were gossiped by a peer. They may be late and show a state that has passed.
 func (c *Controller) applyHeartbeat(heartbeat *wire.Heartbeat, direct bool) {
 	machine := c.machine(heartbeat.Machine)
 	if direct {
@@ -49,7 +51,7 @@
 		return
 	}
 	before, first := machine.tasks, machine.latestHeartbeat == nil
-	// A heartbeat that only says that the machine is still there changes no schedule.
+	// A heartbeat without changes needs no scheduling pass if the previous one was on time.
 	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(machine.latestHeartbeat, heartbeat) || !c.heartbeatsOnTime(machine)
 	machine.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
 	machine.setLatestHeartbeat(heartbeat, c.now)
@@ -63,8 +65,9 @@
 	}
 }
 
-// noteDirectHeartbeat notes that a worker reaches this controller, and keeps the
-// heartbeat as the newest proof of what runs there unless it is late.
+// noteDirectHeartbeat records that a worker's heartbeat reached this controller. Unless a
+// newer one came before, the heartbeat becomes the machine's direct heartbeat, which proves
+// what runs there.
 func (c *Controller) noteDirectHeartbeat(machine *machine, heartbeat *wire.Heartbeat) {
 	if c.isolationSuspected() {
 		c.fleet.reachableSince = c.now
@@ -86,15 +89,16 @@
 	}
 }
 
-// setLatestHeartbeat replaces what is known of the machine by a newer heartbeat.
+// setLatestHeartbeat updates the machine's state from a heartbeat that is newer than all
+// before.
 func (m *machine) setLatestHeartbeat(heartbeat *wire.Heartbeat, now Time) {
 	m.latestHeartbeat, m.tasks = heartbeat, tasksByAttempt(heartbeat)
 	m.liveness.noteHeartbeat(now)
 	m.addr, m.machineType, m.zone, m.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 }
 
-// notePreemptionNotice notes in how many seconds the cloud will take the machine; nil: no
-// notice is in force.
+// notePreemptionNotice records in how many seconds the cloud will take the machine back, or,
+// if seconds is nil, that no preemption notice is in force.
 func (s *scaling) notePreemptionNotice(seconds *float64, now Time) {
 	s.preemptionAt = 0
 	if seconds != nil {
@@ -102,17 +106,18 @@
 	}
 }
 
-// applyTaskStatuses draws the conclusions from the tasks in a machine's latest heartbeat;
-// before is the tasks of the heartbeat before it.
+// applyTaskStatuses updates jobs and the machine from the task statuses in the machine's
+// latest heartbeat. before holds the tasks of the previous heartbeat.
 //
-// The order is fixed: what one exit shows of a job decides what the next shows of the
-// machine, so in the order of the map the same heartbeat quarantined it or not.
+// The tasks are taken in a fixed order, because the effect of an exit on the machine depends
+// on the earlier exits of its job. In the random order of the map, the same heartbeat might
+// or might not quarantine the machine.
 func (c *Controller) applyTaskStatuses(machine *machine, before map[attemptKey]*wire.TaskStatus) {
 	pulling := map[string]bool{}
 	for _, task := range sortedTasks(machine.latestHeartbeat) {
 		key := attemptKey{task.Task, task.Attempt}
 		if machine.tasks[key] != task {
-			continue // listed twice: the last counts
+			continue // the attempt is listed twice, and its last status counts
 		}
 		if job := c.cache.jobs[task.Task.Job]; job != nil {
 			if task.State == wire.TaskPulling {
@@ -127,7 +132,7 @@
 	machine.images.pulling = len(pulling)
 }
 
-// noteTaskState notes what a task's state shows of its job and of the machine's images.
+// noteTaskState updates a task's job and the machine's images from the state of the task.
 func (c *Controller) noteTaskState(machine *machine, job *job, state wire.TaskState) {
 	if state == wire.TaskRunning || state == wire.TaskWaiting {
 		c.noteImageUse(machine, job.spec.Image)
@@ -138,7 +143,7 @@
 	}
 }
 
-// noteJobStarted measures, the first time only, how long a job took to start.
+// noteJobStarted records how long a job took to start when its first task has started.
 func (c *Controller) noteJobStarted(job *job) {
 	if job.started {
 		return
@@ -148,8 +153,8 @@
 	c.metrics.observe(latencyJobStart, time.Duration(max(0, c.wall-job.acceptedAt))*time.Millisecond)
 }
 
-// applyUnchangedHeartbeat takes a sibling's gossip that a machine sent another heartbeat
-// with the status of the one before.
+// applyUnchangedHeartbeat applies a gossiped heartbeat whose status is the same as that of
+// the previous heartbeat and was therefore left out of the message.
 func (c *Controller) applyUnchangedHeartbeat(unchanged *wire.UnchangedHeartbeat) {
 	machine := c.fleet.machines[unchanged.Machine]
 	if machine == nil || machine.latestHeartbeat == nil {
@@ -168,9 +173,10 @@
 	}
 }
 
-// applyWorkerResponse takes the heartbeat with which a worker answered a direct call. A
-// worker that has seen a higher fencing token than is known here obeys nobody who does
-// not know it, so this controller first reads what was written before.
+// applyWorkerResponse applies the heartbeat with which a worker answered a direct call. A
+// worker refuses commands with a lower fencing token than the highest that it has seen. If
+// its token is not known here yet, the cache is refreshed to get the token and everything
+// that was written before it.
 func (c *Controller) applyWorkerResponse(machine *machine, response WorkerResponse) {
 	if response.Heartbeat == nil || response.Heartbeat.Machine != machine.id {
 		return
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// partition is a zone that seems to be cut off from the others.
+// partition describes a zone that seems to be partitioned from the others.
 type partition struct {
-	lastSeenAt Time // when it last seemed so
-	silent     int  // machines in it that were silent then
+	lastSeenAt Time // when the partition was last detected
+	silent     int  // silent machines in the zone at that time
 }
 
-// partitionDetector finds zones that seem to be partitioned. Nothing is provisioned there
-// meanwhile: what came up would be silent, be terminated, and be provisioned again.
+// partitionDetector finds zones that seem to be partitioned. No machines are provisioned in
+// such a zone: they would be silent, be terminated, and be provisioned again.
 type partitionDetector struct {
 	zones map[string]partition
 }
 
 const (
 	// minSilentMachines is the number of silent machines up to which neither a zone counts
-	// as partitioned nor this controller as cut off.
+	// as partitioned nor this controller as possibly isolated.
 	minSilentMachines = 2
-	// partitionSilentRatio is how many times as many machines of a partitioned zone are
-	// silent as are heard.
+	// partitionSilentRatio is the ratio of silent machines to heard ones above which a zone
+	// may count as partitioned.
 	partitionSilentRatio = 3
 	// partitionLifetime is how long a zone counts as partitioned without new evidence.
 	partitionLifetime = 40 * time.Second
 )
 
 // update applies a review of the fleet. A zone counts as partitioned when nearly all of its
-// machines are silent while most of the fleet is heard; this is seen before the first of them
-// would be given up. It no longer counts as partitioned once a machine in it is heard for
-// longer than silence after that, or after partitionLifetime.
+// machines are silent while most of the fleet is heard. This is detected before the first of
+// its machines would be terminated as silent. The zone no longer counts as partitioned once a
+// heartbeat of one of its machines arrives more than silence after the last detection, or when
+// partitionLifetime has passed since then.
 func (d *partitionDetector) update(review *terminationReview, silence time.Duration, now Time) {
 	for name, zone := range review.zones {
 		if zone.silent > minSilentMachines && zone.silent > partitionSilentRatio*zone.responsive && 2*review.silent < review.reporting {
@@ -45,8 +46,8 @@
 	}
 }
 
-// silentMachines is how many machines of a partitioned zone were silent; 0 if the zone is not
-// partitioned.
+// silentMachines returns how many machines of a partitioned zone were silent when the
+// partition was last detected, or 0 if the zone is not partitioned.
 func (d *partitionDetector) silentMachines(zone string) int { return d.zones[zone].silent }
 
 // isPartitioned reports whether a zone seems to be partitioned.
@@ -56,25 +57,26 @@
 }
 
 // terminationLimiter bounds how many silent machines are terminated within
-// silentTerminationWindow, in proportion to the fleet. A part of the bound is kept for
-// machines with critical tasks: when a hundred hang, those without critical tasks, which were
-// silent first, would use it up for seconds.
+// silentTerminationWindow, in proportion to the fleet. A part of the bound is reserved for
+// machines with critical tasks. Without it, when a hundred machines hang, those without
+// critical tasks that became silent first would use up the bound for seconds.
 type terminationLimiter struct {
-	times []Time // of the terminations in the window
+	times []Time // when the terminations in the window were admitted
 }
 
 const (
 	silentTerminationWindow = 10 * time.Second
-	// minSilentTerminations is how many machines may be terminated in a window, however small
-	// the fleet, and silentTerminationDivisor which part of the machines that report.
+	// In a window, one in silentTerminationDivisor of the machines that send heartbeats may
+	// be terminated, but at least minSilentTerminations however small the fleet.
 	minSilentTerminations    = 4
 	silentTerminationDivisor = 4
-	// criticalTerminationDivisor is the part of the bound that is kept for machines with
-	// critical tasks.
+	// criticalTerminationDivisor determines the part of the bound that is reserved for
+	// machines with critical tasks: one in so many terminations.
 	criticalTerminationDivisor = 2
 )
 
-// admit reports whether one more machine may be terminated now, and counts it if so.
+// admit reports whether one more machine may be terminated now, and if so counts its
+// termination.
 func (l *terminationLimiter) admit(reporting int, critical bool, now Time) bool {
 	l.times = slices.DeleteFunc(l.times, func(at Time) bool { return now.Sub(at) > silentTerminationWindow })
 	limit := max(minSilentTerminations, reporting/silentTerminationDivisor)
