--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -11,58 +11,60 @@
 	"lilacrill/wire"
 )
 
-// A user who was told that a job is cancelled must be able to rely on all of its tasks being
-// gone in time (setting cancel_s), though the controller that a worker sends its heartbeats to
-// may not know of the cancellation: the state store may refuse this one controller, and then be
-// unavailable to all. The response to a heartbeat keeps the worker's tasks alive for one more
-// lease. Hence one invariant, which every response to a worker is held to:
+// Once a job's cancellation is confirmed to the user, all of its tasks must have ended within
+// the setting cancel_s, even if the controller that receives a worker's heartbeats does not know
+// of the cancellation. It may not know because the state store refused this one controller and
+// then became unavailable to all. The response to a heartbeat keeps the worker's tasks alive for
+// one more lease. Every response to a worker therefore keeps this invariant:
 //
 //	A heartbeat is answered only by a controller that knows of every cancellation that any
 //	controller may have reported to a user up to maxRenewalStaleness ago, and only while no
 //	task whose job is known to have been cancelled longer ago than that may still start on
 //	the worker.
 //
-// A controller knows of cancellations in one of two ways: from its cache, as of the moment up to
-// which that is known to be complete (cacheCurrentAt), or from the watermarks of all its
-// siblings. A watermark lists the cancellations that its sender knows of, and acknowledges the
-// newest watermark of ours that the sender has received. The acknowledgement bounds the age of
-// the list by our own clock, however long the message was delayed: the list is at least as
-// recent as our watermark was when we sent it. A sibling that cannot send watermarks, because it
-// ended, is partitioned or has only just started, holds back the time up to which cancellations
-// are known: losing messages may cost leases, never the invariant.
+// A controller knows of cancellations in one of two ways: from its cache, as of the time up to
+// which the cache is known to be complete (cacheCurrentAt), or from the watermarks of all its
+// peers. A watermark lists the cancellations that its sender knows of, and acknowledges the
+// newest watermark that the sender has received from this controller. The acknowledgement bounds
+// the age of the list by this controller's own clock, however long the message was delayed: the
+// list is at least as recent as the sending of the acknowledged watermark. A peer that cannot
+// send watermarks, because it ended, is partitioned or has just started, holds back the time up
+// to which cancellations are known. Lost messages may therefore cause leases to expire, but they
+// never violate the invariant.
 
-// cancellationWatermark is this controller's side of the protocol by which controllers tell one
-// another of cancellations without the state store. What siblings sent is in peerState.
+// cancellationWatermark is this controller's side of the protocol by which controllers exchange
+// cancellations without the state store. What peers sent is in peerState.
 type cancellationWatermark struct {
 	process        uint64 // distinguishes this process from earlier ones with its label
-	cacheCurrentAt Time   // the cache holds everything that was written before
-	sentAt         []Time // when the latest watermarks of ours were sent, in order
-	sequence       uint64 // of the last one
-	next           Time   // when the next one is due
+	cacheCurrentAt Time   // the cache holds everything that was written before this time
+	sentAt         []Time // when the latest watermarks were sent, in order
+	sequence       uint64 // sequence number of the last watermark sent
+	next           Time   // when the next watermark is due
 
-	// recent holds the cancellations that this cache has seen after the revision since, in the
+	// recent holds the cancellations that the cache has seen after the revision since, in the
 	// order of their revisions.
 	recent []wire.Cancellation
 	since  wire.Revision
 
-	renewsLeases bool // whether heartbeats were answered when that was last decided
+	renewsLeases bool // the last result of canRenewLeases
 }
 
 const (
 	watermarkInterval = time.Second
-	// minWatermarkInterval is the least time between watermarks when there is a cancellation
-	// that a sibling cannot read from the state store.
+	// minWatermarkInterval is the delay of the next watermark when there is a cancellation that
+	// a peer cannot read from the state store.
 	minWatermarkInterval = 200 * time.Millisecond
-	maxWatermarksKept    = 128
+	maxWatermarksKept    = 128 // watermarks whose sending times are kept
 	// maxRecentCancellations bounds the cancellations that are kept, and so a watermark's size.
 	maxRecentCancellations = 600
-	// barrierInterval is the longest time between read barriers, so that cacheCurrentAt is
-	// recent.
+	// barrierInterval is how old cacheCurrentAt may be before a read barrier is issued to
+	// renew it.
 	barrierInterval = time.Second
-	// maxLaunchStaleness is how old the knowledge of cancellations may be for a launch.
+	// maxLaunchStaleness is the largest age of the knowledge of cancellations at which tasks
+	// may be launched.
 	maxLaunchStaleness = 3 * time.Second
-	// cancelMargin is what is left of cancel_s - lease_s for clocks that drift, for a worker
-	// that notices late that its lease has expired, and for delays.
+	// cancelMargin is the part of cancel_s - lease_s that is reserved for clock drift, for
+	// workers that notice late that their lease has expired, and for delays.
 	cancelMargin = 4 * time.Second
 )
 
@@ -71,22 +73,24 @@
 	w.renewsLeases = true
 }
 
-// reset forgets the cancellations that were seen: the cache is loaded anew.
+// reset drops the recent cancellations when the cache is loaded anew.
 func (w *cancellationWatermark) reset() { w.recent, w.since = nil, 0 }
 
-// noteCacheCurrent notes that the cache holds everything that was written before a moment.
+// noteCacheCurrent records that the cache holds everything that was written before the given
+// time.
 func (w *cancellationWatermark) noteCacheCurrent(at Time) {
 	w.cacheCurrentAt = max(w.cacheCurrentAt, at)
 }
 
-// knownAt is the moment up to which this controller knows of every cancellation that any
+// knownAt returns the time up to which this controller knows of every cancellation that any
 // controller may have reported to a user.
 func (w *cancellationWatermark) knownAt(now Time, siblings []config.Sibling, peers map[string]*peerState) Time {
 	earliest := now
 	for _, sibling := range siblings {
 		peer := peers[sibling.Label]
-		// What an earlier process of a sibling told users is known only if the cache was current
-		// at some time after the first message of the present process came.
+		// The cancellations that an earlier process of a peer reported to users are known only
+		// if the cache was current at some time after the first watermark of the peer's present
+		// process arrived.
 		if peer == nil || w.cacheCurrentAt < peer.firstHeardAt {
 			return w.cacheCurrentAt
 		}
@@ -95,7 +99,7 @@
 	return max(w.cacheCurrentAt, earliest)
 }
 
-// insert adds a cancellation and, if there are too many, forgets the earliest.
+// insert adds a cancellation and, if there are too many, drops the earliest ones.
 func (w *cancellationWatermark) insert(cancellation wire.Cancellation) {
 	i, _ := slices.BinarySearchFunc(w.recent, cancellation, func(a, b wire.Cancellation) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Job, b.Job))
@@ -115,7 +119,7 @@
 	w.recent = slices.Delete(w.recent, 0, i)
 }
 
-// after lists the cancellations after a revision.
+// after returns the cancellations after a revision.
 func (w *cancellationWatermark) after(revision wire.Revision) []wire.Cancellation {
 	var listed []wire.Cancellation
 	for _, cancellation := range w.recent {
@@ -126,7 +130,7 @@
 	return listed
 }
 
-// noteSent numbers a watermark that is sent now and remembers when that was.
+// noteSent advances the sequence number for a watermark that is sent now, and records the time.
 func (w *cancellationWatermark) noteSent(now Time) {
 	w.next = now.Add(watermarkInterval)
 	w.sequence++
@@ -136,8 +140,8 @@
 	}
 }
 
-// sentTime is when the watermark with a sequence number was sent; false if this process sent no
-// such one, or sent it too long ago to remember.
+// sentTime returns when the acknowledged watermark was sent. It returns false if this process
+// sent no such watermark, or sent it so long ago that the time is no longer kept.
 func (w *cancellationWatermark) sentTime(ack wire.WatermarkAck) (Time, bool) {
 	if ack.Process != w.process || ack.Sequence > w.sequence {
 		return 0, false
@@ -149,21 +153,22 @@
 	return w.sentAt[i], true
 }
 
-// maxRenewalStaleness is how old the knowledge of cancellations may be for a response that
-// renews a worker's lease. Where the settings leave no time for that, what suffices for a launch
-// has to do.
+// maxRenewalStaleness returns the largest age of the knowledge of cancellations at which a
+// worker's lease may be renewed. It is at least maxLaunchStaleness, even if the settings leave
+// less time than that.
 func (c *Controller) maxRenewalStaleness() time.Duration {
 	workers := &c.settings.Cluster.Workers
 	return max(config.Seconds(workers.CancelS-workers.LeaseS)-cancelMargin, maxLaunchStaleness)
 }
 
-// cancellationsKnownAt is the moment up to which this controller knows of every cancellation
+// cancellationsKnownAt returns the time up to which this controller knows of every cancellation
 // that any controller may have reported to a user.
 func (c *Controller) cancellationsKnownAt() Time {
 	return c.cancellations.knownAt(c.now, c.settings.Siblings, c.gossip.peers)
 }
 
-// canRenewLeases reports whether heartbeats may be answered, and logs when that changes.
+// canRenewLeases reports whether the knowledge of cancellations is recent enough to renew the
+// leases of workers, and logs when that changes.
 func (c *Controller) canRenewLeases() bool {
 	staleness := c.now.Sub(c.cancellationsKnownAt())
 	ok := staleness <= c.maxRenewalStaleness()
@@ -181,13 +186,13 @@
 	return ok
 }
 
-// canLaunch reports whether the knowledge of cancellations is recent enough to launch anything.
+// canLaunch reports whether the knowledge of cancellations is recent enough to launch tasks.
 func (c *Controller) canLaunch() bool {
 	return c.now.Sub(c.cancellationsKnownAt()) <= maxLaunchStaleness
 }
 
-// noteCancellation remembers a cancellation for the siblings. One that does not reach the state
-// store is sent it soon, since it cannot read it there.
+// noteCancellation keeps a cancellation for the next watermarks. If a peer does not reach the
+// state store, and so cannot read the cancellation there, the next watermark is sent early.
 func (c *Controller) noteCancellation(cancellation wire.Cancellation) {
 	c.cancellations.insert(cancellation)
 	for _, peer := range c.gossip.peers {
@@ -197,8 +202,9 @@
 	}
 }
 
-// newWatermark is this controller's watermark as of now. Only a process that has loaded nothing
-// yet, and so has reported nothing to any user, and one whose cache is complete may send one.
+// newWatermark returns this controller's watermark as of now, which is then to be sent. Only two
+// kinds of process may send watermarks: one that has loaded nothing yet, and so has reported
+// nothing to any user, and one whose cache is complete.
 func (c *Controller) newWatermark() *wire.CancellationWatermark {
 	c.cancellations.noteSent(c.now)
 	watermark := &wire.CancellationWatermark{Process: c.cancellations.process, Sequence: c.cancellations.sequence, Revision: c.cache.revision}
@@ -218,16 +224,17 @@
 			lowestHeard = min(lowestHeard, peer.revision)
 		}
 	}
-	// What every sibling has read need not be kept. What those that are heard now have read need
-	// not be listed, while one that is not heard may come back and need it.
+	// Cancellations that all peers have read need not be kept. Cancellations that all peers from
+	// which messages arrive now have read need not be listed, but they are kept for the other
+	// peers, which may come back.
 	c.cancellations.forget(min(lowest, c.cache.revision))
 	watermark.Since = max(c.cancellations.since, min(lowestHeard, c.cache.revision))
 	watermark.Cancellations = c.cancellations.after(watermark.Since)
 	return watermark
 }
 
-// applyWatermark takes the cancellations of a sibling's watermark into the cache, and notes up to
-// when this proves that all are known which the sibling may have reported.
+// applyWatermark applies the cancellations of a peer's watermark to the cache, and records the
+// time up to which all cancellations that the peer may have reported are then known.
 func (c *Controller) applyWatermark(peer *peerState, watermark *wire.CancellationWatermark) {
 	if peer.process != watermark.Process {
 		peer.process, peer.sequence, peer.firstHeardAt, peer.cancellationsKnownAt = watermark.Process, 0, c.now, 0
@@ -244,14 +251,15 @@
 		return
 	}
 	peer.ackedAt = max(peer.ackedAt, sentAt)
-	// A list that begins after what was read here leaves a gap: it proves nothing.
+	// If the list begins after the revision of this cache, cancellations in between may be
+	// missing here.
 	if c.cache.complete() && c.cache.revision >= watermark.Since {
 		peer.cancellationsKnownAt = max(peer.cancellationsKnownAt, sentAt)
 	}
 }
 
 // applySiblingCancellations applies the cancellations that are newer than the cache. The others
-// are known here already, or their records were archived since.
+// are known here already, or their records have been archived since.
 func (c *Controller) applySiblingCancellations(cancellations []wire.Cancellation) {
 	if c.cache.loadState != cacheLoaded {
 		return
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// peerHeartbeatInterval is how often siblings are sent a message at least.
+	// peerHeartbeatInterval is the longest time between two messages to the peers.
 	peerHeartbeatInterval = time.Second
-	// gossipInterval is how often siblings are sent the heartbeats received meanwhile.
+	// gossipInterval is how often the heartbeats received since are sent to the peers.
 	gossipInterval = 200 * time.Millisecond
-	// heartbeatsPerMessage bounds the heartbeats in full that one message carries.
+	// heartbeatsPerMessage is the largest number of complete heartbeats in a message.
 	heartbeatsPerMessage = 100
-	// peerTimeout is how long a sibling may send nothing before it counts as lost.
+	// peerTimeout is how long a peer may send no message before it counts as lost.
 	peerTimeout = 3 * peerHeartbeatInterval
-	// ackTimeout is how long ago a sibling may have acknowledged a watermark of ours
-	// before it counts as lost: our watermark, and its own with the acknowledgement, take
-	// an interval each.
+	// ackTimeout is the largest age of the newest watermark of this controller that a peer
+	// has acknowledged before the connection counts as lost. The watermark and the peer's
+	// own one with the acknowledgement take an interval each.
 	ackTimeout = peerTimeout + watermarkInterval
-	// peerStoreTimeout is for how long a sibling's message that it reaches the state store is
-	// relied upon.
+	// peerStoreTimeout is how long a peer counts as reaching the state store after a message
+	// in which it said so.
 	peerStoreTimeout = 2*peerHeartbeatInterval + peerHeartbeatInterval/2
 )
 
-// gossip is the controllers' messages about the workers' heartbeats and about themselves. It
-// is hints only: messages may be lost, late or out of order, and prove nothing. What a
-// controller writes down on account of a hint it first confirms, by a direct heartbeat or
-// the conditions of its transaction.
+// gossip is the state of the exchange of messages between controllers about the workers'
+// heartbeats and about themselves. Messages may be lost, late or out of order. Before a
+// controller commits anything because of a message, it confirms the message by a direct
+// heartbeat or by the conditions of its transaction.
 type gossip struct {
 	peers         map[string]*peerState // by label
 	nextHeartbeat Time
 	nextMessage   Time
-	// sendAll says that a sibling is new and is to be sent all heartbeats that are known.
+	// sendAll is set if a peer is new or was lost, and all known heartbeats are to be sent.
 	sendAll         bool
-	pendingMachines map[wire.MachineID]bool // machines heard since the last message
+	pendingMachines map[wire.MachineID]bool // machines whose heartbeats arrived since the last message
 }
 
-// peerState is a sibling's state by its last messages. It is a hint only.
+// peerState is the state of a peer according to its messages. It may be out of date.
 type peerState struct {
 	lastHeardAt    Time
 	storeReachable bool
 
-	process              uint64        // the sibling's process that last sent a watermark
-	sequence             uint64        // its newest watermark
-	firstHeardAt         Time          // when the first of them came
-	revision             wire.Revision // up to which it knows all changes
-	ackedAt              Time          // when the newest of our watermarks that it received was sent
-	cancellationsKnownAt Time          // up to when every cancellation is known that it may have confirmed to users
+	process              uint64        // the process of the peer that last sent a watermark
+	sequence             uint64        // sequence number of the newest watermark of that process
+	firstHeardAt         Time          // when the first watermark of that process arrived
+	revision             wire.Revision // the revision up to which the peer knows all changes
+	ackedAt              Time          // when the newest watermark that the peer acknowledged was sent to it
+	cancellationsKnownAt Time          // time up to which all cancellations confirmed by the peer are known here
 }
 
 func (g *gossip) init() {
@@ -57,7 +57,7 @@
 	g.pendingMachines = map[wire.MachineID]bool{}
 }
 
-// peer finds a sibling's state, or adds that of one that has sent nothing yet.
+// peer returns the state of a peer, and adds it if the peer has sent nothing yet.
 func (g *gossip) peer(label string) *peerState {
 	peer := g.peers[label]
 	if peer == nil {
@@ -67,14 +67,14 @@
 	return peer
 }
 
-// isHeard reports whether messages of the sibling arrive.
+// isHeard reports whether a message of the peer has arrived within peerTimeout.
 func (p *peerState) isHeard(now Time) bool { return now.Sub(p.lastHeardAt) <= peerTimeout }
 
-// hearsUs reports whether messages arrive both ways: what arrives one way only may be held
-// up on the other.
+// hearsUs reports whether messages arrive in both directions. Messages that arrive from the
+// peer do not show that messages to it arrive.
 func (p *peerState) hearsUs(now Time) bool { return now.Sub(p.ackedAt) <= ackTimeout }
 
-// countConnected counts the siblings with which messages arrive both ways.
+// countConnected returns the number of peers with which messages arrive in both directions.
 func (g *gossip) countConnected(now Time) int {
 	count := 0
 	for _, peer := range g.peers {
@@ -85,7 +85,8 @@
 	return count
 }
 
-// withStore names a sibling that reaches the state store by its last message; "" if none does.
+// withStore returns the label of a peer that reaches the state store according to its last
+// message, or "" if there is none.
 func (g *gossip) withStore(siblings []config.Sibling, now Time) string {
 	for _, sibling := range siblings {
 		if peer := g.peers[sibling.Label]; peer != nil && peer.storeReachable && now.Sub(peer.lastHeardAt) < peerStoreTimeout {
@@ -95,20 +96,22 @@
 	return ""
 }
 
-// lostPeerQuorum reports whether this controller is connected to less than half of all
-// controllers, itself among them. In an outage of the state store those that are well still
-// are connected to one another; two that share a partitioned zone are as well, so one
-// sibling is not enough.
+// lostPeerQuorum reports whether this controller is connected to at most half of all
+// controllers, itself included. In an outage of the state store, the controllers that work
+// are still connected to one another. One connected peer is not sufficient evidence of that,
+// since two controllers in the same partitioned zone are connected as well.
 func (c *Controller) lostPeerQuorum() bool {
 	connected := 1 + c.gossip.countConnected(c.now)
 	return 2*connected <= 1+len(c.settings.Siblings) && c.now.Sub(c.membership.readyAt) > ackTimeout
 }
 
-// peerWithStore names a sibling that reaches the state store; "" if none does.
+// peerWithStore returns the label of a peer that reaches the state store, or "" if none is
+// known to.
 func (c *Controller) peerWithStore() string {
 	return c.gossip.withStore(c.settings.Siblings, c.now)
 }
 
+// isSibling reports whether the settings name a peer with the given label.
 func (c *Controller) isSibling(label string) bool {
 	for _, sibling := range c.settings.Siblings {
 		if sibling.Label == label {
@@ -118,8 +121,9 @@
 	return false
 }
 
-// sendGossip sends the siblings the heartbeats received since the last time; if there were
-// none, it sends an empty message from time to time to show that this controller is alive.
+// sendGossip sends the peers the heartbeats received since the last message, a watermark and a
+// capacity offer if they are due. If there is nothing to send, it sends an empty message every
+// peerHeartbeatInterval to show that this controller is alive.
 func (c *Controller) sendGossip() {
 	if !c.isDue(c.gossip.nextMessage) {
 		return
@@ -142,8 +146,9 @@
 	}
 }
 
-// queueAllHeartbeats has the next messages carry all that this controller knows of the
-// machines at first hand, in full.
+// queueAllHeartbeats queues the machines that this controller received a heartbeat from itself
+// of late, so that the next messages carry their heartbeats and the cloud's machine list in
+// full.
 func (c *Controller) queueAllHeartbeats() {
 	for id, machine := range c.fleet.machines {
 		if machine.directHeartbeat != nil && c.now.Sub(machine.liveness.lastDirectAt) < forgetMachineAfter && !machine.scaling.terminated {
@@ -154,9 +159,9 @@
 	c.provisioner.gossipedStatus = nil
 }
 
-// addHeartbeats adds the pending machines' heartbeats to a message, of those that show
-// nothing new only that they came. It broadcasts messages that are full, and returns the
-// one that is not.
+// addHeartbeats adds the pending machines' heartbeats to a message. A heartbeat with the same
+// status as the last one sent is added as an unchanged heartbeat. addHeartbeats broadcasts each
+// message that is full and returns the last one, which is not.
 func (c *Controller) addHeartbeats(message *wire.PeerMessage) *wire.PeerMessage {
 	for _, id := range sortedKeys(c.gossip.pendingMachines) {
 		machine := c.fleet.machines[id]
@@ -180,14 +185,14 @@
 	return message
 }
 
-// broadcast sends a message to all siblings.
+// broadcast sends a message to all peers.
 func (c *Controller) broadcast(message *wire.PeerMessage) {
 	c.metrics.count(countPeerMessages, 1)
 	c.emit(Broadcast{message})
 }
 
-// newPeerMessage is an empty message in the format in force. Messages of the first format
-// do not name it: builds that know no other may read them.
+// newPeerMessage returns an empty message in the format in force. Messages in the first format
+// do not state their format, since they may be read by builds that know no other.
 func (c *Controller) newPeerMessage() *wire.PeerMessage {
 	message := &wire.PeerMessage{From: c.settings.Label, StoreReachable: c.storeReachable()}
 	if format := c.rollout.tracker.Format(); format > record.FormatPlain {
@@ -196,7 +201,7 @@
 	return message
 }
 
-// handlePeerMessage takes the hints in a sibling's message.
+// handlePeerMessage applies a message from a peer.
 func (c *Controller) handlePeerMessage(message *wire.PeerMessage) {
 	if !c.isSibling(message.From) {
 		c.log.Warn("message from unknown peer dropped", "peer", message.From)
@@ -217,7 +222,7 @@
 	}
 	c.applyForwardedJobs(message.ForwardedJobs)
 	if !peer.isHeard(c.now) {
-		c.gossip.sendAll = true // it may be new, or have missed much
+		c.gossip.sendAll = true // the peer may be new, or have missed many messages
 	}
 	peer.lastHeardAt, peer.storeReachable = c.now, message.StoreReachable
 	if message.Watermark != nil {
