--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -7,11 +7,12 @@
 	"lilacrill/wire"
 )
 
-// commandRetryInterval is how long commands to a machine are left to take effect.
+// commandRetryInterval is how long commands to a machine may take effect before they are sent
+// again.
 const commandRetryInterval = time.Second
 
-// sendCommands sends a machine the commands that it needs, directly, and reports whether
-// there were any.
+// sendCommands sends the commands that a machine needs in a direct call to its worker, and
+// reports whether it made the call.
 func (c *Controller) sendCommands(machine *machine) bool {
 	if !c.membership.ready || machine.latestHeartbeat == nil || machine.scaling.terminated ||
 		machine.reconciliation.callInFlight || !c.isDue(machine.reconciliation.nextSend) {
@@ -38,15 +39,16 @@
 	return true
 }
 
-// commandRequest is what to send a machine by its latest heartbeat; nil if nothing.
+// commandRequest returns the request to send to a machine according to its latest heartbeat,
+// or nil if there is nothing to send.
 func (c *Controller) commandRequest(machine *machine) *wire.CommandRequest {
 	heartbeat := machine.latestHeartbeat
 	request := &wire.CommandRequest{Token: c.cache.token, AgentEpoch: heartbeat.AgentEpoch}
 	if heartbeat.Token > c.cache.token {
 		c.refreshCache()
-		// While the state store is out of reach that token cannot be read. To stop what
-		// is complete is right whatever was written before it, so that much may be
-		// commanded in its name.
+		// While the state store is unreachable, that token cannot be read. Stopping tasks
+		// of completed jobs is correct whatever was written before the token was raised,
+		// so these commands may be sent with it.
 		if c.storeReachable() {
 			return nil
 		}
@@ -65,7 +67,7 @@
 		return request
 	}
 	if c.awaitsFence(machine) {
-		request.Commands = []wire.Command{} // only to show it the token
+		request.Commands = []wire.Command{} // only sends the token
 		return request
 	}
 	if !machine.reconciliation.launchDeferred {
@@ -74,8 +76,9 @@
 	return nil
 }
 
-// awaitsFence reports whether a machine has not seen the token that an allocation on it
-// waits for: until its next heartbeat, which may be far off, nothing else would show it.
+// awaitsFence reports whether an allocation on a machine waits until the machine has seen a
+// token that this controller knows. Without a call, the machine would see that token only in
+// the response to its next heartbeat, which may be far off.
 func (c *Controller) awaitsFence(machine *machine) bool {
 	heartbeat := machine.latestHeartbeat
 	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
@@ -85,7 +88,8 @@
 	})
 }
 
-// sendCommandsNow sends what has just been decided, without the pause after earlier commands.
+// sendCommandsNow sends a machine's commands without waiting for commandRetryInterval to pass
+// since earlier commands. If a call is under way, the commands are sent when it ends.
 func (c *Controller) sendCommandsNow(machine *machine) {
 	if machine.reconciliation.callInFlight {
 		machine.reconciliation.resend = true
@@ -96,7 +100,7 @@
 	c.sendCommands(machine)
 }
 
-// sendCommandsForJob sends the machines of a job's allocations what has just been decided.
+// sendCommandsForJob sends the commands of all machines that have allocations of a job.
 func (c *Controller) sendCommandsForJob(id wire.JobID) {
 	for _, allocation := range c.cache.allocationsByJob[id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
@@ -105,8 +109,8 @@
 	}
 }
 
-// admitCommands reports whether a machine may be sent its commands now; if not, they are
-// sent once other calls have completed.
+// admitCommands reports whether a machine's commands may be sent now. If they may not, it
+// queues the machine until other calls have completed.
 func (f *fleet) admitCommands(machine *machine) bool {
 	limit := f.maxWorkerCalls - f.maxWorkerCalls/probeCallDivisor
 	urgent := machine.hasCriticalTasks()
@@ -120,7 +124,8 @@
 	return false
 }
 
-// queueCommands has a machine wait, once, until other calls have completed.
+// queueCommands queues a machine until other calls have completed, unless it is queued
+// already.
 func (f *fleet) queueCommands(machine *machine, urgent bool) {
 	if machine.reconciliation.queued {
 		return
@@ -133,7 +138,8 @@
 	}
 }
 
-// sendQueuedCommands sends the commands of machines that waited for other calls to end.
+// sendQueuedCommands sends the commands of queued machines, those with critical tasks first,
+// until the limit on calls is reached.
 func (c *Controller) sendQueuedCommands() {
 	for _, queue := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
 		for len(*queue) > 0 {
@@ -142,7 +148,7 @@
 			*queue = (*queue)[1:]
 			c.sendCommandsNow(machine)
 			if machine.reconciliation.queued {
-				return // it was queued again: too many calls are still under way
+				return // the machine was queued again because too many calls are still under way
 			}
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -8,24 +8,27 @@
 	"lilacrill/wire"
 )
 
-// A worker obeys commands in the name of the highest fencing token that it has seen, and
-// refuses those of a lower one. The token is raised in the state store, and a controller
-// takes it from there only together with everything that was written before: a command
-// that carries it is based on all of that. So whoever raises the token fences off every
-// command that was sent before and has not arrived yet, by whichever controller.
+// A worker obeys commands that carry the highest fencing token that it has seen, and refuses
+// commands with a lower one. The token is raised in the state store, and a controller learns
+// a new token only together with everything that was written before it. A command that
+// carries the token is therefore based on all of that. So raising the token fences off all
+// commands, of any controller, that were sent with a lower token: a worker that has seen the
+// new token refuses them if they arrive late.
 
 const (
 	// maxCommands keeps a response to a worker under the protocol's 64 KiB.
 	maxCommands = 400
-	// checkpointMarginS is granted on top of the time that a job says it needs to save a
-	// checkpoint, in seconds.
+	// checkpointMarginS is the time, in seconds, that a task gets to save a checkpoint beyond
+	// the time that its job states.
 	checkpointMarginS = 3.0
-	// orphanGracePeriod is how long a task without an allocation may run before it is
-	// stopped: the record may be on its way to this controller.
+	// orphanGracePeriod is how long an orphan task may run before it is stopped. Its
+	// allocation may be recorded but not have reached this controller's cache yet.
 	orphanGracePeriod = 5 * time.Second
-	// tokenRaiseInterval is the least time between two raises for the sake of cleanup.
+	// tokenRaiseInterval is the shortest time between two raises of the token for the
+	// cleanup of exited tasks.
 	tokenRaiseInterval = 10 * time.Second
-	// neverRevision is a revision that no token is ever newer than.
+	// neverRevision is higher than the revision of any token. It marks exited attempts that
+	// are not confirmed to have no allocation.
 	neverRevision = ^wire.Revision(0)
 )
 
@@ -35,8 +38,8 @@
 	return wire.Command{Verb: wire.VerbStop, Task: attempt.task, Attempt: attempt.attempt, GracePeriodS: gracePeriod(gracePeriodS)}
 }
 
-// commandsFor says which commands a machine needs, by its latest heartbeat and the
-// allocations on it.
+// commandsFor returns the commands that a machine needs according to its latest heartbeat and
+// its allocations.
 func (c *Controller) commandsFor(machine *machine) []wire.Command {
 	var commands []wire.Command
 	machine.reconciliation.launchDeferred = false
@@ -56,7 +59,8 @@
 	return commands
 }
 
-// commandForTask is the command that one task of an allocation needs; nil if none.
+// commandForTask returns the command that one task of an allocation needs, or nil if it needs
+// none.
 func (c *Controller) commandForTask(machine *machine, allocation *Allocation, index int) *wire.Command {
 	job := c.cache.jobs[allocation.Job]
 	attempt := allocation.key(index)
@@ -79,13 +83,13 @@
 	return &command
 }
 
-// admitLaunch reports whether this process may launch an allocation's tasks now, and notes
-// if it may only later.
+// admitLaunch reports whether this process may launch an allocation's tasks now. If it may
+// launch them only later, admitLaunch sets launchDeferred.
 //
-// Only the recorded launcher launches, and after a failover only once the worker has seen
-// the token that fences off the launcher before. While the knowledge of cancellations is
-// old, the job may have been cancelled unknown to this controller, and its task would
-// start after its user was told that it was cancelled.
+// Only the recorded launcher launches tasks, and after a failover only once the worker has
+// seen the token that fences off the previous launcher. While this controller's knowledge of
+// cancellations is not recent, it may not know that the job was cancelled, and a task could
+// start after the cancellation was confirmed to the user.
 func (c *Controller) admitLaunch(machine *machine, allocation *Allocation, job *job) bool {
 	if job == nil || allocation.Eviction != record.EvictionNone {
 		return false
@@ -100,8 +104,8 @@
 	return true
 }
 
-// cleanupCommands says which tasks without an allocation a machine is to stop, and of
-// which exited ones it may forget the attempt.
+// cleanupCommands returns the commands for tasks without an allocation: stop commands for
+// those that still run, and clear commands for the exited ones that the machine may forget.
 func (c *Controller) cleanupCommands(machine *machine) []wire.Command {
 	var commands []wire.Command
 	var unconfirmed []attemptKey
@@ -136,7 +140,7 @@
 	return commands
 }
 
-// recordedAttempts is the attempts of the allocations on a machine.
+// recordedAttempts returns the set of task attempts in the machine's allocations.
 func (m *machine) recordedAttempts() map[attemptKey]bool {
 	recorded := map[attemptKey]bool{}
 	for _, allocation := range m.allocations {
@@ -147,9 +151,10 @@
 	return recorded
 }
 
-// shouldStopOrphan reports whether a task that runs without an allocation is to be stopped
-// now: at once if its job is complete, otherwise after a while in which its record would
-// have come. With full there is no room for the command, and the task is only noted.
+// shouldStopOrphan reports whether an orphan task is to be stopped now. It is stopped at once
+// if its job is complete, and otherwise after orphanGracePeriod, in which a record of its
+// allocation would have arrived. If full is set, there is no room for another command, and
+// only the time since when the task is an orphan is recorded.
 func (c *Controller) shouldStopOrphan(machine *machine, attempt attemptKey, full bool) bool {
 	if _, complete := c.cache.completion(attempt.task.Job); complete && !full {
 		return true
@@ -163,22 +168,25 @@
 }
 
 // mayClear reports whether a worker may forget an exited attempt. A cleared attempt would
-// start again if a launch of it were still under way, so first its allocation must be gone
-// from the records, then the token raised, and then the worker must have seen that token:
-// no launch sent before can pass it, and no controller that knows it sends one.
+// start again if a launch command for it were still under way. So first its allocation must
+// have been removed from the records, then the token raised, and then the worker must have
+// seen that token. The worker refuses launch commands that were sent with a lower token, and
+// no controller that knows the new token sends one.
 func (c *Controller) mayClear(machine *machine, attempt attemptKey) bool {
 	return c.cache.tokenVersion > machine.reconciliation.pendingCleanup[attempt] && machine.latestHeartbeat.Token >= c.cache.token
 }
 
-// retainReported forgets the attempts that a machine's latest heartbeat no longer lists.
+// retainReported drops the attempts that are not in reported, which the machine's latest
+// heartbeat no longer lists.
 func (r *reconciliation) retainReported(reported map[attemptKey]bool) {
 	maps.DeleteFunc(r.pendingCleanup, func(attempt attemptKey, _ wire.Revision) bool { return !reported[attempt] })
 	maps.DeleteFunc(r.orphanTasks, func(attempt attemptKey, _ Time) bool { return !reported[attempt] })
 }
 
-// confirmUnrecorded notes, after a read barrier, that exited attempts have no allocation.
-// Without the barrier the allocation could merely be on its way to this controller: the
-// attempt would be cleared, launched again by its launcher, and then taken for exited.
+// confirmUnrecorded records, after a read barrier, that exited attempts have no allocation. ok
+// reports whether the barrier succeeded. Without the barrier, the allocation could be recorded
+// but not have reached this controller's cache yet. The attempt would then be cleared,
+// launched again by its launcher, and treated as exited.
 func (c *Controller) confirmUnrecorded(machine *machine, attempts []attemptKey, ok bool) {
 	if !ok {
 		for _, attempt := range attempts {
@@ -199,7 +207,8 @@
 	}
 }
 
-// raiseToken raises the fencing token so that exited tasks can be cleared.
+// raiseToken raises the fencing token so that exited tasks can be cleared. It does nothing
+// within tokenRaiseInterval of the previous raise.
 func (c *Controller) raiseToken() {
 	if !c.isDue(c.fleet.lastTokenRaiseAt.Add(tokenRaiseInterval)) {
 		return
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// TickEvery is how often the controller is to be given a Tick.
+	// TickEvery is the interval at which the controller expects a Tick.
 	TickEvery = 50 * time.Millisecond
-	// referenceCoreShare is the share of a processor that the pauses are dimensioned for.
+	// referenceCoreShare is the share of a processor core that the pauses are designed for.
+	// With a smaller share they are longer.
 	referenceCoreShare = 0.18
 	maxPassPause       = time.Second
 	lagSmoothing       = 0.1 // the weight of the last tick in the moving average
-	// lagThreshold and lagRecovered are the lags, in ticks, above which a process counts as
-	// lagging, and below which it has recovered.
+	// A process counts as lagging when its lag, in ticks, exceeds lagThreshold, until the lag
+	// falls below lagRecovered.
 	lagThreshold, lagRecovered = 3.0, 0.5
 )
 
-// lagMeter measures how late ticks come: this shows whether the process has enough of the
-// processor.
+// lagMeter measures how late ticks come, which shows whether the process gets enough processor
+// time.
 type lagMeter struct {
 	lastTick Time
 	ticks    float64 // the moving average of how late ticks come, in ticks
 	lagging  bool
 }
 
-// lagChange is a change that a tick brought.
+// lagChange is the change of lagMeter.lagging at a tick.
 type lagChange int
 
 const (
@@ -31,8 +32,8 @@
 	lagEnded
 )
 
-// tick measures the lag at a tick. Stalls count up to stallThreshold: they are handled on their
-// own (see Controller.Step).
+// tick measures the lag at a tick. A delay counts only up to stallThreshold, since longer ones
+// are stalls and handled separately (see Controller.Step).
 func (l *lagMeter) tick(now Time) lagChange {
 	late := min(now.Sub(l.lastTick)-TickEvery, stallThreshold)
 	l.ticks += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - l.ticks)
@@ -48,10 +49,10 @@
 	return lagUnchanged
 }
 
-// delay is how late ticks come.
+// delay returns the average lag as a duration.
 func (l *lagMeter) delay() time.Duration { return time.Duration(l.ticks * float64(TickEvery)) }
 
-// measureLag measures the lag at a tick, and logs when it starts and ends.
+// measureLag measures the lag at a tick, and logs when this process starts and stops lagging.
 func (c *Controller) measureLag() {
 	switch c.scheduler.lag.tick(c.now) {
 	case lagStarted:
@@ -64,14 +65,16 @@
 	}
 }
 
-// passPause is the least time between passes, whose cost is in proportion to the fleet.
+// passPause returns the shortest time between scheduling passes. It grows with the number of
+// machines, since the cost of a pass does.
 func (c *Controller) passPause() time.Duration {
 	return c.stretchPause(passInterval+time.Duration(len(c.fleet.machines))*passIntervalPerMachine, maxPassPause)
 }
 
-// stretchPause stretches the pause before work that can be deferred, where this process has a
-// small share of a processor, and further while it lags: leases, responses and what waits
-// for them come first. The pause is not stretched beyond longest.
+// stretchPause returns the pause before deferrable work, lengthened if this process has a small
+// share of a processor core, and further while the process lags. This leaves the processor to
+// leases, responses and the work that depends on them. The pause is not lengthened beyond
+// longest.
 func (c *Controller) stretchPause(pause, longest time.Duration) time.Duration {
 	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag.ticks)
 	return max(pause, min(longest, time.Duration(float64(pause)*stretch)))
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// A controller counts as alive for the others as long as its liveness record exists, which
-// depends on a lease of the state store: once the controller no longer renews the lease, the
-// store drops the record. That is a hint as to who should act, not a proof that the process
-// has ended: it may still commit what its conditions allow, and command workers that have
-// not seen a higher token.
+// A controller counts as alive for the others as long as its liveness record exists. The record
+// depends on a lease of the state store, which deletes the record once the controller no longer
+// renews the lease. The other controllers use this to decide which of them acts, but it does not
+// prove that the process has ended. The process may still commit transactions whose conditions
+// hold, and command workers that have not seen a higher token.
 
 const (
 	membershipLeaseTTL   = 5 * time.Second
 	leaseRenewalInterval = 800 * time.Millisecond
 )
 
-// renewLease renews this controller's lease, or asks for one if it has none.
+// renewLease renews this controller's lease, or requests one if it has none.
 func (c *Controller) renewLease() {
 	c.membership.leaseCallInFlight = true
 	c.membership.nextRenewal = c.now.Add(leaseRenewalInterval)
@@ -24,6 +24,7 @@
 	}
 }
 
+// handleLeaseResult handles the response to a request for a lease or its renewal.
 func (c *Controller) handleLeaseResult(result LeaseResult) {
 	c.membership.leaseCallInFlight = false
 	switch result.Outcome {
@@ -41,7 +42,8 @@
 	}
 }
 
-// dropLease forgets a lease that the state store no longer has; a new one is due at once.
+// dropLease drops a lease that the state store no longer has, and makes the request for a new
+// one due at once.
 func (m *membership) dropLease(now Time) {
 	m.leaseID, m.enrolled = 0, false
 	m.nextRenewal = now
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,20 +8,19 @@
 )
 
 const (
-	// joinConflictDelay is how long to wait after another controller changed the token
-	// while this one joined.
+	// joinConflictDelay is how long to wait before the next attempt to join after a
+	// conflict, as when another controller changed the token meanwhile.
 	joinConflictDelay = 50 * time.Millisecond
-	// serialBits leaves room for 16 million serial numbers a process and for an
-	// incarnation of 29 bits below 2^53, which is as far as decimal numbers in JSON are
-	// exact.
+	// serialBits allows 16 million serial numbers per process, and incarnations of 29 bits
+	// below 2^53, the limit up to which numbers in JSON are exact.
 	serialBits = 24
 )
 
-// membership is this process's place among the controllers: its lease and its incarnation. It
-// becomes ready once its cache holds the raise of the token that made its incarnation, and
-// everything that was written before that.
+// membership is the state of this process as one of the controllers: its lease and its
+// incarnation. The process becomes ready once its cache holds the raise of the token that
+// established its incarnation, and everything that was written before that.
 type membership struct {
-	nextAttempt Time // to load the cache, or to join
+	nextAttempt Time // when the cache may be loaded, or joining attempted, next
 
 	incarnation wire.FencingToken // the token that this process raised when it started; 0 until then
 	joining     bool
@@ -32,9 +31,11 @@
 	leaseID           wire.LeaseID // 0: none
 	leaseCallInFlight bool
 	nextRenewal       Time
-	enrolled          bool // our liveness record hangs on the present lease
+	enrolled          bool // the liveness record is attached to the present lease
 }
 
+// tickMembership keeps the cache loaded and current, renews the lease and the liveness record,
+// and makes this controller ready when it can be.
 func (c *Controller) tickMembership() {
 	c.keepCacheLoaded()
 	if !c.membership.leaseCallInFlight && c.isDue(c.membership.nextRenewal) {
@@ -47,9 +48,9 @@
 	c.checkReady()
 }
 
-// keepEnrolled writes this controller's liveness record where it is missing or wrong: a late
-// copy of an earlier one may hang it on a lease that has since expired, or others should
-// know that this controller has lost the workers, or has them again.
+// keepEnrolled writes this controller's liveness record if it is missing or wrong. A delayed
+// write may have attached the record to a lease that has since expired, or the record may not
+// state correctly whether this controller is isolated.
 func (c *Controller) keepEnrolled() {
 	label := c.settings.Label
 	if c.membership.enrolled && (c.cache.liveControllers[label] != c.membership.incarnation || c.cache.isolatedControllers[label] != c.isolated()) {
@@ -60,6 +61,7 @@
 	}
 }
 
+// checkReady makes this controller ready once its cache holds the token of its incarnation.
 func (c *Controller) checkReady() {
 	if c.membership.ready || c.membership.incarnation == 0 || c.cache.token < c.membership.incarnation {
 		return
@@ -69,10 +71,10 @@
 	c.log.Info("ready", "incarnation", c.membership.incarnation, "revision", c.cache.revision, "jobs", len(c.cache.jobs))
 }
 
-// join lists this controller among the live ones. The first time it also raises the token:
-// whatever an earlier process of any controller sent is fenced off from every worker that
-// has seen it. The new token is this process's incarnation, which also makes its serial
-// numbers unique.
+// join writes this controller's liveness record. The first time, it also raises the fencing
+// token, so that every worker that has seen the new token refuses commands that any controller
+// sent earlier. The new token is the incarnation of this process, and it also makes the
+// process's serial numbers unique.
 func (c *Controller) join() {
 	c.membership.joining = true
 	incarnation := c.membership.incarnation
@@ -83,13 +85,14 @@
 	c.commit(PriorityLease, c.joinTransaction(incarnation), func(result CommitResult) {
 		c.membership.joining = false
 		c.handleJoinResult(result.Outcome, incarnation, leaseID)
-		// The token is taken from a read of the state store alone.
+		// The cache takes the token only from a read of the state store.
 		c.refreshCache()
 	})
 }
 
-// joinTransaction is conditional on the format in force that this process knows: one that
-// cannot read a newer format is neither listed before it learns of that nor after.
+// joinTransaction returns the transaction of join. It is conditional on the format in force
+// that this process knows, so that a process that cannot read a newer format gets no liveness
+// record once that format is in force, even before the process learns of it.
 func (c *Controller) joinTransaction(incarnation wire.FencingToken) wire.Transaction {
 	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Condition()}}
 	if c.membership.incarnation == 0 {
@@ -103,6 +106,7 @@
 	return txn
 }
 
+// handleJoinResult handles the outcome of a join transaction for an incarnation and a lease.
 func (c *Controller) handleJoinResult(outcome Outcome, incarnation wire.FencingToken, leaseID wire.LeaseID) {
 	switch outcome {
 	case Succeeded:
@@ -121,7 +125,7 @@
 	}
 }
 
-// registration is what this process registers.
+// registration returns the registration of this process under an incarnation.
 func (c *Controller) registration(incarnation wire.FencingToken) record.Registration {
 	registration := c.rollout.tracker.Registration(incarnation)
 	registration.Sharding = c.shardingEnabled()
@@ -137,14 +141,14 @@
 	return alive
 }
 
-// isIsolatedIncarnation reports whether the process of an incarnation reaches no workers, by
-// its own liveness record.
+// isIsolatedIncarnation reports whether the process of an incarnation is alive and, according
+// to its liveness record, isolated.
 func (c *Controller) isIsolatedIncarnation(incarnation wire.FencingToken) bool {
 	label, alive := c.cache.liveController(incarnation)
 	return alive && c.cache.isolatedControllers[label]
 }
 
-// liveController finds the label of the live controller whose process has an incarnation.
+// liveController returns the label of the live controller whose process has an incarnation.
 func (s *stateCache) liveController(incarnation wire.FencingToken) (label string, alive bool) {
 	for label, live := range s.liveControllers {
 		if live == incarnation {
@@ -154,8 +158,8 @@
 	return "", false
 }
 
-// nextSerial makes a number that no other process ever makes: the incarnation, then a
-// counter.
+// nextSerial returns a number that is unique across all processes. It consists of the
+// incarnation and a counter.
 func (m *membership) nextSerial() uint64 {
 	m.lastSerial++
 	return uint64(m.incarnation)<<serialBits | m.lastSerial
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,14 +8,14 @@
 	"lilacrill/wire"
 )
 
-// metrics is the counters and latencies that operators see, by name.
+// metrics holds the counters and latencies that operators see, by name.
 type metrics struct {
 	counts map[string]uint64
 	times  map[string]*hdrhistogram.Histogram // in milliseconds
 }
 
-// The names of the counters and latencies. They are part of the administration API, so they
-// keep their words.
+// Names of the counters and latencies. They are part of the administration API and must not
+// change.
 const (
 	countAccepted             = "jobs_accepted"
 	countRefused              = "requests_refused"
@@ -57,7 +57,7 @@
 	latencyCommit    = "commit"
 )
 
-// maxLatency is the longest latency that is distinguished from longer ones.
+// maxLatency is the longest latency that is recorded. Longer ones count as maxLatency.
 const maxLatency = time.Hour
 
 func (m *metrics) init() {
@@ -77,8 +77,8 @@
 	_ = m.times[name].RecordValue(min(max(latency, time.Millisecond), maxLatency).Milliseconds())
 }
 
-// countFailure counts a call that failed: under refused if it was not carried out, and under
-// unanswered if nobody knows.
+// countFailure counts a failed call, in the counter refused if the call was not executed, and in
+// the counter unanswered if that is unknown.
 func (m *metrics) countFailure(outcome Outcome, refused, unanswered string) {
 	switch outcome {
 	case NotExecuted:
@@ -88,7 +88,7 @@
 	}
 }
 
-// view is the metrics as operators see them.
+// view returns the metrics as shown by the administration API.
 func (m *metrics) view() wire.AdminMetrics {
 	view := wire.AdminMetrics{Counts: map[string]uint64{}, Times: map[string]wire.AdminLatency{}}
 	for name, n := range m.counts {
