--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -11,26 +11,28 @@
 	"lilacrill/wire"
 )
 
-// heartbeatVerdict is what a controller concludes from a heartbeat about its machine and the
+// heartbeatVerdict holds what a controller concludes from a heartbeat about its machine and the
 // two jobs whose tasks exited there.
 type heartbeatVerdict struct {
 	faulty   bool
-	failures [2]int  // machines on which each job is known to fail
-	avoided  [2]Time // until when each avoids the machine
+	failures [2]int  // number of machines on which each job is known to fail
+	avoided  [2]Time // time until which each job avoids the machine
 }
 
-// TestSameHeartbeatSameVerdict guards the replay of a controller's inputs: a heartbeat with
-// many exited tasks, as a controller that has just started receives it, leads to the same
-// verdict on its machine and its jobs every time, in whatever order it lists them.
+// TestSameHeartbeatSameVerdict checks that applying a heartbeat with many exited tasks, as a
+// controller that has just started receives it, has the same effects on its machine and jobs
+// every time, in whatever order the heartbeat lists the tasks. Otherwise a replay of a
+// controller's inputs could differ from the recorded run.
 func TestSameHeartbeatSameVerdict(t *testing.T) {
 	first := verdictOnExits(false)
-	require.True(t, first.faulty, "two jobs went well once and failed then")
+	require.True(t, first.faulty, "tasks of two jobs first succeeded on the machine and then failed")
 	for i := range 200 {
 		require.Equal(t, first, verdictOnExits(i%2 == 1), "run %d", i)
 	}
 }
 
-// verdictOnExits has a new controller apply a heartbeat with exits of two jobs.
+// verdictOnExits returns the effects on a new controller of a heartbeat with exits of two jobs,
+// listed in reverse order if reversed is set.
 func verdictOnExits(reversed bool) heartbeatVerdict {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}})
