--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -184,7 +184,7 @@
 // loop feeds the controller until ctx ends or the controller asks to shut down.
 func (p *process) loop(ctx context.Context) error {
 	defer close(p.stopped)
-	tick := time.NewTicker(controller.TickEvery)
+	tick := time.NewTicker(controller.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -33,7 +33,7 @@
 		StoreLagS:        c.now.Sub(c.cancellations.cacheCurrentAt).Seconds(),
 		CancellationLagS: c.now.Sub(c.cancellationsKnownAt()).Seconds(),
 		RenewsLeases:     c.now.Sub(c.cancellationsKnownAt()) <= c.maxRenewalStaleness(),
-		TimerLagS:        c.scheduler.lag.ticks * TickEvery.Seconds(),
+		TimerLagS:        c.scheduler.lag.delayTicks * TickInterval.Seconds(),
 	}
 }
 
@@ -50,7 +50,7 @@
 	if peer := c.gossip.peers[label]; peer != nil {
 		view.StoreReachable = peer.storeReachable && c.now.Sub(peer.lastHeardAt) < peerTimeout
 		view.HeardFrom = peer.isHeard(c.now)
-		view.HearsUs = peer.hearsUs(c.now)
+		view.HearsUs = peer.isConnected(c.now)
 	}
 	return view
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -115,7 +115,7 @@
 	spec := &pending.spec
 	c.admission.inFlight--
 	if outcome == Succeeded {
-		c.metrics.count(countAccepted, 1)
+		c.metrics.count(countJobsAccepted, 1)
 		c.metrics.observe(latencyAdmission, c.now.Sub(pending.startedAt))
 		c.log.Debug("job accepted", "job_id", spec.ID, "team", spec.Team, "tasks", spec.Tasks)
 	}
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -51,10 +51,10 @@
 
 const (
 	watermarkInterval = time.Second
-	// minWatermarkInterval is the delay of the next watermark when there is a cancellation that
+	// earlyWatermarkDelay is the delay of the next watermark when there is a cancellation that
 	// a peer cannot read from the state store.
-	minWatermarkInterval = 200 * time.Millisecond
-	maxWatermarksKept    = 128 // watermarks whose sending times are kept
+	earlyWatermarkDelay = 200 * time.Millisecond
+	maxWatermarksKept   = 128 // watermarks whose sending times are kept
 	// maxRecentCancellations bounds the cancellations that are kept, and so a watermark's size.
 	maxRecentCancellations = 600
 	// barrierInterval is how old cacheCurrentAt may be before a read barrier is issued to
@@ -197,7 +197,7 @@
 	c.cancellations.insert(cancellation)
 	for _, peer := range c.gossip.peers {
 		if !peer.storeReachable {
-			c.cancellations.next = min(c.cancellations.next, c.now.Add(minWatermarkInterval))
+			c.cancellations.next = min(c.cancellations.next, c.now.Add(earlyWatermarkDelay))
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	}
 	peer.sequence = max(peer.sequence, watermark.Sequence)
 	peer.revision = max(peer.revision, watermark.Revision)
-	c.applySiblingCancellations(watermark.Cancellations)
+	c.applyPeerCancellations(watermark.Cancellations)
 	ack, ok := watermark.Acks[c.settings.Label]
 	if !ok {
 		return
@@ -258,9 +258,9 @@
 	}
 }
 
-// applySiblingCancellations applies the cancellations that are newer than the cache. The others
+// applyPeerCancellations applies the cancellations that are newer than the cache. The others
 // are known here already, or their records have been archived since.
-func (c *Controller) applySiblingCancellations(cancellations []wire.Cancellation) {
+func (c *Controller) applyPeerCancellations(cancellations []wire.Cancellation) {
 	if c.cache.loadState != cacheLoaded {
 		return
 	}
--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -66,7 +66,7 @@
 	if len(request.Commands) > 0 {
 		return request
 	}
-	if c.awaitsFence(machine) {
+	if c.awaitsFencingToken(machine) {
 		request.Commands = []wire.Command{} // only sends the token
 		return request
 	}
@@ -76,10 +76,10 @@
 	return nil
 }
 
-// awaitsFence reports whether an allocation on a machine waits until the machine has seen a
+// awaitsFencingToken reports whether an allocation on a machine waits until the machine has seen a
 // token that this controller knows. Without a call, the machine would see that token only in
 // the response to its next heartbeat, which may be far off.
-func (c *Controller) awaitsFence(machine *machine) bool {
+func (c *Controller) awaitsFencingToken(machine *machine) bool {
 	heartbeat := machine.latestHeartbeat
 	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
 		return allocation.AgentEpoch == heartbeat.AgentEpoch &&
@@ -113,26 +113,26 @@
 // queues the machine until other calls have completed.
 func (f *fleet) admitCommands(machine *machine) bool {
 	limit := f.maxWorkerCalls - f.maxWorkerCalls/probeCallDivisor
-	urgent := machine.hasCriticalTasks()
-	if !urgent {
-		limit -= limit / urgentCallDivisor
+	critical := machine.hasCriticalTasks()
+	if !critical {
+		limit -= limit / criticalCallDivisor
 	}
 	if f.commandCallsInFlight < max(1, limit) {
 		return true
 	}
-	f.queueCommands(machine, urgent)
+	f.queueCommands(machine, critical)
 	return false
 }
 
 // queueCommands queues a machine until other calls have completed, unless it is queued
 // already.
-func (f *fleet) queueCommands(machine *machine, urgent bool) {
+func (f *fleet) queueCommands(machine *machine, critical bool) {
 	if machine.reconciliation.queued {
 		return
 	}
 	machine.reconciliation.queued = true
-	if urgent {
-		f.queuedUrgentCommands = append(f.queuedUrgentCommands, machine)
+	if critical {
+		f.queuedCriticalCommands = append(f.queuedCriticalCommands, machine)
 	} else {
 		f.queuedCommands = append(f.queuedCommands, machine)
 	}
@@ -141,7 +141,7 @@
 // sendQueuedCommands sends the commands of queued machines, those with critical tasks first,
 // until the limit on calls is reached.
 func (c *Controller) sendQueuedCommands() {
-	for _, queue := range []*[]*machine{&c.fleet.queuedUrgentCommands, &c.fleet.queuedCommands} {
+	for _, queue := range []*[]*machine{&c.fleet.queuedCriticalCommands, &c.fleet.queuedCommands} {
 		for len(*queue) > 0 {
 			machine := (*queue)[0]
 			machine.reconciliation.queued = false
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -27,9 +27,9 @@
 	// tokenRaiseInterval is the shortest time between two raises of the token for the
 	// cleanup of exited tasks.
 	tokenRaiseInterval = 10 * time.Second
-	// neverRevision is higher than the revision of any token. It marks exited attempts that
+	// maxRevision is higher than the revision of any token. It marks exited attempts that
 	// are not confirmed to have no allocation.
-	neverRevision = ^wire.Revision(0)
+	maxRevision = ^wire.Revision(0)
 )
 
 func gracePeriod(seconds float64) *float64 { return &seconds }
@@ -126,7 +126,7 @@
 			continue
 		}
 		if _, known := machine.reconciliation.pendingCleanup[attempt]; !known {
-			machine.reconciliation.pendingCleanup[attempt] = neverRevision
+			machine.reconciliation.pendingCleanup[attempt] = maxRevision
 			unconfirmed = append(unconfirmed, attempt)
 		}
 		if !full && c.mayClear(machine, attempt) {
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -31,7 +31,7 @@
 			c.applyCommitted(txn, prefix, result.Revision)
 		case Conflict:
 			c.noteStoreResponse()
-			c.metrics.count(countConflicts, 1)
+			c.metrics.count(countCommitConflicts, 1)
 		}
 		then(result)
 	}), priority, txn})
@@ -40,7 +40,7 @@
 // applyCommitted applies the changes of a successful transaction to the cache, except changes of
 // the fencing token and, unless the prefix is empty, of keys under the prefix.
 func (c *Controller) applyCommitted(txn wire.Transaction, exceptPrefix string, revision wire.Revision) {
-	c.metrics.count(countWritten, len(txn.Then))
+	c.metrics.count(countValuesWritten, len(txn.Then))
 	c.cache.ownRevision = max(c.cache.ownRevision, revision)
 	for _, change := range txn.Then {
 		switch {
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -195,7 +195,7 @@
 		c.log.Info("machine terminated without a record", "reason", "holds completed tasks and does not respond",
 			"machine_id", id, "completed_for", c.now.Sub(c.completedTasks.since[id]))
 	}
-	c.callTerminate(machines, func(*machine) { c.metrics.count(countTerminatedUnrecorded, 1) })
+	c.callTerminate(machines, func(*machine) { c.metrics.count(countMachinesTerminatedUnrecorded, 1) })
 }
 
 // stopCommands returns the commands to stop the tasks of completed jobs on a machine, whether
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -22,14 +22,14 @@
 // is terminated.
 
 const (
-	// heartbeatJitter is the longest interval between two heartbeats as a multiple of the
+	// heartbeatIntervalFactor is the longest interval between two heartbeats as a multiple of the
 	// configured one. Workers vary the interval by up to a quarter.
-	heartbeatJitter = 1.25
+	heartbeatIntervalFactor = 1.25
 	// heartbeatTimeoutFactor determines how long a worker may send no heartbeat before it
 	// is probed, as a multiple of the configured heartbeat interval.
 	heartbeatTimeoutFactor = 1.3
-	// criticalProbeAfter bounds the same time for machines with critical tasks.
-	criticalProbeAfter = 1500 * time.Millisecond
+	// criticalHeartbeatTimeout bounds the same time for machines with critical tasks.
+	criticalHeartbeatTimeout = 1500 * time.Millisecond
 	// provisionerProbeDelay is how long the provisioner waits beyond the heartbeat timeout
 	// before it probes a machine that another controller is responsible for probing.
 	provisionerProbeDelay = 500 * time.Millisecond
@@ -39,9 +39,9 @@
 	// which a machine counts as unreachable.
 	unreachableThreshold = 2
 	// probeCallDivisor reserves one in so many of the concurrent direct calls for probes.
-	// urgentCallDivisor reserves one in so many of the others for commands to machines
+	// criticalCallDivisor reserves one in so many of the others for commands to machines
 	// with critical tasks.
-	probeCallDivisor, urgentCallDivisor = 4, 4
+	probeCallDivisor, criticalCallDivisor = 4, 4
 
 	reachabilityProbeAfter      = 500 * time.Millisecond
 	reachabilityProbeInterval   = 300 * time.Millisecond
@@ -59,7 +59,7 @@
 
 // maxHeartbeatInterval returns the longest time between two heartbeats of a healthy worker.
 func (c *Controller) maxHeartbeatInterval() time.Duration {
-	return config.Seconds(heartbeatJitter * c.settings.Cluster.Workers.ReportS)
+	return config.Seconds(heartbeatIntervalFactor * c.settings.Cluster.Workers.ReportS)
 }
 
 // defaultHeartbeatTimeout returns how long a worker without critical tasks may send no
@@ -73,7 +73,7 @@
 // quickly, and the next heartbeat may be too far off for that.
 func (c *Controller) heartbeatTimeout(machine *machine) time.Duration {
 	if machine.hasCriticalTasks() {
-		return min(c.defaultHeartbeatTimeout(), criticalProbeAfter)
+		return min(c.defaultHeartbeatTimeout(), criticalHeartbeatTimeout)
 	}
 	return c.defaultHeartbeatTimeout()
 }
@@ -133,10 +133,10 @@
 	return len(c.ownership.eligible) == 0 || rendezvous.HighestScoring(c.ownership.eligible, string(machine.id)) == c.settings.Label
 }
 
-// confirmDirectly probes a machine if a gossiped heartbeat suggests a change that this
+// probeToConfirm probes a machine if a gossiped heartbeat suggests a change that this
 // controller, as the owner of the team, has to commit. A gossiped heartbeat does not suffice
 // for that, since it may be out of date.
-func (c *Controller) confirmDirectly(machine *machine) {
+func (c *Controller) probeToConfirm(machine *machine) {
 	if machine.directHeartbeat == machine.latestHeartbeat || !machine.liveness.probeAllowed(c.now) || !c.fleet.canProbe() {
 		return
 	}
@@ -145,7 +145,7 @@
 			continue
 		}
 		for i := range allocation.Tasks.All {
-			if c.hintsAtChange(machine, allocation, machine.tasks[allocation.key(i)]) {
+			if c.needsDirectHeartbeat(machine, allocation, machine.tasks[allocation.key(i)]) {
 				c.probeMachine(machine)
 				return
 			}
@@ -153,9 +153,10 @@
 	}
 }
 
-// hintsAtChange reports whether a direct heartbeat may prove that an allocation has to change.
-// task is the task's status in the latest heartbeat, or nil if the heartbeat does not list it.
-func (c *Controller) hintsAtChange(machine *machine, allocation *Allocation, task *wire.TaskStatus) bool {
+// needsDirectHeartbeat reports whether a direct heartbeat may prove that an allocation has to
+// change. task is the task's status in the latest heartbeat, or nil if the heartbeat does not
+// list it.
+func (c *Controller) needsDirectHeartbeat(machine *machine, allocation *Allocation, task *wire.TaskStatus) bool {
 	if task != nil {
 		return task.State == wire.TaskExited
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -24,11 +24,11 @@
 	recordingImages bool
 	nextImageRecord Time
 
-	maxWorkerCalls       int        // direct calls to workers that may be under way at once
-	probesInFlight       int        // probes under way
-	commandCallsInFlight int        // calls with commands under way
-	queuedUrgentCommands []*machine // machines with critical tasks whose commands wait for other calls to end
-	queuedCommands       []*machine // the same for machines without critical tasks
+	maxWorkerCalls         int        // direct calls to workers that may be under way at once
+	probesInFlight         int        // probes under way
+	commandCallsInFlight   int        // calls with commands under way
+	queuedCriticalCommands []*machine // machines with critical tasks whose commands wait for other calls to end
+	queuedCommands         []*machine // the same for machines without critical tasks
 
 	outboundSuspect       bool // this controller's outbound path seems at fault (see fleetReview)
 	lastDirectHeartbeatAt Time // when a worker's heartbeat last arrived here directly
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -70,15 +70,15 @@
 // isHeard reports whether a message of the peer has arrived within peerTimeout.
 func (p *peerState) isHeard(now Time) bool { return now.Sub(p.lastHeardAt) <= peerTimeout }
 
-// hearsUs reports whether messages arrive in both directions. Messages that arrive from the
+// isConnected reports whether messages arrive in both directions. Messages that arrive from the
 // peer do not show that messages to it arrive.
-func (p *peerState) hearsUs(now Time) bool { return now.Sub(p.ackedAt) <= ackTimeout }
+func (p *peerState) isConnected(now Time) bool { return now.Sub(p.ackedAt) <= ackTimeout }
 
 // countConnected returns the number of peers with which messages arrive in both directions.
 func (g *gossip) countConnected(now Time) int {
 	count := 0
 	for _, peer := range g.peers {
-		if peer.hearsUs(now) {
+		if peer.isConnected(now) {
 			count++
 		}
 	}
@@ -111,8 +111,8 @@
 	return c.gossip.withStore(c.settings.Siblings, c.now)
 }
 
-// isSibling reports whether the settings name a peer with the given label.
-func (c *Controller) isSibling(label string) bool {
+// isPeer reports whether the settings name a peer with the given label.
+func (c *Controller) isPeer(label string) bool {
 	for _, sibling := range c.settings.Siblings {
 		if sibling.Label == label {
 			return true
@@ -203,7 +203,7 @@
 
 // handlePeerMessage applies a message from a peer.
 func (c *Controller) handlePeerMessage(message *wire.PeerMessage) {
-	if !c.isSibling(message.From) {
+	if !c.isPeer(message.From) {
 		c.log.Warn("message from unknown peer dropped", "peer", message.From)
 		return
 	}
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if in.Heartbeat.Token <= c.cache.token {
-		c.handleHeartbeatAtToken(in)
+		c.handleHeartbeatWithKnownToken(in)
 		return
 	}
 	// The token was raised. This controller may not send the worker commands until it knows
@@ -43,13 +43,13 @@
 			c.redirectToPeer(in.Request)
 			return
 		}
-		c.handleHeartbeatAtToken(in)
+		c.handleHeartbeatWithKnownToken(in)
 	})
 }
 
-// handleHeartbeatAtToken answers a worker that has not seen a higher fencing token than this
-// controller knows.
-func (c *Controller) handleHeartbeatAtToken(in HeartbeatReceived) {
+// handleHeartbeatWithKnownToken answers a worker that has not seen a higher fencing token than
+// this controller knows.
+func (c *Controller) handleHeartbeatWithKnownToken(in HeartbeatReceived) {
 	if !c.canRenewLeaseOf(in.Heartbeat.Machine) {
 		c.applyHeartbeat(in.Heartbeat, true)
 		if c.peerWithStore() != "" {
@@ -104,7 +104,7 @@
 // only if its lease lasts until it has tried all controllers.
 func (c *Controller) shouldRedirectToPeer(machine *machine) bool {
 	if !c.lostPeerQuorum() || c.now.Sub(c.cache.lastStoreResponse) < peerQuorumLossDelay ||
-		machine.liveness.redirectedToPeerAt > c.cache.lastStoreResponse || !c.leaseOutlastsTour() {
+		machine.liveness.redirectedToPeerAt > c.cache.lastStoreResponse || !c.leaseOutlastsTryingPeers() {
 		return false
 	}
 	machine.liveness.redirectedToPeerAt = c.now
@@ -112,9 +112,9 @@
 	return true
 }
 
-// leaseOutlastsTour reports whether a worker's lease lasts until the worker has tried every
+// leaseOutlastsTryingPeers reports whether a worker's lease lasts until the worker has tried every
 // other controller in vain and come back.
-func (c *Controller) leaseOutlastsTour() bool {
+func (c *Controller) leaseOutlastsTryingPeers() bool {
 	tryingPeers := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
 	return tryingPeers+c.maxHeartbeatInterval()+workerTimeout <= config.Seconds(c.settings.Cluster.Workers.LeaseS)
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -61,7 +61,7 @@
 	machine.scaling.notePreemptionNotice(heartbeat.PreemptionNoticeS, c.now)
 	c.applyTaskStatuses(machine, before)
 	if !direct && c.membership.ready {
-		c.confirmDirectly(machine)
+		c.probeToConfirm(machine)
 	}
 }
 
@@ -169,7 +169,7 @@
 	machine.latestHeartbeat = &heartbeat
 	machine.liveness.noteHeartbeat(c.now)
 	if c.membership.ready {
-		c.confirmDirectly(machine)
+		c.probeToConfirm(machine)
 	}
 }
 
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -11,29 +11,29 @@
 	"lilacrill/wire"
 )
 
-// heartbeatVerdict holds what a controller concludes from a heartbeat about its machine and the
+// heartbeatEffects holds what a controller concludes from a heartbeat about its machine and the
 // two jobs whose tasks exited there.
-type heartbeatVerdict struct {
+type heartbeatEffects struct {
 	faulty   bool
 	failures [2]int  // number of machines on which each job is known to fail
 	avoided  [2]Time // time until which each job avoids the machine
 }
 
-// TestSameHeartbeatSameVerdict checks that applying a heartbeat with many exited tasks, as a
+// TestHeartbeatEffectsAreDeterministic checks that applying a heartbeat with many exited tasks, as a
 // controller that has just started receives it, has the same effects on its machine and jobs
 // every time, in whatever order the heartbeat lists the tasks. Otherwise a replay of a
 // controller's inputs could differ from the recorded run.
-func TestSameHeartbeatSameVerdict(t *testing.T) {
-	first := verdictOnExits(false)
+func TestHeartbeatEffectsAreDeterministic(t *testing.T) {
+	first := effectsOfExits(false)
 	require.True(t, first.faulty, "tasks of two jobs first succeeded on the machine and then failed")
 	for i := range 200 {
-		require.Equal(t, first, verdictOnExits(i%2 == 1), "run %d", i)
+		require.Equal(t, first, effectsOfExits(i%2 == 1), "run %d", i)
 	}
 }
 
-// verdictOnExits returns the effects on a new controller of a heartbeat with exits of two jobs,
+// effectsOfExits returns the effects on a new controller of a heartbeat with exits of two jobs,
 // listed in reverse order if reversed is set.
-func verdictOnExits(reversed bool) heartbeatVerdict {
+func effectsOfExits(reversed bool) heartbeatEffects {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}})
 	c.now = 1_000_000
@@ -44,11 +44,11 @@
 	}
 	c.applyHeartbeat(heartbeat, true)
 	machine := c.machine(heartbeat.Machine)
-	verdict := heartbeatVerdict{faulty: !c.isDue(machine.quarantine.faultyUntil)}
+	effects := heartbeatEffects{faulty: !c.isDue(machine.quarantine.faultyUntil)}
 	for i, job := range jobs {
-		verdict.failures[i], verdict.avoided[i] = len(job.crashLoop.failedMachines), job.crashLoop.avoidMachines[machine.id]
+		effects.failures[i], effects.avoided[i] = len(job.crashLoop.failedMachines), job.crashLoop.avoidMachines[machine.id]
 	}
-	return verdict
+	return effects
 }
 
 func newTestJob(c *Controller, id wire.JobID) *job {
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if assignment.Relaxed && j.stages {
-		c.metrics.count(countRelaxed, assignment.Count)
+		c.metrics.count(countAffinityRelaxed, assignment.Count)
 		c.log.Debug("preferred rule relaxed", "job_id", job.id, "machine_id", machine.id)
 	}
 }
@@ -130,7 +130,7 @@
 	j.transaction.conditions[record.JobKey(job.id)] = job.version
 	j.transaction.usedMachines[machine.id] = true
 	j.transaction.notifyMachines[machine.id] = true
-	c.metrics.count(countPlaced, tasks.Len())
+	c.metrics.count(countTasksPlaced, tasks.Len())
 	c.log.Debug("tasks placed", "job_id", job.id, "class", job.spec.Class, "machine_id", machine.id, "attempt", j.attempt, "tasks", tasks.Len(),
 		"image_cached", machine.images.cached[job.spec.Image], "guaranteed", j.pending.guaranteed)
 }
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -29,7 +29,7 @@
 
 // refuse answers a request with an error; retryAfter above 0 says when to come back.
 func (c *Controller) refuse(request RequestID, status int, reason string, retryAfter time.Duration) {
-	c.metrics.count(countRefused, 1)
+	c.metrics.count(countRequestsRefused, 1)
 	c.emit(Reply{Request: request, Status: status, Body: wire.ErrorResponse{Error: reason}, RetryAfter: retryAfter})
 }
 
@@ -182,7 +182,7 @@
 	}, func(result CommitResult) {
 		switch result.Outcome {
 		case Succeeded:
-			c.metrics.count(countCancelled, 1)
+			c.metrics.count(countJobsCancelled, 1)
 			c.log.Debug("job cancelled", "job_id", id)
 			c.reply(request, http.StatusOK, completionStatus(id, completion))
 			c.sendCommandsForJob(id)
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// TickEvery is the interval at which the controller expects a Tick.
-	TickEvery = 50 * time.Millisecond
+	// TickInterval is the interval at which the controller expects a Tick.
+	TickInterval = 50 * time.Millisecond
 	// referenceCoreShare is the share of a processor core that the pauses are designed for.
 	// With a smaller share they are longer.
 	referenceCoreShare = 0.18
 	maxPassPause       = time.Second
 	lagSmoothing       = 0.1 // the weight of the last tick in the moving average
 	// A process counts as lagging when its lag, in ticks, exceeds lagThreshold, until the lag
-	// falls below lagRecovered.
-	lagThreshold, lagRecovered = 3.0, 0.5
+	// falls below lagRecoveryThreshold.
+	lagThreshold, lagRecoveryThreshold = 3.0, 0.5
 )
 
 // lagMeter measures how late ticks come, which shows whether the process gets enough processor
 // time.
 type lagMeter struct {
-	lastTick Time
-	ticks    float64 // the moving average of how late ticks come, in ticks
-	lagging  bool
+	lastTick   Time
+	delayTicks float64 // the moving average of how late ticks come, in ticks
+	lagging    bool
 }
 
 // lagChange is the change of lagMeter.lagging at a tick.
@@ -35,14 +35,14 @@
 // tick measures the lag at a tick. A delay counts only up to stallThreshold, since longer ones
 // are stalls and handled separately (see Controller.Step).
 func (l *lagMeter) tick(now Time) lagChange {
-	late := min(now.Sub(l.lastTick)-TickEvery, stallThreshold)
-	l.ticks += lagSmoothing * (max(0, float64(late)/float64(TickEvery)) - l.ticks)
+	late := min(now.Sub(l.lastTick)-TickInterval, stallThreshold)
+	l.delayTicks += lagSmoothing * (max(0, float64(late)/float64(TickInterval)) - l.delayTicks)
 	l.lastTick = now
 	switch {
-	case !l.lagging && l.ticks > lagThreshold:
+	case !l.lagging && l.delayTicks > lagThreshold:
 		l.lagging = true
 		return lagStarted
-	case l.lagging && l.ticks < lagRecovered:
+	case l.lagging && l.delayTicks < lagRecoveryThreshold:
 		l.lagging = false
 		return lagEnded
 	}
@@ -50,13 +50,13 @@
 }
 
 // delay returns the average lag as a duration.
-func (l *lagMeter) delay() time.Duration { return time.Duration(l.ticks * float64(TickEvery)) }
+func (l *lagMeter) delay() time.Duration { return time.Duration(l.delayTicks * float64(TickInterval)) }
 
 // measureLag measures the lag at a tick, and logs when this process starts and stops lagging.
 func (c *Controller) measureLag() {
 	switch c.scheduler.lag.tick(c.now) {
 	case lagStarted:
-		c.metrics.count(countLagging, 1)
+		c.metrics.count(countLagPeriods, 1)
 		c.log.Info("ticks late, deferrable work slowed down", "hint", "cluster.quota.core_share may be too small",
 			"tick_delay", c.scheduler.lag.delay().Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
 	case lagEnded:
@@ -76,6 +76,6 @@
 // leases, responses and the work that depends on them. The pause is not lengthened beyond
 // longest.
 func (c *Controller) stretchPause(pause, longest time.Duration) time.Duration {
-	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag.ticks)
+	stretch := max(1, referenceCoreShare/c.settings.Cluster.Quota.CoreShare) * (1 + c.scheduler.lag.delayTicks)
 	return max(pause, min(longest, time.Duration(float64(pause)*stretch)))
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -31,7 +31,7 @@
 	case Succeeded:
 		c.noteStoreResponse()
 		if result.LeaseID != 0 && result.LeaseID != c.membership.leaseID {
-			c.membership.leaseID, c.membership.enrolled = result.LeaseID, false
+			c.membership.leaseID, c.membership.livenessRecorded = result.LeaseID, false
 		}
 	case NotFound:
 		c.noteStoreResponse()
@@ -45,6 +45,6 @@
 // dropLease drops a lease that the state store no longer has, and makes the request for a new
 // one due at once.
 func (m *membership) dropLease(now Time) {
-	m.leaseID, m.enrolled = 0, false
+	m.leaseID, m.livenessRecorded = 0, false
 	m.nextRenewal = now
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -31,7 +31,7 @@
 	leaseID           wire.LeaseID // 0: none
 	leaseCallInFlight bool
 	nextRenewal       Time
-	enrolled          bool // the liveness record is attached to the present lease
+	livenessRecorded  bool // the liveness record is attached to the present lease
 }
 
 // tickMembership keeps the cache loaded and current, renews the lease and the liveness record,
@@ -44,19 +44,19 @@
 	c.catchUpAfterOutage()
 	c.keepCacheCurrent()
 	c.startBarrier()
-	c.keepEnrolled()
+	c.maintainLivenessRecord()
 	c.checkReady()
 }
 
-// keepEnrolled writes this controller's liveness record if it is missing or wrong. A delayed
-// write may have attached the record to a lease that has since expired, or the record may not
-// state correctly whether this controller is isolated.
-func (c *Controller) keepEnrolled() {
+// maintainLivenessRecord writes this controller's liveness record if it is missing or wrong. A
+// delayed write may have attached the record to a lease that has since expired, or the record may
+// not state correctly whether this controller is isolated.
+func (c *Controller) maintainLivenessRecord() {
 	label := c.settings.Label
-	if c.membership.enrolled && (c.cache.liveControllers[label] != c.membership.incarnation || c.cache.isolatedControllers[label] != c.isolated()) {
-		c.membership.enrolled = false
+	if c.membership.livenessRecorded && (c.cache.liveControllers[label] != c.membership.incarnation || c.cache.isolatedControllers[label] != c.isolated()) {
+		c.membership.livenessRecorded = false
 	}
-	if c.cache.complete() && c.membership.leaseID != 0 && !c.membership.enrolled && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
+	if c.cache.complete() && c.membership.leaseID != 0 && !c.membership.livenessRecorded && !c.membership.joining && c.isDue(c.membership.nextAttempt) {
 		c.join()
 	}
 }
@@ -115,7 +115,7 @@
 			c.shards.table.SetIncarnation(incarnation)
 			c.rolloutEvent(RolloutRegistered)
 		}
-		c.membership.enrolled = c.membership.leaseID == leaseID
+		c.membership.livenessRecorded = c.membership.leaseID == leaseID
 	case Conflict:
 		c.membership.nextAttempt = c.now.Add(joinConflictDelay)
 	case NotFound:
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -7,8 +7,8 @@
 
 // partition describes a zone that seems to be partitioned from the others.
 type partition struct {
-	lastSeenAt Time // when the partition was last detected
-	silent     int  // silent machines in the zone at that time
+	lastDetectedAt Time // when the partition was last detected
+	silent         int  // silent machines in the zone at that time
 }
 
 // partitionDetector finds zones that seem to be partitioned. No machines are provisioned in
@@ -40,7 +40,7 @@
 		}
 	}
 	for name, seen := range d.zones {
-		if now.Sub(seen.lastSeenAt) > partitionLifetime || review.zone(name).lastHeartbeatAt > seen.lastSeenAt.Add(silence) {
+		if now.Sub(seen.lastDetectedAt) > partitionLifetime || review.zone(name).lastHeartbeatAt > seen.lastDetectedAt.Add(silence) {
 			delete(d.zones, name)
 		}
 	}
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -117,7 +117,7 @@
 	c.applyCommittedPages(txn, revision)
 	for id := range txn.completedJobs {
 		if c.cache.jobs[id] == nil {
-			c.metrics.count(countCompleted, 1)
+			c.metrics.count(countJobsCompleted, 1)
 		}
 	}
 	if txn.placesTasks {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -41,7 +41,7 @@
 			c.makeRoom(search.pass.transactions, host, search.pending, search.ofGuaranteed) {
 			search.pass.reserveFreeingCapacity(search.evaluator, job, host, 1)
 			count--
-			c.metrics.count(countPreempted, 1)
+			c.metrics.count(countTasksPreempted, 1)
 			c.log.Debug("tasks preempted", "for_job_id", job.id, "class", job.spec.Class, "machine_id", host.ID)
 		}
 	}
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -159,7 +159,7 @@
 	if c.provisioner.leaderlessSince == 0 {
 		c.provisioner.leaderlessSince = c.now
 	}
-	if c.provisioner.writingLeadership || c.membership.leaseID == 0 || !c.membership.enrolled || c.isolated() ||
+	if c.provisioner.writingLeadership || c.membership.leaseID == 0 || !c.membership.livenessRecorded || c.isolated() ||
 		!c.ownsTeam(leadershipKey) && c.now.Sub(c.provisioner.leaderlessSince) < leadershipClaimDelay {
 		return
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -256,7 +256,7 @@
 		if c.provisioner.partitions.silentMachines(machine.zone) >= minPartitionedMachines {
 			// Tasks in a partitioned zone continue to run until the leases of their workers
 			// run out. Until then none of them is lost unless its machine is terminated.
-			return max(silence, config.Seconds(workers.LeaseS-heartbeatJitter*workers.ReportS))
+			return max(silence, config.Seconds(workers.LeaseS-heartbeatIntervalFactor*workers.ReportS))
 		}
 		return silence
 	}
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -205,7 +205,7 @@
 
 // applyProvisioned records the machines that the cloud provisioned.
 func (c *Controller) applyProvisioned(request wire.ProvisionRequest, machines []wire.MachineID) {
-	c.metrics.count(countProvisioned, len(machines))
+	c.metrics.count(countMachinesProvisioned, len(machines))
 	c.log.Info("machines provisioned", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"requested", request.Count, "provisioned", len(machines))
 	for _, id := range machines {
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -75,7 +75,7 @@
 		{"lifetime over", partitionLifetime + 1, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			detector := partitionDetector{zones: map[string]partition{"east": {lastSeenAt: seenAt, silent: 7}}}
+			detector := partitionDetector{zones: map[string]partition{"east": {lastDetectedAt: seenAt, silent: 7}}}
 			detector.update(&terminationReview{zones: map[string]*zoneReview{"east": {lastHeartbeatAt: test.lastHeartbeatAt}}}, silence, seenAt.Add(test.after))
 			require.Equal(t, test.partitioned, detector.silentMachines("east") == 7)
 		})
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -111,7 +111,7 @@
 // pass over the whole fleet knows that demand; others leave what the last such pass found.
 func (p *schedulingPass) run() {
 	c := p.c
-	c.metrics.count(countPasses, 1)
+	c.metrics.count(countSchedulingPasses, 1)
 	queue := p.pendingJobs()
 	if p.includeNonCritical {
 		c.updatePriceLimit(queue)
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -149,7 +149,7 @@
 	case c.launcherFailed(allocation):
 		c.raiseFence(txn, page, allocation, func(staged *Allocation) {
 			staged.Launcher = c.membership.incarnation
-			c.metrics.count(countTakeOvers, 1)
+			c.metrics.count(countAllocationTakeOvers, 1)
 		})
 	}
 }
@@ -214,7 +214,7 @@
 		}
 		change(candidate)
 		candidate.Fence = c.cache.token + 1
-		c.metrics.count(countFences, 1)
+		c.metrics.count(countFencesRaised, 1)
 		if !txn.raisesToken {
 			txn.raisesToken = true
 			txn.operations++
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -146,7 +146,7 @@
 		return
 	}
 	c.callTerminate(ids, func(machine *machine) {
-		c.metrics.count(countTerminated+c.cache.terminating[machine.id].reason, 1)
+		c.metrics.count(countMachinesTerminated+c.cache.terminating[machine.id].reason, 1)
 		delete(c.provisioner.terminateRequested, machine.id)
 	})
 }
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.step(process, controller.Tick{})
-	c.after(controller.TickEvery, func() { c.tick(process, generation) })
+	c.after(controller.TickInterval, func() { c.tick(process, generation) })
 }
 
 // Stop ends a controller's process.
