--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -45,7 +45,7 @@
 
 	reachabilityProbeAfter      = 500 * time.Millisecond
 	reachabilityProbeInterval   = 300 * time.Millisecond
-	reachabilityProbeCandidates = 4 // machines with the latest heartbeats, of which one is probed
+	reachabilityProbeCandidates = 4 // machines likely to answer, of which a random one is probed
 	isolationSuspectedAfter     = 1500 * time.Millisecond
 	isolatedAfter               = 3 * time.Second
 )
@@ -239,8 +239,8 @@
 }
 
 // probeOwnReachability probes a worker if no direct heartbeat has arrived for a while. Either
-// all workers send their heartbeats to other controllers, or this controller is isolated, and
-// the probe tells the two apart.
+// all workers send their heartbeats to other controllers, or this controller is isolated. The
+// response to the probe, or its absence, distinguishes the two cases.
 func (c *Controller) probeOwnReachability() {
 	if c.now.Sub(max(c.fleet.lastDirectHeartbeatAt, c.membership.readyAt)) < reachabilityProbeAfter || !c.isDue(c.fleet.nextReachabilityProbe) {
 		return
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -19,7 +19,7 @@
 	peerTimeout = 3 * peerHeartbeatInterval
 	// ackTimeout is the largest age of the newest watermark of this controller that a peer
 	// has acknowledged before the connection counts as lost. The watermark and the peer's
-	// own one with the acknowledgement take an interval each.
+	// own watermark with the acknowledgement wait up to watermarkInterval each to be sent.
 	ackTimeout = peerTimeout + watermarkInterval
 	// peerStoreTimeout is how long a peer counts as reaching the state store after a message
 	// in which it said so.
@@ -146,9 +146,8 @@
 	}
 }
 
-// queueAllHeartbeats queues the machines that this controller received a heartbeat from itself
-// of late, so that the next messages carry their heartbeats and the cloud's machine list in
-// full.
+// queueAllHeartbeats queues all machines with a direct heartbeat within forgetMachineAfter. The
+// next messages then carry these heartbeats and the cloud's machine list in full.
 func (c *Controller) queueAllHeartbeats() {
 	for id, machine := range c.fleet.machines {
 		if machine.directHeartbeat != nil && c.now.Sub(machine.liveness.lastDirectAt) < forgetMachineAfter && !machine.scaling.terminated {
