--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -1,15 +1,15 @@
 package controller
 
-// callTable is the calls that outputs have asked for and whose results have not come back.
+// callTable holds the calls that were requested by outputs and have no result yet.
 type callTable struct {
 	pending map[CallID]pendingCall
 	last    CallID
-	// currentStartedAt is when the call was made whose result is being handled: what the result
-	// shows was so at that moment or later.
+	// currentStartedAt is the time at which the call was made whose result is being handled. The
+	// result shows a state at that time or later.
 	currentStartedAt Time
 }
 
-// pendingCall is a call without a result yet.
+// pendingCall is a call that has no result yet.
 type pendingCall struct {
 	startedAt Time
 	complete  func(Result)
@@ -23,7 +23,8 @@
 	return t.last
 }
 
-// complete hands a call's result to whoever made the call.
+// complete passes a call's result to the function that was registered for it. A result of an unknown
+// call is ignored.
 func (t *callTable) complete(completed CallCompleted) {
 	pending, ok := t.pending[completed.Call]
 	if !ok {
@@ -34,8 +35,8 @@
 	pending.complete(completed.Result)
 }
 
-// call registers what to do with a call's result, and returns the ID under which the result
-// comes back. Every call must come back, if only as Unknown.
+// call registers the function that handles a call's result, and returns the ID of the call. Every
+// call must get a result, if only one with the outcome Unknown.
 func call[R Result](c *Controller, then func(R)) CallID {
 	return c.calls.add(pendingCall{c.now, func(result Result) { then(result.(R)) }})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,11 @@
-// Package controller is the scheduler as a state machine: inputs go in; what to send, to
-// write and to answer comes out. It has no clock, no socket and no goroutine, so that the
-// same inputs always lead to the same outputs. One goroutine owns a Controller.
+// Package controller implements the scheduler as a state machine. It takes inputs and returns
+// outputs: messages to send, transactions to commit and replies to requests. It has no clock, no
+// sockets and no goroutines, so the same inputs always lead to the same outputs. A Controller must
+// be used by one goroutine only.
 //
-// Three to five controllers work at the same time, on the same records. None relies on
-// being the only one: each write is a transaction with conditions on the versions that it
-// was based on, and each command to a worker carries a fencing token (see commands.go).
+// Three to five controllers work on the same records at the same time. No controller relies on
+// being the only one. Each write is a transaction with conditions on the versions that it is based
+// on, and each command to a worker carries a fencing token (see commands.go).
 package controller
 
 import (
@@ -17,17 +18,18 @@
 )
 
 const (
-	// stallThreshold is a time between inputs after which a controller does not trust
-	// what it has not heard: it had no processor to hear it with.
+	// stallThreshold is the time between two inputs above which the process counts as having
+	// stalled. A process that does not run receives no messages, so their absence during a stall
+	// does not show that their senders failed.
 	stallThreshold = 700 * time.Millisecond
-	// storeTimeout is how long the state store may leave calls unanswered before a
-	// controller takes it for unreachable, and its own cache for old.
+	// storeTimeout is the time without a response from the state store after which a controller
+	// considers the store unreachable and its own cache stale.
 	storeTimeout = 2 * time.Second
-	// randStream sets the random numbers apart from others made from the same seed.
+	// randStream selects a random sequence that differs from other sequences with the same seed.
 	randStream = 0x6c696c61
 )
 
-// Controller is the state of one controller.
+// Controller holds the state of one controller process.
 type Controller struct {
 	settings *config.Settings
 	log      *slog.Logger
@@ -61,8 +63,8 @@
 	resumedAt Time // when this process last resumed after a stall
 }
 
-// New makes a controller that has just started. Controllers with the same seed draw the
-// same random numbers.
+// New returns a controller that has just started. Controllers with the same seed draw the same
+// random numbers.
 func New(settings *config.Settings, log *slog.Logger, seed uint64) *Controller {
 	c := &Controller{
 		settings: settings,
@@ -85,9 +87,9 @@
 	return c
 }
 
-// Step takes one input, at a moment of the steady clock and a time of day in Unix
-// milliseconds, and returns what is to be done, in order. The result is valid until the
-// next call.
+// Step handles one input and returns the outputs to be carried out, in order. The time is given by
+// the monotonic clock (now) and by the wall clock in Unix milliseconds (wall). The result is valid
+// until the next call.
 func (c *Controller) Step(now Time, wall int64, in Input) []Output {
 	c.advanceClock(now, wall)
 	c.outputs = c.outputs[:0]
@@ -104,8 +106,9 @@
 	return c.outputs
 }
 
-// advanceClock notes the time, and whether this process has stalled. That shows at
-// whichever input comes first: what waited in buffers meanwhile comes before the next tick.
+// advanceClock records the time, and whether this process has stalled. It is called for every input
+// and not for ticks only, because inputs that were buffered during a stall arrive before the next
+// tick.
 func (c *Controller) advanceClock(now Time, wall int64) {
 	c.now = max(c.now, now)
 	if c.now.Sub(c.lastStep) > stallThreshold {
@@ -159,19 +162,20 @@
 
 func (c *Controller) emit(o Output) { c.outputs = append(c.outputs, o) }
 
-// isDue reports whether t has come.
+// isDue reports whether the time t has been reached.
 func (c *Controller) isDue(t Time) bool { return c.now >= t }
 
-// Healthy reports whether this controller can take requests: not while it starts, and not
-// while it alone cannot reach the state store, as far as it can tell: a sibling says that
-// it can, or this controller is connected to too few siblings to know.
+// Healthy reports whether this controller can take requests. It cannot while it is starting, and
+// while it appears to be the only one that cannot reach the state store. The latter holds if a peer
+// reports that it reaches the store, or if this controller is connected to too few peers to tell.
 func (c *Controller) Healthy() bool {
 	return c.membership.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
 }
 
-// noteStoreResponse notes that the state store has answered the call whose result is being
-// handled. A response to a call from before this process stalled may have waited all the
-// while: it does not show that the store can be reached, nor that the cache is current.
+// noteStoreResponse records that the state store has answered the call whose result is being
+// handled. The response to a call that was made before this process stalled is ignored. It may have
+// been buffered during the stall, so it shows neither that the store is reachable now nor that the
+// cache is current.
 func (c *Controller) noteStoreResponse() {
 	if c.calls.currentStartedAt < c.resumedAt {
 		return
@@ -180,7 +184,7 @@
 	c.cache.lastStoreResponse = c.now
 }
 
-// storeReachable reports whether the state store answered a call lately.
+// storeReachable reports whether the state store has answered a call within storeTimeout.
 func (c *Controller) storeReachable() bool {
 	return c.now.Sub(c.cache.lastStoreResponse) < storeTimeout
 }
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -6,8 +6,7 @@
 	"lilacrill/internal/config"
 )
 
-// newTestController makes a controller that logs nothing, with the same random numbers every
-// time.
+// newTestController returns a controller that logs nothing and uses a fixed random seed.
 func newTestController(settings *config.Settings) *Controller {
 	return New(settings, slog.New(slog.DiscardHandler), 1)
 }
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -2,31 +2,31 @@
 
 import "lilacrill/wire"
 
-// RequestID identifies a request whose sender waits for a Reply.
+// RequestID identifies a request whose sender waits for a [Reply].
 type RequestID uint64
 
-// Input is an event that the controller reacts to; see [Controller.Step].
+// Input is an event that the controller handles (see [Controller.Step]).
 type Input interface{ isInput() }
 
-// requestInput is an input whose sender waits for a Reply.
+// requestInput is an input whose sender waits for a [Reply].
 type requestInput interface{ requestID() RequestID }
 
 // The inputs.
 type (
-	// Tick only lets time pass.
+	// Tick reports that time has passed. It is due every [TickEvery].
 	Tick struct{}
 
-	// JobSubmitted is a submission that passed the checks of its syntax.
+	// JobSubmitted is a user's submission of a job whose syntax has been checked.
 	JobSubmitted struct {
 		Request RequestID
 		Spec    wire.JobSpec
 	}
-	// JobPolled asks for a job's status.
+	// JobPolled is a user's request for a job's status.
 	JobPolled struct {
 		Request RequestID
 		Job     wire.JobID
 	}
-	// CancelRequested asks for a job to be cancelled.
+	// CancelRequested is a user's request to cancel a job.
 	CancelRequested struct {
 		Request RequestID
 		Job     wire.JobID
@@ -36,7 +36,7 @@
 		Request   RequestID
 		Heartbeat *wire.Heartbeat
 	}
-	// CallCompleted carries the result of a call that an earlier output asked for.
+	// CallCompleted holds the result of a call that an earlier output requested.
 	CallCompleted struct {
 		Call   CallID
 		Result Result
--- a/internal/controller/outputs.go
+++ b/internal/controller/outputs.go
@@ -6,11 +6,11 @@
 	"lilacrill/wire"
 )
 
-// CallPriority orders calls to the state store while its rate limit holds them up: the
-// lowest first.
+// CallPriority is the order in which calls to the state store that wait for its rate limit are
+// sent, lowest value first.
 type CallPriority int
 
-// The priorities of calls, most urgent first.
+// The priorities of calls, most urgent first. PriorityLevels is their number.
 const (
 	PriorityLease CallPriority = iota
 	PriorityUrgent
@@ -19,8 +19,8 @@
 	PriorityLevels
 )
 
-// Output is something for the process around the controller to do. An output with a
-// CallID asks for a call: its result must come back as a [CallCompleted].
+// Output is an action for the process that runs the controller. An output with a CallID requests a
+// call, whose result must be returned as a [CallCompleted].
 type Output interface{ isOutput() }
 
 // The outputs.
@@ -30,16 +30,16 @@
 		Request RequestID
 		Status  int
 		Body    any
-		// RetryAfter, if above 0, tells the user when to come back.
+		// RetryAfter, if positive, is the time after which the sender is advised to retry.
 		RetryAfter time.Duration
 	}
-	// LoadKeys reads all keys under the prefixes; the result is a LoadResult.
+	// LoadKeys reads all keys under the prefixes. The result is a LoadResult.
 	LoadKeys struct {
 		Call     CallID
 		Prefixes []string
 	}
-	// Watch reads the changes under a prefix after a revision, and waits up to Block
-	// for the first of them; the result is a WatchResult.
+	// Watch reads the changes under a prefix after a revision. If there are none, it waits up to
+	// Block for the first change. The result is a WatchResult.
 	Watch struct {
 		Call     CallID
 		Priority CallPriority
@@ -47,86 +47,85 @@
 		After    wire.Revision
 		Block    time.Duration
 	}
-	// GetKey reads one key; the result is a GetResult.
+	// GetKey reads one key. The result is a GetResult.
 	GetKey struct {
 		Call CallID
 		Key  string
 	}
-	// Commit runs a transaction; the result is a CommitResult.
+	// Commit runs a transaction. The result is a CommitResult.
 	Commit struct {
 		Call     CallID
 		Priority CallPriority
 		Txn      wire.Transaction
 	}
-	// GrantLease asks the state store for a lease; the result is a LeaseResult.
+	// GrantLease requests a lease from the state store. The result is a LeaseResult.
 	GrantLease struct {
 		Call CallID
 		TTL  time.Duration
 	}
-	// RenewLease renews a lease; the result is a LeaseResult.
+	// RenewLease renews a lease. The result is a LeaseResult.
 	RenewLease struct {
 		Call    CallID
 		LeaseID wire.LeaseID
 	}
-	// SetRateFraction says which fraction of the state store's rate limits this controller
-	// may use.
+	// SetRateFraction sets the fraction of the state store's rate limits that this controller may
+	// use.
 	SetRateFraction struct{ Fraction float64 }
-	// ReadCatalogue asks the cloud for its machine types; the result is a CatalogueResult.
+	// ReadCatalogue reads the machine types from the cloud. The result is a CatalogueResult.
 	ReadCatalogue struct{ Call CallID }
-	// ListMachines asks the cloud for all machines; the result is a MachinesResult.
+	// ListMachines lists all machines in the cloud. The result is a MachinesResult.
 	ListMachines struct{ Call CallID }
-	// ProvisionMachines asks the cloud for new machines; the result is a ProvisionResult.
+	// ProvisionMachines requests new machines from the cloud. The result is a ProvisionResult.
 	ProvisionMachines struct {
 		Call    CallID
 		Request wire.ProvisionRequest
 	}
-	// TerminateMachines returns machines to the cloud; the result is a TerminateResult.
+	// TerminateMachines returns machines to the cloud. The result is a TerminateResult.
 	TerminateMachines struct {
 		Call     CallID
 		Machines []wire.MachineID
 	}
-	// SendCommands sends commands to a worker; the result is a WorkerResponse.
+	// SendCommands sends commands to a worker. The result is a WorkerResponse.
 	SendCommands struct {
 		Call CallID
 		Addr string
 		Body wire.CommandRequest
 	}
-	// RequestHeartbeat asks a worker for a heartbeat; the result is a WorkerResponse.
+	// RequestHeartbeat requests a heartbeat from a worker. The result is a WorkerResponse.
 	RequestHeartbeat struct {
 		Call CallID
 		Addr string
 	}
-	// Broadcast sends a message to all siblings.
+	// Broadcast sends a message to all peers.
 	Broadcast struct{ Message *wire.PeerMessage }
-	// RolloutEvent is something that happened to this process in a rollout, for whoever
-	// traces it.
+	// RolloutEvent is an event of this process in a rollout, for tracing.
 	RolloutEvent struct {
 		Kind        RolloutEventKind
-		Format      wire.Format // in force
+		Format      wire.Format // the format in force
 		Incarnation wire.FencingToken
-		Revision    wire.Revision // up to which this process knows all changes
+		Revision    wire.Revision // the revision up to which this process knows all changes
 	}
-	// Shutdown says that this process must end, and why: it would misread what others
-	// write.
+	// Shutdown requires that this process ends, because it cannot read the records that other
+	// controllers write. Cause is the error to report.
 	Shutdown struct{ Cause error }
 )
 
-// RolloutEventKind is what happened to a process in a rollout.
+// RolloutEventKind is the kind of a rollout event.
 type RolloutEventKind string
 
 // The kinds of rollout events.
 const (
-	// RolloutRegistered: the process has registered which formats it reads.
+	// RolloutRegistered means that the process has registered the formats that it reads.
 	RolloutRegistered RolloutEventKind = "registered"
-	// RolloutReady: it serves.
+	// RolloutReady means that the process serves requests.
 	RolloutReady RolloutEventKind = "ready"
-	// RolloutActivated: it brought a format into force.
+	// RolloutActivated means that the process has activated a format automatically.
 	RolloutActivated RolloutEventKind = "activated"
-	// RolloutChanged: it carried out an operator's change.
+	// RolloutChanged means that the process has committed an operator's change of the rollout.
 	RolloutChanged RolloutEventKind = "changed by an operator"
-	// RolloutInForce: it learnt of a format in force.
+	// RolloutInForce means that the process has read that another format is in force.
 	RolloutInForce RolloutEventKind = "in force"
-	// RolloutRetired: it must not serve any more.
+	// RolloutRetired means that the process must not serve requests any longer.
 	RolloutRetired RolloutEventKind = "retired"
 )
 
