--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -10,20 +10,22 @@
 	"lilacrill/wire"
 )
 
+// reasonStaleSettings is the reason for refusing a change of settings that is based on an old
+// version.
 const reasonStaleSettings = "stale version: read the settings again"
 
-// operatorSettings is the operators' settings and their version; 0 while nobody has changed
-// the defaults.
+// operatorSettings holds the operators' settings and their version, which is 0 until an operator
+// changes the defaults.
 type operatorSettings struct {
 	values  config.StoredOperator
 	version wire.Revision
-	// unreadableCause is why the stored settings cannot be understood; they are not
-	// overwritten then.
+	// unreadableCause is the error because of which the stored settings cannot be read. While it
+	// is set, the stored settings are not overwritten.
 	unreadableCause error
 }
 
-// applySettings takes stored settings. Values that a newer release stored and this one does
-// not allow make it keep what it has.
+// applySettings applies the stored settings; a nil value restores the defaults. If a newer release
+// stored values that this release does not allow, the previous settings stay in effect.
 func (c *Controller) applySettings(value json.RawMessage, version wire.Revision) error {
 	settings := config.StoredOperator{Operator: config.DefaultOperator()}
 	if value != nil {
@@ -36,8 +38,9 @@
 	return nil
 }
 
-// handleView answers an operator's request for a view. The views of what is stored are read
-// after a barrier, since a change is made against the version that they show.
+// handleView replies to an operator's request for a view. The views of stored settings, the rollout
+// and the shards are taken after a read barrier, because a change must name the version that the
+// view shows.
 func (c *Controller) handleView(in ViewRequested) {
 	if !c.membership.ready {
 		c.unavailable(in.Request, reasonStarting)
@@ -68,21 +71,22 @@
 func (c *Controller) viewSettings() wire.AdminSettings {
 	values, err := json.Marshal(c.operator.values)
 	if err != nil {
-		panic(err) // numbers and a word: cannot fail
+		panic(err) // the values are numbers and a string, which can always be encoded
 	}
 	return wire.AdminSettings{Version: c.operator.version, Settings: values}
 }
 
-// operatorChange is an operator's request to change what is stored.
+// operatorChange is an operator's request to change stored records.
 type operatorChange struct {
 	request RequestID
-	subject string // what is changed, as the operator is told
-	// transaction is called once the cache holds all that was written before now.
+	subject string // the name of the changed records in error responses
+	// transaction builds the transaction. It is called once the cache holds everything that was
+	// written before the request.
 	transaction func() (wire.Transaction, error)
-	done        func() // answers once the change is made
+	done        func() // replies to the request once the change is committed
 }
 
-// carryOut makes an operator's change, and answers if it cannot.
+// carryOut commits an operator's change, or refuses the request if that fails.
 func (c *Controller) carryOut(change operatorChange) {
 	request, subject := change.request, change.subject
 	c.afterBarrier(request, func() {
@@ -108,8 +112,8 @@
 	})
 }
 
-// changeSettings stores new settings against the version that they were made from. The
-// barrier makes sure that a version is called stale, and the values are checked, by what is
+// changeSettings stores new settings if the version that they are based on is still the stored one.
+// The read barrier ensures that the version and the values are checked against the settings that are
 // stored now.
 func (c *Controller) changeSettings(in SettingsChangeRequested) {
 	if !c.ensureServing(in.Request) {
--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -6,7 +6,7 @@
 	"lilacrill/wire"
 )
 
-// maxJobsInView bounds how many jobs one view shows.
+// maxJobsInView is the maximum number of jobs in one view.
 const maxJobsInView = 500
 
 func (c *Controller) viewControllers() []wire.AdminController {
@@ -37,7 +37,7 @@
 	}
 }
 
-// viewSibling shows a sibling by the records and by what it last said of itself.
+// viewSibling returns the view of a peer, based on the records and on the peer's last message.
 func (c *Controller) viewSibling(label string) wire.AdminController {
 	incarnation, alive := c.cache.liveControllers[label]
 	view := wire.AdminController{
@@ -86,8 +86,8 @@
 	return view
 }
 
-// resourcesUsed is what the team's allocations take, summed in the order of the pages: a sum
-// of fractions depends on the order.
+// resourcesUsed returns the sum of the resources of the team's allocations. It adds them in the
+// order of the pages, because the rounding of a floating-point sum depends on the order.
 func (t *team) resourcesUsed() placement.Resources {
 	var used placement.Resources
 	for _, page := range t.orderedPages() {
@@ -99,7 +99,7 @@
 	return used
 }
 
-// placedTasks counts a job's tasks that are placed by the records.
+// placedTasks returns the number of a job's tasks that have allocations in the placement records.
 func (c *Controller) placedTasks(id wire.JobID) int {
 	count := 0
 	for _, allocation := range c.cache.allocationsByJob[id] {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -9,31 +9,31 @@
 	"lilacrill/wire"
 )
 
-// job is a job that is not completed.
+// job is the cached state of a job that is not completed.
 type job struct {
 	id         wire.JobID
 	spec       wire.JobSpec
 	acceptedAt int64              // Unix milliseconds
-	acceptedBy wire.FencingToken  // the incarnation that accepted it
-	version    wire.Revision      // of its record
-	completed  record.TaskSet     // by the placement records
-	request    *placement.Request // made from spec
+	acceptedBy wire.FencingToken  // the incarnation that accepted the job
+	version    wire.Revision      // version of the job's record
+	completed  record.TaskSet     // tasks that are completed according to the placement records
+	request    *placement.Request // derived from spec
 
-	// What follows is known to this controller only.
+	// The following fields are known to this controller only.
 
 	crashLoop     crashLoopBackoff
 	firstSeen     Time
-	pendingReason string // why tasks of it are pending
-	started       bool   // its first start was counted
-	// launchingAttempt is the attempt of a gang that is being launched, since launchStartedAt.
+	pendingReason string // why tasks of the job are pending
+	started       bool   // the job's first start was counted
+	// launchingAttempt is the attempt of a gang whose launch began at launchStartedAt.
 	launchingAttempt wire.Attempt
 	launchStartedAt  Time
-	nextForward      Time // it is not forwarded before
-	// unreadable says that its record cannot be decoded (see markJobUnreadable).
+	nextForward      Time // earliest time at which the job may be forwarded
+	// unreadable reports whether the job's record cannot be decoded (see markJobUnreadable).
 	unreadable bool
 }
 
-// newJob adds a job to the cache.
+// newJob adds an empty job to the cache and returns it.
 func (c *Controller) newJob(id wire.JobID) *job {
 	added := &job{id: id, firstSeen: c.now}
 	added.crashLoop = newCrashLoopBackoff()
@@ -41,14 +41,15 @@
 	return added
 }
 
-// applyJob takes a job's record, or nil if it was deleted, into the cache.
+// applyJob applies a job's record to the cache. A nil value means that the record was deleted.
 func (c *Controller) applyJob(id wire.JobID, value json.RawMessage, version wire.Revision) error {
 	c.scheduler.dirty = true
 	for _, allocation := range c.cache.allocationsByJob[id] {
 		allocation.host.reconciliation.reconciledHeartbeat, allocation.page.needsReview = nil, true
 	}
 	if value == nil {
-		// The same transaction archived its completion under a key of its own.
+		// The transaction that deleted the record archived the job's completion under a separate
+		// key.
 		delete(c.cache.jobs, id)
 		delete(c.cache.completedJobs, id)
 		return nil
@@ -65,8 +66,9 @@
 	return nil
 }
 
-// applyCompletion notes that a job is completed. Its tasks that are still on machines are looked
-// after as completed tasks and, if it was cancelled, siblings are told.
+// applyCompletion records that a job is completed. Its tasks that are still on machines are tracked
+// as completed tasks. If the job was cancelled, the cancellation is added to the watermarks that peers
+// receive.
 func (c *Controller) applyCompletion(id wire.JobID, completion record.Completion, version wire.Revision) error {
 	if !completion.Status.IsTerminal() {
 		return errNotTerminal
@@ -82,12 +84,12 @@
 	return nil
 }
 
-// applyOpenJob takes the record of a job that is not completed into the cache.
+// applyOpenJob applies the record of a job that is not completed to the cache.
 func (c *Controller) applyOpenJob(id wire.JobID, stored *record.Job, version wire.Revision) {
 	cached := c.cache.jobs[id]
 	if cached == nil {
 		cached = c.newJob(id)
-		// While all keys are loaded, a page may have come before its job.
+		// While all keys are being loaded, a page may be applied before the jobs of its tasks.
 		for _, page := range c.cache.team(stored.Spec.Team).pages {
 			cached.completed = cached.completed.With(page.completed[id])
 		}
@@ -98,8 +100,9 @@
 	cached.request = placement.NewRequest(&cached.spec)
 }
 
-// markJobUnreadable keeps a job whose record cannot be decoded as it is: its tasks keep running,
-// none is placed, the job is not taken for completed, and its users are told to come back.
+// markJobUnreadable keeps a job whose record cannot be decoded. Its tasks keep running, but no more
+// of them are placed. The job does not count as completed, and requests for it are refused with the
+// advice to retry.
 func (c *Controller) markJobUnreadable(id wire.JobID, version wire.Revision) {
 	delete(c.cache.completedJobs, id)
 	cached := c.cache.jobs[id]
@@ -112,7 +115,7 @@
 }
 
 // jobUnreadable reports whether the record of a job, or a placement record of its team, cannot be
-// decoded, so that nothing can be concluded from what a machine says of the job's tasks.
+// decoded. If so, no conclusion may be drawn from the job's tasks in a machine's heartbeat.
 func (c *Controller) jobUnreadable(id wire.JobID) bool {
 	cached := c.cache.jobs[id]
 	return len(c.cache.unreadable) > 0 && cached != nil && (cached.unreadable || c.teamUnreadable(cached.spec.Team))
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// retryDelay and longRetryDelay are when a user whose request cannot be decided now
-	// is advised to retry; the long one while the state store is out of reach.
+	// retryDelay and longRetryDelay are the delays after which the sender of a request that cannot
+	// be decided now is advised to retry. The long delay applies while the state store is
+	// unreachable.
 	retryDelay     = time.Second
 	longRetryDelay = 2 * time.Second
 )
 
-// Reasons that users are given; clients may compare them.
+// Reasons in error responses to users. Clients may compare them, so they must not change.
 const (
 	reasonStarting         = "starting"
 	reasonStoreUnavailable = "state service unavailable"
@@ -27,18 +28,19 @@
 	c.emit(Reply{Request: request, Status: status, Body: body})
 }
 
-// refuse answers a request with an error; retryAfter above 0 says when to come back.
+// refuse replies to a request with an error. If retryAfter is positive, the reply advises the sender
+// to retry after that time.
 func (c *Controller) refuse(request RequestID, status int, reason string, retryAfter time.Duration) {
 	c.metrics.count(countRequestsRefused, 1)
 	c.emit(Reply{Request: request, Status: status, Body: wire.ErrorResponse{Error: reason}, RetryAfter: retryAfter})
 }
 
-// unavailable answers a request that cannot be decided now.
+// unavailable refuses a request that cannot be decided now.
 func (c *Controller) unavailable(request RequestID, reason string) {
 	c.refuse(request, http.StatusServiceUnavailable, reason, retryDelay)
 }
 
-// ensureServing reports whether requests can be decided now, and answers the request if not.
+// ensureServing reports whether requests can be decided now, and refuses the request if not.
 func (c *Controller) ensureServing(request RequestID) bool {
 	switch {
 	case !c.membership.ready || !c.cache.complete():
@@ -51,8 +53,8 @@
 	return false
 }
 
-// afterBarrier goes on once the cache holds all that was written before now; if that cannot
-// be had it answers the request itself.
+// afterBarrier calls then once the cache holds everything that was written before now. If that
+// cannot be established, it refuses the request instead.
 func (c *Controller) afterBarrier(request RequestID, then func()) {
 	if !c.storeReachable() {
 		c.unavailable(request, reasonStoreUnavailable)
@@ -67,16 +69,17 @@
 	})
 }
 
+// completionStatus returns the status of a completed job.
 func completionStatus(id wire.JobID, completion record.Completion) wire.JobStatus {
 	return wire.JobStatus{ID: id, Status: completion.Status, Done: completion.Done}
 }
 
-// lookUpJob finds a job's status as of now or later: after a read barrier, since another
-// controller may have told its user something newer. If that cannot be done, it answers the
-// request itself.
+// lookUpJob calls then with a job's status as of now or later. It issues a read barrier, since
+// another controller may already have reported a newer status to the user. If the status cannot be
+// determined, it refuses the request instead.
 func (c *Controller) lookUpJob(request RequestID, id wire.JobID, then func(status wire.JobStatus, found bool)) {
 	if completion, ok := c.cache.completion(id); ok {
-		then(completionStatus(id, completion), true) // it never changes
+		then(completionStatus(id, completion), true) // a completion never changes
 		return
 	}
 	if !c.ensureServing(request) {
@@ -103,7 +106,8 @@
 	})
 }
 
-// lookUpArchivedJob reads a job's completion that the cache does not hold.
+// lookUpArchivedJob does the same as lookUpJob for a job that the cache does not hold. It reads the
+// job's archived completion from the state store.
 func (c *Controller) lookUpArchivedJob(request RequestID, id wire.JobID, then func(status wire.JobStatus, found bool)) {
 	key := record.CompletionKey(id)
 	c.emit(GetKey{call(c, func(result GetResult) {
@@ -124,7 +128,8 @@
 	}), key})
 }
 
-// replyWithStatus answers with a job's status, and calls notFound if there is no such job.
+// replyWithStatus replies to a request with a job's status, or calls notFound if there is no such
+// job.
 func (c *Controller) replyWithStatus(request RequestID, id wire.JobID, notFound func()) {
 	c.lookUpJob(request, id, func(status wire.JobStatus, found bool) {
 		if found {
@@ -135,7 +140,7 @@
 	})
 }
 
-// status is the status of a job that is not complete.
+// status returns the status of a job that is not completed.
 func (c *Controller) status(job *job) wire.JobStatus {
 	status := wire.JobStatus{ID: job.id, Status: wire.StatusPending, Done: job.completed.Len()}
 	for _, allocation := range c.cache.allocationsByJob[job.id] {
@@ -155,9 +160,9 @@
 	})
 }
 
-// cancel records a job's cancellation before its user is told. From then on no placement of
-// it can be committed (each is conditional on the job's record), and its allocations, now
-// without a job, are stopped by whoever sees them.
+// cancel records a job's cancellation and replies once the record is committed. From then on no
+// placement of the job can be committed, because each placement has a condition on the job's record.
+// The tasks of the job's allocations are stopped by any controller that handles their machines.
 func (c *Controller) cancel(request RequestID, id wire.JobID) {
 	c.lookUpJob(request, id, func(status wire.JobStatus, found bool) {
 		job := c.cache.jobs[id]
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -10,16 +10,17 @@
 	"lilacrill/wire"
 )
 
-// rolloutState is this process's part in the rollout of formats.
+// rolloutState is the state of this process in the rollout of formats.
 type rolloutState struct {
 	tracker *rollout.Tracker
-	// shutdownCause is why this process must not serve; nil while it may.
+	// shutdownCause is the error because of which this process must not serve requests, or nil if
+	// it may.
 	shutdownCause  error
-	activating     bool
+	activating     bool // an automatic activation is in flight
 	nextActivation Time // when the next automatic activation is considered
 }
 
-// activationInterval is how often an automatic activation is considered.
+// activationInterval is the time between checks whether an automatic activation is due.
 const activationInterval = time.Second
 
 func (s *rolloutState) init(settings *config.Settings) {
@@ -30,9 +31,9 @@
 	s.tracker = rollout.New(settings.Label, siblings, settings.Features.Rollout.Formats(), release.Version)
 }
 
-// applyRollout takes the format in force. It comes before any record of that format: watch
-// results are in the order of revisions, and a controller that loads its cache loads this
-// record first and acts on nothing before it has caught up.
+// applyRollout applies the rollout record, which names the format in force. It is applied before any
+// record of that format. Watch results are in the order of revisions. A load of the cache reads the
+// rollout record first, and the controller acts on no record until it has caught up.
 func (c *Controller) applyRollout(value []byte, version wire.Revision) {
 	before := c.rollout.tracker.Format()
 	c.rollout.tracker.ApplyState(value, version)
@@ -47,13 +48,13 @@
 	}
 }
 
-// rolloutEvent emits an event of this process for whoever traces the rollout.
+// rolloutEvent emits a rollout event of this process.
 func (c *Controller) rolloutEvent(kind RolloutEventKind) {
 	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
 
-// emitShutdown drops the outputs of this step, since they may rest on records that were
-// misread, refuses the requests that it answered, and says that the process must end.
+// emitShutdown replaces the outputs of this step, since they may be based on records that were
+// misread. It refuses the requests that have a reply among them, and requires that the process ends.
 func (c *Controller) emitShutdown() {
 	var refused []Output
 	for _, output := range c.outputs {
@@ -81,9 +82,9 @@
 	}
 }
 
-// tickRollout activates a format that all controllers are ready for, where the deployment
-// wants that. One controller tries, the provisioner, so that transactions are not lost to
-// one another; whether it may is decided by the conditions of the transaction.
+// tickRollout activates a format that all controllers are ready for, if automatic activation is
+// configured. Only the provisioner tries, so that controllers do not cause each other conflicts. The
+// conditions of the transaction decide whether the format may be activated.
 func (c *Controller) tickRollout() {
 	settings := &c.settings.Features.Rollout
 	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || !c.isProvisioner() ||
@@ -109,12 +110,12 @@
 	})
 }
 
-// viewRollout answers with the rollout as of now or later.
+// viewRollout replies to a request with the rollout as of now or later.
 func (c *Controller) viewRollout(request RequestID) {
 	c.afterBarrier(request, func() { c.reply(request, http.StatusOK, c.rollout.tracker.View()) })
 }
 
-// changeRollout carries out an operator's change of the rollout.
+// changeRollout commits an operator's change of the rollout.
 func (c *Controller) changeRollout(in RolloutChangeRequested) {
 	if !c.ensureServing(in.Request) {
 		return
