--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -7,9 +7,10 @@
 	"lilacrill/wire"
 )
 
+// cleanupInterval is the minimum time between cleanups of a page.
 const cleanupInterval = 2 * time.Second
 
-// cleanup is the state of the cleaning up of placement records.
+// cleanup is the state of the cleanup of placement records.
 type cleanup struct {
 	inFlight bool
 	next     Time
@@ -30,8 +31,9 @@
 	}
 }
 
-// pageToCleanUp finds a page without allocations that still has completed tasks of completed
-// jobs; nil if there is none. Pages with allocations lose these tasks when they are next written.
+// pageToCleanUp returns a page without allocations that still lists completed tasks of completed
+// jobs, or nil if there is none. Pages with allocations need no cleanup, because these tasks are
+// dropped whenever a page is written.
 func (c *Controller) pageToCleanUp() *page {
 	for _, name := range sortedKeys(c.cache.teams) {
 		team := c.cache.teams[name]
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// cleanUpPage writes a page without the completed tasks of completed jobs.
+// cleanUpPage rewrites a page without the completed tasks of completed jobs.
 func (c *Controller) cleanUpPage(stale *page) {
 	cleaned := page{completed: c.cache.uncompletedOnly(stale.completed)}
 	c.cleanup.inFlight = true
@@ -58,8 +60,7 @@
 	}, func(CommitResult) { c.cleanup.inFlight = false })
 }
 
-// uncompletedOnly is the part of some completed tasks that belongs to jobs which are not
-// completed.
+// uncompletedOnly returns the entries of completed tasks whose jobs are not completed.
 func (s *stateCache) uncompletedOnly(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	remaining := map[wire.JobID]record.TaskSet{}
 	for id, tasks := range completed {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -8,20 +8,22 @@
 	"lilacrill/wire"
 )
 
-// A job that finds no room in the shards of the controller that is responsible for it is
-// forwarded to another controller, which places it for a while. A controller that finds no
-// room either forwards it in turn, to one that has not tried; at last it returns to the owner
-// of its team, which waits a moment before it forwards the job again. Peers gossip capacity
-// offers. All of these are hints: the conditions of the transaction decide what is placed.
-
-// forwardedJob is a job that a controller is to place until some time.
+// If the controller that is responsible for a job has no capacity for it in its shards, it forwards
+// the job to another controller, which is then responsible for the job's placement for
+// forwardLifetime. If that controller has no capacity either, it forwards the job in turn, to a
+// controller that has not tried. When all have tried, the job returns to the owner of its team, which
+// waits before it forwards the job again. Controllers gossip offers of their capacity. Forwarded
+// jobs and offers are hints only. The conditions of the transactions decide what is placed.
+
+// forwardedJob is the forwarding of a job: a controller is responsible for placing the job until a
+// given time.
 type forwardedJob struct {
 	to    string // the controller's label
 	until Time
-	tried []string // the labels of the controllers that found no room for it
+	tried []string // the labels of the controllers that had no capacity for the job
 }
 
-// jobForwarding is what this controller knows of forwarded jobs and of its peers' capacity.
+// jobForwarding holds what this controller knows of forwarded jobs and of its peers' capacity.
 type jobForwarding struct {
 	forwarded         map[wire.JobID]forwardedJob
 	peerCapacity      map[string][]wire.CapacityOffer // by controller
@@ -30,15 +32,15 @@
 }
 
 const (
-	// forwardLifetime is how long a job is left to the controller that it was forwarded to.
+	// forwardLifetime is how long a job is left to the controller to which it was forwarded.
 	forwardLifetime = 2 * time.Second
 	// forwardBackoff and criticalForwardBackoff are the pauses after all controllers have
 	// tried a job.
 	forwardBackoff         = time.Second
 	criticalForwardBackoff = 300 * time.Millisecond
-	// maxForwardsPerMessage bounds how many jobs one peer message forwards.
+	// maxForwardsPerMessage is the maximum number of jobs that one peer message forwards.
 	maxForwardsPerMessage = 64
-	// capacityOfferInterval is how often capacity offers are sent to peers.
+	// capacityOfferInterval is the time between capacity offers to peers.
 	capacityOfferInterval = 500 * time.Millisecond
 )
 
@@ -47,18 +49,18 @@
 	f.peerCapacity = map[string][]wire.CapacityOffer{}
 }
 
-// current is a job's last forwarding, if it still holds.
+// current returns a job's last forwarding, and whether it is still in effect.
 func (f *jobForwarding) current(id wire.JobID, now Time) (forwardedJob, bool) {
 	forwarded, ok := f.forwarded[id]
 	return forwarded, ok && now < forwarded.until
 }
 
-// forward notes that a job is forwarded as of now.
+// forward records that a job is forwarded as of now.
 func (f *jobForwarding) forward(id wire.JobID, to string, tried []string, now Time) {
 	f.forwarded[id] = forwardedJob{to, now.Add(forwardLifetime), tried}
 }
 
-// expire drops the forwardings that no longer hold.
+// expire drops the forwardings that are no longer in effect.
 func (f *jobForwarding) expire(now Time) {
 	for id, forwarded := range f.forwarded {
 		if now >= forwarded.until {
@@ -67,15 +69,17 @@
 	}
 }
 
-// forwardedTo is the controller that a job was forwarded to, if that still holds.
+// forwardedTo returns the label of the controller to which a job was forwarded, and whether the
+// forwarding is still in effect.
 func (c *Controller) forwardedTo(id wire.JobID) (string, bool) {
 	forwarded, ok := c.forwarding.current(id, c.now)
 	return forwarded.to, ok
 }
 
-// forwardJob forwards a job that found no room here: to a controller that offers capacity for
-// it or, without offeredOnly, to one that could evict less urgent tasks for it. It reports
-// whether it did.
+// forwardJob forwards a job for which this controller has no capacity. The target is a controller
+// that offers capacity for the job or, unless offeredOnly is set, a controller that could evict less
+// urgent tasks for it. If there is no such controller and offeredOnly is not set, the job returns to
+// the owner of its team. forwardJob reports whether it has forwarded the job.
 func (c *Controller) forwardJob(pending *pendingJob, offeredOnly bool) bool {
 	job := pending.job
 	if !c.schedulesJob(job) || !c.isDue(job.nextForward) || len(c.forwarding.outgoing) >= maxForwardsPerMessage {
@@ -96,7 +100,7 @@
 		return false
 	default:
 		target = owner
-		tried = append(tried, owner) // this marks it as returned
+		tried = append(tried, owner) // a target that has tried already marks the job as returned
 	}
 	job.nextForward = c.now.Add(criticalForwardBackoff)
 	c.forwarding.forward(job.id, target, tried, c.now)
@@ -105,9 +109,9 @@
 	return true
 }
 
-// jobReturned handles a job of a team that this controller owns, once all controllers have
-// tried it. If it needs the capacity of several controllers at once, their shards are
-// acquired.
+// jobReturned handles a job of a team that this controller owns after all controllers have tried to
+// place it. A gang, or a job that needs a single zone, may need the capacity of several controllers
+// at once, so shards of other controllers are to be acquired for it.
 func (c *Controller) jobReturned(job *job) {
 	pause := forwardBackoff
 	if job.spec.Priority == wire.PriorityCritical {
@@ -120,9 +124,9 @@
 	}
 }
 
-// nextForwardTarget is a controller that has not tried a job and offers capacity for it; if
-// none does, and offeredOnly is not set, one that could evict less urgent tasks for it. It is
-// "" if there is none.
+// nextForwardTarget returns the label of a controller that has not tried a job and offers capacity
+// for it. If there is none and offeredOnly is not set, it returns the label of a controller that
+// could evict less urgent tasks for the job. It returns "" if there is no such controller either.
 func (c *Controller) nextForwardTarget(pending *pendingJob, tried []string, offeredOnly bool) string {
 	mayPreempt := pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || pending.guaranteed
 	preempting := ""
@@ -156,9 +160,9 @@
 	return false
 }
 
-// sendForwardedJobs sends the forwarded jobs to all peers. A job waits while a transaction of
-// its team is in flight: the controller that it is forwarded to would lose its own
-// transaction to that one.
+// sendForwardedJobs sends the forwarded jobs to all peers. A job waits while a transaction of its
+// team is in flight, because a transaction of the controller to which it is forwarded would conflict
+// with that transaction.
 func (c *Controller) sendForwardedJobs() {
 	if len(c.forwarding.outgoing) == 0 {
 		return
@@ -181,11 +185,11 @@
 	}
 }
 
-// applyForwardedJobs applies a peer's message about the jobs that it forwards.
+// applyForwardedJobs records the jobs that a peer forwards.
 func (c *Controller) applyForwardedJobs(jobs []wire.ForwardedJob) {
 	for _, forwarded := range jobs {
 		job := c.cache.jobs[forwarded.Job]
-		if slices.Contains(forwarded.Tried, forwarded.To) { // it returns to its team's owner
+		if slices.Contains(forwarded.Tried, forwarded.To) { // the job returns to its team's owner
 			delete(c.forwarding.forwarded, forwarded.Job)
 			if job != nil && forwarded.To == c.settings.Label {
 				c.jobReturned(job)
@@ -203,8 +207,8 @@
 	}
 }
 
-// addCapacityOffer adds the capacity of this controller's shards to a peer message, at
-// intervals.
+// addCapacityOffer adds the capacity offers of this controller's shards to a peer message, if they
+// are due.
 func (c *Controller) addCapacityOffer(message *wire.PeerMessage) {
 	if !c.sharded() || !c.isDue(c.forwarding.nextCapacityOffer) {
 		return
@@ -215,8 +219,8 @@
 	message.Capacity = &offers
 }
 
-// capacityOffers is, for each kind of machine in this controller's shards, the most that is
-// free on one of them of each resource.
+// capacityOffers returns one offer for each kind of machine in this controller's shards. For each
+// resource it states the largest amount that is free on any machine of that kind.
 func (c *Controller) capacityOffers() []wire.CapacityOffer {
 	mostFree := map[machineKind]placement.Resources{}
 	var kinds []machineKind
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -2,18 +2,19 @@
 
 import "lilacrill/internal/rendezvous"
 
-// ownership is how the live controllers divide what any of them may do. It is only a hint that
-// avoids transactions lost to one another; safety rests on their conditions.
+// ownership is the division of the work among the live controllers. Any of them may do any of the
+// work. The division only avoids conflicts between their transactions, whose conditions alone ensure
+// safety.
 type ownership struct {
 	eligible     []string          // labels of the live controllers that reach workers
-	teamOwners   map[string]string // team to label; replaced when the live controllers change
-	rateFraction float64           // of the state store's rate limits; 0 until it is known
+	teamOwners   map[string]string // owners' labels by team; replaced when the live controllers change
+	rateFraction float64           // this controller's fraction of the state store's rate limits; 0 until it is known
 }
 
 func (o *ownership) init() { o.teamOwners = map[string]string{} }
 
-// teamOwner is the label of a team's owner. A team that the settings do not name is given one
-// when it first comes up.
+// teamOwner returns the label of a team's owner. A team that is not in the settings is assigned an
+// owner when it is first looked up.
 func (o *ownership) teamOwner(team string) string {
 	if owner, ok := o.teamOwners[team]; ok {
 		return owner
@@ -23,24 +24,24 @@
 	return owner
 }
 
-// ownsTeam reports whether this controller is a team's owner: the one that looks after
-// whatever the team's jobs need beyond the first placement.
+// ownsTeam reports whether this controller is a team's owner, which handles everything that the
+// team's jobs need after their first placement.
 func (c *Controller) ownsTeam(team string) bool { return c.teamOwner(team) == c.settings.Label }
 
-// teamOwner is the label of a team's owner.
+// teamOwner returns the label of a team's owner.
 func (c *Controller) teamOwner(team string) string { return c.ownership.teamOwner(team) }
 
-// assignOwnership divides the teams and the state store's rate limits among the live
-// controllers. All come to the same result once they know of the same ones; until then it
-// costs lost transactions and refused calls, not safety.
+// assignOwnership divides the teams and the state store's rate limits among the live controllers.
+// All controllers reach the same result once they know of the same live controllers. Until then,
+// different results may cause conflicts and refused calls, but do not affect safety.
 func (c *Controller) assignOwnership() {
 	c.ownership.eligible = c.findEligibleControllers()
 	var teams []string
 	for i := range c.settings.Cluster.Teams {
 		teams = append(teams, c.settings.Cluster.Teams[i].Name)
 	}
-	// Each is given no more than its part: at many writes a second a controller with
-	// three teams holds two of them up.
+	// No controller is assigned more than an equal part of the teams. At a high rate of writes, a
+	// controller that owns three teams would delay two of them.
 	c.ownership.teamOwners = rendezvous.Assign(c.ownership.eligible, teams)
 	if fraction := c.computeRateFraction(); fraction != c.ownership.rateFraction {
 		c.ownership.rateFraction = fraction
@@ -48,8 +49,8 @@
 	}
 }
 
-// findEligibleControllers is the live controllers that reach workers, by label; this one if
-// there is none.
+// findEligibleControllers returns the labels of the live controllers that reach workers, in order.
+// If there are none, it returns the label of this controller.
 func (c *Controller) findEligibleControllers() []string {
 	var labels []string
 	for _, label := range sortedKeys(c.cache.liveControllers) {
@@ -63,9 +64,9 @@
 	return labels
 }
 
-// computeRateFraction is the part of the state store's rate limits that this controller may
-// use. A controller counts once, once more as the provisioner, and once for every team that
-// it owns.
+// computeRateFraction returns the fraction of the state store's rate limits that this controller may
+// use. The fractions are weighted: a controller counts once, once more if it is the provisioner, and
+// once for every team that it owns.
 func (c *Controller) computeRateFraction() float64 {
 	weights := map[string]int{}
 	for label, incarnation := range c.cache.liveControllers {
@@ -83,7 +84,7 @@
 	}
 	own := weights[c.settings.Label]
 	if own == 0 {
-		own, sum = 1, sum+1 // not enrolled yet
+		own, sum = 1, sum+1 // this controller has no liveness record yet
 	}
 	return float64(own) / float64(sum)
 }
--- a/internal/controller/shard_acquisition.go
+++ b/internal/controller/shard_acquisition.go
@@ -8,9 +8,9 @@
 	"lilacrill/wire"
 )
 
-// acquireShards is the action that acquires the shards whose machines, together with those of
-// this controller, have room for a job that needs it at once and that no controller can place
-// alone. It reports whether there is one to commit.
+// acquireShards returns the action that acquires shards for a job whose tasks must start at once and
+// that no controller can place alone. The machines of these shards, together with those of this
+// controller's shards, have capacity for the job. It reports whether there is such an action.
 func (c *Controller) acquireShards() (shard.Action, bool) {
 	job := c.cache.jobs[c.shards.acquireFor]
 	c.shards.acquireFor = ""
@@ -29,8 +29,9 @@
 	return action, due
 }
 
-// shardsForJob finds the other controllers' shards whose machines a job needs beside those of
-// this controller's shards, in the zone that comes closest if it needs a single one.
+// shardsForJob returns the shards of other controllers whose machines a job needs in addition to
+// those of this controller's shards. If the job needs a single zone, they are in the zone with the
+// most free capacity. It returns none if there is not enough capacity.
 func (c *Controller) shardsForJob(job *job) []wire.ShardID {
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
 	fits := func(host *placement.Host) bool {
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -12,38 +12,42 @@
 	"lilacrill/wire"
 )
 
-// shardState is this controller's view of the shards of the machines, and its part in their
-// ownership (docs/shards.md).
+// shardState holds what this controller knows of the shards of the machines, and the state of its
+// own changes of their ownership (docs/shards.md).
 type shardState struct {
 	table      *shard.Table
 	planner    *shard.Planner
-	writing    bool // an action is being committed
+	writing    bool // a shard action is in flight
 	nextReview Time
-	// acquireFor is a job that needs the capacity of several controllers at once, and
-	// acquiredAt when shards were last acquired.
+	// acquireFor is a job that needs the capacity of several controllers at once, or "". acquiredAt
+	// is the time at which shards were last acquired.
 	acquireFor wire.JobID
 	acquiredAt Time
 	redirects  *rate.Limiter
-	// nextFleetEstimate is when the provisioner next estimates the demand on the whole fleet.
+	// nextFleetEstimate is the time at which the provisioner next estimates the demand on the whole
+	// fleet.
 	nextFleetEstimate Time
 }
 
 const (
-	// shardReviewInterval is how often the ownership of the shards is reviewed.
+	// shardReviewInterval is the time between reviews of the ownership of the shards.
 	shardReviewInterval = 100 * time.Millisecond
-	// maxShardsPerTransaction bounds the shards that one transaction changes.
+	// maxShardsPerTransaction is the maximum number of shards that one transaction changes.
 	maxShardsPerTransaction = 6
-	// shardReservedConditions is how many conditions a placement may have beside those on
-	// shards and on the head pages of zones: the terminations, the fencing token, its job and
-	// some pages.
+	// shardReservedConditions is the number of conditions of a placement transaction that are
+	// reserved for records other than shards and the head pages of zones: the terminations, the
+	// fencing token, the job and some pages.
 	shardReservedConditions = 8
-	// redirectsPerSecond bounds how fast workers are redirected to the owners of their shards.
+	// redirectsPerSecond is the maximum rate at which workers are redirected to the owners of their
+	// shards.
 	redirectsPerSecond = 20
-	// redirectCooldown is how long a worker that returned is not redirected again.
+	// redirectCooldown is the time after a redirect during which the worker is not redirected again
+	// if it returns.
 	redirectCooldown = time.Minute
-	// acquiredHoldPeriod is how long acquired shards are not moved again for balance.
+	// acquiredHoldPeriod is the time after an acquisition during which this controller moves no
+	// shards away for balance.
 	acquiredHoldPeriod = 6 * time.Second
-	// acquireInterval is how often shards are acquired at most.
+	// acquireInterval is the minimum time between acquisitions of shards.
 	acquireInterval = 2 * time.Second
 )
 
@@ -53,13 +57,14 @@
 	s.redirects = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
 }
 
-// maxConditions is how many conditions a transaction may have.
+// maxConditions returns the maximum number of conditions of a transaction.
 func (c *Controller) maxConditions() int {
 	return conditionsPerWrite * c.settings.Cluster.State.TxnOps
 }
 
-// shardingEnabled reports whether this controller may take part in sharding: its features say
-// so, and the conditions of a placement in all shards fit a transaction.
+// shardingEnabled reports whether this controller may take part in sharding. Sharding must be
+// enabled in its features file, and a transaction must have room for the conditions of a placement
+// in all shards.
 func (c *Controller) shardingEnabled() bool {
 	if !c.settings.Features.Sharding.Enabled {
 		return false
@@ -72,8 +77,8 @@
 	return true
 }
 
-// sharded reports whether sharding is in use: each controller then places tasks on the
-// machines in its own shards only.
+// sharded reports whether sharding is in use. If so, each controller places tasks only on the
+// machines in its own shards.
 func (c *Controller) sharded() bool { return c.shards.table.Enabled() }
 
 // hasPlacementIn reports whether a transaction in flight places tasks in a shard.
@@ -86,8 +91,9 @@
 	return false
 }
 
-// tickShards commits the next change of the shards that is due, one at a time: the switch of
-// sharding first, then an acquisition for a job, then what the planner has.
+// tickShards commits the next shard action that is due. Only one action is in flight at a time.
+// Switching sharding on or off comes first, then an acquisition for a job, then the planner's next
+// action.
 func (c *Controller) tickShards() {
 	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cache.complete() || !c.storeReachable() || c.cache.stale {
 		return
@@ -108,17 +114,18 @@
 	}
 	hold := c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquiredHoldPeriod
 	action, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
-	// Moves keep to the write budget: when operators moved all shards at once, what that took
-	// was paid back for a minute without a placement (TestContinuousShardMoves).
+	// All actions but failovers wait while the write budget is overdrawn. Otherwise, after operators
+	// moved all shards at once, the budget would stay overdrawn and block placements for a minute
+	// (TestContinuousShardMoves).
 	if overdrawn := c.writesOverdrawn(); due && (action.Kind == shard.Failover || !overdrawn) {
 		c.commitShardAction(action)
 	}
 }
 
-// shardingSwitch is the action that switches sharding on or off, and whether it is due. It
-// rewrites the record of terminations unchanged: all placements have a condition on that
-// record, so none that was in flight before comes after it, whoever made it
-// (TestInvariantsHoldWithShards).
+// shardingSwitch returns the action that switches sharding on or off, and whether it is due. The
+// action rewrites the terminations record unchanged. All transactions that place tasks have a
+// condition on that record, so no placement of any controller that is in flight during the switch
+// can be committed after it (TestInvariantsHoldWithShards).
 func (c *Controller) shardingSwitch() (shard.Action, bool) {
 	action, due := c.shards.table.SwitchPolicy()
 	if !due || c.provisioner.recordingTerminations {
@@ -129,13 +136,13 @@
 	return action, len(action.Txn.If) <= c.maxConditions()
 }
 
-// commitShardAction commits a change of the shards. After one that was lost or has no answer,
-// the records are read again before the next.
+// commitShardAction commits a shard action. Unless it succeeds, changes of the records are read
+// before the next action.
 func (c *Controller) commitShardAction(action shard.Action) {
 	c.shards.writing = true
 	class := PriorityBackground
 	if action.Kind == shard.Failover || action.Kind == shard.Adopt {
-		class = PriorityUrgent // nobody places tasks in the shard meanwhile
+		class = PriorityUrgent // until then, no controller places tasks in the shard
 	}
 	c.commit(class, action.Txn, func(result CommitResult) {
 		if result.Outcome != Succeeded {
@@ -149,7 +156,7 @@
 	})
 }
 
-// applyShardRecord applies a record of the shards' policy or ownership.
+// applyShardRecord applies the record of the sharding policy, or of the ownership of a shard.
 func (c *Controller) applyShardRecord(key string, value []byte, version wire.Revision) error {
 	c.scheduler.dirty, c.scheduler.criticalDirty = true, c.scheduler.criticalDirty || c.scheduler.criticalPending
 	if key != record.ShardPolicyKey {
@@ -163,8 +170,8 @@
 	return err
 }
 
-// redirectToOwner redirects a worker to the controller that owns its machine's shard. It
-// reports whether the request was answered.
+// redirectToOwner redirects a worker to the controller that owns its machine's shard. It reports
+// whether it has replied to the request.
 func (c *Controller) redirectToOwner(in HeartbeatReceived) bool {
 	machine := c.machine(in.Heartbeat.Machine)
 	if !c.sharded() || machine.directHeartbeat == nil || !in.Heartbeat.Newer(machine.directHeartbeat) || len(c.stopCommands(machine)) > 0 {
@@ -181,9 +188,9 @@
 	return true
 }
 
-// mayRedirectTo reports whether a worker can be redirected to a shard's owner without missing
-// a renewal of its lease: its lease was renewed here a moment ago, the owner is well, and the
-// worker was not redirected there lately.
+// mayRedirectTo reports whether a worker can be redirected to a shard's owner without missing a
+// renewal of its lease. Its lease must have been renewed here recently, the owner must be healthy,
+// and the worker must not have been redirected recently.
 func (c *Controller) mayRedirectTo(owner record.ShardOwner, machine *machine) bool {
 	peer := c.gossip.peers[owner.Label]
 	ownerIsWell := c.shards.table.Alive(owner) && !c.cache.isolatedControllers[owner.Label] &&
@@ -193,15 +200,16 @@
 	return owner.Label != c.settings.Label && ownerIsWell && renewedLately && !redirectedLately
 }
 
-// viewShards responds with the shards as of now or later.
+// viewShards replies to a request with the shards as of now or later.
 func (c *Controller) viewShards(r RequestID) {
 	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.shardsView()) })
 }
 
-// shardsView is the shards with their machines and the cores that tasks use on them.
+// shardsView returns the shards, each with the number of its machines and the cores that tasks use on
+// them.
 func (c *Controller) shardsView() wire.AdminShards {
 	view := c.shards.table.View(c.wall)
-	for _, machine := range c.orderedMachines() { // in order: a sum of fractions depends on it
+	for _, machine := range c.orderedMachines() { // the rounding of a floating-point sum depends on the order
 		if machine.isTerminated() || int(machine.shard) >= len(view.Shards) {
 			continue
 		}
@@ -214,7 +222,7 @@
 	return view
 }
 
-// changeShards carries out an operator's change of the shards.
+// changeShards commits an operator's change of the shards.
 func (c *Controller) changeShards(in ShardChangeRequested) {
 	if !c.ensureServing(in.Request) {
 		return
@@ -231,7 +239,7 @@
 	})
 }
 
-// shardTransaction is the transaction for an operator's change.
+// shardTransaction returns the transaction for an operator's change of the shards.
 func (c *Controller) shardTransaction(change wire.AdminShardChange) (wire.Transaction, error) {
 	switch {
 	case change.Move != nil:
