--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -43,7 +43,7 @@
 // view shows.
 func (c *Controller) handleView(in ViewRequested) {
 	if !c.membership.ready {
-		c.unavailable(in.Request, reasonStarting)
+		c.refuseUnavailable(in.Request, reasonStarting)
 		return
 	}
 	switch in.View {
@@ -60,9 +60,9 @@
 	case wire.ViewSettings:
 		c.afterBarrier(in.Request, func() { c.reply(in.Request, http.StatusOK, c.viewSettings()) })
 	case wire.ViewRollout:
-		c.viewRollout(in.Request)
+		c.replyWithRollout(in.Request)
 	case wire.ViewShards:
-		c.viewShards(in.Request)
+		c.replyWithShards(in.Request)
 	default:
 		c.refuse(in.Request, http.StatusNotFound, "no such view", 0)
 	}
@@ -83,11 +83,11 @@
 	// transaction builds the transaction. It is called once the cache holds everything that was
 	// written before the request.
 	transaction func() (wire.Transaction, error)
-	done        func() // replies to the request once the change is committed
+	onCommitted func() // replies to the request once the change is committed
 }
 
-// carryOut commits an operator's change, or refuses the request if that fails.
-func (c *Controller) carryOut(change operatorChange) {
+// commitOperatorChange commits an operator's change, or refuses the request if that fails.
+func (c *Controller) commitOperatorChange(change operatorChange) {
 	request, subject := change.request, change.subject
 	c.afterBarrier(request, func() {
 		txn, err := change.transaction()
@@ -102,11 +102,11 @@
 		c.commit(PriorityAdmission, txn, func(result CommitResult) {
 			switch result.Outcome {
 			case Succeeded:
-				change.done()
+				change.onCommitted()
 			case Conflict:
 				c.refuse(request, http.StatusConflict, "the controllers or the "+subject+" have changed meanwhile: read the "+subject+" again", 0)
 			default:
-				c.unavailable(request, "state service unavailable; read the "+subject+" to see whether the change was made")
+				c.refuseUnavailable(request, "state service unavailable; read the "+subject+" to see whether the change was made")
 			}
 		})
 	})
@@ -121,7 +121,7 @@
 	}
 	c.readBarrier(func(ok bool) {
 		if !ok {
-			c.unavailable(in.Request, reasonStoreUnavailable)
+			c.refuseUnavailable(in.Request, reasonStoreUnavailable)
 			return
 		}
 		next, err := c.operator.values.With(in.Change.Settings)
@@ -149,7 +149,7 @@
 		case Conflict:
 			c.reply(request, http.StatusConflict, wire.ErrorResponse{Error: reasonStaleSettings})
 		default:
-			c.unavailable(request, "state service unavailable; read the settings to see whether they were stored")
+			c.refuseUnavailable(request, "state service unavailable; read the settings to see whether they were stored")
 		}
 	})
 }
--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -11,8 +11,8 @@
 
 func (c *Controller) viewControllers() []wire.AdminController {
 	views := []wire.AdminController{c.viewSelf()}
-	for _, sibling := range c.settings.Siblings {
-		views = append(views, c.viewSibling(sibling.Label))
+	for _, peer := range c.settings.Siblings {
+		views = append(views, c.viewPeer(peer.Label))
 	}
 	return views
 }
@@ -37,8 +37,8 @@
 	}
 }
 
-// viewSibling returns the view of a peer, based on the records and on the peer's last message.
-func (c *Controller) viewSibling(label string) wire.AdminController {
+// viewPeer returns the view of a peer, based on the records and on the peer's last message.
+func (c *Controller) viewPeer(label string) wire.AdminController {
 	incarnation, alive := c.cache.liveControllers[label]
 	view := wire.AdminController{
 		Label:       label,
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if len(c.provisioner.catalogue) == 0 {
-		c.unavailable(in.Request, "machine types not known yet")
+		c.refuseUnavailable(in.Request, "machine types not known yet")
 		return
 	}
 	if err := c.checkFeasible(&in.Spec); err != nil {
@@ -77,7 +77,7 @@
 
 // replyToKnownJob answers a submission of a job that has a record.
 func (c *Controller) replyToKnownJob(request RequestID, id wire.JobID) {
-	c.replyWithStatus(request, id, func() { c.unavailable(request, reasonStateChanged) })
+	c.replyWithStatus(request, id, func() { c.refuseUnavailable(request, reasonStateChanged) })
 }
 
 // submission is a submission that is being written.
@@ -101,7 +101,7 @@
 	c.fleet.addTimer(c.now.Add(submitTimeout), func() {
 		if !pending.answered {
 			pending.answered = true
-			c.unavailable(pending.request, "state service slow")
+			c.refuseUnavailable(pending.request, "state service slow")
 		}
 	})
 	id := in.Spec.ID
@@ -129,7 +129,7 @@
 	case Conflict:
 		c.replyToKnownJob(pending.request, spec.ID)
 	default:
-		c.unavailable(pending.request, reasonStoreUnavailable)
+		c.refuseUnavailable(pending.request, reasonStoreUnavailable)
 	}
 }
 
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -36,7 +36,7 @@
 	}
 	c.archiveCompletedJobs()
 	require.Len(t, c.outputs, 1, "one at a time")
-	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 9000})
+	c.calls.pending[c.calls.lastID].complete(CommitResult{Revision: 9000})
 	require.Len(t, c.cache.completedJobs, maxCompletedInPlace)
 	for i := range maxCompletedInPlace + 2 {
 		completion, ok := c.cache.completion(name(i))
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -37,7 +37,7 @@
 func TestTokenIsTakenFromTheWatchOnly(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100, WriteRPS: 50}}})
 	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.TokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
-	c.calls.pending[c.calls.last].complete(CommitResult{Revision: 12})
+	c.calls.pending[c.calls.lastID].complete(CommitResult{Revision: 12})
 	require.Zero(t, c.cache.token)
 	require.Equal(t, wire.Revision(12), c.cache.ownRevision)
 	event := wire.ChangeEvent{Put: record.TokenKey, Value: []byte("3"), Version: 12}
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -3,7 +3,7 @@
 // callTable holds the calls that were requested by outputs and have no result yet.
 type callTable struct {
 	pending map[CallID]pendingCall
-	last    CallID
+	lastID  CallID
 	// currentStartedAt is the time at which the call was made whose result is being handled. The
 	// result shows a state at that time or later.
 	currentStartedAt Time
@@ -18,9 +18,9 @@
 func (t *callTable) init() { t.pending = map[CallID]pendingCall{} }
 
 func (t *callTable) add(pending pendingCall) CallID {
-	t.last++
-	t.pending[t.last] = pending
-	return t.last
+	t.lastID++
+	t.pending[t.lastID] = pending
+	return t.lastID
 }
 
 // complete passes a call's result to the function that was registered for it. A result of an unknown
@@ -35,8 +35,8 @@
 	pending.complete(completed.Result)
 }
 
-// call registers the function that handles a call's result, and returns the ID of the call. Every
-// call must get a result, if only one with the outcome Unknown.
-func call[R Result](c *Controller, then func(R)) CallID {
+// registerCall registers the function that handles a call's result, and returns the ID of the call.
+// Every call must get a result, if only one with the outcome Unknown.
+func registerCall[R Result](c *Controller, then func(R)) CallID {
 	return c.calls.add(pendingCall{c.now, func(result Result) { then(result.(R)) }})
 }
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -42,7 +42,7 @@
 		}
 		for _, key := range sortedKeys(team.pages) {
 			page := team.pages[key]
-			if len(page.allocations) == 0 && len(c.cache.uncompletedOnly(page.completed)) < len(page.completed) {
+			if len(page.allocations) == 0 && len(c.cache.withoutCompletedJobs(page.completed)) < len(page.completed) {
 				return page
 			}
 		}
@@ -52,7 +52,7 @@
 
 // cleanUpPage rewrites a page without the completed tasks of completed jobs.
 func (c *Controller) cleanUpPage(stale *page) {
-	cleaned := page{completed: c.cache.uncompletedOnly(stale.completed)}
+	cleaned := page{completed: c.cache.withoutCompletedJobs(stale.completed)}
 	c.cleanup.inFlight = true
 	c.commit(PriorityBackground, wire.Transaction{
 		If:   []wire.Condition{{Key: stale.key, Version: stale.version}},
@@ -60,8 +60,8 @@
 	}, func(CommitResult) { c.cleanup.inFlight = false })
 }
 
-// uncompletedOnly returns the entries of completed tasks whose jobs are not completed.
-func (s *stateCache) uncompletedOnly(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
+// withoutCompletedJobs returns the entries of completed tasks whose jobs are not completed.
+func (s *stateCache) withoutCompletedJobs(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	remaining := map[wire.JobID]record.TaskSet{}
 	for id, tasks := range completed {
 		if s.jobs[id] != nil {
--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -26,7 +26,7 @@
 	c.fleet.commandCallsInFlight++
 	machine.reconciliation.nextSend = c.now.Add(commandRetryInterval)
 	calledAt := c.now
-	c.emit(SendCommands{call(c, func(response WorkerResponse) {
+	c.emit(SendCommands{registerCall(c, func(response WorkerResponse) {
 		machine.reconciliation.callInFlight = false
 		c.fleet.commandCallsInFlight--
 		machine.liveness.noteCallResult(calledAt, c.fleet.reachableSince, response.Heartbeat != nil)
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -19,7 +19,7 @@
 func (c *Controller) commitExceptPrefix(priority CallPriority, txn wire.Transaction, prefix string, then func(CommitResult)) {
 	sent := c.now
 	c.spendWrites(len(txn.Then))
-	c.emit(Commit{call(c, func(result CommitResult) {
+	c.emit(Commit{registerCall(c, func(result CommitResult) {
 		c.metrics.count(countCommits, 1)
 		c.metrics.observe(latencyCommit, c.now.Sub(sent))
 		c.metrics.countFailure(result.Outcome, countStoreRefused, countStoreUnanswered)
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -205,7 +205,7 @@
 	c.fleet.probesInFlight++
 	c.metrics.count(countProbes, 1)
 	calledAt := c.now
-	c.emit(RequestHeartbeat{call(c, func(response WorkerResponse) {
+	c.emit(RequestHeartbeat{registerCall(c, func(response WorkerResponse) {
 		machine.liveness.probing = false
 		c.fleet.probesInFlight--
 		if response.Heartbeat == nil {
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -55,13 +55,13 @@
 	return forwarded, ok && now < forwarded.until
 }
 
-// forward records that a job is forwarded as of now.
-func (f *jobForwarding) forward(id wire.JobID, to string, tried []string, now Time) {
+// noteForwarded records that a job is forwarded as of now.
+func (f *jobForwarding) noteForwarded(id wire.JobID, to string, tried []string, now Time) {
 	f.forwarded[id] = forwardedJob{to, now.Add(forwardLifetime), tried}
 }
 
-// expire drops the forwardings that are no longer in effect.
-func (f *jobForwarding) expire(now Time) {
+// dropExpired drops the forwardings that are no longer in effect.
+func (f *jobForwarding) dropExpired(now Time) {
 	for id, forwarded := range f.forwarded {
 		if now >= forwarded.until {
 			delete(f.forwarded, id)
@@ -96,23 +96,23 @@
 	case offeredOnly:
 		return false
 	case owner == c.settings.Label:
-		c.jobReturned(job)
+		c.handleReturnedJob(job)
 		return false
 	default:
 		target = owner
 		tried = append(tried, owner) // a target that has tried already marks the job as returned
 	}
 	job.nextForward = c.now.Add(criticalForwardBackoff)
-	c.forwarding.forward(job.id, target, tried, c.now)
+	c.forwarding.noteForwarded(job.id, target, tried, c.now)
 	c.forwarding.outgoing = append(c.forwarding.outgoing, wire.ForwardedJob{Job: job.id, To: target, Tried: tried})
 	c.metrics.count(countJobsForwarded, 1)
 	return true
 }
 
-// jobReturned handles a job of a team that this controller owns after all controllers have tried to
-// place it. A gang, or a job that needs a single zone, may need the capacity of several controllers
-// at once, so shards of other controllers are to be acquired for it.
-func (c *Controller) jobReturned(job *job) {
+// handleReturnedJob handles a job of a team that this controller owns after all controllers have
+// tried to place it. A gang, or a job that needs a single zone, may need the capacity of several
+// controllers at once, so shards of other controllers are to be acquired for it.
+func (c *Controller) handleReturnedJob(job *job) {
 	pause := forwardBackoff
 	if job.spec.Priority == wire.PriorityCritical {
 		pause = criticalForwardBackoff
@@ -129,7 +129,7 @@
 // could evict less urgent tasks for the job. It returns "" if there is no such controller either.
 func (c *Controller) nextForwardTarget(pending *pendingJob, tried []string, offeredOnly bool) string {
 	mayPreempt := pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() || pending.guaranteed
-	preempting := ""
+	preemptionTarget := ""
 	for _, label := range c.ownership.eligible {
 		peer := c.gossip.peers[label]
 		if label == c.settings.Label || slices.Contains(tried, label) || peer == nil || !peer.isHeard(c.now) || c.shards.table.OwnedCount(label) == 0 {
@@ -139,10 +139,10 @@
 			return label
 		}
 		if mayPreempt && !offeredOnly {
-			preempting = label
+			preemptionTarget = label
 		}
 	}
-	return preempting
+	return preemptionTarget
 }
 
 // offersCapacity reports whether a peer offers capacity for a task of a job.
@@ -192,11 +192,11 @@
 		if slices.Contains(forwarded.Tried, forwarded.To) { // the job returns to its team's owner
 			delete(c.forwarding.forwarded, forwarded.Job)
 			if job != nil && forwarded.To == c.settings.Label {
-				c.jobReturned(job)
+				c.handleReturnedJob(job)
 			}
 			continue
 		}
-		c.forwarding.forward(forwarded.Job, forwarded.To, forwarded.Tried, c.now)
+		c.forwarding.noteForwarded(forwarded.Job, forwarded.To, forwarded.Tried, c.now)
 		if forwarded.To == c.settings.Label {
 			c.scheduler.dirty = true
 			c.scheduler.criticalDirty = c.scheduler.criticalDirty || job != nil && job.spec.Priority == wire.PriorityCritical
@@ -214,7 +214,7 @@
 		return
 	}
 	c.forwarding.nextCapacityOffer = c.now.Add(capacityOfferInterval)
-	c.forwarding.expire(c.now)
+	c.forwarding.dropExpired(c.now)
 	offers := c.capacityOffers()
 	message.Capacity = &offers
 }
@@ -245,9 +245,9 @@
 		}
 	}
 	offers := make([]wire.CapacityOffer, 0, len(kinds))
-	for _, k := range kinds {
-		free := mostFree[k]
-		offers = append(offers, wire.CapacityOffer{Type: k.machineType, Zone: k.zone, Spot: k.spot, Cores: free.Cores, Accelerators: free.Accelerators, MemGB: free.MemGB})
+	for _, kind := range kinds {
+		free := mostFree[kind]
+		offers = append(offers, wire.CapacityOffer{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Cores: free.Cores, Accelerators: free.Accelerators, MemGB: free.MemGB})
 	}
 	return offers
 }
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -52,7 +52,7 @@
 }
 
 func newTestJob(c *Controller, id wire.JobID) *job {
-	job := c.newJob(id)
+	job := c.addJob(id)
 	job.spec = wire.JobSpec{ID: id, Team: "desk", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 8, Cores: 1}
 	job.request = placement.NewRequest(&job.spec)
 	return job
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -33,8 +33,8 @@
 	unreadable bool
 }
 
-// newJob adds an empty job to the cache and returns it.
-func (c *Controller) newJob(id wire.JobID) *job {
+// addJob adds an empty job to the cache and returns it.
+func (c *Controller) addJob(id wire.JobID) *job {
 	added := &job{id: id, firstSeen: c.now}
 	added.crashLoop = newCrashLoopBackoff()
 	c.cache.jobs[id] = added
@@ -88,7 +88,7 @@
 func (c *Controller) applyOpenJob(id wire.JobID, stored *record.Job, version wire.Revision) {
 	cached := c.cache.jobs[id]
 	if cached == nil {
-		cached = c.newJob(id)
+		cached = c.addJob(id)
 		// While all keys are being loaded, a page may be applied before the jobs of its tasks.
 		for _, page := range c.cache.team(stored.Spec.Team).pages {
 			cached.completed = cached.completed.With(page.completed[id])
@@ -107,7 +107,7 @@
 	delete(c.cache.completedJobs, id)
 	cached := c.cache.jobs[id]
 	if cached == nil {
-		cached = c.newJob(id)
+		cached = c.addJob(id)
 		cached.spec = wire.JobSpec{ID: id, Tasks: wire.MaxTasks}
 		cached.request = placement.NewRequest(&cached.spec)
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -35,8 +35,8 @@
 	c.emit(Reply{Request: request, Status: status, Body: wire.ErrorResponse{Error: reason}, RetryAfter: retryAfter})
 }
 
-// unavailable refuses a request that cannot be decided now.
-func (c *Controller) unavailable(request RequestID, reason string) {
+// refuseUnavailable refuses a request that cannot be decided now.
+func (c *Controller) refuseUnavailable(request RequestID, reason string) {
 	c.refuse(request, http.StatusServiceUnavailable, reason, retryDelay)
 }
 
@@ -44,7 +44,7 @@
 func (c *Controller) ensureServing(request RequestID) bool {
 	switch {
 	case !c.membership.ready || !c.cache.complete():
-		c.unavailable(request, reasonStarting)
+		c.refuseUnavailable(request, reasonStarting)
 	case !c.storeReachable():
 		c.refuse(request, http.StatusServiceUnavailable, reasonStoreUnavailable, longRetryDelay)
 	default:
@@ -57,12 +57,12 @@
 // cannot be established, it refuses the request instead.
 func (c *Controller) afterBarrier(request RequestID, then func()) {
 	if !c.storeReachable() {
-		c.unavailable(request, reasonStoreUnavailable)
+		c.refuseUnavailable(request, reasonStoreUnavailable)
 		return
 	}
 	c.readBarrier(func(ok bool) {
 		if !ok {
-			c.unavailable(request, reasonStoreUnavailable)
+			c.refuseUnavailable(request, reasonStoreUnavailable)
 			return
 		}
 		then()
@@ -87,7 +87,7 @@
 	}
 	c.readBarrier(func(ok bool) {
 		if !ok {
-			c.unavailable(request, reasonStoreUnavailable)
+			c.refuseUnavailable(request, reasonStoreUnavailable)
 			return
 		}
 		if completion, ok := c.cache.completion(id); ok {
@@ -99,9 +99,9 @@
 		case job == nil:
 			c.lookUpArchivedJob(request, id, then)
 		case job.unreadable:
-			c.unavailable(request, "the job's record cannot be read")
+			c.refuseUnavailable(request, "the job's record cannot be read")
 		default:
-			then(c.status(job), true)
+			then(c.openJobStatus(job), true)
 		}
 	})
 }
@@ -110,20 +110,20 @@
 // job's archived completion from the state store.
 func (c *Controller) lookUpArchivedJob(request RequestID, id wire.JobID, then func(status wire.JobStatus, found bool)) {
 	key := record.CompletionKey(id)
-	c.emit(GetKey{call(c, func(result GetResult) {
+	c.emit(GetKey{registerCall(c, func(result GetResult) {
 		switch result.Outcome {
 		case Succeeded:
 			c.apply(key, result.Value, result.Version)
 			if completion, ok := c.cache.completion(id); ok {
 				then(completionStatus(id, completion), true)
 			} else {
-				c.unavailable(request, "record not understood")
+				c.refuseUnavailable(request, "record not understood")
 			}
 		case NotFound:
 			c.noteStoreResponse()
 			then(wire.JobStatus{}, false)
 		default:
-			c.unavailable(request, reasonStoreUnavailable)
+			c.refuseUnavailable(request, reasonStoreUnavailable)
 		}
 	}), key})
 }
@@ -140,8 +140,8 @@
 	})
 }
 
-// status returns the status of a job that is not completed.
-func (c *Controller) status(job *job) wire.JobStatus {
+// openJobStatus returns the status of a job that is not completed.
+func (c *Controller) openJobStatus(job *job) wire.JobStatus {
 	status := wire.JobStatus{ID: job.id, Status: wire.StatusPending, Done: job.completed.Len()}
 	for _, allocation := range c.cache.allocationsByJob[job.id] {
 		if machine := c.fleet.machines[allocation.Machine]; machine != nil {
@@ -172,7 +172,7 @@
 		case status.Status.IsTerminal():
 			c.reply(request, http.StatusOK, status)
 		case job == nil:
-			c.unavailable(request, reasonStateChanged)
+			c.refuseUnavailable(request, reasonStateChanged)
 		default:
 			c.commitCancellation(request, job, record.Completion{Status: wire.StatusCancelled, Done: status.Done})
 		}
@@ -196,11 +196,11 @@
 				if found && status.Status.IsTerminal() {
 					c.reply(request, http.StatusOK, status)
 				} else {
-					c.unavailable(request, reasonStateChanged)
+					c.refuseUnavailable(request, reasonStateChanged)
 				}
 			})
 		default:
-			c.unavailable(request, reasonStoreUnavailable)
+			c.refuseUnavailable(request, reasonStoreUnavailable)
 		}
 	})
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -18,9 +18,9 @@
 	c.membership.leaseCallInFlight = true
 	c.membership.nextRenewal = c.now.Add(leaseRenewalInterval)
 	if c.membership.leaseID == 0 {
-		c.emit(GrantLease{call(c, c.handleLeaseResult), membershipLeaseTTL})
+		c.emit(GrantLease{registerCall(c, c.handleLeaseResult), membershipLeaseTTL})
 	} else {
-		c.emit(RenewLease{call(c, c.handleLeaseResult), c.membership.leaseID})
+		c.emit(RenewLease{registerCall(c, c.handleLeaseResult), c.membership.leaseID})
 	}
 }
 
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -67,7 +67,7 @@
 		return
 	}
 	c.membership.ready, c.membership.readyAt = true, c.now
-	c.rolloutEvent(RolloutReady)
+	c.emitRolloutEvent(RolloutReady)
 	c.log.Info("ready", "incarnation", c.membership.incarnation, "revision", c.cache.revision, "jobs", len(c.cache.jobs))
 }
 
@@ -113,7 +113,7 @@
 		if c.membership.incarnation == 0 {
 			c.membership.incarnation = incarnation
 			c.shards.table.SetIncarnation(incarnation)
-			c.rolloutEvent(RolloutRegistered)
+			c.emitRolloutEvent(RolloutRegistered)
 		}
 		c.membership.livenessRecorded = c.membership.leaseID == leaseID
 	case Conflict:
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -112,7 +112,7 @@
 func (txn *placementTransaction) copyPage(current *page) *page {
 	return &page{key: current.key, team: current.team, zone: current.zone, number: current.number,
 		version: current.version, size: current.size,
-		allocations: slices.Clone(current.allocations), completed: txn.cache.uncompletedOnly(current.completed)}
+		allocations: slices.Clone(current.allocations), completed: txn.cache.withoutCompletedJobs(current.completed)}
 }
 
 // hasCapacityFor reports whether the transaction can take the given number of further writes. The
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -137,7 +137,7 @@
 // readCatalogue reads the machine types that the cloud offers.
 func (c *Controller) readCatalogue() {
 	c.provisioner.catalogueReadInFlight = true
-	c.emit(ReadCatalogue{call(c, func(result CatalogueResult) {
+	c.emit(ReadCatalogue{registerCall(c, func(result CatalogueResult) {
 		c.provisioner.catalogueReadInFlight = false
 		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
 		if result.Outcome != Succeeded {
@@ -206,7 +206,7 @@
 func (c *Controller) listMachines() {
 	c.provisioner.listInFlight = true
 	c.provisioner.nextList = c.now.Add(listInterval)
-	c.emit(ListMachines{call(c, func(result MachinesResult) {
+	c.emit(ListMachines{registerCall(c, func(result MachinesResult) {
 		c.provisioner.listInFlight = false
 		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
 		if result.Outcome != Succeeded {
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -59,7 +59,7 @@
 	}
 	c.cache.barrier.begin(c.now.Add(c.callInterval(0, barrierRateFraction)))
 	after := c.cache.revision
-	c.emit(Watch{Call: call(c, func(result WatchResult) {
+	c.emit(Watch{Call: registerCall(c, func(result WatchResult) {
 		// A reload during the request may have set the cache back to an earlier revision. The
 		// response would then leave a gap.
 		ok := after <= c.cache.revision && c.applyWatchResult(result)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -24,11 +24,11 @@
 const activationInterval = time.Second
 
 func (s *rolloutState) init(settings *config.Settings) {
-	var siblings []string
-	for _, sibling := range settings.Siblings {
-		siblings = append(siblings, sibling.Label)
+	var peers []string
+	for _, peer := range settings.Siblings {
+		peers = append(peers, peer.Label)
 	}
-	s.tracker = rollout.New(settings.Label, siblings, settings.Features.Rollout.Formats(), release.Version)
+	s.tracker = rollout.New(settings.Label, peers, settings.Features.Rollout.Formats(), release.Version)
 }
 
 // applyRollout applies the rollout record, which names the format in force. It is applied before any
@@ -44,12 +44,12 @@
 	}
 	if format := c.rollout.tracker.Format(); format != before {
 		c.log.Info("format in force", "format", format, "previous_format", before, "revision", version)
-		c.rolloutEvent(RolloutInForce)
+		c.emitRolloutEvent(RolloutInForce)
 	}
 }
 
-// rolloutEvent emits a rollout event of this process.
-func (c *Controller) rolloutEvent(kind RolloutEventKind) {
+// emitRolloutEvent emits a rollout event of this process.
+func (c *Controller) emitRolloutEvent(kind RolloutEventKind) {
 	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
 
@@ -63,7 +63,7 @@
 		}
 	}
 	c.outputs = append(refused, Shutdown{c.rollout.shutdownCause})
-	c.rolloutEvent(RolloutRetired)
+	c.emitRolloutEvent(RolloutRetired)
 }
 
 // refuseWhileShuttingDown refuses requests to a process that is about to end.
@@ -104,14 +104,14 @@
 	c.commit(PriorityBackground, txn, func(result CommitResult) {
 		c.readBarrier(func(bool) { c.rollout.activating = false })
 		if result.Outcome == Succeeded {
-			c.rolloutEvent(RolloutActivated)
+			c.emitRolloutEvent(RolloutActivated)
 			c.log.Info("format activated", "format", next)
 		}
 	})
 }
 
-// viewRollout replies to a request with the rollout as of now or later.
-func (c *Controller) viewRollout(request RequestID) {
+// replyWithRollout replies to a request with the rollout as of now or later.
+func (c *Controller) replyWithRollout(request RequestID) {
 	c.afterBarrier(request, func() { c.reply(request, http.StatusOK, c.rollout.tracker.View()) })
 }
 
@@ -120,12 +120,12 @@
 	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.carryOut(operatorChange{
+	c.commitOperatorChange(operatorChange{
 		request:     in.Request,
 		subject:     "rollout",
 		transaction: func() (wire.Transaction, error) { return c.rolloutTransaction(in.Change) },
-		done: func() {
-			c.rolloutEvent(RolloutChanged)
+		onCommitted: func() {
+			c.emitRolloutEvent(RolloutChanged)
 			c.log.Info("rollout changed by operator", "format", c.rollout.tracker.Format(), "activate", in.Change.Activate != nil,
 				"exclude", in.Change.Exclude, "reason", in.Change.Reason, "include", in.Change.Include)
 			c.reply(in.Request, http.StatusOK, c.rollout.tracker.View())
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -182,7 +182,7 @@
 // request name.
 func (c *Controller) requestMachines(request wire.ProvisionRequest, tries int) {
 	c.provisioner.provisionCallsInFlight++
-	c.emit(ProvisionMachines{call(c, func(result ProvisionResult) {
+	c.emit(ProvisionMachines{registerCall(c, func(result ProvisionResult) {
 		c.provisioner.provisionCallsInFlight--
 		key := capacity.OfferKey{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 		switch {
--- a/internal/controller/shard_acquisition.go
+++ b/internal/controller/shard_acquisition.go
@@ -8,13 +8,13 @@
 	"lilacrill/wire"
 )
 
-// acquireShards returns the action that acquires shards for a job whose tasks must start at once and
+// planAcquisition returns the action that acquires shards for a job whose tasks must start at once and
 // that no controller can place alone. The machines of these shards, together with those of this
 // controller's shards, have capacity for the job. It reports whether there is such an action.
-func (c *Controller) acquireShards() (shard.Action, bool) {
+func (c *Controller) planAcquisition() (shard.Action, bool) {
 	job := c.cache.jobs[c.shards.acquireFor]
 	c.shards.acquireFor = ""
-	if job == nil || c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
+	if job == nil || c.shards.lastAcquiredAt != 0 && c.now.Sub(c.shards.lastAcquiredAt) < acquireInterval || len(c.provisioner.catalogue) == 0 {
 		return shard.Action{}, false
 	}
 	ids := c.shardsForJob(job)
@@ -23,7 +23,7 @@
 	}
 	action, due := c.shards.planner.Acquire(ids, c.wall)
 	if due {
-		c.shards.acquiredAt = c.now
+		c.shards.lastAcquiredAt = c.now
 		c.log.Debug("acquiring shards", "job_id", job.id, "shards", action.Shards)
 	}
 	return action, due
@@ -50,15 +50,15 @@
 	}
 	slices.SortStableFunc(best.hosts, func(a, b hostCapacity) int { return b.available - a.available })
 	shardOf := func(capacity hostCapacity) wire.ShardID { return c.fleet.machines[capacity.host.ID].shard }
-	room := 0
+	total := 0
 	for _, capacity := range best.hosts {
 		if c.shards.table.MaySchedule(shardOf(capacity)) {
-			room += capacity.withPreemption
+			total += capacity.withPreemption
 		}
 	}
 	var ids []wire.ShardID
 	for _, capacity := range best.hosts {
-		if room >= job.spec.Tasks {
+		if total >= job.spec.Tasks {
 			break
 		}
 		id := shardOf(capacity)
@@ -68,7 +68,7 @@
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
-		room += capacity.withPreemption
+		total += capacity.withPreemption
 	}
 	return ids
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -15,15 +15,15 @@
 // shardState holds what this controller knows of the shards of the machines, and the state of its
 // own changes of their ownership (docs/shards.md).
 type shardState struct {
-	table      *shard.Table
-	planner    *shard.Planner
-	writing    bool // a shard action is in flight
-	nextReview Time
-	// acquireFor is a job that needs the capacity of several controllers at once, or "". acquiredAt
-	// is the time at which shards were last acquired.
-	acquireFor wire.JobID
-	acquiredAt Time
-	redirects  *rate.Limiter
+	table          *shard.Table
+	planner        *shard.Planner
+	actionInFlight bool // until the action succeeds or, after a failure, the records are read again
+	nextReview     Time
+	// acquireFor is a job that needs the capacity of several controllers at once, or "".
+	// lastAcquiredAt is the time at which shards were last acquired.
+	acquireFor      wire.JobID
+	lastAcquiredAt  Time
+	redirectLimiter *rate.Limiter
 	// nextFleetEstimate is the time at which the provisioner next estimates the demand on the whole
 	// fleet.
 	nextFleetEstimate Time
@@ -54,7 +54,7 @@
 func (s *shardState) init(settings *config.Settings) {
 	s.table = shard.New(settings.Label)
 	s.planner = shard.NewPlanner(s.table, min(maxShardsPerTransaction, settings.Cluster.State.TxnOps-1))
-	s.redirects = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
+	s.redirectLimiter = rate.NewLimiter(redirectsPerSecond, redirectsPerSecond)
 }
 
 // maxConditions returns the maximum number of conditions of a transaction.
@@ -83,8 +83,8 @@
 
 // hasPlacementIn reports whether a transaction in flight places tasks in a shard.
 func (c *Controller) hasPlacementIn(id wire.ShardID) bool {
-	for _, t := range c.cache.teams {
-		if t.schedule.inFlight != nil && t.schedule.inFlight.shards[id] {
+	for _, team := range c.cache.teams {
+		if team.schedule.inFlight != nil && team.schedule.inFlight.shards[id] {
 			return true
 		}
 	}
@@ -95,12 +95,12 @@
 // Switching sharding on or off comes first, then an acquisition for a job, then the planner's next
 // action.
 func (c *Controller) tickShards() {
-	if c.shards.writing || !c.isDue(c.shards.nextReview) || !c.cache.complete() || !c.storeReachable() || c.cache.stale {
+	if c.shards.actionInFlight || !c.isDue(c.shards.nextReview) || !c.cache.complete() || !c.storeReachable() || c.cache.stale {
 		return
 	}
 	c.shards.nextReview = c.now.Add(shardReviewInterval)
 	if c.isProvisioner() {
-		if action, due := c.shardingSwitch(); due {
+		if action, due := c.planShardingSwitch(); due {
 			c.commitShardAction(action)
 			return
 		}
@@ -108,11 +108,11 @@
 	if !c.sharded() {
 		return
 	}
-	if action, due := c.acquireShards(); due {
+	if action, due := c.planAcquisition(); due {
 		c.commitShardAction(action)
 		return
 	}
-	hold := c.shards.acquiredAt != 0 && c.now.Sub(c.shards.acquiredAt) < acquiredHoldPeriod
+	hold := c.shards.lastAcquiredAt != 0 && c.now.Sub(c.shards.lastAcquiredAt) < acquiredHoldPeriod
 	action, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
 	// All actions but failovers wait while the write budget is overdrawn. Otherwise, after operators
 	// moved all shards at once, the budget would stay overdrawn and block placements for a minute
@@ -122,11 +122,11 @@
 	}
 }
 
-// shardingSwitch returns the action that switches sharding on or off, and whether it is due. The
+// planShardingSwitch returns the action that switches sharding on or off, and whether it is due. The
 // action rewrites the terminations record unchanged. All transactions that place tasks have a
 // condition on that record, so no placement of any controller that is in flight during the switch
 // can be committed after it (TestInvariantsHoldWithShards).
-func (c *Controller) shardingSwitch() (shard.Action, bool) {
+func (c *Controller) planShardingSwitch() (shard.Action, bool) {
 	action, due := c.shards.table.SwitchPolicy()
 	if !due || c.provisioner.recordingTerminations {
 		return shard.Action{}, false
@@ -139,18 +139,18 @@
 // commitShardAction commits a shard action. Unless it succeeds, changes of the records are read
 // before the next action.
 func (c *Controller) commitShardAction(action shard.Action) {
-	c.shards.writing = true
-	class := PriorityBackground
+	c.shards.actionInFlight = true
+	priority := PriorityBackground
 	if action.Kind == shard.Failover || action.Kind == shard.Adopt {
-		class = PriorityUrgent // until then, no controller places tasks in the shard
+		priority = PriorityUrgent // no controller places tasks in these shards until the action is committed
 	}
-	c.commit(class, action.Txn, func(result CommitResult) {
+	c.commit(priority, action.Txn, func(result CommitResult) {
 		if result.Outcome != Succeeded {
 			c.metrics.count(countShardConflicts, 1)
-			c.readBarrier(func(bool) { c.shards.writing = false })
+			c.readBarrier(func(bool) { c.shards.actionInFlight = false })
 			return
 		}
-		c.shards.writing = false
+		c.shards.actionInFlight = false
 		c.metrics.count(countShardActions+string(action.Kind), max(1, len(action.Shards)))
 		c.log.Info("shards changed", "action", action.Kind, "shards", action.Shards, "reason", action.Reason)
 	})
@@ -178,7 +178,7 @@
 		return false
 	}
 	owner := c.shards.table.Owner(machine.shard)
-	if !c.mayRedirectTo(owner, machine) || !c.shards.redirects.AllowN(time.Unix(0, int64(c.now)), 1) {
+	if !c.mayRedirectTo(owner, machine) || !c.shards.redirectLimiter.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return false
 	}
 	machine.liveness.redirectedToOwnerAt = c.now
@@ -193,21 +193,21 @@
 // and the worker must not have been redirected recently.
 func (c *Controller) mayRedirectTo(owner record.ShardOwner, machine *machine) bool {
 	peer := c.gossip.peers[owner.Label]
-	ownerIsWell := c.shards.table.Alive(owner) && !c.cache.isolatedControllers[owner.Label] &&
+	ownerHealthy := c.shards.table.Alive(owner) && !c.cache.isolatedControllers[owner.Label] &&
 		peer != nil && peer.storeReachable && c.now.Sub(peer.lastHeardAt) <= 2*peerHeartbeatInterval
-	renewedLately := c.now.Sub(machine.liveness.lastDirectAt) <= config.Seconds(2*c.settings.Cluster.Workers.ReportS)
-	redirectedLately := machine.liveness.redirectedToOwnerAt != 0 && c.now.Sub(machine.liveness.redirectedToOwnerAt) < redirectCooldown
-	return owner.Label != c.settings.Label && ownerIsWell && renewedLately && !redirectedLately
+	renewedRecently := c.now.Sub(machine.liveness.lastDirectAt) <= config.Seconds(2*c.settings.Cluster.Workers.ReportS)
+	redirectedRecently := machine.liveness.redirectedToOwnerAt != 0 && c.now.Sub(machine.liveness.redirectedToOwnerAt) < redirectCooldown
+	return owner.Label != c.settings.Label && ownerHealthy && renewedRecently && !redirectedRecently
 }
 
-// viewShards replies to a request with the shards as of now or later.
-func (c *Controller) viewShards(r RequestID) {
-	c.afterBarrier(r, func() { c.reply(r, http.StatusOK, c.shardsView()) })
+// replyWithShards replies to a request with the shards as of now or later.
+func (c *Controller) replyWithShards(request RequestID) {
+	c.afterBarrier(request, func() { c.reply(request, http.StatusOK, c.viewShards()) })
 }
 
-// shardsView returns the shards, each with the number of its machines and the cores that tasks use on
+// viewShards returns the shards, each with the number of its machines and the cores that tasks use on
 // them.
-func (c *Controller) shardsView() wire.AdminShards {
+func (c *Controller) viewShards() wire.AdminShards {
 	view := c.shards.table.View(c.wall)
 	for _, machine := range c.orderedMachines() { // the rounding of a floating-point sum depends on the order
 		if machine.isTerminated() || int(machine.shard) >= len(view.Shards) {
@@ -227,14 +227,14 @@
 	if !c.ensureServing(in.Request) {
 		return
 	}
-	c.carryOut(operatorChange{
+	c.commitOperatorChange(operatorChange{
 		request:     in.Request,
 		subject:     "shares",
 		transaction: func() (wire.Transaction, error) { return c.shardTransaction(in.Change) },
-		done: func() {
+		onCommitted: func() {
 			c.log.Info("shards changed by operator", "move", in.Change.Move, "to", in.Change.To, "drain", in.Change.Drain,
 				"reason", in.Change.Reason, "end_drain", in.Change.EndDrain)
-			c.reply(in.Request, http.StatusOK, c.shardsView())
+			c.reply(in.Request, http.StatusOK, c.viewShards())
 		},
 	})
 }
--- a/internal/controller/sums_test.go
+++ b/internal/controller/sums_test.go
@@ -31,7 +31,7 @@
 		machine.machineType, machine.zone, machine.latestHeartbeat = "c4", "east", &wire.Heartbeat{}
 		require.True(t, c.acceptsTasks(machine))
 		for i := range 8 {
-			service := c.newJob(wire.JobID(fmt.Sprintf("wk-%06d", 100+i)))
+			service := c.addJob(wire.JobID(fmt.Sprintf("wk-%06d", 100+i)))
 			service.spec = wire.JobSpec{Shape: wire.ShapeService, Tasks: 1, Cores: float64(i+1) / 10}
 			service.request = placement.NewRequest(&service.spec)
 		}
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -155,7 +155,7 @@
 // machine once the cloud has confirmed the termination.
 func (c *Controller) callTerminate(ids []wire.MachineID, terminated func(*machine)) {
 	c.provisioner.terminateCallInFlight = true
-	c.emit(TerminateMachines{call(c, func(result TerminateResult) {
+	c.emit(TerminateMachines{registerCall(c, func(result TerminateResult) {
 		c.provisioner.terminateCallInFlight = false
 		c.metrics.countFailure(result.Outcome, countCloudRefused, countCloudUnanswered)
 		if result.Outcome != Succeeded {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -52,7 +52,7 @@
 // reloadCache reads all keys. This is needed at the start, and when the state store has compacted
 // the changes that the cache is missing.
 func (c *Controller) reloadCache() {
-	c.emit(LoadKeys{call(c, c.applyLoadResult), record.LoadPrefixes})
+	c.emit(LoadKeys{registerCall(c, c.applyLoadResult), record.LoadPrefixes})
 }
 
 // applyLoadResult replaces the content of the cache by the keys that were read. They are read page
@@ -103,7 +103,7 @@
 	if c.cache.behind() {
 		block = 0
 	}
-	c.emit(Watch{Call: call(c, c.handleWatchResult), Priority: PriorityUrgent,
+	c.emit(Watch{Call: registerCall(c, c.handleWatchResult), Priority: PriorityUrgent,
 		Prefix: record.RootKey, After: c.cache.revision, Block: block})
 }
 
