--- a/internal/controller/shard_acquisition.go
+++ b/internal/controller/shard_acquisition.go
@@ -8,8 +8,8 @@
 	"lilacrill/wire"
 )
 
-// planAcquisition returns the action that acquires shards for a job whose tasks must start at once and
-// that no controller can place alone. The machines of these shards, together with those of this
+// planAcquisition returns the action that acquires shards for a job whose tasks must start at once
+// and that no controller can place alone. The machines of these shards, together with those of this
 // controller's shards, have capacity for the job. It reports whether there is such an action.
 func (c *Controller) planAcquisition() (shard.Action, bool) {
 	job := c.cache.jobs[c.shards.acquireFor]
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -17,7 +17,7 @@
 type shardState struct {
 	table          *shard.Table
 	planner        *shard.Planner
-	actionInFlight bool // until the action succeeds or, after a failure, the records are read again
+	actionInFlight bool // until the action succeeds or, after a failure, the cache is up to date again
 	nextReview     Time
 	// acquireFor is a job that needs the capacity of several controllers at once, or "".
 	// lastAcquiredAt is the time at which shards were last acquired.
@@ -41,8 +41,8 @@
 	// redirectsPerSecond is the maximum rate at which workers are redirected to the owners of their
 	// shards.
 	redirectsPerSecond = 20
-	// redirectCooldown is the time after a redirect during which the worker is not redirected again
-	// if it returns.
+	// redirectCooldown is the time after a redirect during which the worker is not redirected again,
+	// even if it returns to this controller.
 	redirectCooldown = time.Minute
 	// acquiredHoldPeriod is the time after an acquisition during which this controller moves no
 	// shards away for balance.
@@ -136,8 +136,8 @@
 	return action, len(action.Txn.If) <= c.maxConditions()
 }
 
-// commitShardAction commits a shard action. Unless it succeeds, changes of the records are read
-// before the next action.
+// commitShardAction commits a shard action. If that fails or its outcome is unknown, a read barrier
+// brings the cache up to date before the next action.
 func (c *Controller) commitShardAction(action shard.Action) {
 	c.shards.actionInFlight = true
 	priority := PriorityBackground
@@ -205,8 +205,8 @@
 	c.afterBarrier(request, func() { c.reply(request, http.StatusOK, c.viewShards()) })
 }
 
-// viewShards returns the shards, each with the number of its machines and the cores that tasks use on
-// them.
+// viewShards returns the shards, each with the number of its machines and the cores that tasks use
+// on them.
 func (c *Controller) viewShards() wire.AdminShards {
 	view := c.shards.table.View(c.wall)
 	for _, machine := range c.orderedMachines() { // the rounding of a floating-point sum depends on the order
