--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -151,12 +151,12 @@
 	if team == nil {
 		return errUnknownTeam
 	}
-	simultaneous := float64(spec.Tasks) // tasks that must run at the same time
+	simultaneousTasks := float64(spec.Tasks) // tasks that must run at the same time
 	if spec.Shape == wire.ShapeArray {
-		simultaneous = 1
+		simultaneousTasks = 1
 	}
 	cpus, gpus := team.Limits()
-	if simultaneous*spec.Cores > cpus+limitTolerance || simultaneous*spec.Accelerators > gpus+limitTolerance {
+	if simultaneousTasks*spec.Cores > cpus+limitTolerance || simultaneousTasks*spec.Accelerators > gpus+limitTolerance {
 		return errAboveTeamLimit
 	}
 	spreads := spec.SpreadZones && spec.Tasks > 1 && spec.Shape != wire.ShapeArray
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -11,15 +11,15 @@
 	"lilacrill/wire"
 )
 
-// TestRefusedUsersAreSpread: submissions that cannot be taken are refused in the same step, and
+// TestRetryDelaysAreStaggered: submissions that cannot be accepted are refused in the same step, and
 // users are advised to retry one after the other, not all at once.
-func TestRefusedUsersAreSpread(t *testing.T) {
+func TestRetryDelaysAreStaggered(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		Teams: []config.Team{{Name: "guest"}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
 	c := newTestController(settings)
 	c.provisioner.catalogue = []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 16, Zones: []string{"east"}}}
 	c.membership.ready, c.cache.loadState = true, cacheLoaded
-	taken, last := 0, time.Duration(0)
+	accepted, lastDelay := 0, time.Duration(0)
 	for i := range 1000 {
 		spec := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", i)), Team: "guest", Shape: wire.ShapeArray,
 			Priority: wire.PriorityBestEffort, Tasks: 1, Cores: 1, MemGB: 1, Image: "img"}
@@ -28,17 +28,17 @@
 		require.Len(t, c.outputs, 1)
 		reply, refused := c.outputs[0].(Reply)
 		if !refused {
-			taken++
+			accepted++
 			continue
 		}
 		require.Equal(t, 503, reply.Status)
 		require.LessOrEqual(t, reply.RetryAfter, maxRetryDelay)
-		if taken+100 > i {
-			require.Greater(t, reply.RetryAfter, last, "a time of its own")
-			last = reply.RetryAfter
+		if accepted+100 > i {
+			require.Greater(t, reply.RetryAfter, lastDelay, "a time of its own")
+			lastDelay = reply.RetryAfter
 		}
 	}
-	require.InDelta(t, 34, taken, 2, "0.8 s worth of writes")
+	require.InDelta(t, 34, accepted, 2, "0.8 s worth of writes")
 }
 
 // TestInfeasibleJobsAreRefusedWithReason pins down which jobs can never run, and the reason
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -82,7 +82,7 @@
 	if completed <= maxCompletedInPlace || c.archive.inFlight || !c.isDue(c.archive.next) || !c.canAffordWrite() {
 		return false
 	}
-	return !c.submissionsCrowded() || completed > 2*maxCompletedInPlace
+	return !c.submissionsBacklogged() || completed > 2*maxCompletedInPlace
 }
 
 // archiveCompletedJobs archives some of the oldest completions. Each controller archives only the
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -14,9 +14,9 @@
 	return l.allocation.Machine == id && l.allocation.Eviction == record.EvictionNone
 }
 
-// stageEviction marks tasks of an allocation to be stopped. If only some of its tasks are,
+// stageEviction marks tasks of an allocation to be evicted. If only some of its tasks are,
 // they become an allocation of their own; where its page has no room for that, all are
-// stopped.
+// evicted.
 func (c *Controller) stageEviction(txn *placementTransaction, located locatedAllocation, tasks record.TaskSet, eviction record.Eviction) {
 	if c.cache.unreadable[located.page.key] != nil {
 		return
@@ -28,14 +28,14 @@
 		if !sameAllocation(candidate, &target) || candidate.Eviction >= eviction {
 			continue
 		}
-		stopped := candidate.Tasks.Intersect(tasks)
-		if stopped.Empty() {
+		evicted := candidate.Tasks.Intersect(tasks)
+		if evicted.Empty() {
 			continue
 		}
 		txn.notifyMachines[target.Machine] = true
-		remaining := candidate.Tasks.Without(stopped)
+		remaining := candidate.Tasks.Without(evicted)
 		split := *candidate
-		split.Tasks = stopped
+		split.Tasks = evicted
 		if staged.size+split.encodedSizeAfter(nil) > c.pageLimit() {
 			remaining = record.TaskSet{}
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-// stageJobEviction marks all of a job's tasks to be stopped.
+// stageJobEviction marks all of a job's tasks to be evicted.
 func (c *Controller) stageJobEviction(txn *placementTransaction, id wire.JobID, eviction record.Eviction) {
 	for _, located := range c.jobAllocations(txn, id) {
 		if located.allocation.Eviction < eviction {
@@ -62,7 +62,7 @@
 }
 
 // evictFromPreemptedMachines stops tasks on machines that the cloud is about to take, as late
-// as they can still save a checkpoint. Replicas of services are stopped at once.
+// as they can still save a checkpoint. Replicas of services are evicted at once.
 func (c *Controller) evictFromPreemptedMachines(transactions map[string]*placementTransaction) {
 	for _, machine := range c.orderedMachines() {
 		if machine.scaling.preemptionAt == 0 {
@@ -74,21 +74,21 @@
 				continue
 			}
 			txn := transactions[job.spec.Team]
-			if txn != nil && txn.hasCapacityFor(evictionOperations) && c.mustLeave(job, machine) {
+			if txn != nil && txn.hasCapacityFor(evictionOperations) && c.evictionDue(job, machine) {
 				c.evictJobFrom(txn, job, machine.id)
 			}
 		}
 	}
 }
 
-// mustLeave reports whether it is time for a job's tasks to leave a machine that the cloud is
+// evictionDue reports whether it is time for a job's tasks to leave a machine that the cloud is
 // about to take. Tasks that neither save checkpoints nor serve run on until then.
-func (c *Controller) mustLeave(job *job, machine *machine) bool {
+func (c *Controller) evictionDue(job *job, machine *machine) bool {
 	if job.spec.Shape == wire.ShapeService {
 		return true
 	}
-	left := machine.scaling.preemptionAt.Sub(c.now).Seconds()
-	return job.spec.CheckpointIntervalS > 0 && left < job.spec.CheckpointSaveS+2*checkpointMarginS
+	secondsLeft := machine.scaling.preemptionAt.Sub(c.now).Seconds()
+	return job.spec.CheckpointIntervalS > 0 && secondsLeft < job.spec.CheckpointSaveS+2*checkpointMarginS
 }
 
 // evictJobFrom has a job's tasks on a machine save and stop; all of a gang's, since it runs as
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -13,9 +13,9 @@
 // of a gang's remaining tasks.
 const gangEvictionOperations = 4
 
-// evictBrokenGangs evicts the remaining tasks of gangs that lost a task, so that each can
+// evictIncompleteGangs evicts the remaining tasks of gangs that lost a task, so that each can
 // start again as a whole.
-func (c *Controller) evictBrokenGangs(transactions map[string]*placementTransaction) {
+func (c *Controller) evictIncompleteGangs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
 		job := c.cache.jobs[id]
 		txn := transactions[job.spec.Team]
@@ -61,8 +61,8 @@
 // addPreemptable adds to the free resources of a host those of the tasks that may be evicted
 // there for a job.
 func (p *schedulingPass) addPreemptable(pending *pendingJob, host *placement.Host, free placement.Resources) placement.Resources {
-	lowerPriorities := ^uint8(0) << (pending.job.spec.Priority.Level() + 1)
-	if host.PreemptablePriorities&lowerPriorities == 0 && !(pending.guaranteed && host.HasUnguaranteedTasks) {
+	lowerPriorityMask := ^uint8(0) << (pending.job.spec.Priority.Level() + 1)
+	if host.PreemptablePriorities&lowerPriorityMask == 0 && !(pending.guaranteed && host.HasUnguaranteedTasks) {
 		return free
 	}
 	for _, allocation := range p.c.fleet.allocationsOn(host.ID) {
@@ -112,17 +112,17 @@
 	slices.SortFunc(zone.hosts, func(a, b hostCapacity) int {
 		return cmp.Or(-cmp.Compare(a.available, b.available), cmp.Compare(a.host.ID, b.host.ID))
 	})
-	left := count
+	remaining := count
 	for _, capacity := range zone.hosts {
-		for n := 0; n < capacity.withPreemption && left > 0; n++ {
+		for n := 0; n < capacity.withPreemption && remaining > 0; n++ {
 			if n >= capacity.available && (!preempts || !p.c.makeRoom(p.transactions, capacity.host, pending, false)) {
 				break
 			}
 			capacity.host.Free = capacity.host.Free.Plus(pending.job.request.Need, -1)
-			left--
+			remaining--
 		}
 	}
-	return left
+	return remaining
 }
 
 // countOffers counts the offers that a job can use in a zone ("" for any) and that the cloud
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -12,11 +12,11 @@
 	pass        *schedulingPass
 	pending     *pendingJob
 	transaction *placementTransaction
-	// stages says that allocations are staged in the transaction. Otherwise the pass only
+	// canStage says that allocations are staged in the transaction. Otherwise the pass only
 	// plans: the tasks take room on the hosts of its snapshot, and another controller, or a
 	// later pass, writes them.
-	stages  bool
-	attempt wire.Attempt // of all tasks that this pass places; 0 before the first
+	canStage bool
+	attempt  wire.Attempt // of all tasks that this pass places; 0 before the first
 }
 
 // placeJob places a pending job's missing tasks as far as its team's limit and the fleet have
@@ -54,7 +54,7 @@
 		pass:        p,
 		pending:     pending,
 		transaction: transaction,
-		stages: transaction != nil && (!transaction.criticalOnly || job.spec.Priority == wire.PriorityCritical) &&
+		canStage: transaction != nil && (!transaction.criticalOnly || job.spec.Priority == wire.PriorityCritical) &&
 			schedule.inFlight == nil && c.isDue(schedule.nextPlacement) && c.schedulesJob(job) && transaction.hasCapacityFor(0),
 	}
 }
@@ -80,7 +80,7 @@
 				!(avoidsExpensive && c.abovePriceLimit(c.fleet.machines[host.ID]))
 		}
 	}
-	if schedule := &c.cache.team(job.spec.Team).schedule; j.stages && schedule.lostPlacements > 0 {
+	if schedule := &c.cache.team(job.spec.Team).schedule; j.canStage && schedule.lostPlacements > 0 {
 		options.SampleSize, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
@@ -96,11 +96,11 @@
 		var tasks record.TaskSet
 		tasks, j.pending.missing = j.pending.missing.Take(min(left, c.maxTasksPerAllocation()))
 		left -= tasks.Len()
-		if j.stages {
+		if j.canStage {
 			j.stage(machine, tasks)
 		}
 	}
-	if assignment.Relaxed && j.stages {
+	if assignment.Relaxed && j.canStage {
 		c.metrics.count(countAffinityRelaxed, assignment.Count)
 		c.log.Debug("preferred rule relaxed", "job_id", job.id, "machine_id", machine.id)
 	}
@@ -116,7 +116,7 @@
 	}
 	allocation := j.newAllocation(machine, tasks)
 	if !j.transaction.hasCapacityFor(0) || !j.transaction.stageAllocation(machine.zone, allocation) {
-		j.stages = false
+		j.canStage = false
 		if job.spec.Shape == wire.ShapeGang {
 			j.transaction.unstageAttempt(j.attempt)
 		}
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// shareRanking sets the ranking of a search to that of an earlier search with the same key,
+// setSharedRanking sets the ranking of a search to that of an earlier search with the same key,
 // or makes it.
-func (p *schedulingPass) shareRanking(key searchKey, job *job, cachedImageOnly bool, options *placement.Options) {
+func (p *schedulingPass) setSharedRanking(key searchKey, job *job, cachedImageOnly bool, options *placement.Options) {
 	if !hasPlainConstraints(job) || options.SampleSize > 0 || options.AllOrNothing {
 		return
 	}
@@ -77,7 +77,7 @@
 	cachedOptions := options
 	cachedOptions.Usable = hasImage
 	cachedOptions.Relax = false
-	p.shareRanking(key, job, true, &cachedOptions)
+	p.setSharedRanking(key, job, true, &cachedOptions)
 	assignments = p.fleet.Choose(job.request, count, pending.zone, cachedOptions)
 	unplaced = count - p.noteAssignments(pending, assignments)
 	if unplaced == 0 || p.cachedImageOnly {
@@ -85,10 +85,10 @@
 	}
 	if job.spec.Priority.Level() <= wire.PriorityHigh.Level() && job.mayPreempt() && c.imagePullIsSlow(job) {
 		rules := slices.Concat(job.request.Enforced, job.request.Preferred)
-		unplaced = p.awaitFreeingCapacity(pending, rules, unplaced, hasImage)
+		unplaced = p.reserveOrPreempt(pending, rules, unplaced, hasImage)
 	}
 	options.JobHosts = p.jobHosts[job.id]
-	p.shareRanking(key, job, false, &options)
+	p.setSharedRanking(key, job, false, &options)
 	others := p.fleet.Choose(job.request, unplaced, pending.zone, options)
 	unplaced -= p.noteAssignments(pending, others)
 	if unplaced > 0 && options.SampleSize == 0 && options.Relax {
@@ -112,12 +112,12 @@
 	return count
 }
 
-// awaitFreeingCapacity reserves capacity that is being freed for tasks of a job, or evicts
+// reserveOrPreempt reserves capacity that is being freed for tasks of a job, or evicts
 // less urgent tasks to free some, and returns how many tasks still have no room.
 //
 // The rules have to be those of the placement itself. Where they were laxer, tasks would be
 // evicted pass after pass for room that is never taken.
-func (p *schedulingPass) awaitFreeingCapacity(pending *pendingJob, rules []placement.RuleTree, count int, usable func(*placement.Host) bool) int {
+func (p *schedulingPass) reserveOrPreempt(pending *pendingJob, rules []placement.RuleTree, count int, usable func(*placement.Host) bool) int {
 	job := pending.job
 	if pending.zone != "" {
 		rules = append(slices.Clip(rules), placement.InZone(pending.zone))
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -29,13 +29,13 @@
 		c.cache.jobs[id] = j
 		return j
 	}
-	broken := add("wk-000001", "desk", "parcel", 20, 20_000)
+	crashLooping := add("wk-000001", "desk", "parcel", 20, 20_000)
 	add("wk-000002", "guest", "sweep", 30_000, 30_000)
 	add("wk-000003", "guest", "parcel", 100, 39_000) // it cannot be complete by 99 s
 	add("wk-000004", "guest", "parcel", 100, 90_000)
 	add("wk-000005", "desk", "sweep", 20, 95_000)
 	for _, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
-		c.noteTaskFailure(broken, c.machine(id))
+		c.noteTaskFailure(crashLooping, c.machine(id))
 	}
 	var order []wire.JobID
 	pass := &schedulingPass{c: c, includeNonCritical: true}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -16,8 +16,8 @@
 	rules     []placement.RuleTree
 	pending   *pendingJob
 	usable    func(*placement.Host) bool
-	// ofGuaranteed says that work within its team's guarantee is stopped as well.
-	ofGuaranteed bool
+	// includeGuaranteed says that work within its team's guarantee is stopped as well.
+	includeGuaranteed bool
 }
 
 // preempt stops tasks to make room for a pending job and returns how many of its tasks still
@@ -26,7 +26,7 @@
 func (c *Controller) preempt(search *preemption, count int) int {
 	count = c.preemptOnHosts(search, count)
 	if count > 0 && search.pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
-		search.ofGuaranteed = true
+		search.includeGuaranteed = true
 		count = c.preemptOnHosts(search, count)
 	}
 	return count
@@ -38,7 +38,7 @@
 	job := search.pending.job
 	for _, host := range c.preemptionHosts(search) {
 		for count > 0 && search.evaluator.Holds(search.rules, job.spec.Team, host) &&
-			c.makeRoom(search.pass.transactions, host, search.pending, search.ofGuaranteed) {
+			c.makeRoom(search.pass.transactions, host, search.pending, search.includeGuaranteed) {
 			search.pass.reserveFreeingCapacity(search.evaluator, job, host, 1)
 			count--
 			c.metrics.count(countTasksPreempted, 1)
@@ -53,16 +53,16 @@
 func (c *Controller) preemptionHosts(search *preemption) []*placement.Host {
 	job := search.pending.job
 	need := job.request.Need
-	lowerPriorities := ^uint8(0) << (job.spec.Priority.Level() + 1)
+	lowerPriorityMask := ^uint8(0) << (job.spec.Priority.Level() + 1)
 	var hosts []*placement.Host
 	for _, host := range search.pass.fleet {
-		hasPreemptable := host.PreemptablePriorities&lowerPriorities != 0 || search.pending.guaranteed && host.HasUnguaranteedTasks
+		hasPreemptable := host.PreemptablePriorities&lowerPriorityMask != 0 || search.pending.guaranteed && host.HasUnguaranteedTasks
 		if host.Unschedulable || !hasPreemptable || !host.Total.Covers(need) {
 			continue
 		}
 		room := host.Free.Plus(host.Freeing, 1)
 		for _, allocation := range c.fleet.allocationsOn(host.ID) {
-			if c.preemptable(search.pass.transactions, allocation, search.pending, search.ofGuaranteed) {
+			if c.preemptable(search.pass.transactions, allocation, search.pending, search.includeGuaranteed) {
 				room = room.Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 			}
 		}
@@ -79,9 +79,9 @@
 // preemptable reports whether a pending job may have an allocation stopped: one of lower
 // priority, or, to get its team's guarantee, one that another team runs beyond its own.
 // Urgent work is never stopped for a guarantee.
-func (c *Controller) preemptable(transactions map[string]*placementTransaction, allocation *Allocation, pending *pendingJob, ofGuaranteed bool) bool {
+func (c *Controller) preemptable(transactions map[string]*placementTransaction, allocation *Allocation, pending *pendingJob, includeGuaranteed bool) bool {
 	job := c.cache.jobs[allocation.Job]
-	if job == nil || allocation.Eviction != record.EvictionNone || c.scheduler.guaranteedJobs[allocation.Job] && !ofGuaranteed {
+	if job == nil || allocation.Eviction != record.EvictionNone || c.scheduler.guaranteedJobs[allocation.Job] && !includeGuaranteed {
 		return false
 	}
 	priority := pending.job.spec.Priority.Level()
@@ -112,12 +112,12 @@
 
 // makeRoom stops the least urgent tasks of a machine until there is room for a task of the
 // pending job, or none if there would not be.
-func (c *Controller) makeRoom(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, ofGuaranteed bool) bool {
+func (c *Controller) makeRoom(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) bool {
 	room := host.Free.Plus(host.Freeing, 1)
 	if room.Covers(pending.job.request.Need) {
 		return true
 	}
-	victims, ok := c.chooseVictims(transactions, host, pending, ofGuaranteed)
+	victims, ok := c.chooseVictims(transactions, host, pending, includeGuaranteed)
 	if !ok {
 		return false
 	}
@@ -134,30 +134,30 @@
 
 // chooseVictims is the tasks to stop on a host, the least urgent, so that a task of the
 // pending job fits; ok is false if it would not fit if all were stopped that may be.
-func (c *Controller) chooseVictims(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, ofGuaranteed bool) (victims []victim, ok bool) {
+func (c *Controller) chooseVictims(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) (victims []victim, ok bool) {
 	need := pending.job.request.Need
 	room := host.Free.Plus(host.Freeing, 1)
-	for _, allocation := range c.preemptableOn(transactions, host, pending, ofGuaranteed) {
-		remaining := c.notYetEvicted(transactions, allocation)
+	for _, allocation := range c.preemptableAllocations(transactions, host, pending, includeGuaranteed) {
+		remaining := c.remainingTasks(transactions, allocation)
 		for !remaining.Empty() && !room.Covers(need) {
-			stopped := remaining // a gang runs as a whole or not at all
+			evicted := remaining // a gang runs as a whole or not at all
 			if allocation.Shape != wire.ShapeGang {
-				_, stopped = remaining.Take(remaining.Len() - 1) // the last task
+				_, evicted = remaining.Take(remaining.Len() - 1) // the last task
 			}
-			remaining = remaining.Without(stopped)
-			victims = append(victims, victim{allocation, stopped})
-			room = room.Plus(allocation.taskResources(), float64(stopped.Len()))
+			remaining = remaining.Without(evicted)
+			victims = append(victims, victim{allocation, evicted})
+			room = room.Plus(allocation.taskResources(), float64(evicted.Len()))
 		}
 	}
 	return victims, room.Covers(need)
 }
 
-// preemptableOn is a host's allocations that a pending job may have stopped, the least urgent
+// preemptableAllocations is a host's allocations that a pending job may have stopped, the least urgent
 // and newest first, and those within their team's guarantee last.
-func (c *Controller) preemptableOn(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, ofGuaranteed bool) []*Allocation {
+func (c *Controller) preemptableAllocations(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) []*Allocation {
 	var allocations []*Allocation
 	for _, allocation := range c.fleet.allocationsOn(host.ID) {
-		if c.preemptable(transactions, allocation, pending, ofGuaranteed) {
+		if c.preemptable(transactions, allocation, pending, includeGuaranteed) {
 			allocations = append(allocations, allocation)
 		}
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-// notYetEvicted is the tasks of an allocation that the transactions leave running.
-func (c *Controller) notYetEvicted(transactions map[string]*placementTransaction, allocation *Allocation) record.TaskSet {
+// remainingTasks is the tasks of an allocation that the transactions leave running.
+func (c *Controller) remainingTasks(transactions map[string]*placementTransaction, allocation *Allocation) record.TaskSet {
 	var remaining record.TaskSet
 	txn := transactions[c.cache.jobs[allocation.Job].spec.Team]
 	for _, located := range c.jobAllocations(txn, allocation.Job) {
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -60,9 +60,9 @@
 	// pageBytesPerTask bounds the tasks of an allocation by the size of a placement page.
 	pageBytesPerTask = 32
 	maxTxnBytes      = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
-	// crowdedWriteFraction is the part of the writes that critical placements may take while
+	// criticalWriteFraction is the part of the writes that critical placements may take while
 	// submissions are crowded.
-	crowdedWriteFraction = 0.4
+	criticalWriteFraction = 0.4
 	// nonCriticalInterval is how often non-critical jobs are scheduled at most.
 	nonCriticalInterval = 250 * time.Millisecond
 )
@@ -89,14 +89,14 @@
 		c.estimateDemand()
 		return
 	}
-	if !c.scheduler.hasReason(includeNonCritical) && !c.idlePassDue(includeNonCritical) {
+	if !c.scheduler.hasRelevantChanges(includeNonCritical) && !c.idlePassDue(includeNonCritical) {
 		return
 	}
 	c.scheduler.dirty = !includeNonCritical // a later pass considers what this one does not
 	c.scheduler.criticalDirty = false
 	c.scheduleNextPasses(includeNonCritical)
-	criticalPaced := c.submissionsCrowded() && !c.isDue(c.scheduler.nextCriticalOnly)
-	if criticalPaced {
+	criticalThrottled := c.submissionsBacklogged() && !c.isDue(c.scheduler.nextCriticalOnly)
+	if criticalThrottled {
 		c.scheduler.criticalDirty = true
 		if !includeNonCritical {
 			return
@@ -109,18 +109,18 @@
 	if includeNonCritical {
 		transactions = c.startTransactions()
 		c.completeJobs(transactions)
-		c.evictBrokenGangs(transactions)
+		c.evictIncompleteGangs(transactions)
 		c.evictFromPreemptedMachines(transactions)
 	}
-	if !criticalPaced {
+	if !criticalThrottled {
 		c.startCriticalTransactions(transactions)
 	}
 	c.schedule(transactions, includeNonCritical)
 	c.commitTransactions(transactions)
 }
 
-// hasReason reports whether something changed that a pass may act on.
-func (s *scheduler) hasReason(includeNonCritical bool) bool {
+// hasRelevantChanges reports whether something changed that a pass may act on.
+func (s *scheduler) hasRelevantChanges(includeNonCritical bool) bool {
 	return s.dirty && (includeNonCritical || s.criticalDirty)
 }
 
@@ -152,12 +152,12 @@
 	}
 }
 
-// submissionsCrowded reports whether so many submissions wait to be written that placements
+// submissionsBacklogged reports whether so many submissions wait to be written that placements
 // of critical jobs have to leave writes to them. Such placements go first, and each team
 // could write one after the other, with a job or two in each: of hundreds of jobs that came
 // at once only a few a second were then accepted, and the machines for them were provisioned
 // as late. The more jobs there are in a transaction, the fewer writes each takes.
-func (c *Controller) submissionsCrowded() bool {
+func (c *Controller) submissionsBacklogged() bool {
 	return c.admission.inFlight >= minAdmissionQueue
 }
 
@@ -236,7 +236,7 @@
 			operations += txn.operations
 		}
 	}
-	c.scheduler.nextCriticalOnly = c.now.Add(config.Seconds(float64(operations) / (c.writeRate() * crowdedWriteFraction)))
+	c.scheduler.nextCriticalOnly = c.now.Add(config.Seconds(float64(operations) / (c.writeRate() * criticalWriteFraction)))
 	if !committed {
 		c.scheduler.nextNonCritical = c.scheduler.nextPass
 	}
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -141,7 +141,7 @@
 			headroomReserved = true
 			p.reserveHeadroom()
 		}
-		p.cachedImageOnly = p.waitsForCachedImage(pending)
+		p.cachedImageOnly = p.prefersCachedImage(pending)
 		p.placeJob(pending)
 		if p.cachedImageOnly {
 			cachedOnly = append(cachedOnly, pending)
@@ -165,8 +165,8 @@
 	}
 }
 
-// waitsForCachedImage reports whether a job is first tried on machines with its image only.
-func (p *schedulingPass) waitsForCachedImage(pending *pendingJob) bool {
+// prefersCachedImage reports whether a job is first tried on machines with its image only.
+func (p *schedulingPass) prefersCachedImage(pending *pendingJob) bool {
 	return pending.job.spec.Priority.Level() >= wire.PriorityNormal.Level() && !pending.overdue && !pending.guaranteed &&
 		hasPlainConstraints(pending.job) && p.c.imagePullIsSlow(pending.job)
 }
--- a/internal/controller/unmet_demand.go
+++ b/internal/controller/unmet_demand.go
@@ -48,15 +48,15 @@
 		p.addUnmetDemand(pending, lacking, zone)
 		return
 	}
-	if lacking := p.freeCapacity(pending, count); lacking > 0 {
+	if lacking := p.freeCapacityForTasks(pending, count); lacking > 0 {
 		job.pendingReason = reasonNoCapacity
 		p.addUnmetDemand(pending, lacking, "")
 	}
 }
 
-// freeCapacity reserves or frees capacity for single tasks and returns how many still have
+// freeCapacityForTasks reserves or frees capacity for single tasks and returns how many still have
 // none.
-func (p *schedulingPass) freeCapacity(pending *pendingJob, count int) int {
+func (p *schedulingPass) freeCapacityForTasks(pending *pendingJob, count int) int {
 	job := pending.job
 	key := searchKey{
 		team:       job.spec.Team,
@@ -76,7 +76,7 @@
 	if p.c.operator.values.Affinity == config.AffinityEnforced {
 		rules = slices.Concat(rules, job.request.Preferred)
 	}
-	count = p.awaitFreeingCapacity(pending, rules, count, usable)
+	count = p.reserveOrPreempt(pending, rules, count, usable)
 	if count > 0 {
 		p.noteUnsatisfiable(key, job)
 	}
--- a/internal/controller/wait_tolerance.go
+++ b/internal/controller/wait_tolerance.go
@@ -16,12 +16,12 @@
 	minWaitTolerance      = 15 * time.Second
 	// overdueToleranceFactor times its tolerance is when a wait is too long.
 	overdueToleranceFactor = 2
-	// noObjectiveRuntimes times its run time, and noObjectiveMinS seconds, is what a job
+	// noObjectiveRuntimeFactor times its run time, and noObjectiveMinS seconds, is what a job
 	// without any objective or deadline may take; noObjectiveFirstStart is how long it waits
 	// for its first start before machines are provisioned for it at once.
-	noObjectiveRuntimes   = 4
-	noObjectiveMinS       = 240.0
-	noObjectiveFirstStart = 60 * time.Second
+	noObjectiveRuntimeFactor = 4
+	noObjectiveMinS          = 240.0
+	noObjectiveMaxStartWait  = 60 * time.Second
 	// startOverheadS is how many seconds a task occupies a machine beside its run time.
 	startOverheadS = 5.0
 )
@@ -37,10 +37,10 @@
 		// It has neither a deadline nor an objective. It is to start soon, and to complete in
 		// some proportion to its length, but machines are not provisioned for it as if it
 		// were urgent.
-		if !job.started && c.pendingFor(job) > noObjectiveFirstStart {
+		if !job.started && c.pendingFor(job) > noObjectiveMaxStartWait {
 			return 0
 		}
-		slackS = noObjectiveRuntimes*job.spec.RuntimeS + noObjectiveMinS
+		slackS = noObjectiveRuntimeFactor*job.spec.RuntimeS + noObjectiveMinS
 	}
 	return config.Seconds(max(0, waitToleranceFraction*slackS))
 }
