--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// submitTimeout is how long a submission may wait for the state store before its user
+	// submitTimeout is the time that a submission may wait for the state store before its user
 	// is advised to retry.
 	submitTimeout = 1500 * time.Millisecond
-	// admissionQueueTime is how much of this controller's writes submissions may have
-	// queued, and minAdmissionQueue how many of them in any case.
+	// admissionQueueTime bounds the number of queued submissions to as many as this controller
+	// can write in that time. At least minAdmissionQueue are queued in any case.
 	admissionQueueTime = 800 * time.Millisecond
 	minAdmissionQueue  = 4
-	// admissionOversubscription is how many submissions users are advised to retry with,
-	// relative to the writes: some more than can be taken, since the others' part of the
-	// writes is not always used. maxRetryDelay is the longest delay that a user is
-	// advised: they give up after a minute.
+	// admissionOversubscription is the ratio of the rate at which users are advised to retry to
+	// this controller's write rate. It is above 1 because the other controllers do not always
+	// use their part of the writes.
 	admissionOversubscription = 1.3
-	maxRetryDelay             = 10 * time.Second
-	// limitTolerance absorbs the rounding of sums of fractions of cores.
+	// maxRetryDelay is the longest delay that a user is advised to wait. Users give up after a
+	// minute.
+	maxRetryDelay = 10 * time.Second
+	// limitTolerance, in cores or accelerators, absorbs rounding errors in sums of fractions.
 	limitTolerance = 1e-6
 )
 
-// Why a job can never run, as users are told.
+// Errors that state why a job can never run. Their texts are sent to users.
 var (
 	errUnknownTeam       = errors.New("unknown team")
 	errAboveTeamLimit    = errors.New("needs more than the team's limit")
@@ -39,14 +40,14 @@
 	errSpreadOverOneZone = errors.New("apart, but only one zone has machines that a task fits")
 )
 
-// admission is what is known of submissions that are not decided yet.
+// admission holds the state of submissions that are not decided yet.
 type admission struct {
 	inFlight         int  // submissions being written
-	lastAdvisedRetry Time // the latest moment at which a user was advised to retry
+	lastAdvisedRetry Time // latest retry time that a user was advised
 }
 
-// submit answers a submission. Submissions are idempotent: one that repeats an earlier one
-// is answered with the job's status.
+// submit answers a submission. Submissions are idempotent: a repeated submission is answered
+// with the job's status.
 func (c *Controller) submit(in JobSubmitted) {
 	id := in.Spec.ID
 	if completion, ok := c.cache.completion(id); ok {
@@ -65,8 +66,8 @@
 		return
 	}
 	if err := c.checkFeasible(&in.Spec); err != nil {
-		// What was accepted once is not refused now, even if the catalogue has changed
-		// since: so first make sure that it is new.
+		// A job that was accepted earlier is not refused now, even if the catalogue has changed
+		// since. The job is therefore looked up before it is refused.
 		c.replyWithStatus(in.Request, id, func() {
 			c.refuse(in.Request, http.StatusUnprocessableEntity, err.Error(), 0)
 		})
@@ -75,12 +76,12 @@
 	c.accept(in)
 }
 
-// replyToKnownJob answers a submission of a job that has a record.
+// replyToKnownJob answers a submission of a job that already has a record.
 func (c *Controller) replyToKnownJob(request RequestID, id wire.JobID) {
 	c.replyWithStatus(request, id, func() { c.refuseUnavailable(request, reasonStateChanged) })
 }
 
-// submission is a submission that is being written.
+// submission is a submission whose job record is being written.
 type submission struct {
 	request   RequestID
 	spec      wire.JobSpec
@@ -88,11 +89,11 @@
 	answered  bool
 }
 
-// accept writes the job's record before its user is told. Should the response of the state
-// store be lost, the user's retry finds the job or writes it again.
+// accept writes the job's record before the user is told that the job is accepted. If the response
+// of the state store is lost, the user's retry finds the job or writes its record again.
 func (c *Controller) accept(in JobSubmitted) {
 	if float64(c.admission.inFlight) >= max(minAdmissionQueue, c.writeRate()*admissionQueueTime.Seconds()) {
-		// More would only be queued until their users retry.
+		// Further submissions would only stay queued until their users retry.
 		c.refuse(in.Request, http.StatusServiceUnavailable, "too many submissions at once", c.nextRetryDelay())
 		return
 	}
@@ -133,9 +134,9 @@
 	}
 }
 
-// nextRetryDelay is when a user whose submission cannot be taken now should retry: each is
-// given a time of its own, as far apart as submissions can be written. Given the same time,
-// all would retry at once, and most of them in vain.
+// nextRetryDelay returns the delay after which a user whose submission cannot be taken now should
+// retry. Retry times are spread at about the rate at which submissions can be written. With a
+// common retry time, all users would retry at once and most would be refused again.
 func (c *Controller) nextRetryDelay() time.Duration {
 	c.admission.lastAdvisedRetry = max(c.admission.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
 	delay := c.admission.lastAdvisedRetry.Sub(c.now)
@@ -145,7 +146,7 @@
 	return delay
 }
 
-// checkFeasible says why a job can never run; nil if it can.
+// checkFeasible returns an error that states why a job can never run, or nil if it can.
 func (c *Controller) checkFeasible(spec *wire.JobSpec) error {
 	team := c.teamSettings(spec.Team)
 	if team == nil {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// feasibleZones is the zones in which the cloud offers machines that a task fits.
+// feasibleZones returns the zones in which the cloud offers machines that a task fits.
 func (c *Controller) feasibleZones(spec *wire.JobSpec) map[string]bool {
 	request := placement.NewRequest(spec)
 	zones := map[string]bool{}
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -11,8 +11,9 @@
 	"lilacrill/wire"
 )
 
-// TestRetryDelaysAreStaggered: submissions that cannot be accepted are refused in the same step, and
-// users are advised to retry one after the other, not all at once.
+// TestRetryDelaysAreStaggered checks that submissions that cannot be taken are refused in the same
+// step, and that users are advised to retry one after another. If all retried at once, most would
+// be refused again.
 func TestRetryDelaysAreStaggered(t *testing.T) {
 	settings := &config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east"},
 		Teams: []config.Team{{Name: "guest"}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}}
@@ -34,15 +35,15 @@
 		require.Equal(t, 503, reply.Status)
 		require.LessOrEqual(t, reply.RetryAfter, maxRetryDelay)
 		if accepted+100 > i {
-			require.Greater(t, reply.RetryAfter, lastDelay, "a time of its own")
+			require.Greater(t, reply.RetryAfter, lastDelay, "each retry delay exceeds the one before")
 			lastDelay = reply.RetryAfter
 		}
 	}
-	require.InDelta(t, 34, accepted, 2, "0.8 s worth of writes")
+	require.InDelta(t, 34, accepted, 2, "submissions that can be written in 0.8 s")
 }
 
-// TestInfeasibleJobsAreRefusedWithReason pins down which jobs can never run, and the reason
-// that users are given.
+// TestInfeasibleJobsAreRefusedWithReason checks which jobs are refused because they can never run,
+// and the reason given for each.
 func TestInfeasibleJobsAreRefusedWithReason(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{Zones: []string{"east", "west"},
 		Teams: []config.Team{{Name: "desk", CPUs: 10, CPUsMax: 10}}, State: config.State{ValueKB: 8, TxnOps: 12, RPS: 100, WriteRPS: 50}}})
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -5,23 +5,23 @@
 	"lilacrill/wire"
 )
 
-// evictionOperations is how many operations of a transaction an eviction may take: more pages
-// of the job, if it is a gang.
+// evictionOperations is the number of operations that a transaction must have left before it takes
+// on an eviction. The eviction of a gang may change several placement pages.
 const evictionOperations = 4
 
-// remainsOn reports whether an allocation is on a machine and is not to be evicted.
+// remainsOn reports whether an allocation is on a machine and is not being evicted.
 func (l locatedAllocation) remainsOn(id wire.MachineID) bool {
 	return l.allocation.Machine == id && l.allocation.Eviction == record.EvictionNone
 }
 
-// stageEviction marks tasks of an allocation to be evicted. If only some of its tasks are,
-// they become an allocation of their own; where its page has no room for that, all are
-// evicted.
+// stageEviction stages the eviction of tasks of an allocation. If only some of the allocation's
+// tasks are evicted, they are split off into an allocation of their own. If the placement page
+// has no room for another allocation, all tasks of the allocation are evicted.
 func (c *Controller) stageEviction(txn *placementTransaction, located locatedAllocation, tasks record.TaskSet, eviction record.Eviction) {
 	if c.cache.unreadable[located.page.key] != nil {
 		return
 	}
-	target := *located.allocation // a copy: the original may stand on the staged page
+	target := *located.allocation // copied, because the original may be on the staged page
 	staged := txn.stagePage(located.page)
 	for i := range staged.allocations {
 		candidate := &staged.allocations[i]
@@ -39,7 +39,8 @@
 		if staged.size+split.encodedSizeAfter(nil) > c.pageLimit() {
 			remaining = record.TaskSet{}
 		}
-		// What was fenced was the launcher before, not this eviction.
+		// An earlier fence applies to a previous launcher and does not cover this eviction, so
+		// it is reset.
 		if remaining.Empty() {
 			candidate.Eviction, candidate.Fence = eviction, 0
 			return
@@ -52,7 +53,7 @@
 	}
 }
 
-// stageJobEviction marks all of a job's tasks to be evicted.
+// stageJobEviction stages the eviction of all of a job's tasks.
 func (c *Controller) stageJobEviction(txn *placementTransaction, id wire.JobID, eviction record.Eviction) {
 	for _, located := range c.jobAllocations(txn, id) {
 		if located.allocation.Eviction < eviction {
@@ -61,8 +62,8 @@
 	}
 }
 
-// evictFromPreemptedMachines stops tasks on machines that the cloud is about to take, as late
-// as they can still save a checkpoint. Replicas of services are evicted at once.
+// evictFromPreemptedMachines evicts tasks from machines with a preemption notice, as late as they
+// can still save a checkpoint. Replicas of services are evicted at once.
 func (c *Controller) evictFromPreemptedMachines(transactions map[string]*placementTransaction) {
 	for _, machine := range c.orderedMachines() {
 		if machine.scaling.preemptionAt == 0 {
@@ -81,8 +82,9 @@
 	}
 }
 
-// evictionDue reports whether it is time for a job's tasks to leave a machine that the cloud is
-// about to take. Tasks that neither save checkpoints nor serve run on until then.
+// evictionDue reports whether a job's tasks must be evicted now from a machine with a preemption
+// notice. Tasks of jobs that neither save checkpoints nor are services run until the cloud
+// reclaims the machine.
 func (c *Controller) evictionDue(job *job, machine *machine) bool {
 	if job.spec.Shape == wire.ShapeService {
 		return true
@@ -91,8 +93,8 @@
 	return job.spec.CheckpointIntervalS > 0 && secondsLeft < job.spec.CheckpointSaveS+2*checkpointMarginS
 }
 
-// evictJobFrom has a job's tasks on a machine save and stop; all of a gang's, since it runs as
-// a whole or not at all.
+// evictJobFrom stages the graceful eviction of a job's tasks on a machine. All tasks of a gang are
+// evicted, because a gang runs as a whole or not at all.
 func (c *Controller) evictJobFrom(txn *placementTransaction, job *job, id wire.MachineID) {
 	if job.spec.Shape == wire.ShapeGang {
 		c.stageJobEviction(txn, job.id, record.EvictionGraceful)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -9,12 +9,12 @@
 	"lilacrill/wire"
 )
 
-// gangEvictionOperations is how many operations a transaction must have left for the eviction
-// of a gang's remaining tasks.
+// gangEvictionOperations is the number of operations that a transaction must have left before it
+// takes on the eviction of a gang's remaining tasks.
 const gangEvictionOperations = 4
 
-// evictIncompleteGangs evicts the remaining tasks of gangs that lost a task, so that each can
-// start again as a whole.
+// evictIncompleteGangs evicts the remaining tasks of gangs that lost a task, so that each gang
+// can start again as a whole.
 func (c *Controller) evictIncompleteGangs(transactions map[string]*placementTransaction) {
 	for _, id := range sortedKeys(c.cache.jobs) {
 		job := c.cache.jobs[id]
@@ -35,14 +35,15 @@
 	}
 }
 
-// gatherCapacity gathers capacity for tasks that start at once or share a zone, and so cannot
-// be placed one by one. In the zone (for jobs that need a single one) that comes closest it
-// reserves what is free or being freed, so that smaller jobs do not take it bit by bit, and
-// evicts less urgent tasks if that is all it takes. It returns that zone and how many tasks
-// still lack room there.
+// gatherCapacity reserves capacity for a job whose tasks must start at once or share a zone, and
+// therefore cannot be placed one by one. It chooses the zone that comes closest to having room, or
+// "" (the whole fleet) if the job does not need a single zone. There it reserves capacity that is
+// free or being freed, so that smaller jobs do not take it piece by piece, and evicts less urgent
+// tasks if the whole job then has room. It returns the chosen zone and the number of tasks that
+// still lack room.
 //
-// Capacity is gathered for one job per zone at a time, the most urgent: when several large
-// gangs each kept a part of what they need, a fifth of the machines stood idle.
+// Capacity is gathered for only one job per zone at a time, the most urgent. With several large
+// gangs that each hold a part of what they need, a fifth of the machines can stand idle.
 func (p *schedulingPass) gatherCapacity(pending *pendingJob, count int) (zone string, lacking int) {
 	job := pending.job
 	evaluator := p.fleet.NewEvaluator(p.jobHosts[job.id])
@@ -58,8 +59,8 @@
 	return best, p.gatherInZone(pending, zones[best], count)
 }
 
-// addPreemptable adds to the free resources of a host those of the tasks that may be evicted
-// there for a job.
+// addPreemptable returns the free resources of a host plus those of the tasks that may be evicted
+// there for a pending job.
 func (p *schedulingPass) addPreemptable(pending *pendingJob, host *placement.Host, free placement.Resources) placement.Resources {
 	lowerPriorityMask := ^uint8(0) << (pending.job.spec.Priority.Level() + 1)
 	if host.PreemptablePriorities&lowerPriorityMask == 0 && !(pending.guaranteed && host.HasUnguaranteedTasks) {
@@ -73,9 +74,11 @@
 	return free
 }
 
-// bestGatheringZone is the zone that comes closest to having room for count tasks of a job:
-// by what is free, then by what could be freed, then by the machines that the cloud may have.
-// It reports false if capacity is being gathered for other jobs in all zones.
+// bestGatheringZone returns the zone that comes closest to having room for count tasks of a job.
+// Zones are compared by the capacity that is free or being freed, then by the capacity including
+// evictions, then by the number of usable cloud offers. Zones in which capacity is already being
+// gathered are skipped. If that applies to all zones, all are compared and the second result is
+// false.
 func (p *schedulingPass) bestGatheringZone(job *job, capacities map[string]*zoneCapacity, count int) (string, bool) {
 	zones := []string{""}
 	if job.spec.SingleZone {
@@ -101,9 +104,9 @@
 	return best, len(open) > 0
 }
 
-// gatherInZone reserves the capacity of a zone for count tasks of a job, hosts with the most
-// free room first, and returns how many tasks still lack room. Tasks are evicted only if all
-// of the job then has room.
+// gatherInZone reserves capacity in a zone for count tasks of a job, on the hosts with the most
+// room first, and returns the number of tasks that still lack room. Tasks of other jobs are
+// evicted only if the whole job then has room.
 func (p *schedulingPass) gatherInZone(pending *pendingJob, zone *zoneCapacity, count int) int {
 	if zone == nil {
 		return count
@@ -125,8 +128,8 @@
 	return remaining
 }
 
-// countOffers counts the offers that a job can use in a zone ("" for any) and that the cloud
-// has not been short of lately.
+// countOffers counts the cloud offers in a zone ("" for any zone) that a job can use. Offers with
+// a recent capacity shortage are not counted.
 func (c *Controller) countOffers(job *job, zone string) int {
 	n := 0
 	for _, offer := range c.offers() {
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -12,15 +12,15 @@
 	pass        *schedulingPass
 	pending     *pendingJob
 	transaction *placementTransaction
-	// canStage says that allocations are staged in the transaction. Otherwise the pass only
-	// plans: the tasks take room on the hosts of its snapshot, and another controller, or a
-	// later pass, writes them.
+	// canStage reports whether allocations are staged in the transaction. Otherwise the pass
+	// only plans: the tasks take room on the hosts of its snapshot, and another controller or a
+	// later pass writes their allocations.
 	canStage bool
-	attempt  wire.Attempt // of all tasks that this pass places; 0 before the first
+	attempt  wire.Attempt // shared by all tasks that this pass places; 0 before the first
 }
 
-// placeJob places a pending job's missing tasks as far as its team's limit and the fleet have
-// room, and deals with the tasks that found none.
+// placeJob places as many of a pending job's missing tasks as its team's quota limit and the
+// fleet have room for, and handles the tasks without room as unmet demand.
 func (p *schedulingPass) placeJob(pending *pendingJob) {
 	job := pending.job
 	count := p.c.limitToCanaries(job, p.tasksWithinLimit(pending))
@@ -32,7 +32,7 @@
 		return
 	}
 	if p.jobHosts[job.id] == nil {
-		p.jobHosts[job.id] = []*placement.Host{} // no host, as opposed to hosts that are not known
+		p.jobHosts[job.id] = []*placement.Host{} // known to have no hosts; nil would mean unknown
 	}
 	jobPlacement := p.newJobPlacement(pending)
 	options := jobPlacement.options()
@@ -59,9 +59,9 @@
 	}
 }
 
-// options says which machines the job may use. After a lost placement write the machines of
-// that write are excluded and a few others are probed at random, so that two controllers do
-// not contend for the same machines again.
+// options returns the options for choosing machines for the job. After lost placement writes, the
+// machines of these writes are excluded and only a few others are tried at random, so that two
+// controllers do not contend for the same machines again.
 func (j *jobPlacement) options() placement.Options {
 	c, p, job := j.pass.c, j.pass, j.pending.job
 	options := placement.Options{
@@ -86,8 +86,8 @@
 	return options
 }
 
-// place takes an assignment's tasks off the missing ones and stages allocations for them, in
-// as many parts as their size demands.
+// place removes the tasks of an assignment from the missing tasks and stages allocations for
+// them. The tasks are split into several allocations if one would be too large.
 func (j *jobPlacement) place(assignment placement.Assignment) {
 	c, p, job := j.pass.c, j.pass, j.pending.job
 	p.teamUsage[job.spec.Team] = p.teamUsage[job.spec.Team].Plus(job.request.Need, float64(assignment.Count))
@@ -106,9 +106,9 @@
 	}
 }
 
-// stage stages an allocation of tasks on a machine. Once the transaction is full, the rest of
-// the job is planned for only; a gang is then unstaged, as it is placed as a whole or not at
-// all.
+// stage stages an allocation of tasks on a machine. Once the transaction is full, the remaining
+// tasks of the job are only planned for. Allocations of a gang that are already staged are then
+// unstaged, because a gang is placed as a whole or not at all.
 func (j *jobPlacement) stage(machine *machine, tasks record.TaskSet) {
 	c, job := j.pass.c, j.pending.job
 	if j.attempt == 0 {
@@ -154,8 +154,9 @@
 	}
 }
 
-// tasksWithinLimit is how many of a job's missing tasks its team's limit has room for. All
-// tasks that may still run on a machine count towards the limit.
+// tasksWithinLimit returns the number of a job's missing tasks that fit into its team's quota
+// limit. All tasks that may still run on a machine count towards the limit. For a gang the result
+// is 0 unless all of its tasks fit.
 func (p *schedulingPass) tasksWithinLimit(pending *pendingJob) int {
 	spec := &pending.job.spec
 	settings := p.c.teamSettings(spec.Team)
@@ -171,8 +172,8 @@
 	return count
 }
 
-// maxTasksPerAllocation bounds the tasks of one allocation, so that it fits on a placement
-// page together with others.
+// maxTasksPerAllocation returns the maximum number of tasks of one allocation. It keeps an
+// allocation small enough to fit on a placement page together with others.
 func (c *Controller) maxTasksPerAllocation() int {
 	return max(1, min(maxTasksPerMachine, c.pageLimit()/pageBytesPerTask))
 }
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -7,8 +7,9 @@
 	"lilacrill/wire"
 )
 
-// searchKey is all that the outcome of a search for room depends on, apart from the needed
-// resources, if the job has plain constraints only.
+// searchKey holds everything that the outcome of a search for machines with room depends on,
+// except the needed resources. It is valid for jobs with plain constraints (see
+// hasPlainConstraints).
 type searchKey struct {
 	team               string
 	priority           int
@@ -19,7 +20,7 @@
 	avoidsExpensive    bool
 }
 
-// rankingKey is all that the ranking of the candidates of a search depends on.
+// rankingKey holds everything that the ranking of the candidates of a search depends on.
 type rankingKey struct {
 	searchKey
 	need            placement.Resources
@@ -28,27 +29,28 @@
 	cachedImageOnly bool
 }
 
-// hasPlainConstraints reports whether a search for room for the job depends on nothing but
-// its searchKey and the resources that it needs.
+// hasPlainConstraints reports whether a search for machines for the job depends only on its
+// searchKey and on the resources that it needs.
 func hasPlainConstraints(job *job) bool {
 	s := &job.spec
 	return len(s.Types) == 0 && s.Zone == "" && !s.SpreadZones && !s.SingleZone && s.Shape != wire.ShapeGang && len(job.crashLoop.avoidMachines) == 0
 }
 
-// knownUnsatisfiable reports whether a job that needs no more found no room in this pass.
+// knownUnsatisfiable reports whether a search with the same key found no room in this pass for a
+// job that needs no more resources than this one.
 func (p *schedulingPass) knownUnsatisfiable(key searchKey, job *job) bool {
 	return hasPlainConstraints(job) && slices.ContainsFunc(p.unsatisfiable[key], job.request.Need.Covers)
 }
 
-// noteUnsatisfiable notes that a job found no room.
+// noteUnsatisfiable records that a search found no room for a job.
 func (p *schedulingPass) noteUnsatisfiable(key searchKey, job *job) {
 	if hasPlainConstraints(job) {
 		p.unsatisfiable[key] = append(p.unsatisfiable[key], job.request.Need)
 	}
 }
 
-// setSharedRanking sets the ranking of a search to that of an earlier search with the same key,
-// or makes it.
+// setSharedRanking sets the ranking in the options of a search to that of an earlier search with
+// the same key, or ranks the candidates if there was none.
 func (p *schedulingPass) setSharedRanking(key searchKey, job *job, cachedImageOnly bool, options *placement.Options) {
 	if !hasPlainConstraints(job) || options.SampleSize > 0 || options.AllOrNothing {
 		return
@@ -60,12 +62,12 @@
 	options.Ranking = p.rankings[shared]
 }
 
-// chooseMachines assigns up to count tasks of a job to machines and returns how many found
-// no room and are not waiting for capacity that is being freed either.
+// chooseMachines assigns up to count tasks of a job to machines. It returns the assignments and
+// the number of tasks that have no room and for which no capacity being freed is reserved.
 //
-// Machines that have the job's image come first. Urgent jobs then wait for, or make, room on
-// such machines, since pulling the image takes longer than evicting less urgent tasks. All
-// other machines come last.
+// Machines that have the job's image come first. For urgent jobs, capacity that is being freed on
+// such machines is then reserved, or less urgent tasks are evicted there, because pulling the
+// image takes longer than an eviction. All other machines come last.
 func (p *schedulingPass) chooseMachines(pending *pendingJob, count int, options placement.Options) (assignments []placement.Assignment, unplaced int) {
 	c, job := p.c, pending.job
 	key := searchKey{spot: job.spec.Spot, avoidsAccelerators: p.avoidsAccelerators(job), avoidsExpensive: c.avoidsExpensive(pending)}
@@ -97,8 +99,8 @@
 	return append(assignments, others...), unplaced
 }
 
-// noteAssignments notes the hosts, and the zone, of a job's new assignments and returns how
-// many tasks they hold.
+// noteAssignments records the hosts of a job's new assignments, and the zone if the job needs a
+// single one. It returns the number of assigned tasks.
 func (p *schedulingPass) noteAssignments(pending *pendingJob, assignments []placement.Assignment) int {
 	count := 0
 	for _, assignment := range assignments {
@@ -112,18 +114,19 @@
 	return count
 }
 
-// reserveOrPreempt reserves capacity that is being freed for tasks of a job, or evicts
-// less urgent tasks to free some, and returns how many tasks still have no room.
+// reserveOrPreempt reserves capacity that is being freed for count tasks of a job and, if this
+// controller schedules the job, evicts less urgent tasks for the rest. It returns the number of
+// tasks that still have no room.
 //
-// The rules have to be those of the placement itself. Where they were laxer, tasks would be
-// evicted pass after pass for room that is never taken.
+// The rules must be those of the placement itself. With laxer rules, every pass would evict tasks
+// for room that the job never takes.
 func (p *schedulingPass) reserveOrPreempt(pending *pendingJob, rules []placement.RuleTree, count int, usable func(*placement.Host) bool) int {
 	job := pending.job
 	if pending.zone != "" {
 		rules = append(slices.Clip(rules), placement.InZone(pending.zone))
 	}
-	// The capacity for a gang, or for a single zone that is not chosen yet, cannot be had
-	// machine by machine: see gatherCapacity.
+	// Capacity for a gang, or for a job whose single zone is not chosen yet, cannot be reserved
+	// machine by machine. See gatherCapacity.
 	if (job.spec.SingleZone && pending.zone == "" || job.spec.Shape == wire.ShapeGang) && job.spec.Tasks > 1 {
 		return count
 	}
@@ -152,7 +155,7 @@
 	return count
 }
 
-// reserveFreeingCapacity reserves room that is being freed on a host for tasks of a job.
+// reserveFreeingCapacity reserves capacity that is being freed on a host for tasks of a job.
 func (p *schedulingPass) reserveFreeingCapacity(evaluator *placement.Evaluator, job *job, host *placement.Host, tasks int) {
 	evaluator.Reserve(job.request, host, tasks)
 	p.jobHosts[job.id] = append(p.jobHosts[job.id], host)
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -13,18 +13,18 @@
 // pendingJob is a job with tasks that are not placed.
 type pendingJob struct {
 	job            *job
-	missing        record.TaskSet // its tasks that are not placed
-	zone           string         // where its tasks are, if it needs a single zone
-	guaranteed     bool           // within its team's quota guarantee
-	deadline       int64          // the next target that it can still meet, in Unix milliseconds
-	missesDeadline bool           // not all jobs can meet their deadlines, and it is among those that will not
-	overdue        bool           // it has waited so long for its first start that it is not put off any more
+	missing        record.TaskSet // tasks that are neither placed nor completed
+	zone           string         // zone of the job's placed tasks, if it needs a single zone
+	guaranteed     bool           // the job is within its team's quota guarantee
+	deadline       int64          // its deadline or earliest objective still reachable, in Unix milliseconds
+	missesDeadline bool           // the job cannot meet its deadline, or was deferred so that others can
+	overdue        bool           // the job has waited longer than overdueAfter for its first start
 }
 
-// The kinds of objectives, as settings name them.
+// The kinds of objectives in the settings.
 const (
-	objectiveWait     = "wait"     // start within a time
-	objectiveFinished = "finished" // be complete within a time
+	objectiveWait     = "wait"     // a job starts within a given time
+	objectiveFinished = "finished" // a job completes within a given time
 )
 
 // The classes of deadlines, in the order in which their jobs are placed.
@@ -34,9 +34,9 @@
 	deadlineNone
 )
 
-// deadlineClass orders the jobs that can still meet their deadline, those that no longer can,
-// and those without one: a huge array without a deadline once went ahead of all jobs that
-// were late.
+// deadlineClass returns the deadline class of a job. Jobs that can still meet their deadline come
+// first, then those that cannot, then those without a deadline. If late jobs were ordered like
+// jobs without a deadline, a huge array without a deadline could be placed before all of them.
 func (pending *pendingJob) deadlineClass() int {
 	switch {
 	case pending.missesDeadline:
@@ -47,8 +47,9 @@
 	return deadlineReachable
 }
 
-// comparePending orders pending jobs, the most urgent first: critical ones; then overdue
-// ones; then those within their team's guarantee; then by priority, deadline and age.
+// comparePending orders pending jobs from the most to the least urgent. Critical jobs come first,
+// then overdue jobs, then jobs within their team's quota guarantee. Otherwise jobs are ordered by
+// priority, deadline class, deadline and age.
 func comparePending(a, b pendingJob) int {
 	levelA, levelB := a.job.spec.Priority.Level(), b.job.spec.Priority.Level()
 	critical := wire.PriorityCritical.Level()
@@ -67,8 +68,8 @@
 		byAge)
 }
 
-// pendingJobs is the queue of the pass: all pending jobs, the most urgent first. Jobs in
-// backoff, and jobs whose records cannot be read, are left out.
+// pendingJobs returns the queue of the pass: all pending jobs, the most urgent first. Jobs in
+// crash-loop backoff and jobs whose records cannot be read are left out.
 func (p *schedulingPass) pendingJobs() []pendingJob {
 	c := p.c
 	if p.includeNonCritical {
@@ -86,7 +87,7 @@
 		default:
 			missing := p.missingTasks(job)
 			if missing.Empty() || job.spec.Shape == wire.ShapeGang && missing.Len() < job.spec.Tasks {
-				continue // a gang starts as a whole
+				continue // a gang is placed only as a whole
 			}
 			queue = append(queue, p.newPendingJob(job, missing))
 		}
@@ -98,8 +99,8 @@
 	return queue
 }
 
-// missingTasks is a job's tasks that are neither completed nor placed, nor recorded as
-// completed by a transaction that is staged or in flight.
+// missingTasks returns the tasks of a job that are neither completed nor placed. Tasks that a
+// staged or in-flight transaction records as completed count as completed.
 func (p *schedulingPass) missingTasks(job *job) record.TaskSet {
 	missing := record.Span(0, job.spec.Tasks).Without(job.completed).Without(p.placed[job.id])
 	if txn := p.c.cache.team(job.spec.Team).schedule.inFlight; txn != nil {
@@ -115,7 +116,8 @@
 	c := p.c
 	pending := pendingJob{job: job, missing: missing, guaranteed: c.scheduler.guaranteedJobs[job.id]}
 	pending.deadline, pending.missesDeadline = c.deadlineOf(job)
-	// A job that fails on every machine has started; it must not go ahead of others for ever.
+	// A job in a crash loop has started before. Its failing tasks are missing again, and must
+	// not make it overdue, or it would stay ahead of other jobs forever.
 	pending.overdue = c.pendingFor(job) > overdueAfter && missing.Len() == job.spec.Tasks && job.crashLoop.consecutiveBackoffs == 0
 	if job.spec.SingleZone {
 		pending.zone = p.jobZones[job.id]
@@ -123,20 +125,21 @@
 	return pending
 }
 
-// pendingFor is how long ago a job was accepted.
+// pendingFor returns the time since a job was accepted.
 func (c *Controller) pendingFor(job *job) time.Duration {
 	return time.Duration(c.wall-job.acceptedAt) * time.Millisecond
 }
 
-// overdueAfter is how long a job may wait for its first start before it goes ahead of all but
-// critical jobs, whatever its priority, its size and its chances to meet its deadline.
-// Without a bound, a stream of small jobs would put the largest off without end. Users expect
-// their jobs to start within four minutes.
+// overdueAfter is the time that a job may wait for its first start before it is placed ahead of
+// all but critical jobs, regardless of its priority, size and deadline. Without this bound, a
+// stream of small jobs would defer the largest jobs forever. Users expect their jobs to start
+// within four minutes.
 const overdueAfter = 100 * time.Second
 
-// deferLargestLateJobs marks the jobs that will miss their deadlines when not all can be met,
-// and reports whether it marked any. It takes the jobs by deadline and, whenever one would be
-// late, defers the largest so far (Moore and Hodgson's rule): that leaves the fewest late.
+// deferLargestLateJobs marks jobs as missing their deadlines if not all deadlines can be met, and
+// reports whether it marked any. It uses the Moore-Hodgson algorithm, which minimizes the number
+// of late jobs: it takes the jobs in the order of the queue and, whenever a job would be late,
+// defers the largest job taken so far.
 func (c *Controller) deferLargestLateJobs(queue []pendingJob) bool {
 	cores := c.coresForFiniteJobs()
 	if cores <= 0 {
@@ -168,14 +171,14 @@
 	return deferred
 }
 
-// coreSeconds is the work of the job's missing tasks.
+// coreSeconds returns the work of the job's missing tasks, in core-seconds.
 func (pending *pendingJob) coreSeconds() float64 {
 	spec := &pending.job.spec
 	return float64(pending.missing.Len()) * spec.Cores * spec.RuntimeS
 }
 
-// coresForFiniteJobs is how many cores the machines that accept tasks have beside those that
-// services take.
+// coresForFiniteJobs returns the number of cores of the machines that accept tasks, less the
+// cores that services need.
 func (c *Controller) coresForFiniteJobs() float64 {
 	cores := 0.0
 	for _, machine := range c.orderedMachines() {
@@ -183,8 +186,8 @@
 			cores += machineType.Cores
 		}
 	}
-	// Summed up in a fixed order: a sum of fractions depends on it by little, which may still
-	// decide whether a job is deferred.
+	// The cores are added in a fixed order. Floating-point rounding depends on the order, and
+	// even a small difference may decide whether a job is deferred.
 	var serviceCores []float64
 	for _, job := range c.cache.jobs {
 		if job.spec.Shape == wire.ShapeService && job.crashLoop.consecutiveBackoffs == 0 && !job.unreadable {
@@ -205,12 +208,13 @@
 	return 0
 }
 
-// noDeadline is the deadline of jobs that have neither a deadline nor an objective.
+// noDeadline is the deadline, in Unix milliseconds, of jobs that have neither a deadline nor an
+// objective that can still be met.
 const noDeadline = int64(1) << 62
 
-// deadlineOf is when a job should be complete, in Unix milliseconds: by its own deadline or,
-// without one, by the objectives of its class. Of several it is the first that can still be
-// met; missed says that none can.
+// deadlineOf returns the time by which a job should be complete, in Unix milliseconds. It is the
+// job's own deadline or, if the job has none, the earliest objective of its class that can still
+// be met. The result missed reports that the deadline, or every objective, can no longer be met.
 func (c *Controller) deadlineOf(job *job) (deadline int64, missed bool) {
 	earliestEnd := c.wall + int64(job.spec.RuntimeS*1000)
 	if job.spec.DeadlineS > 0 {
@@ -231,11 +235,12 @@
 	return deadline, hasObjective && deadline == noDeadline
 }
 
-// quotaTolerance forgives rounding in sums of fractions of cores.
+// quotaTolerance, in cores or accelerators, absorbs rounding errors in sums of fractions.
 const quotaTolerance = 1e-6
 
-// findGuaranteedJobs finds the jobs within their team's quota guarantee: those that fit into
-// it together with the team's earlier jobs. Jobs in crash-loop backoff take up none of it.
+// findGuaranteedJobs returns the jobs within their team's quota guarantee: those that fit into
+// the guarantee together with the team's earlier jobs. Jobs in crash-loop backoff and jobs whose
+// records cannot be read take up none of it.
 func (c *Controller) findGuaranteedJobs() map[wire.JobID]bool {
 	jobsByTeam := map[string][]*job{}
 	for _, job := range c.cache.jobs {
--- a/internal/controller/pending_jobs_test.go
+++ b/internal/controller/pending_jobs_test.go
@@ -10,9 +10,9 @@
 	"lilacrill/wire"
 )
 
-// TestPendingJobsOrder guards jobs that are late against a huge array without a deadline, and
-// all jobs against one that fails on every machine: while it is in backoff it is not in the
-// queue, and takes up nobody's quota guarantee.
+// TestPendingJobsOrder checks that late jobs are placed before a huge array without a deadline,
+// and that a job that fails on every machine does not hold up others: while it is in crash-loop
+// backoff, it is not in the queue and takes up none of its team's quota guarantee.
 func TestPendingJobsOrder(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{
 		Zones:      []string{"east"},
@@ -31,7 +31,7 @@
 	}
 	crashLooping := add("wk-000001", "desk", "parcel", 20, 20_000)
 	add("wk-000002", "guest", "sweep", 30_000, 30_000)
-	add("wk-000003", "guest", "parcel", 100, 39_000) // it cannot be complete by 99 s
+	add("wk-000003", "guest", "parcel", 100, 39_000) // cannot complete by its objective, at 99 s
 	add("wk-000004", "guest", "parcel", 100, 90_000)
 	add("wk-000005", "desk", "sweep", 20, 95_000)
 	for _, id := range []wire.MachineID{"m-000001", "m-000002", "m-000003"} {
@@ -43,5 +43,5 @@
 		order = append(order, pending.job.id)
 	}
 	require.Equal(t, []wire.JobID{"wk-000005", "wk-000004", "wk-000003", "wk-000002"}, order,
-		"within a guarantee, in time, late, without a deadline")
+		"want: within the quota guarantee, can meet its deadline, late, without a deadline")
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,20 +9,20 @@
 	"lilacrill/wire"
 )
 
-// preemption is the search for room for a pending job by stopping tasks of others.
+// preemption is a search for room for a pending job in which tasks of other jobs are evicted.
 type preemption struct {
 	pass      *schedulingPass
 	evaluator *placement.Evaluator
 	rules     []placement.RuleTree
 	pending   *pendingJob
 	usable    func(*placement.Host) bool
-	// includeGuaranteed says that work within its team's guarantee is stopped as well.
+	// includeGuaranteed allows the eviction of tasks of jobs within their team's quota guarantee.
 	includeGuaranteed bool
 }
 
-// preempt stops tasks to make room for a pending job and returns how many of its tasks still
-// have none. Work within its team's guarantee is stopped only where nothing else will do, and
-// only for urgent jobs.
+// preempt evicts tasks to make room for count tasks of a pending job and returns the number that
+// still have no room. Tasks of jobs within their team's quota guarantee are evicted only for
+// urgent jobs, and only if evicting other tasks does not suffice.
 func (c *Controller) preempt(search *preemption, count int) int {
 	count = c.preemptOnHosts(search, count)
 	if count > 0 && search.pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
@@ -32,8 +32,8 @@
 	return count
 }
 
-// preemptOnHosts stops tasks host by host until count of the job's tasks have room, and
-// returns how many have none.
+// preemptOnHosts evicts tasks host by host until count of the job's tasks have room, and returns
+// the number that still have no room.
 func (c *Controller) preemptOnHosts(search *preemption, count int) int {
 	job := search.pending.job
 	for _, host := range c.preemptionHosts(search) {
@@ -48,8 +48,9 @@
 	return count
 }
 
-// preemptionHosts is the hosts that would have room for a task of the job if others were
-// stopped: first those that pull the fewest images, and of them those with the most free.
+// preemptionHosts returns the hosts that would have room for a task of the job if other tasks
+// were evicted. Hosts that pull the fewest images come first, and among them those with the most
+// free cores.
 func (c *Controller) preemptionHosts(search *preemption) []*placement.Host {
 	job := search.pending.job
 	need := job.request.Need
@@ -76,17 +77,19 @@
 	return hosts
 }
 
-// preemptable reports whether a pending job may have an allocation stopped: one of lower
-// priority, or, to get its team's guarantee, one that another team runs beyond its own.
-// Urgent work is never stopped for a guarantee.
+// preemptable reports whether an allocation may be evicted for a pending job: because it has a
+// lower priority, or because the pending job is within its team's quota guarantee and the
+// allocation belongs to another team that runs it beyond its own guarantee. Urgent tasks are never
+// evicted for a guarantee.
 func (c *Controller) preemptable(transactions map[string]*placementTransaction, allocation *Allocation, pending *pendingJob, includeGuaranteed bool) bool {
 	job := c.cache.jobs[allocation.Job]
 	if job == nil || allocation.Eviction != record.EvictionNone || c.scheduler.guaranteedJobs[allocation.Job] && !includeGuaranteed {
 		return false
 	}
 	priority := pending.job.spec.Priority.Level()
-	// Old work is not stopped for what is merely of higher priority: it would start again
-	// and again. What saves checkpoints still gives way to high priorities.
+	// A job that was accepted more than overdueAfter ago may be evicted only for critical jobs,
+	// because it would otherwise be restarted again and again. If it saves checkpoints, it may
+	// also be evicted for high-priority jobs.
 	required := wire.PriorityCritical
 	if job.spec.CheckpointIntervalS > 0 {
 		required = wire.PriorityHigh
@@ -104,14 +107,14 @@
 	return txn != nil && txn.hasCapacityFor(evictionOperations)
 }
 
-// victim is tasks of an allocation that are to be stopped.
+// victim is a set of tasks of one allocation that are chosen for eviction.
 type victim struct {
 	allocation *Allocation
 	tasks      record.TaskSet
 }
 
-// makeRoom stops the least urgent tasks of a machine until there is room for a task of the
-// pending job, or none if there would not be.
+// makeRoom evicts the least urgent tasks of a machine until there is room for a task of the
+// pending job. If no eviction can make enough room, it evicts none and returns false.
 func (c *Controller) makeRoom(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) bool {
 	room := host.Free.Plus(host.Freeing, 1)
 	if room.Covers(pending.job.request.Need) {
@@ -123,7 +126,7 @@
 	}
 	eviction := record.EvictionGraceful
 	if pending.job.spec.Priority == wire.PriorityCritical {
-		eviction = record.EvictionImmediate // it cannot wait for others to save
+		eviction = record.EvictionImmediate // a critical job cannot wait for checkpoints of others
 	}
 	for _, victim := range victims {
 		c.evictVictim(transactions, victim, eviction)
@@ -132,15 +135,15 @@
 	return true
 }
 
-// chooseVictims is the tasks to stop on a host, the least urgent, so that a task of the
-// pending job fits; ok is false if it would not fit if all were stopped that may be.
+// chooseVictims returns the least urgent tasks to evict on a host so that a task of the pending
+// job fits. ok is false if the task would not fit even if all preemptable tasks were evicted.
 func (c *Controller) chooseVictims(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) (victims []victim, ok bool) {
 	need := pending.job.request.Need
 	room := host.Free.Plus(host.Freeing, 1)
 	for _, allocation := range c.preemptableAllocations(transactions, host, pending, includeGuaranteed) {
 		remaining := c.remainingTasks(transactions, allocation)
 		for !remaining.Empty() && !room.Covers(need) {
-			evicted := remaining // a gang runs as a whole or not at all
+			evicted := remaining // a gang is evicted as a whole
 			if allocation.Shape != wire.ShapeGang {
 				_, evicted = remaining.Take(remaining.Len() - 1) // the last task
 			}
@@ -152,8 +155,9 @@
 	return victims, room.Covers(need)
 }
 
-// preemptableAllocations is a host's allocations that a pending job may have stopped, the least urgent
-// and newest first, and those within their team's guarantee last.
+// preemptableAllocations returns the allocations of a host that may be evicted for a pending job,
+// those beyond their team's quota guarantee first. Otherwise the least urgent allocations come
+// first and, at the same priority, the newest.
 func (c *Controller) preemptableAllocations(transactions map[string]*placementTransaction, host *placement.Host, pending *pendingJob, includeGuaranteed bool) []*Allocation {
 	var allocations []*Allocation
 	for _, allocation := range c.fleet.allocationsOn(host.ID) {
@@ -171,7 +175,8 @@
 	return allocations
 }
 
-// evictVictim stages the eviction of a victim's tasks; of all of its job, if it is a gang.
+// evictVictim stages the eviction of a victim's tasks. If the victim's job is a gang, all of its
+// tasks are evicted.
 func (c *Controller) evictVictim(transactions map[string]*placementTransaction, victim victim, eviction record.Eviction) {
 	allocation := victim.allocation
 	txn := transactions[c.cache.jobs[allocation.Job].spec.Team]
@@ -186,7 +191,7 @@
 	}
 }
 
-// remainingTasks is the tasks of an allocation that the transactions leave running.
+// remainingTasks returns the tasks of an allocation that the staged transactions do not evict.
 func (c *Controller) remainingTasks(transactions map[string]*placementTransaction, allocation *Allocation) record.TaskSet {
 	var remaining record.TaskSet
 	txn := transactions[c.cache.jobs[allocation.Job].spec.Team]
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -9,11 +9,12 @@
 	"lilacrill/wire"
 )
 
-// scheduler is when the next scheduling passes are due, and what they work on.
+// scheduler holds the times at which the next scheduling passes are due and the state that
+// passes share.
 //
-// Two kinds of passes take turns: critical jobs are scheduled as soon as something changed
-// that they wait for, all others at intervals that keep within this controller's share of
-// the state store's writes.
+// There are two kinds of passes. Critical jobs are scheduled as soon as something changes that
+// they may wait for. All other jobs are scheduled at intervals that keep this controller
+// within its share of the state store's writes.
 type scheduler struct {
 	dirty              bool // something changed since the last pass
 	criticalDirty      bool // something changed that a pending critical job may wait for
@@ -21,53 +22,64 @@
 	criticalPending    bool // the last pass had a critical job in its queue
 	nextPass           Time
 	nextNonCritical    Time
-	nextCriticalOnly   Time // no pass over critical jobs alone before, while submissions are crowded
+	nextCriticalOnly   Time // earliest pass over critical jobs alone, while submissions are backlogged
 	nextDemandEstimate Time
 	lag                lagMeter
 
-	guaranteedJobs map[wire.JobID]bool // the jobs within their teams' quota guarantees
+	guaranteedJobs map[wire.JobID]bool // jobs within their teams' quota guarantees
 }
 
-// teamSchedule is the scheduler's state of a team.
+// teamSchedule holds the scheduler's state for one team.
 type teamSchedule struct {
-	inFlight           *placementTransaction
-	nextTransaction    Time // no transaction before
-	nextExitCollection Time // when task exits may be recorded here though another controller owns the team
+	inFlight        *placementTransaction
+	nextTransaction Time // earliest time of the next transaction
+	// nextExitCollection is the time from which this controller may record the task exits of a
+	// team that another controller owns. It is 0 if there are no such exits.
+	nextExitCollection Time
 	lastTurn           Time
-	nextPlacement      Time                    // no placements before: a pause after lost writes
-	lostPlacements     int                     // consecutive lost placement writes
-	firstLostAt        Time                    // when the first of them was sent
-	contendedMachines  map[wire.MachineID]bool // the machines of the lost writes
+	nextPlacement      Time                    // earliest time of the next placement, after lost writes
+	lostPlacements     int                     // consecutive placement writes that lost a conflict
+	firstLostAt        Time                    // when the first of these writes was sent
+	contendedMachines  map[wire.MachineID]bool // machines of the lost writes
 }
 
 const (
-	// passInterval and passIntervalPerMachine bound the processor time of passes.
+	// passInterval and passIntervalPerMachine bound the processor time of passes: the minimum
+	// interval between two passes is passInterval plus passIntervalPerMachine per machine.
 	passInterval           = 30 * time.Millisecond
 	passIntervalPerMachine = 60 * time.Microsecond
-	// demandEstimateInterval is how often the provisioner estimates the unmet demand at least.
+	// demandEstimateInterval is the interval at which the provisioner estimates the unmet
+	// demand if no pass that includes non-critical jobs does so earlier.
 	demandEstimateInterval = time.Second
-	idlePassInterval       = 500 * time.Millisecond
-	maxIdlePassInterval    = 2 * time.Second
-	// acceptorPriorityPeriod is how long the placement of a new job is left to the controller
-	// that accepted it.
+	// idlePassInterval is the time for which a pass that is due is put off while nothing has
+	// changed. It is stretched to at most maxIdlePassInterval on a slow or lagging controller.
+	idlePassInterval    = 500 * time.Millisecond
+	maxIdlePassInterval = 2 * time.Second
+	// acceptorPriorityPeriod is the time during which only the controller that accepted a new
+	// job places it.
 	acceptorPriorityPeriod = 500 * time.Millisecond
-	// exitCollectionDelay is how long the recording of task exits is left to the team's
-	// owner: a single writer per team avoids lost writes.
+	// exitCollectionDelay is the time during which only the team's owner records task exits.
+	// A single writer per team avoids lost writes.
 	exitCollectionDelay = time.Second
 	commitRetryDelay    = 200 * time.Millisecond
-	heartbeatSlack      = 2 * time.Second
-	maxTasksPerMachine  = 300
-	// pageBytesPerTask bounds the tasks of an allocation by the size of a placement page.
+	// heartbeatSlack is added to the longest heartbeat interval before a heartbeat counts as
+	// missing.
+	heartbeatSlack     = 2 * time.Second
+	maxTasksPerMachine = 300
+	// pageBytesPerTask divides the size limit of a placement page to bound the number of tasks
+	// of an allocation.
 	pageBytesPerTask = 32
-	maxTxnBytes      = 40 << 10 // leaves room for two more pages under the 64 KiB of a transaction
-	// criticalWriteFraction is the part of the writes that critical placements may take while
-	// submissions are crowded.
+	// maxTxnBytes is the size from which a transaction takes on no more writes. It leaves room
+	// for two more pages under the limit of 64 KiB.
+	maxTxnBytes = 40 << 10
+	// criticalWriteFraction is the fraction of the write rate that critical placements may use
+	// while submissions are backlogged.
 	criticalWriteFraction = 0.4
-	// nonCriticalInterval is how often non-critical jobs are scheduled at most.
+	// nonCriticalInterval is the minimum interval between passes over non-critical jobs.
 	nonCriticalInterval = 250 * time.Millisecond
 )
 
-// teamSettings is a team's settings; nil if it has none.
+// teamSettings returns the settings of a team, or nil if the team is not configured.
 func (c *Controller) teamSettings(name string) *config.Team {
 	for i := range c.settings.Cluster.Teams {
 		if c.settings.Cluster.Teams[i].Name == name {
@@ -77,8 +89,9 @@
 	return nil
 }
 
-// runScheduler runs one scheduling pass and commits what it placed, if there is reason to.
-// Non-critical jobs gather until this controller's write budget allows another transaction.
+// runScheduler runs a scheduling pass, if one is due, and commits the placements that it made.
+// Non-critical jobs stay pending until this controller's write budget allows another
+// transaction.
 func (c *Controller) runScheduler() {
 	if !c.membership.ready || !c.cache.complete() || !c.storeReachable() || !c.isDue(c.scheduler.nextPass) {
 		return
@@ -92,7 +105,7 @@
 	if !c.scheduler.hasRelevantChanges(includeNonCritical) && !c.idlePassDue(includeNonCritical) {
 		return
 	}
-	c.scheduler.dirty = !includeNonCritical // a later pass considers what this one does not
+	c.scheduler.dirty = !includeNonCritical // non-critical jobs are left to a later pass
 	c.scheduler.criticalDirty = false
 	c.scheduleNextPasses(includeNonCritical)
 	criticalThrottled := c.submissionsBacklogged() && !c.isDue(c.scheduler.nextCriticalOnly)
@@ -119,19 +132,19 @@
 	c.commitTransactions(transactions)
 }
 
-// hasRelevantChanges reports whether something changed that a pass may act on.
+// hasRelevantChanges reports whether something changed that may affect the jobs of a pass.
 func (s *scheduler) hasRelevantChanges(includeNonCritical bool) bool {
 	return s.dirty && (includeNonCritical || s.criticalDirty)
 }
 
-// idlePassDue reports whether a pass is due though nothing is known to have changed.
+// idlePassDue reports whether a pass is due even though no change is known.
 func (c *Controller) idlePassDue(includeNonCritical bool) bool {
 	pause := c.stretchPause(idlePassInterval, maxIdlePassInterval)
 	return (includeNonCritical || c.scheduler.criticalDirty) && c.isDue(c.scheduler.nextPass.Add(pause))
 }
 
-// estimateDemand runs a pass that writes nothing: machines have to be provisioned for pending
-// jobs even while no placement can be written.
+// estimateDemand runs a pass that writes nothing. The provisioner needs the unmet demand of
+// pending jobs even while no placement can be written.
 func (c *Controller) estimateDemand() {
 	c.scheduler.nextDemandEstimate = c.now.Add(demandEstimateInterval)
 	c.scheduler.nextPass = c.now.Add(c.passPause())
@@ -142,7 +155,7 @@
 	}
 }
 
-// scheduleNextPasses sets when the passes after this one are due.
+// scheduleNextPasses sets the times at which the passes after this one are due.
 func (c *Controller) scheduleNextPasses(includeNonCritical bool) {
 	pause := c.passPause()
 	c.scheduler.nextPass = c.now.Add(pause)
@@ -153,18 +166,20 @@
 }
 
 // submissionsBacklogged reports whether so many submissions wait to be written that placements
-// of critical jobs have to leave writes to them. Such placements go first, and each team
-// could write one after the other, with a job or two in each: of hundreds of jobs that came
-// at once only a few a second were then accepted, and the machines for them were provisioned
-// as late. The more jobs there are in a transaction, the fewer writes each takes.
+// of critical jobs must leave writes to them. Critical placements have precedence over
+// submissions, and every team could write one transaction after another with only a job or two
+// in each. Of hundreds of jobs submitted at once, only a few per second would then be accepted,
+// and the machines for them would be provisioned just as late. Spacing the placements out puts
+// more jobs in each transaction, so that each job takes fewer writes.
 func (c *Controller) submissionsBacklogged() bool {
 	return c.admission.inFlight >= minAdmissionQueue
 }
 
-// startTransactions starts transactions for the teams whose turn it is, and collects the
-// task exits to record in them. A transaction is made when it can be written at once: one
-// that waits for write tokens is based on an outdated state, and is lost. So teams take
-// turns, unless machines were lost with the tasks on them.
+// startTransactions starts a transaction for the team whose turn it is, and collects the task
+// exits to record in it. A transaction is built only when it can be written at once. If it had
+// to wait for write tokens, it would be based on an outdated state and lose a conflict. Teams
+// therefore take turns, except after machines were lost with the tasks on them, when every team
+// gets a transaction.
 func (c *Controller) startTransactions() map[string]*placementTransaction {
 	transactions := map[string]*placementTransaction{}
 	for _, name := range c.teamsByTurn() {
@@ -180,7 +195,7 @@
 		transactions[name] = txn
 		team.schedule.lastTurn = c.now
 		if !c.scheduler.machinesLost {
-			c.scheduler.dirty = true // other teams may wait for their turn
+			c.scheduler.dirty = true // other teams may be waiting for their turn
 			break
 		}
 	}
@@ -188,7 +203,7 @@
 	return transactions
 }
 
-// teamsByTurn is the names of the teams, those first whose last turn is the longest ago.
+// teamsByTurn returns the names of the teams, the team with the least recent turn first.
 func (c *Controller) teamsByTurn() []string {
 	names := sortedKeys(c.cache.teams)
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -198,8 +213,8 @@
 }
 
 // mayRecordExits reports whether this controller may write the task exits that a transaction
-// collected: the team's owner at once, others only if the owner has not done so for
-// exitCollectionDelay.
+// collected. The team's owner may do so at once, other controllers only if the owner has not
+// recorded them within exitCollectionDelay.
 func (c *Controller) mayRecordExits(txn *placementTransaction) bool {
 	schedule := &txn.team.schedule
 	switch {
@@ -213,8 +228,8 @@
 	return c.isDue(schedule.nextExitCollection)
 }
 
-// startCriticalTransactions starts transactions for critical jobs alone for the teams whose
-// turn it is not: critical jobs wait for no turn.
+// startCriticalTransactions starts a transaction, restricted to critical jobs, for each team
+// whose turn it is not. Critical jobs do not wait for their team's turn.
 func (c *Controller) startCriticalTransactions(transactions map[string]*placementTransaction) {
 	for _, name := range sortedKeys(c.cache.teams) {
 		team := c.cache.teams[name]
@@ -225,8 +240,8 @@
 	}
 }
 
-// commitTransactions commits the transactions that are not empty, and paces the next pass
-// over critical jobs by their size.
+// commitTransactions commits the transactions that are not empty. The more operations they have,
+// the later the next pass over critical jobs alone may run while submissions are backlogged.
 func (c *Controller) commitTransactions(transactions map[string]*placementTransaction) {
 	committed, operations := false, 0
 	for _, name := range sortedKeys(transactions) {
@@ -242,8 +257,8 @@
 	}
 }
 
-// teamNeedsWork reports whether a team has something for this controller to do: to place
-// tasks, to complete a job, or to evict tasks from machines with a preemption notice.
+// teamNeedsWork reports whether this controller has work to do for a team: placing tasks,
+// completing a job, or evicting tasks from machines with a preemption notice.
 func (c *Controller) teamNeedsWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
 	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(machine *machine) bool { return machine.scaling.preemptionAt != 0 }) {
@@ -260,13 +275,14 @@
 	return false
 }
 
-// hasTasksToPlace reports whether a job has tasks that this controller is to place now.
+// hasTasksToPlace reports whether a job has tasks that this controller should place now.
 func (c *Controller) hasTasksToPlace(job *job) bool {
 	return !c.inBackoff(job) && job.completed.Len()+c.placedTasks(job.id) < job.spec.Tasks && c.schedulesJob(job)
 }
 
-// needsSchedulingPass reports whether this controller has jobs to schedule. The provisioner
-// also has to know the demand of all other jobs, and whether there is enough headroom.
+// needsSchedulingPass reports whether this controller has to run a scheduling pass over the
+// whole fleet: because it has pending jobs to schedule or, as the provisioner, because it needs
+// to know the demand of all other jobs and whether there is enough headroom.
 func (c *Controller) needsSchedulingPass(includeNonCritical bool) bool {
 	return includeNonCritical && c.isProvisioner() || c.hasPendingJobs(includeNonCritical)
 }
@@ -281,9 +297,10 @@
 	return false
 }
 
-// schedulesJob reports whether this controller is responsible for a job's placement: for a
-// new job's first placement the controller that accepted it, for everything else the owner
-// of its team. While sharding is in use, a job may have been forwarded to another.
+// schedulesJob reports whether this controller is responsible for placing a job. For
+// acceptorPriorityPeriod, a new job is placed by the controller that accepted it, as long as that
+// controller is alive. Otherwise the owner of the job's team is responsible. While sharding is in
+// use, a forwarded job is placed by the controller that it was forwarded to.
 func (c *Controller) schedulesJob(job *job) bool {
 	if to, forwarded := c.forwardedTo(job.id); forwarded && c.sharded() {
 		return to == c.settings.Label
@@ -294,8 +311,8 @@
 	return c.ownsTeam(job.spec.Team)
 }
 
-// sortedKeys is the keys of a map in order: what depends on a map's own order differs from run
-// to run.
+// sortedKeys returns the keys of a map in ascending order, for loops whose effects depend on the
+// order. Go's own map order differs from run to run.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -9,46 +9,49 @@
 )
 
 // schedulingPass is one pass over the pending jobs. It works on a snapshot of the fleet and
-// stages what it decides in the teams' placement transactions; nothing is written before
-// the pass is over.
+// stages its decisions in the teams' placement transactions. Nothing is written before the pass
+// is over.
 //
-// The order of work (run): build the hosts, order the pending jobs, note which accelerators
-// are wanted, place the critical jobs, reserve headroom, place all other jobs on machines
-// that have their image, and at last place what is left on any machine.
+// A pass builds the hosts (newSchedulingPass) and then (run) orders the pending jobs, determines
+// which accelerators to reserve, places the critical jobs, reserves headroom, places all other
+// jobs, those that prefer a cached image on machines that have it, and finally places the
+// remaining tasks on any machine.
 type schedulingPass struct {
 	c            *Controller
-	transactions map[string]*placementTransaction // by team; a team without one is planned for only
+	transactions map[string]*placementTransaction // by team; for a team without one the pass only plans
 	fleet        placement.Fleet
-	// Of the allocations that stand, staged ones included: what each team uses of its
-	// limits, which tasks of each job are placed, on which hosts and in which zone.
+	// The usage and placements that follow from the current allocations, staged ones included:
+	// the resources that each team uses of its limits, and the placed tasks, hosts and zone of
+	// each job.
 	teamUsage map[string]placement.Resources
 	placed    map[wire.JobID]record.TaskSet
 	jobHosts  map[wire.JobID][]*placement.Host
 	jobZones  map[wire.JobID]string
-	// unsatisfiable holds the resources that a search found no room for, by all that the
-	// search depends on: a job that needs as much is not searched for again in this pass.
+	// unsatisfiable holds, by search key, the resource needs for which a search found no room.
+	// The search is not repeated in this pass for a job that needs at least as much.
 	unsatisfiable map[searchKey][]placement.Resources
-	// rankings holds the ranked candidates that searches with the same key share.
+	// rankings holds ranked candidates, shared by all searches with the same key.
 	rankings map[rankingKey]*placement.Ranking
-	// reserveAccelerators says that a pending job needs accelerators, on on-demand machines
-	// or (reserveSpotAccelerators) on spot machines as well: less urgent jobs that need none
-	// then avoid the machines that have some. Otherwise another controller places them on
-	// each machine from which they were just evicted, and a gang never finds enough
+	// reserveAccelerators is set if a pending job needs accelerators, reserveSpotAccelerators
+	// if such a job may also use spot machines. Less urgent jobs that need no accelerators then
+	// avoid the machines that have some. Otherwise another controller would place them again on
+	// each machine from which they were just evicted, and a gang would never find enough
 	// accelerators at once.
 	reserveAccelerators, reserveSpotAccelerators bool
-	// gatheringZones holds the zones in which capacity is being gathered, each for one job.
+	// gatheringZones holds the zones in which capacity is being gathered for a job, at most one
+	// job per zone.
 	gatheringZones map[string]bool
-	// cachedImageOnly restricts jobs to machines that have their image.
+	// cachedImageOnly restricts placement to machines that have the job's image.
 	cachedImageOnly bool
-	// includeNonCritical is false in a pass over the critical jobs alone.
+	// includeNonCritical is false in a pass over the critical jobs only.
 	includeNonCritical bool
 	// ownShards restricts the pass to the machines in this controller's shards.
 	ownShards bool
 }
 
-// schedule runs the scheduling passes that are due: over this controller's shards while
-// sharding is in use, over the whole fleet otherwise. Without includeNonCritical it
-// considers critical jobs alone.
+// schedule runs the scheduling passes that are due. While sharding is in use, a pass covers this
+// controller's shards, otherwise the whole fleet. Without includeNonCritical, only critical jobs
+// are considered.
 func (c *Controller) schedule(transactions map[string]*placementTransaction, includeNonCritical bool) {
 	if len(c.provisioner.catalogue) == 0 {
 		return
@@ -67,17 +70,18 @@
 	}
 }
 
-// estimateFleetDemand runs a pass over the whole fleet that writes nothing, so that the
-// provisioner knows the demand that no shard has room for.
+// estimateFleetDemand runs a pass over the whole fleet that writes nothing. It gives the
+// provisioner the demand that no shard has room for.
 func (c *Controller) estimateFleetDemand() {
 	c.shards.nextFleetEstimate = c.now.Add(max(demandEstimateInterval, 3*c.passPause()))
 	c.newSchedulingPass(map[string]*placementTransaction{}, true, false).run()
 }
 
-// newSchedulingPass makes a pass with a snapshot of the fleet. A pass over the whole fleet
-// plans for all teams, so that what this controller places leaves room for more urgent jobs
-// that others will place, and writes only for the jobs that it is responsible for. A pass
-// over its own shards plans for those jobs alone.
+// newSchedulingPass creates a pass with a snapshot of the fleet. A pass over the whole fleet
+// plans for the jobs of all teams, so that the placements of this controller leave room for more
+// urgent jobs that other controllers will place. It writes placements only for the jobs that
+// this controller is responsible for. A pass over this controller's own shards plans only for
+// these jobs.
 func (c *Controller) newSchedulingPass(transactions map[string]*placementTransaction, includeNonCritical, ownShards bool) *schedulingPass {
 	p := &schedulingPass{
 		c:                  c,
@@ -96,8 +100,8 @@
 	return p
 }
 
-// countAllocation counts an allocation that stands. The host is nil if the pass does not
-// consider its machine.
+// countAllocation adds a current allocation to the usage and placements of the pass. The host is
+// nil if the pass does not consider the allocation's machine.
 func (p *schedulingPass) countAllocation(page *page, allocation *Allocation, host *placement.Host) {
 	p.teamUsage[page.team] = p.teamUsage[page.team].Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
 	p.placed[allocation.Job] = p.placed[allocation.Job].With(allocation.Tasks)
@@ -107,8 +111,9 @@
 	p.jobZones[allocation.Job] = page.zone
 }
 
-// run places the pending jobs and records the unmet demand for the provisioner. Only a full
-// pass over the whole fleet knows that demand; others leave what the last such pass found.
+// run places the pending jobs and records the unmet demand for the provisioner. Only a pass over
+// all jobs and the whole fleet can determine that demand. Other passes keep the result of the
+// last such pass.
 func (p *schedulingPass) run() {
 	c := p.c
 	c.metrics.count(countSchedulingPasses, 1)
@@ -131,8 +136,9 @@
 	}
 }
 
-// placeInOrder places the jobs of the queue, and reserves headroom ahead of the first that is
-// not critical. It returns the jobs that were tried on machines with their image only.
+// placeInOrder places the jobs of the queue in order, and reserves headroom before the first job
+// that is not critical. It returns the jobs for which only machines with their image were
+// considered.
 func (p *schedulingPass) placeInOrder(queue []pendingJob) (cachedOnly []*pendingJob) {
 	headroomReserved := !p.includeNonCritical
 	for i := range queue {
@@ -153,9 +159,9 @@
 	return cachedOnly
 }
 
-// placeRemaining places, on any machine, the tasks that found no machine with their image.
-// They come last, after every job took the machines that have its image: pulling one
-// occupies a machine for as long as many a task runs.
+// placeRemaining places, on any machine, the tasks that found no room on a machine with their
+// image. They come last, after every job was tried on the machines that have its image, because
+// pulling an image can occupy a machine for as long as a task runs.
 func (p *schedulingPass) placeRemaining(jobs []*pendingJob) {
 	p.cachedImageOnly = false
 	for _, pending := range jobs {
@@ -165,15 +171,15 @@
 	}
 }
 
-// prefersCachedImage reports whether a job is first tried on machines with its image only.
+// prefersCachedImage reports whether a job is at first placed only on machines with its image.
 func (p *schedulingPass) prefersCachedImage(pending *pendingJob) bool {
 	return pending.job.spec.Priority.Level() >= wire.PriorityNormal.Level() && !pending.overdue && !pending.guaranteed &&
 		hasPlainConstraints(pending.job) && p.c.imagePullIsSlow(pending.job)
 }
 
-// reserveAcceleratorsFor reserves the machines with accelerators if a pending job needs some.
-// This is done before anything is placed: less urgent jobs within a guarantee come before
-// urgent jobs beyond one, and would take those machines although they need no accelerator.
+// reserveAcceleratorsFor reserves the machines with accelerators if a pending job needs some. It
+// must be called before any job is placed: less urgent jobs within a guarantee are placed before
+// urgent jobs beyond one, and would otherwise take these machines without needing accelerators.
 func (p *schedulingPass) reserveAcceleratorsFor(pending *pendingJob) {
 	job := pending.job
 	if job.request.Need.Accelerators > 0 && job.mayPreempt() && p.tasksWithinLimit(pending) > 0 {
@@ -182,14 +188,13 @@
 	}
 }
 
-// avoidsAccelerators reports whether a job has to avoid the machines whose accelerators are
-// reserved.
+// avoidsAccelerators reports whether a job must avoid the machines with reserved accelerators.
 func (p *schedulingPass) avoidsAccelerators(job *job) bool {
 	return p.reserveAccelerators && job.request.Need.Accelerators == 0 && job.spec.Priority.Level() > wire.PriorityHigh.Level()
 }
 
-// hasReservedAccelerators reports whether a machine is reserved for jobs that need
-// accelerators.
+// hasReservedAccelerators reports whether a machine is reserved for jobs that need accelerators,
+// provided that reserveAccelerators is set.
 func (p *schedulingPass) hasReservedAccelerators(host *placement.Host) bool {
 	return host.Total.Accelerators > 0 && (p.reserveSpotAccelerators || host.Labels[placement.LabelSpot] != "true")
 }
--- a/internal/controller/unmet_demand.go
+++ b/internal/controller/unmet_demand.go
@@ -8,7 +8,7 @@
 	"lilacrill/wire"
 )
 
-// The reasons why tasks of a job are pending. Users see them as wire.AdminJob's Reason.
+// The reasons why tasks of a job are pending, reported in the Reason field of wire.AdminJob.
 const (
 	reasonUnreadable       = "its record, or a placement record of its team, cannot be read"
 	reasonCrashLoopBackoff = "its tasks failed; they are tried again after a pause"
@@ -21,17 +21,17 @@
 	reasonNoCapacity       = "no machine that fits has room"
 )
 
-// unmetDemand is a number of a job's tasks without room.
+// unmetDemand is the number of a job's tasks for which the fleet has no room.
 type unmetDemand struct {
 	job        *job
 	count      int
-	guaranteed bool   // within its team's quota guarantee
-	zone       string // where they have to run; "" if anywhere
+	guaranteed bool   // the job is within its team's quota guarantee
+	zone       string // the zone in which the tasks have to run; "" for any zone
 }
 
-// handleUnmetDemand deals with tasks that found no room: the job is forwarded, or capacity
-// that is being freed is reserved for them, or less urgent tasks are evicted. What is left is
-// demand for the provisioner.
+// handleUnmetDemand handles tasks that found no room. The job is forwarded, or capacity that is
+// being freed is reserved for the tasks, or less urgent tasks are evicted. Tasks that still have
+// no room are recorded as unmet demand for the provisioner.
 func (p *schedulingPass) handleUnmetDemand(pending *pendingJob, count int) {
 	job := pending.job
 	if !job.mayPreempt() {
@@ -54,8 +54,8 @@
 	}
 }
 
-// freeCapacityForTasks reserves or frees capacity for single tasks and returns how many still have
-// none.
+// freeCapacityForTasks reserves capacity that is being freed for tasks that can be placed one by
+// one, or evicts less urgent tasks. It returns the number of tasks that still have no room.
 func (p *schedulingPass) freeCapacityForTasks(pending *pendingJob, count int) int {
 	job := pending.job
 	key := searchKey{
@@ -83,8 +83,9 @@
 	return count
 }
 
-// addUnmetDemand has tasks without room provisioned for; a pass over this controller's shards
-// also forwards their job, to a controller that could evict less urgent tasks for it.
+// addUnmetDemand records tasks without room as unmet demand, so that machines are provisioned for
+// them. A pass over this controller's shards also forwards their job to a controller that could
+// evict less urgent tasks for it.
 func (p *schedulingPass) addUnmetDemand(pending *pendingJob, count int, zone string) {
 	if count <= 0 {
 		return
--- a/internal/controller/wait_tolerance.go
+++ b/internal/controller/wait_tolerance.go
@@ -9,34 +9,36 @@
 )
 
 const (
-	// waitToleranceFraction is the part of an objective's slack, and deadlineWaitFraction of
-	// a deadline's, that may be spent pending.
+	// waitToleranceFraction is the fraction of an objective's slack, and deadlineWaitFraction
+	// the fraction of a deadline's slack, that a job may spend pending.
 	waitToleranceFraction = 0.4
 	deadlineWaitFraction  = 0.15
 	minWaitTolerance      = 15 * time.Second
-	// overdueToleranceFactor times its tolerance is when a wait is too long.
+	// overdueToleranceFactor times its wait tolerance is the time after which a job has waited
+	// too long.
 	overdueToleranceFactor = 2
-	// noObjectiveRuntimeFactor times its run time, and noObjectiveMinS seconds, is what a job
-	// without any objective or deadline may take; noObjectiveFirstStart is how long it waits
-	// for its first start before machines are provisioned for it at once.
+	// The slack of a job without any objective or deadline is noObjectiveRuntimeFactor times its
+	// run time plus noObjectiveMinS seconds. If it has not started noObjectiveMaxStartWait after
+	// its submission, it tolerates no more waiting, and machines are provisioned for it at once.
 	noObjectiveRuntimeFactor = 4
 	noObjectiveMinS          = 240.0
 	noObjectiveMaxStartWait  = 60 * time.Second
-	// startOverheadS is how many seconds a task occupies a machine beside its run time.
+	// startOverheadS is the number of seconds that a task occupies a machine in addition to its
+	// run time.
 	startOverheadS = 5.0
 )
 
-// waitTolerance is how long after its submission a job's tasks may be left pending: a part of
-// what its objectives and its deadline leave. Urgent jobs tolerate no wait.
+// waitTolerance returns how long after its submission a job's tasks may stay pending: a fraction
+// of the slack that its objectives and its deadline leave. Urgent jobs tolerate no wait.
 func (c *Controller) waitTolerance(job *job) time.Duration {
 	if job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		return 0
 	}
 	slackS := c.objectiveSlackS(job)
 	if math.IsInf(slackS, 1) {
-		// It has neither a deadline nor an objective. It is to start soon, and to complete in
-		// some proportion to its length, but machines are not provisioned for it as if it
-		// were urgent.
+		// A job with neither a deadline nor an objective should start soon and complete in
+		// proportion to its run time, but machines are not provisioned for it as for an urgent
+		// job.
 		if !job.started && c.pendingFor(job) > noObjectiveMaxStartWait {
 			return 0
 		}
@@ -45,9 +47,10 @@
 	return config.Seconds(max(0, waitToleranceFraction*slackS))
 }
 
-// objectiveSlackS is how many seconds a job's objectives and deadline leave beside its run
-// time; infinite if it has none. Run times count twice: estimates are often wrong by half or
-// more.
+// objectiveSlackS returns the number of seconds that a job's objectives and deadline leave in
+// addition to its run time, or infinity if it has none. Run times count twice, because the stated
+// estimates are often wrong by half or more. The slack of a deadline is scaled so that
+// waitTolerance yields deadlineWaitFraction of it.
 func (c *Controller) objectiveSlackS(job *job) float64 {
 	slackS := math.Inf(1)
 	if job.spec.DeadlineS > 0 {
@@ -67,7 +70,8 @@
 	return slackS
 }
 
-// remainingTolerance is how long a job's tasks may still be left pending.
+// remainingTolerance returns how much longer a job's tasks may stay pending, but at least
+// minWaitTolerance.
 func (c *Controller) remainingTolerance(job *job) time.Duration {
 	return max(c.waitTolerance(job)-c.pendingFor(job), minWaitTolerance)
 }
