--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,10 +19,10 @@
 	// can write in that time. At least minAdmissionQueue are queued in any case.
 	admissionQueueTime = 800 * time.Millisecond
 	minAdmissionQueue  = 4
-	// admissionOversubscription is the ratio of the rate at which users are advised to retry to
+	// retryOversubscription is the ratio of the rate at which users are advised to retry to
 	// this controller's write rate. It is above 1 because the other controllers do not always
 	// use their part of the writes.
-	admissionOversubscription = 1.3
+	retryOversubscription = 1.3
 	// maxRetryDelay is the longest delay that a user is advised to wait. Users give up after a
 	// minute.
 	maxRetryDelay = 10 * time.Second
@@ -138,7 +138,7 @@
 // retry. Retry times are spread at about the rate at which submissions can be written. With a
 // common retry time, all users would retry at once and most would be refused again.
 func (c *Controller) nextRetryDelay() time.Duration {
-	c.admission.lastAdvisedRetry = max(c.admission.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * admissionOversubscription)))
+	c.admission.lastAdvisedRetry = max(c.admission.lastAdvisedRetry, c.now.Add(retryDelay)).Add(config.Seconds(1 / (c.writeRate() * retryOversubscription)))
 	delay := c.admission.lastAdvisedRetry.Sub(c.now)
 	if delay > maxRetryDelay {
 		delay = maxRetryDelay - time.Duration(c.rand.Int64N(int64(maxRetryDelay/2)))
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -76,7 +76,7 @@
 			}
 			txn := transactions[job.spec.Team]
 			if txn != nil && txn.hasCapacityFor(evictionOperations) && c.evictionDue(job, machine) {
-				c.evictJobFrom(txn, job, machine.id)
+				c.evictJobFromMachine(txn, job, machine.id)
 			}
 		}
 	}
@@ -93,9 +93,9 @@
 	return job.spec.CheckpointIntervalS > 0 && secondsLeft < job.spec.CheckpointSaveS+2*checkpointMarginS
 }
 
-// evictJobFrom stages the graceful eviction of a job's tasks on a machine. All tasks of a gang are
-// evicted, because a gang runs as a whole or not at all.
-func (c *Controller) evictJobFrom(txn *placementTransaction, job *job, id wire.MachineID) {
+// evictJobFromMachine stages the graceful eviction of a job's tasks on a machine. All tasks of a
+// gang are evicted, because a gang runs as a whole or not at all.
+func (c *Controller) evictJobFromMachine(txn *placementTransaction, job *job, id wire.MachineID) {
 	if job.spec.Shape == wire.ShapeGang {
 		c.stageJobEviction(txn, job.id, record.EvictionGraceful)
 		return
--- a/internal/controller/machine_search.go
+++ b/internal/controller/machine_search.go
@@ -150,7 +150,7 @@
 		count -= tasks
 	}
 	if count > 0 && p.c.schedulesJob(job) {
-		count = p.c.preempt(&preemption{pass: p, evaluator: evaluator, rules: rules, pending: pending, usable: usable}, count)
+		count = p.c.preempt(&preemptionSearch{pass: p, evaluator: evaluator, rules: rules, pending: pending, usable: usable}, count)
 	}
 	return count
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,8 +9,8 @@
 	"lilacrill/wire"
 )
 
-// preemption is a search for room for a pending job in which tasks of other jobs are evicted.
-type preemption struct {
+// preemptionSearch is a search for room for a pending job that may evict tasks of other jobs.
+type preemptionSearch struct {
 	pass      *schedulingPass
 	evaluator *placement.Evaluator
 	rules     []placement.RuleTree
@@ -23,7 +23,7 @@
 // preempt evicts tasks to make room for count tasks of a pending job and returns the number that
 // still have no room. Tasks of jobs within their team's quota guarantee are evicted only for
 // urgent jobs, and only if evicting other tasks does not suffice.
-func (c *Controller) preempt(search *preemption, count int) int {
+func (c *Controller) preempt(search *preemptionSearch, count int) int {
 	count = c.preemptOnHosts(search, count)
 	if count > 0 && search.pending.job.spec.Priority.Level() <= wire.PriorityHigh.Level() {
 		search.includeGuaranteed = true
@@ -34,7 +34,7 @@
 
 // preemptOnHosts evicts tasks host by host until count of the job's tasks have room, and returns
 // the number that still have no room.
-func (c *Controller) preemptOnHosts(search *preemption, count int) int {
+func (c *Controller) preemptOnHosts(search *preemptionSearch, count int) int {
 	job := search.pending.job
 	for _, host := range c.preemptionHosts(search) {
 		for count > 0 && search.evaluator.Holds(search.rules, job.spec.Team, host) &&
@@ -51,7 +51,7 @@
 // preemptionHosts returns the hosts that would have room for a task of the job if other tasks
 // were evicted. Hosts that pull the fewest images come first, and among them those with the most
 // free cores.
-func (c *Controller) preemptionHosts(search *preemption) []*placement.Host {
+func (c *Controller) preemptionHosts(search *preemptionSearch) []*placement.Host {
 	job := search.pending.job
 	need := job.request.Need
 	lowerPriorityMask := ^uint8(0) << (job.spec.Priority.Level() + 1)
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -189,7 +189,7 @@
 		}
 		txn := c.newPlacementTransaction(team)
 		c.collectTaskExits(txn)
-		if !c.mayRecordExits(txn) || txn.empty() && !c.teamNeedsWork(name) {
+		if !c.mayRecordExits(txn) || txn.empty() && !c.teamHasWork(name) {
 			continue
 		}
 		transactions[name] = txn
@@ -257,9 +257,9 @@
 	}
 }
 
-// teamNeedsWork reports whether this controller has work to do for a team: placing tasks,
+// teamHasWork reports whether this controller has work to do for a team: placing tasks,
 // completing a job, or evicting tasks from machines with a preemption notice.
-func (c *Controller) teamNeedsWork(team string) bool {
+func (c *Controller) teamHasWork(team string) bool {
 	ownsTeam := c.ownsTeam(team)
 	if ownsTeam && slices.ContainsFunc(c.orderedMachines(), func(machine *machine) bool { return machine.scaling.preemptionAt != 0 }) {
 		return true
