--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -115,17 +115,17 @@
 	slices.SortFunc(zone.hosts, func(a, b hostCapacity) int {
 		return cmp.Or(-cmp.Compare(a.available, b.available), cmp.Compare(a.host.ID, b.host.ID))
 	})
-	remaining := count
+	left := count
 	for _, capacity := range zone.hosts {
-		for n := 0; n < capacity.withPreemption && remaining > 0; n++ {
+		for n := 0; n < capacity.withPreemption && left > 0; n++ {
 			if n >= capacity.available && (!preempts || !p.c.makeRoom(p.transactions, capacity.host, pending, false)) {
 				break
 			}
 			capacity.host.Free = capacity.host.Free.Plus(pending.job.request.Need, -1)
-			remaining--
+			left--
 		}
 	}
-	return remaining
+	return left
 }
 
 // countOffers counts the cloud offers in a zone ("" for any zone) that a job can use. Offers with
