--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin is the administration API: its routes, and the client for the command line.
+// Package admin implements the routes of the administration API, and its client for the command
+// line.
 package admin
 
 import (
@@ -20,21 +21,21 @@
 // TokenVariable is the environment variable that holds the bearer token.
 const TokenVariable = "LILACRILL_ADMIN_TOKEN"
 
-// Dispatch passes an input to the controller and answers with its reply.
+// Dispatch passes an input to the controller and responds with the controller's reply.
 type Dispatch func(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error
 
-// maxRequests is how many operators' requests are served at a time, so that they
-// cannot crowd out users and workers.
+// maxRequests is how many administration requests are served at a time. The bound keeps operators
+// from crowding out users and workers.
 const maxRequests = 2
 
-// api answers the administration API.
+// api serves the administration API.
 type api struct {
 	token    string
 	slots    chan struct{} // one for each request in progress
 	dispatch Dispatch
 }
 
-// Register adds the API's routes. Without a token the API is off.
+// Register adds the API's routes. If token is empty, the API is off.
 func Register(app *fiber.App, token string, dispatch Dispatch) {
 	a := &api{token: token, slots: make(chan struct{}, maxRequests), dispatch: dispatch}
 	group := app.Group(Prefix, a.authorize, a.limitRequests)
@@ -44,7 +45,7 @@
 	group.Get("/:view", a.readView)
 }
 
-// authorize lets only requests with the token through.
+// authorize refuses requests that do not carry the token.
 func (a *api) authorize(c fiber.Ctx) error {
 	if a.token == "" {
 		return sendError(c, http.StatusForbidden, "the administration API is off: "+TokenVariable+" is not set for this controller")
@@ -57,7 +58,7 @@
 	return c.Next()
 }
 
-// limitRequests refuses a request while as many as may be are in progress.
+// limitRequests refuses a request while maxRequests others are in progress.
 func (a *api) limitRequests(c fiber.Ctx) error {
 	select {
 	case a.slots <- struct{}{}:
@@ -99,16 +100,16 @@
 	})
 }
 
-// readView reads a view. The controller refuses those that it does not know.
+// readView reads the view that the path names. The controller refuses unknown views.
 func (a *api) readView(c fiber.Ctx) error {
-	// Copied, since the parameter's memory is reused after the request.
+	// The parameter is copied, since its memory is reused after the request.
 	view := wire.AdminView([]byte(c.Params("view")))
 	return a.dispatch(c, func(id controller.RequestID) controller.Input {
 		return controller.ViewRequested{Request: id, View: view}
 	})
 }
 
-// equalTokens compares in a time that does not tell how much of a guess was right.
+// equalTokens compares two tokens in a time that does not reveal how much of a guess is right.
 func equalTokens(a, b string) bool {
 	digestA, digestB := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(digestA[:], digestB[:]) == 1
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -16,10 +16,10 @@
 	token string
 }
 
-// callTimeout bounds each call.
+// callTimeout bounds the duration of each call.
 const callTimeout = 5 * time.Second
 
-// errorStatuses are the statuses of answers that give a reason.
+// errorStatuses are the statuses of responses that contain a reason.
 var errorStatuses = []int{http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
 	http.StatusConflict, http.StatusServiceUnavailable}
 
@@ -33,12 +33,14 @@
 	return c.call(http.MethodGet, v, nil)
 }
 
-// ChangeSettings stores settings against the version they were made from.
+// ChangeSettings stores settings, on condition that the stored version is still the one that they
+// were made from.
 func (c *Client) ChangeSettings(s wire.AdminSettings) (json.RawMessage, error) {
 	return c.call(http.MethodPatch, wire.ViewSettings, s)
 }
 
-// ChangeRollout changes the rollout of a format against the version it was made from.
+// ChangeRollout changes the rollout of a format, on condition that the stored version is still the
+// one that the change was made from.
 func (c *Client) ChangeRollout(change wire.AdminRolloutChange) (json.RawMessage, error) {
 	return c.call(http.MethodPatch, wire.ViewRollout, change)
 }
@@ -48,7 +50,8 @@
 	return c.call(http.MethodPatch, wire.ViewShards, change)
 }
 
-// call makes one call. An answer other than 200 is an error with the controller's reason.
+// call makes one call. For a response whose status is not 200 it returns an error with the
+// controller's reason.
 func (c *Client) call(method string, view wire.AdminView, body any) (json.RawMessage, error) {
 	var response json.RawMessage
 	var failure wire.ErrorResponse
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -16,7 +16,8 @@
 	"lilacrill/internal/golden"
 )
 
-// TestGoldenResponses compares the answers to users, workers and health checks.
+// TestGoldenResponses compares the responses to users, workers and health checks with the golden
+// file.
 func TestGoldenResponses(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Quota.Sockets = 500
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package server is the public HTTP interface, for users, workers and health checks.
+// Package server implements the public HTTP interface, for users, workers and health checks.
 package server
 
 import (
@@ -24,15 +24,15 @@
 
 // Backend takes inputs for the controller and returns its replies.
 type Backend interface {
-	// Enqueue queues the input that makeInput makes for a new request. The one reply is
-	// sent on the channel. It returns false if the queue is full: the request would not be
-	// answered in time.
+	// Enqueue queues the input that makeInput makes for a new request. The returned channel
+	// receives the only reply. Enqueue returns false if the queue is full, since the request
+	// would not be answered in time.
 	Enqueue(makeInput func(controller.RequestID) controller.Input) (<-chan controller.Reply, bool)
 	// Healthy reports whether the controller can take requests.
 	Healthy() bool
 }
 
-// Server serves one listener.
+// Server answers the requests that arrive on one listener.
 type Server struct {
 	app             *fiber.App
 	backend         Backend
@@ -43,20 +43,21 @@
 }
 
 const (
-	// requestTimeout is how long a request may take before its sender is told to retry;
-	// the protocol lets users wait 2 s for a poll.
+	// requestTimeout is how long a request may take before its sender is told to retry. It is
+	// less than the 2 s for which the protocol lets users wait for the response to a poll.
 	requestTimeout = 1800 * time.Millisecond
 	idleTimeout    = 2 * time.Minute
 	readTimeout    = 2 * time.Minute
-	// retryAfter is when the sender of a request that was refused is told to retry.
+	// retryAfter is how long the sender of a refused request is told to wait before it retries.
 	retryAfter = time.Second
-	// minUserRequests and socketsPerUserRequest bound how many requests of users may be
-	// in progress: one for every so many sockets of the quota, but at least the minimum.
+	// minUserRequests and socketsPerUserRequest bound how many user requests may be in
+	// progress. One is allowed for every socketsPerUserRequest sockets of the quota, but at
+	// least minUserRequests.
 	minUserRequests       = 16
 	socketsPerUserRequest = 4
 )
 
-// New makes a server. Without an administration token that API is off.
+// New makes a server. If adminToken is empty, the administration API is off.
 func New(settings *config.Settings, backend Backend, adminToken string, log *slog.Logger) *Server {
 	s := &Server{
 		backend:         backend,
@@ -84,13 +85,13 @@
 	return s
 }
 
-// Serve answers until the listener is closed.
+// Serve answers requests until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// handleError answers a request that no handler answered: an unknown path, a body that is
-// too large, a handler's error.
+// handleError responds to a request that no handler has responded to, because its path is
+// unknown, its body is too large or its handler returned an error.
 func (s *Server) handleError(c fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
 	var fiberErr *fiber.Error
@@ -104,18 +105,19 @@
 	return c.Status(status).JSON(wire.ErrorResponse{Error: reason})
 }
 
-// sendUnavailable refuses a request that may be repeated.
+// sendUnavailable refuses a request that its sender may repeat after retryAfter.
 func sendUnavailable(c fiber.Ctx, reason string) error {
 	c.Set(fiber.HeaderRetryAfter, formatRetryAfter(retryAfter))
 	return sendError(c, http.StatusServiceUnavailable, reason)
 }
 
-// formatRetryAfter formats a duration for Retry-After, in whole seconds, rounded up.
+// formatRetryAfter formats a duration for the Retry-After header, in whole seconds, rounded up.
 func formatRetryAfter(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
 
-// limitUserRequests keeps users from crowding out workers and health checks. Once there are
-// many connections, a user's is closed after the answer; one that comes again
-// opens another, perhaps to a controller that has more room.
+// limitUserRequests keeps users from crowding out workers and health checks. While there are
+// many connections, the connection of a user is closed after the response. For the next request
+// the user opens another connection, possibly to a controller with fewer connections. While
+// there are even more connections, or too many user requests in progress, users are refused.
 func (s *Server) limitUserRequests(c fiber.Ctx) error {
 	connections := int(s.app.Server().GetOpenConnectionsCount())
 	if connections > s.budget.CloseAfterReply {
@@ -129,7 +131,7 @@
 	return c.Next()
 }
 
-// dispatch passes an input to the controller and answers with its reply.
+// dispatch passes an input to the controller and responds with the controller's reply.
 func (s *Server) dispatch(c fiber.Ctx, makeInput func(controller.RequestID) controller.Input) error {
 	replies, ok := s.backend.Enqueue(makeInput)
 	if !ok {
@@ -187,9 +189,9 @@
 	})
 }
 
-// jobID is the job that the path names.
+// jobID returns the job ID in the request's path, and whether it is valid.
 func jobID(c fiber.Ctx) (wire.JobID, bool) {
-	// Copied, since the parameter's memory is reused after the request.
+	// The parameter is copied, since its memory is reused after the request.
 	id := wire.JobID([]byte(c.Params("id")))
 	return id, id.Valid()
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -34,7 +34,7 @@
 
 const heartbeat = `{"rig":"m-000001","addr":"10.0.0.1:9000","rigtype":"c4","yard":"a","shift":1,"tally":1,"baton":0,"loads":[]}`
 
-// serve serves on a loopback address, which it returns, until the test ends.
+// serve runs the server on a loopback address until the test ends, and returns the address.
 func serve(t *testing.T, s *Server) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		_ = s.Serve(ln) // it fails when the listener is closed
+		_ = s.Serve(ln) // returns an error when the listener is closed
 	}()
 	t.Cleanup(func() {
 		require.NoError(t, ln.Close())
@@ -51,9 +51,9 @@
 	return ln.Addr().String()
 }
 
-// TestUsersDoNotCrowdOutWorkers guards the sockets that workers and health checks
-// need: past a number of connections users' are closed once they are answered,
-// past another they are told at once to retry, while workers are served.
+// TestUsersDoNotCrowdOutWorkers guards against users taking the sockets that workers and health
+// checks need. Above one number of connections, users' connections are closed after the response.
+// Above a higher number, users are told at once to retry, while workers are still served.
 func TestUsersDoNotCrowdOutWorkers(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Quota.Sockets = 64
@@ -72,7 +72,7 @@
 		resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 		require.NoError(t, err)
 		if !resp.Close {
-			open++ // it stays open, idle
+			open++ // the connection stays open, idle
 		}
 		return resp
 	}
@@ -106,9 +106,9 @@
 }
 func (fullBackend) Healthy() bool { return true }
 
-// TestBadInputIsRejectedUnderOverload: while there is too much to do, what can never be taken gets
-// its final answer at once, so that nobody repeats it, and what can is told when to
-// retry.
+// TestBadInputIsRejectedUnderOverload checks that while the backend's queue is full, an invalid
+// request is rejected for good, so that its sender does not repeat it, and the sender of a valid
+// one is told when to retry.
 func TestBadInputIsRejectedUnderOverload(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Quota.Sockets = 64
