--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud calls the cloud that machines are provisioned from. Each call runs in a
-// goroutine of its own, which hands its result to a callback.
+// Package cloud calls the API of the cloud that machines are provisioned from. Each call runs in
+// a goroutine of its own, which passes the result to a callback.
 package cloud
 
 import (
@@ -20,7 +20,8 @@
 	"lilacrill/wire"
 )
 
-// Client carries out the controller's calls to the cloud, within its limit of the rate.
+// Client carries out the controller's calls to the cloud, within the controller's part of the
+// cloud's rate limit.
 type Client struct {
 	log     *slog.Logger
 	calls   *httpcall.Client
@@ -29,12 +30,13 @@
 
 const (
 	callTimeout = 4 * time.Second
-	// tokenTimeout is how long a call waits for the rate limit before it is given up.
+	// tokenTimeout is how long a call waits for a token of the rate limit before it is given up.
 	tokenTimeout = 2 * time.Second
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 30 * time.Second
-	// rateLimitFraction is the part of the cloud's limit that one controller uses: only the
-	// leader for scaling calls often, the others read the catalogue.
+	// rateLimitFraction is the part of the cloud's rate limit that one controller uses. The
+	// parts of all controllers may add up to more than the limit, since only the leader for
+	// scaling calls often. The other controllers read the catalogue.
 	rateLimitFraction = 0.7
 )
 
@@ -48,9 +50,9 @@
 	}
 }
 
-// call makes one call once the rate limit allows it, and decodes the response by its status into
-// the given values. The outcome says whether the call was carried out; an unexpected status
-// leaves that unknown.
+// call makes one call once the rate limit allows it, and decodes the response into the destination
+// for its status, if there is one. It returns the status and the outcome, which is Unknown after an
+// unexpected status.
 func (c *Client) call(method, path string, body any, destinations map[int]any) (int, controller.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
@@ -74,7 +76,7 @@
 	return status, controller.Unknown
 }
 
-// ReadCatalogue reads the machine types.
+// ReadCatalogue reads the catalogue of machine types.
 func (c *Client) ReadCatalogue(then func(controller.CatalogueResult)) {
 	go func() {
 		var result controller.CatalogueResult
@@ -88,7 +90,8 @@
 	go func() { then(c.listAllMachines()) }()
 }
 
-// listAllMachines reads all pages of the list. If one cannot be read, the outcome is that of its call.
+// listAllMachines reads all pages of the list. If a page cannot be read, the outcome is that of its
+// call.
 func (c *Client) listAllMachines() controller.MachinesResult {
 	var result controller.MachinesResult
 	query := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
@@ -106,10 +109,11 @@
 	}
 }
 
-// noCapacity is the error with which the cloud says that it has no such machine left.
+// noCapacity is the error text with which the cloud refuses a provisioning request if it has no
+// such machines left.
 const noCapacity = "no capacity"
 
-// Provision provisions machines. The request's name makes a repeated call safe.
+// Provision provisions machines. The request's name makes it safe to repeat the call.
 func (c *Client) Provision(request wire.ProvisionRequest, then func(controller.ProvisionResult)) {
 	go func() {
 		var provisioned wire.MachineNames
@@ -124,7 +128,7 @@
 	}()
 }
 
-// Terminate terminates machines. Success means that they, and all tasks on them, are gone.
+// Terminate terminates machines. Succeeded means that the machines and all tasks on them are gone.
 func (c *Client) Terminate(ids []wire.MachineID, then func(controller.TerminateResult)) {
 	go func() {
 		_, outcome := c.call(http.MethodPost, "/hosts/return", wire.MachineNames{Names: ids}, nil)
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -16,7 +16,8 @@
 	"lilacrill/wire"
 )
 
-// TestGoldenRequests holds what is sent to the cloud, and reads answers with all fields set.
+// TestGoldenRequests compares the requests to the cloud with the golden file, and decodes responses
+// with all fields set.
 func TestGoldenRequests(t *testing.T) {
 	var catalogue wire.Catalogue
 	var machines wire.MachineList
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,6 +1,6 @@
 // Package statestore calls the state store, a consensus-backed key-value store, for the
 // controller. Calls take tokens for requests and for writes, so that the store's rate limits are
-// kept; while these are short, urgent calls go first.
+// kept. While tokens are short, urgent calls go first.
 package statestore
 
 import (
@@ -23,17 +23,17 @@
 	callTimeout  = 1500 * time.Millisecond
 	leaseTimeout = time.Second
 	listTimeout  = 2 * callTimeout
-	// watchSlack is how much longer than its blocking time a watch may take.
+	// watchSlack is how much longer than its blocking time a blocking watch may take.
 	watchSlack = 3 * time.Second
 
-	idleTimeout = 30 * time.Second // of a connection
-	// watchConnections are kept for watches that block.
+	idleTimeout = 30 * time.Second // after which an idle connection is closed
+	// watchConnections is how many connections are reserved for watches that block.
 	watchConnections = 4
 
 	// listPageSize is how many keys one request of a load reads.
 	listPageSize = 500
-	// noSuchLease is the error by which the state store refuses a transaction that attaches a key
-	// to a lease which does not exist.
+	// noSuchLease is the error text with which the state store refuses a transaction that attaches
+	// a key to a lease that does not exist.
 	noSuchLease = "no such lease"
 )
 
@@ -45,10 +45,10 @@
 	leasesPath      = "/leases"
 )
 
-// Client carries out the controller's calls to the state store. Every method returns at once and
-// calls its callback once, on another goroutine, with the result. A result says by its outcome
-// whether the call was executed: callers must handle Unknown, where the call may have been
-// executed, or may yet be.
+// Client carries out the controller's calls to the state store. A method that takes a callback
+// returns at once and calls the callback once, on another goroutine, with the result. The outcome
+// in the result says whether the call was executed. Callers must handle Unknown, which means that
+// the call may have been executed, or may still be executed.
 type Client struct {
 	settings *config.Settings
 	log      *slog.Logger
@@ -57,7 +57,7 @@
 	queue    *queue
 }
 
-// New makes a client; Serve must run for it to make any calls.
+// New makes a client. It makes calls only while Serve runs.
 func New(settings *config.Settings, log *slog.Logger) *Client {
 	connections := sockets.NewBudget(settings).State
 	limits := &settings.Cluster.State
@@ -70,8 +70,8 @@
 	}
 }
 
-// Serve starts calls as the rate limits allow, until the context ends. Calls that are queued then
-// are not started, and get no result.
+// Serve starts calls as the rate limits allow, until the context ends. Calls that are still queued
+// when the context ends are not started, and their callbacks are not called.
 func (c *Client) Serve(ctx context.Context) { c.queue.serve(ctx) }
 
 // SetRateFraction sets the part of the state store's rate limits that this controller may use.
@@ -80,8 +80,8 @@
 	c.queue.setLimits(limits.RPS, limits.WriteRPS, fraction)
 }
 
-// Watch reads the changes after a revision. With a blocking time the state store holds the
-// request open for that long if there are none.
+// Watch reads the changes after a revision. If there are none and the watch has a blocking time,
+// the state store holds the request open for up to that time.
 func (c *Client) Watch(watch controller.Watch, then func(controller.WatchResult)) {
 	query := url.Values{"under": {watch.Prefix}, "after": {strconv.FormatUint(uint64(watch.After), 10)}}
 	timeout, client := callTimeout, c.calls
@@ -98,7 +98,8 @@
 	}, controller.WatchResult{Outcome: controller.NotExecuted}, then))
 }
 
-// Commit runs a transaction. Its outcome is NotFound if the lease that it names does not exist.
+// Commit runs a transaction. The outcome is NotFound if the lease that the transaction names does
+// not exist.
 func (c *Client) Commit(commit controller.Commit, then func(controller.CommitResult)) {
 	timeout := callTimeout
 	if commit.Priority == controller.PriorityLease {
@@ -142,7 +143,8 @@
 	c.queueLeaseCall(path, struct{}{}, renewal.LeaseID, then)
 }
 
-// queueLeaseCall makes a call about a lease; knownID is the lease's ID, 0 if the response gives it.
+// queueLeaseCall queues a call that grants or renews a lease. knownID is the lease's ID, or 0 if the
+// response gives it.
 func (c *Client) queueLeaseCall(path string, body any, knownID wire.LeaseID, then func(controller.LeaseResult)) {
 	c.queue.add(controller.PriorityLease, newCall(0, func() controller.LeaseResult {
 		var response struct {
@@ -156,8 +158,9 @@
 	}, controller.LeaseResult{Outcome: controller.NotExecuted}, then))
 }
 
-// Load reads all keys under some prefixes, page by page and in the order of the prefixes. Others
-// may write meanwhile: the result has the revisions of the first and of the latest page.
+// Load reads all keys under some prefixes, page by page and in the order of the prefixes. Keys may
+// be written between the reads of two pages, so the result contains the revision of the first page
+// and that of the latest one.
 func (c *Client) Load(load controller.LoadKeys, then func(controller.LoadResult)) {
 	go func() { then(c.load(load.Prefixes)) }()
 }
@@ -185,13 +188,14 @@
 	return result
 }
 
-// listPage is a page of keys, if the outcome says that it was read.
+// listPage is a page of keys. It is valid only if the outcome is Succeeded.
 type listPage struct {
 	wire.EntryList
 	outcome controller.Outcome
 }
 
-// list reads one page of the keys under a prefix, from after a key on, and waits for it.
+// list reads one page of the keys under a prefix and waits for the result. The page starts after
+// the key after, or with the first key if after is empty.
 func (c *Client) list(prefix, after string) listPage {
 	query := url.Values{"under": {prefix}, "page": {strconv.Itoa(listPageSize)}}
 	if after != "" {
@@ -207,8 +211,8 @@
 	return <-pages
 }
 
-// newCall is a call, to be queued, whose callback gets the result of run or, if the call expires,
-// the result expired.
+// newCall returns a call for the queue. Its callback gets the result of run or, if the call
+// expires, the result expired.
 func newCall[R any](writes int, run func() R, expired R, then func(R)) *queuedCall {
 	return &queuedCall{
 		writes:   writes,
@@ -218,8 +222,8 @@
 	}
 }
 
-// outcome is the outcome of a call. A status in the 500s other than 503 says nothing of whether
-// the call was executed.
+// outcome returns the outcome of a call. After a status in the 500s other than 503 the call may
+// have been executed, so its outcome is Unknown.
 func (c *Client) outcome(call string, status int, err error) controller.Outcome {
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -18,7 +18,7 @@
 	"lilacrill/wire"
 )
 
-// startClient starts a client of a server that recorder responds for.
+// startClient starts a client whose requests are received and answered by recorder.
 func startClient(t *testing.T, recorder *golden.Recorder) *Client {
 	t.Helper()
 	server := httptest.NewServer(recorder)
--- a/internal/statestore/queue.go
+++ b/internal/statestore/queue.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// reservedFraction is the part of the rate limits that is not used, so that clocks that drift
-	// and bursts that add up do not exceed them.
+	// reservedFraction is the part of the rate limits that is not used, so that clock drift and
+	// bursts that add up do not exceed the limits.
 	reservedFraction = 0.08
 	// queueTimeout is how long a call may wait for tokens before it expires.
 	queueTimeout = 2 * time.Second
-	// pollInterval is how often tokens are looked for while calls wait for them.
+	// pollInterval is how long the queue waits between checks for tokens while calls wait for
+	// them.
 	pollInterval = 5 * time.Millisecond
 )
 
 // queue starts calls as tokens for requests and for writes become available, those of the most
-// urgent priority first. A call that waits for tokens holds up all less urgent ones, so that many
+// urgent priority first. A call that waits for tokens holds up all calls behind it, so that many
 // small calls cannot starve a large one.
 type queue struct {
 	mu       sync.Mutex
@@ -31,8 +32,8 @@
 	wake     chan struct{}
 }
 
-// queuedCall is a call that waits for one request token and for its write tokens. Either run or
-// expire is called, once, on a goroutine of its own.
+// queuedCall is a call that waits for one request token and for one write token for each of its
+// writes. Either run or expire is called, once, on a goroutine of its own.
 type queuedCall struct {
 	writes   int
 	deadline time.Time
@@ -40,7 +41,7 @@
 	expire   func()
 }
 
-// newQueue makes a queue with limits in requests and writes a second.
+// newQueue makes a queue. The limits are in requests and in writes per second.
 func newQueue(requests, writes float64) *queue {
 	q := &queue{
 		requests: rate.NewLimiter(1, 1),
@@ -51,13 +52,13 @@
 	return q
 }
 
-// setLimits sets the limits to a fraction of those of the state store.
+// setLimits sets the limits to a fraction of the state store's limits, less reservedFraction.
 func (q *queue) setLimits(requests, writes, fraction float64) {
 	setLimit(q.requests, requests*(1-reservedFraction)*fraction)
 	setLimit(q.writes, writes*(1-reservedFraction)*fraction)
 }
 
-// setLimit sets a limit a second; the tokens of one second may be used at once.
+// setLimit sets a limit in tokens per second. The tokens of one second may be used at once.
 func setLimit(limiter *rate.Limiter, limit float64) {
 	limiter.SetLimit(rate.Limit(limit))
 	limiter.SetBurst(max(1, int(limit)))
@@ -90,8 +91,8 @@
 	}
 }
 
-// startCalls starts the calls that there are tokens for, and returns how long to wait before it is
-// to be called again; 0 means until a call is added.
+// startCalls starts the calls that there are tokens for, expires those whose deadline has passed,
+// and returns how long to wait before it is to be called again. 0 means until a call is added.
 func (q *queue) startCalls(now time.Time) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,8 +119,8 @@
 	return 0
 }
 
-// takeTokens takes the tokens of a call, or none. A call with more writes than the limit's burst
-// takes as many tokens as there can be.
+// takeTokens takes all tokens that a call needs, or none, and reports whether it took them. A call
+// with more writes than the burst of the write limit takes as many write tokens as the burst.
 func (q *queue) takeTokens(now time.Time, writes int) bool {
 	writes = min(writes, q.writes.Burst())
 	if q.requests.TokensAt(now) < 1 || q.writes.TokensAt(now) < float64(writes) {
--- a/internal/statestore/queue_test.go
+++ b/internal/statestore/queue_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestUrgentCallsGoFirst queues calls of every priority while there are no tokens and then makes
-// tokens available one by one.
+// TestUrgentCallsGoFirst queues calls of every priority while there are no tokens, then makes
+// tokens available one by one and checks that the most urgent call runs first.
 func TestUrgentCallsGoFirst(t *testing.T) {
 	q := newQueue(100, 100)
 	now := time.Now()
@@ -36,7 +36,7 @@
 	require.Zero(t, q.startCalls(now.Add(time.Second)))
 }
 
-// TestCallsExpire: a call that gets no token in time expires, and takes none later.
+// TestCallsExpire checks that a call that gets no token in time expires and does not run.
 func TestCallsExpire(t *testing.T) {
 	q := newQueue(100, 100)
 	now := time.Now()
@@ -48,8 +48,9 @@
 	expired.Wait()
 }
 
-// TestLimitsAreDivided: controllers divide the limits, and a large transaction still passes when
-// it has more writes than the burst of its controller's part.
+// TestLimitsAreDivided checks that the fractions of three controllers together stay within the
+// limits, and that a transaction with more writes than the burst of its controller's fraction
+// still gets tokens.
 func TestLimitsAreDivided(t *testing.T) {
 	q := newQueue(150, 40)
 	q.setLimits(150, 40, 1.0/3)
