--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between controllers, as lines of JSON over TCP. They are
-// hints: they may be lost, and nothing waits for them. Each controller sends over connections
-// that it opened and receives over those that its siblings opened.
+// Package peer carries messages between controllers, as lines of JSON over TCP. Delivery is best
+// effort: messages may be lost, and nothing waits for them. Each controller sends over connections
+// that it opened, and receives over connections that its peers opened.
 package peer
 
 import (
@@ -22,29 +22,29 @@
 	redialDelay            = 500 * time.Millisecond
 	writeTimeout           = time.Second
 	readTimeout            = 20 * time.Second
-	maxQueuedMessages      = 512     // messages that may wait for one sibling
-	maxLineBytes           = 4 << 20 // of a message received
-	initialReadBufferBytes = 4096    // bytes at first
-	queueMemoryDivisor     = 64      // the messages that wait for one sibling may take one part in so many of the memory
+	maxQueuedMessages      = 512     // for one peer
+	maxLineBytes           = 4 << 20 // per received message
+	initialReadBufferBytes = 4096    // the buffer grows up to maxLineBytes
+	queueMemoryDivisor     = 64      // messages queued for one peer may take 1/queueMemoryDivisor of the memory quota
 	megabyte               = 1 << 20
 )
 
-// Mesh is the connections to and from the siblings.
+// Mesh holds the connections to and from the peers.
 type Mesh struct {
 	log            *slog.Logger
 	links          []*link
-	maxQueuedBytes int64         // that may wait for one sibling
-	inbound        chan struct{} // holds one element for every connection from a sibling
+	maxQueuedBytes int64         // for one peer
+	inbound        chan struct{} // holds one element for each connection from a peer
 }
 
-// link is the connection to one sibling and the messages that wait for it.
+// link is the connection to one peer, with the queue of messages to send over it.
 type link struct {
 	addr        string
 	queue       chan []byte
 	queuedBytes atomic.Int64
 }
 
-// dequeue waits for the next message; ok is false once ctx ends.
+// dequeue waits for the next message and removes it from the queue. ok is false if ctx ends first.
 func (l *link) dequeue(ctx context.Context) (line []byte, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -55,7 +55,7 @@
 	}
 }
 
-// enqueue adds a message unless too much waits already: it is lost then.
+// enqueue adds a message to the queue, or drops it if the queue is full.
 func (l *link) enqueue(line []byte, maxBytes int64) {
 	size := int64(len(line))
 	if l.queuedBytes.Load()+size > maxBytes {
@@ -68,7 +68,7 @@
 	}
 }
 
-// discardQueued drops the messages that wait.
+// discardQueued drops the queued messages.
 func (l *link) discardQueued() {
 	for {
 		select {
@@ -80,7 +80,7 @@
 	}
 }
 
-// New makes a mesh. Send must run for messages to leave, Serve for them to arrive.
+// New makes a mesh. Messages are sent only while Send runs, and received only while Serve runs.
 func New(settings *config.Settings, log *slog.Logger) *Mesh {
 	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / queueMemoryDivisor),
 		inbound: make(chan struct{}, max(1, sockets.NewBudget(settings).Peers))}
@@ -90,7 +90,7 @@
 	return m
 }
 
-// Broadcast sends a message to all siblings; to one that does not keep up it is lost.
+// Broadcast queues a message for all peers. For a peer whose queue is full, the message is dropped.
 func (m *Mesh) Broadcast(message *wire.PeerMessage) {
 	line, err := record.EncodePeerMessage(message)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Send keeps the connections to the siblings until ctx ends.
+// Send opens connections to the peers and sends queued messages over them until ctx ends.
 func (m *Mesh) Send(ctx context.Context) {
 	for _, link := range m.links {
 		go link.maintainConnection(ctx)
@@ -111,6 +111,8 @@
 	<-ctx.Done()
 }
 
+// maintainConnection connects to the peer and sends messages, again after each failure, until ctx
+// ends.
 func (l *link) maintainConnection(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", l.addr, dialTimeout)
@@ -122,11 +124,11 @@
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
 		}
-		l.discardQueued() // what was queued meanwhile is out of date
+		l.discardQueued() // messages queued while there was no connection are out of date
 	}
 }
 
-// sendMessages sends messages until ctx ends or the connection fails.
+// sendMessages sends queued messages until ctx ends or the connection fails.
 func (l *link) sendMessages(ctx context.Context, conn net.Conn) {
 	writer := bufio.NewWriter(conn)
 	for {
@@ -143,8 +145,8 @@
 	}
 }
 
-// Serve receives messages from siblings until the listener is closed, and calls receive with
-// each, from several goroutines. Connections beyond the socket share are closed at once.
+// Serve receives messages from peers until the listener is closed, and calls receive with each
+// message, from several goroutines. Connections beyond the socket budget are closed at once.
 func (m *Mesh) Serve(listener net.Listener, receive func(*wire.PeerMessage)) error {
 	for {
 		conn, err := listener.Accept()
@@ -163,7 +165,8 @@
 	}
 }
 
-// receiveMessages receives messages until the connection fails or falls silent.
+// receiveMessages receives messages until the connection fails or no message arrives within
+// readTimeout.
 func (m *Mesh) receiveMessages(conn net.Conn, receive func(*wire.PeerMessage)) {
 	defer func() { _ = conn.Close() }()
 	lines := bufio.NewScanner(conn)
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,5 +1,5 @@
-// Package worker makes the controller's direct calls to workers: commands, and requests for
-// a heartbeat. A worker's own heartbeats arrive at the server of requests instead.
+// Package worker makes the controller's direct calls to workers. The calls send commands or request
+// a heartbeat. Heartbeats that workers send on their own are received by package server instead.
 package worker
 
 import (
@@ -20,36 +20,38 @@
 	probePath      = "/show"
 	probeTimeout   = 800 * time.Millisecond
 
-	idleTimeout             = 20 * time.Second // of a connection
+	idleTimeout             = 20 * time.Second // after which an idle connection is closed
 	maxConnectionsPerWorker = 2
 )
 
-// Client makes calls to workers, over connections that it keeps for a while.
+// Client makes calls to workers. It keeps connections open for later calls until they have been
+// idle for idleTimeout or must make room for others.
 type Client struct {
 	log            *slog.Logger
-	maxConnections int // that may be open, idle ones among them
+	maxConnections int // bound on open connections, including idle ones
 
 	mu       sync.Mutex
-	workers  map[string]*list.Element // by address, of *connection
-	lru      list.List                // the same; the one used last first
-	inFlight int                      // calls under way
+	workers  map[string]*list.Element // elements of lru, by address
+	lru      list.List                // of *workerClient, the most recently used first
+	inFlight int                      // calls in progress
 }
 
 // workerClient is the HTTP client of one worker.
 type workerClient struct {
 	addr     string
 	client   *httpcall.Client
-	inFlight int // calls under way
+	inFlight int // calls in progress
 }
 
-// New makes a client that holds about maxConnections connections at most. The controller
-// bounds how many calls are under way; what is left of the connections is for idle ones, of
-// which those that were used longest ago are closed.
+// New makes a client that holds about maxConnections connections at most. The controller bounds how
+// many calls are in progress. The remaining connections may be idle, and of the idle ones the least
+// recently used are closed first.
 func New(log *slog.Logger, maxConnections int) *Client {
 	return &Client{log: log, maxConnections: maxConnections, workers: map[string]*list.Element{}}
 }
 
-// acquire is the connection to a worker for one call; release ends that.
+// acquire returns the HTTP client of a worker for one call. The caller must release it after the
+// call.
 func (c *Client) acquire(addr string) *workerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,8 +69,9 @@
 	return worker
 }
 
-// closeLeastRecentlyUsed closes idle connections, those used longest ago first, until there is room
-// for the calls under way: each worker that was called lately may hold a connection.
+// closeLeastRecentlyUsed closes the idle connections of workers, the least recently used first,
+// until there is room for the calls in progress. It counts one connection for each worker in
+// c.workers, since each of them may have an idle one.
 func (c *Client) closeLeastRecentlyUsed() {
 	for element := c.lru.Back(); element != nil && len(c.workers) > c.maxConnections-c.inFlight; {
 		worker, next := element.Value.(*workerClient), element.Prev()
@@ -88,20 +91,21 @@
 	c.inFlight--
 }
 
-// SendCommands sends commands to a worker, and calls then from another goroutine with the
-// response.
+// SendCommands sends commands to a worker, and calls then with the response from another
+// goroutine.
 func (c *Client) SendCommands(addr string, request wire.CommandRequest, then func(controller.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodPost, commandPath, request, commandTimeout)) }()
 }
 
-// RequestHeartbeat asks a worker for a heartbeat, and calls then from another goroutine with
-// the response.
+// RequestHeartbeat requests a heartbeat from a worker, and calls then with the response from
+// another goroutine.
 func (c *Client) RequestHeartbeat(addr string, then func(controller.WorkerResponse)) {
 	go func() { then(c.call(addr, http.MethodGet, probePath, nil, probeTimeout)) }()
 }
 
-// call makes one call. A worker answers with a heartbeat, whether it obeyed (200) or refused
-// since it knows a higher token or has another agent epoch (409).
+// call makes one call. A worker responds with a heartbeat if it executed the call (200), and also if
+// it rejected the call because it has received a higher fencing token or has another agent epoch
+// (409).
 func (c *Client) call(addr, method, path string, body any, timeout time.Duration) controller.WorkerResponse {
 	worker := c.acquire(addr)
 	defer c.release(worker)
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -13,8 +13,8 @@
 	"lilacrill/internal/controller"
 )
 
-// TestConnectionsBounded guards against keeping a connection to each of thousands of
-// machines: those that were used longest ago are closed, and calling again works.
+// TestConnectionsBounded guards against keeping a connection to each of thousands of machines. The
+// least recently used connections are closed, and calling their workers again works.
 func TestConnectionsBounded(t *testing.T) {
 	const bound = 4
 	var addrs []string
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -15,7 +15,7 @@
 	"lilacrill/wire"
 )
 
-// TestGoldenRequests compares what is sent to workers with the golden file, and reads a response
+// TestGoldenRequests compares the requests to workers with the golden file, and decodes a response
 // with all fields set.
 func TestGoldenRequests(t *testing.T) {
 	var heartbeat wire.Heartbeat
