--- a/internal/rollout/automatic.go
+++ b/internal/rollout/automatic.go
@@ -6,11 +6,12 @@
 	"lilacrill/wire"
 )
 
-// Time is a moment on the monotonic clock of the process, since its start.
+// Time is a point on the monotonic clock of the process, measured from the start of the process.
 type Time time.Duration
 
-// AutomaticActivation returns the format to activate without an operator's decision: the newest
-// that all controllers have been ready for, without a break, for as long as settle.
+// AutomaticActivation returns the format to activate without an operator's decision, and whether
+// it is due. The format is due once it has been the newest that no controller blocks for at least
+// settle without interruption.
 func (t *Tracker) AutomaticActivation(now Time, settle time.Duration) (wire.Format, bool) {
 	next, ready := t.NextFormat()
 	if !ready {
@@ -23,8 +24,9 @@
 	return next, time.Duration(now-t.since) >= settle
 }
 
-// NextFormat is the newest format that no controller blocks, if it is later than the one in force.
-// Otherwise it is the one after that in force, which is waited for.
+// NextFormat returns the newest format that no controller blocks and true, if that format is later
+// than the format in force. Otherwise it returns the format that follows the one in force, at most
+// the newest of this build, and false.
 func (t *Tracker) NextFormat() (next wire.Format, ready bool) {
 	for format := t.formats.Newest; format > t.state.Format; format-- {
 		if len(t.Blockers(format)) == 0 {
--- a/internal/rollout/blockers.go
+++ b/internal/rollout/blockers.go
@@ -7,14 +7,15 @@
 	"lilacrill/wire"
 )
 
-// Blocker is a controller that blocks an activation, and why.
+// Blocker is a controller that blocks an activation, with the reason.
 type Blocker struct {
 	Label  string
 	Reason string
 }
 
-// Blockers lists the controllers that block a format: all that may be running, or may start
-// later without an operator's decision, a process that does not read it.
+// Blockers lists the controllers that block the activation of a format. A controller blocks it if a
+// process that does not read the format may be running there, or may start there later without an
+// operator's decision.
 func (t *Tracker) Blockers(format wire.Format) []Blocker {
 	var blockers []Blocker
 	for _, label := range t.knownLabels() {
@@ -25,7 +26,8 @@
 	return blockers
 }
 
-// knownLabels lists the controllers of the settings and any others that are alive, sorted.
+// knownLabels returns the sorted labels of the controllers in the settings and of any other live
+// controllers.
 func (t *Tracker) knownLabels() []string {
 	labels := slices.Clone(t.labels)
 	for label := range t.live {
@@ -37,11 +39,12 @@
 	return labels
 }
 
-// blockReason says why a controller blocks a format, or "".
+// blockReason returns the reason why a controller blocks the activation of a format, or "" if it
+// does not.
 //
-// The registration of a process that is down proves nothing: a build from before such
-// records may have run since, and leaves none. So a controller that is down has to come
-// back, or an operator has to exclude it.
+// The registration of a controller that is down may be outdated, because a build that predates
+// registrations may have run since and writes none. A controller that is down therefore blocks
+// until it is alive again or an operator excludes it.
 func (t *Tracker) blockReason(label string, format wire.Format) string {
 	live, alive := t.live[label]
 	registration, registered := t.registrations[label]
@@ -62,8 +65,8 @@
 	return ""
 }
 
-// excluded reports whether an operator has excluded a controller that is down. A process that
-// has registered since ends the exclusion.
+// excluded reports whether an operator has excluded a controller. The exclusion ends when a later
+// process of the controller registers.
 func (t *Tracker) excluded(label string) bool {
 	exclusion, ok := t.state.Excluded[label]
 	return ok && t.registrations[label].Incarnation <= exclusion.Incarnation
--- a/internal/rollout/changes.go
+++ b/internal/rollout/changes.go
@@ -9,9 +9,10 @@
 	"lilacrill/wire"
 )
 
-// Activate is the transaction that brings a format into force. version is that of the rollout
-// that the decision was made from. Its errors are ErrStale and those of package apierror, as
-// those of the other changes.
+// Activate returns the transaction that brings a format into force. version is the version of the
+// rollout record on which the decision was based. Like Exclude and Include, it returns ErrStale if
+// the record has changed since, and an error of package apierror if the request is invalid or in
+// conflict with the state of the rollout.
 func (t *Tracker) Activate(format wire.Format, version wire.Revision) (wire.Transaction, error) {
 	switch {
 	case format < record.FormatPlain:
@@ -37,7 +38,7 @@
 	return txn, nil
 }
 
-// Exclude is the transaction by which a controller that is down no longer blocks.
+// Exclude returns the transaction after which a controller that is down no longer blocks activations.
 func (t *Tracker) Exclude(label, reason string, version wire.Revision) (wire.Transaction, error) {
 	live, alive := t.live[label]
 	switch {
@@ -61,10 +62,10 @@
 	return txn, nil
 }
 
-// maxReasonLength bounds an operator's reason, in bytes, so that the record stays small.
+// maxReasonLength is the maximum length of an operator's reason in bytes. It keeps the record small.
 const maxReasonLength = 200
 
-// Include is the transaction that ends an exclusion.
+// Include returns the transaction that ends the exclusion of a controller.
 func (t *Tracker) Include(label string, version wire.Revision) (wire.Transaction, error) {
 	if _, ok := t.state.Excluded[label]; !ok {
 		return wire.Transaction{}, apierror.Field("include", "%q is not excluded", label)
@@ -77,7 +78,7 @@
 	return t.putState(next), nil
 }
 
-// copyState copies the state in force, with exclusions that can be changed.
+// copyState returns a copy of the rollout record whose exclusions may be modified.
 func (t *Tracker) copyState() record.Rollout {
 	next := record.Rollout{Format: t.state.Format, Excluded: map[string]record.Exclusion{}}
 	for label, exclusion := range t.state.Excluded {
@@ -86,7 +87,8 @@
 	return next
 }
 
-// putState writes the record of the format in force, on the condition that it has not changed.
+// putState returns a transaction that replaces the rollout record, on the condition that the record
+// has not changed since it was applied.
 func (t *Tracker) putState(next record.Rollout) wire.Transaction {
 	return wire.Transaction{
 		If:   []wire.Condition{t.Condition()},
--- a/internal/rollout/errors.go
+++ b/internal/rollout/errors.go
@@ -10,11 +10,11 @@
 	"lilacrill/wire"
 )
 
-// ErrStale says that the rollout has changed since the version that a change was made
-// from.
+// ErrStale is returned if the rollout record has changed since the version on which a change is
+// based.
 var ErrStale = errors.New("stale version: read the rollout again")
 
-// notReady is the conflict of an activation that controllers block.
+// notReady returns the conflict error for an activation that is blocked by controllers.
 func notReady(blockers []Blocker) error {
 	reasons := make([]string, 0, len(blockers))
 	for _, blocker := range blockers {
@@ -23,7 +23,7 @@
 	return apierror.Conflict("not all controllers are ready for it: %s", strings.Join(reasons, "; "))
 }
 
-// UnreadableError says that a format is in force that this process does not read. It must not
+// UnreadableError is returned if this process cannot read the format in force and so must not
 // serve.
 type UnreadableError struct {
 	Format  wire.Format
@@ -31,7 +31,7 @@
 	Cause   error // set if the record of the format in force could not be decoded
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *UnreadableError) Error() string {
 	if e.Cause != nil {
 		return "the format in force cannot be found out: " + e.Cause.Error()
@@ -40,5 +40,5 @@
 		e.Format, e.Formats.Oldest, e.Formats.Newest)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error's cause, or nil.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,10 +1,11 @@
 // Package rollout decides when a newer format of records and peer messages comes into force.
-// Like the controller it has no clock, no socket and no goroutine: it is given the records of
-// the state store, and returns the transactions that change them.
+// Like the controller, it has no clock, no socket and no goroutine: its caller passes in the
+// records of the state store and commits the transactions that it returns.
 //
-// The transaction by which a process registers what it reads has the format in force as a
-// condition; that by which a format is activated has the registrations that it relied on. So
-// an activation and the start of a process that cannot read the new format never both succeed.
+// A process registers the formats that it reads on the condition that the format in force is
+// unchanged. A format is activated on the condition that the registrations and liveness records
+// behind the decision are unchanged. An activation and the start of a process that cannot read
+// the new format therefore never both succeed.
 package rollout
 
 import (
@@ -16,36 +17,37 @@
 	"lilacrill/wire"
 )
 
-// Tracker is what one controller knows of the rollout.
+// Tracker holds the records of the rollout as one controller has read them.
 type Tracker struct {
 	label   string
-	labels  []string // of all controllers of the settings, sorted
-	formats record.FormatRange
+	labels  []string           // of all controllers in the settings, sorted
+	formats record.FormatRange // that this process reads
 	release string
 
 	state         record.Rollout
 	stateVersion  wire.Revision
-	unreadable    error                   // why the record of the format in force cannot be decoded
+	unreadable    error                   // set if the record of the format in force cannot be decoded
 	registrations map[string]registration // by label
-	live          map[string]liveness     // of the controllers that are alive, by label
+	live          map[string]liveness     // of the live controllers, by label
 
-	candidate wire.Format // the format that all controllers have been ready for
-	since     Time        // when they became ready
+	candidate wire.Format // newest format that no controller blocks, or 0
+	since     Time        // since when no controller has blocked the candidate
 }
 
-// registration is what a controller's latest process registered.
+// registration is the registration of a controller's latest process and the version of its record.
 type registration struct {
 	record.Registration
 	version wire.Revision
 }
 
-// liveness is the record of a controller that is alive.
+// liveness is the incarnation of a live controller and the version of its liveness record.
 type liveness struct {
 	incarnation wire.FencingToken
 	version     wire.Revision
 }
 
-// New makes a tracker for the controller label, whose cluster consists of it and its siblings.
+// New returns a tracker for the controller with the given label, in a cluster of this controller and
+// its siblings. The tracker has no records yet.
 func New(label string, siblings []string, formats record.FormatRange, release string) *Tracker {
 	labels := append([]string{label}, siblings...)
 	slices.Sort(labels)
@@ -54,14 +56,14 @@
 	return t
 }
 
-// Reset forgets all records, before they are read anew.
+// Reset discards all records, before they are reloaded from the state store.
 func (t *Tracker) Reset() {
 	t.state, t.stateVersion, t.unreadable = record.Rollout{Format: record.FormatPlain}, 0, nil
 	t.registrations, t.live = map[string]registration{}, map[string]liveness{}
 }
 
-// ApplyState applies the record of the format in force; a nil value means that there is none,
-// and the first format in force.
+// ApplyState applies the record of the format in force. A nil value means that there is no such
+// record, in which case the first format is in force.
 func (t *Tracker) ApplyState(value []byte, version wire.Revision) {
 	t.state, t.stateVersion, t.unreadable = record.Rollout{Format: record.FormatPlain}, 0, nil
 	if value == nil {
@@ -75,8 +77,9 @@
 	}
 }
 
-// ApplyRegistration applies the record of what a controller's latest process reads. One that
-// cannot be decoded counts as none, so that its controller blocks activations.
+// ApplyRegistration applies the registration of a controller's latest process. It returns an error
+// if the record cannot be decoded or is invalid. Such a record counts as an empty registration, so
+// that its controller blocks activations.
 func (t *Tracker) ApplyRegistration(label string, value []byte, version wire.Revision) error {
 	delete(t.registrations, label)
 	if value == nil {
@@ -94,8 +97,8 @@
 	return err
 }
 
-// ApplyLiveness applies a controller's liveness record; incarnation is 0 if the controller is
-// not alive.
+// ApplyLiveness applies a controller's liveness record. An incarnation of 0 means that the
+// controller is not alive.
 func (t *Tracker) ApplyLiveness(label string, incarnation wire.FencingToken, version wire.Revision) {
 	if incarnation == 0 {
 		delete(t.live, label)
@@ -104,10 +107,11 @@
 	t.live[label] = liveness{incarnation, version}
 }
 
-// Format is the format in force.
+// Format returns the format in force.
 func (t *Tracker) Format() wire.Format { return t.state.Format }
 
-// CheckReadable returns an *UnreadableError if this process must not serve, or nil.
+// CheckReadable returns an *UnreadableError if this process must not serve because it cannot read
+// the format in force, or nil.
 func (t *Tracker) CheckReadable() error {
 	if t.unreadable != nil || !t.formats.Reads(t.state.Format) {
 		return &UnreadableError{Format: t.state.Format, Formats: t.formats, Cause: t.unreadable}
@@ -115,13 +119,13 @@
 	return nil
 }
 
-// Condition is the condition under which this process may register, or write its liveness
-// record: the format in force is still the one that it knows.
+// Condition returns the condition under which this process may register or write its liveness
+// record: the record of the format in force has not changed since it was applied.
 func (t *Tracker) Condition() wire.Condition {
 	return wire.Condition{Key: record.RolloutKey, Version: t.stateVersion}
 }
 
-// Registration is the record of this process.
+// Registration returns the registration of this process.
 func (t *Tracker) Registration(incarnation wire.FencingToken) record.Registration {
 	return record.Registration{Incarnation: incarnation, Formats: t.formats, Release: t.release}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 
 func newTracker() *Tracker { return New("a", []string{"b", "c"}, both, "test") }
 
-// applyAlive applies the records of a live controller that registered a range.
+// applyAlive applies the registration and the liveness record of a live controller.
 func (t *Tracker) applyAlive(label string, incarnation wire.FencingToken, formats record.FormatRange, version wire.Revision) {
 	value, err := json.Marshal(record.Registration{Incarnation: incarnation, Formats: formats})
 	if err != nil {
@@ -35,9 +35,10 @@
 	t.ApplyLiveness(label, incarnation, version)
 }
 
-// TestBadRequests: an invalid request gets the field at fault, an impossible one the conflict,
-// and neither a transaction.
-func TestBadRequests(t *testing.T) {
+// TestInvalidRequests checks that an invalid request is refused with the name of the invalid field,
+// that a request in conflict with the state is refused with the conflict, and that neither yields a
+// transaction.
+func TestInvalidRequests(t *testing.T) {
 	tracker := newTracker()
 	tracker.ApplyState([]byte(`{"format":1,"excluded":{"c":{"boot":3,"reason":"x"}}}`), 9)
 	for _, label := range []string{"a", "b"} {
@@ -75,9 +76,10 @@
 	require.Contains(t, conflict(tracker.Activate(1, 10)), "no way back")
 }
 
-// TestUnreadable: a process serves only if the record of the format in force can be decoded
-// and names a format that it reads.
-func TestUnreadable(t *testing.T) {
+// TestCheckReadable checks that a process serves only if the record of the format in force can be
+// decoded and holds a format that the process reads, and that an invalid registration blocks an
+// activation.
+func TestCheckReadable(t *testing.T) {
 	for value, serves := range map[string]bool{`{"format":1}`: true, `{"format":2}`: true, `{"format":3}`: false,
 		`{"format":0}`: false, `{"format":-2}`: false, `{"format":"2"}`: false, `{"fo`: false, `[]`: false, `{}`: true} {
 		tracker := newTracker()
@@ -93,9 +95,9 @@
 	}
 }
 
-// TestAutomaticWaits: the time for which all have to be ready starts anew after each
-// interruption.
-func TestAutomaticWaits(t *testing.T) {
+// TestAutomaticActivationRestartsWait checks that the time for which all controllers have to be
+// ready starts again after each interruption.
+func TestAutomaticActivationRestartsWait(t *testing.T) {
 	tracker := newTracker()
 	for _, label := range []string{"a", "b", "c"} {
 		tracker.applyAlive(label, 5, both, 4)
@@ -111,14 +113,14 @@
 	require.True(t, due(122*time.Second))
 }
 
-// fakeStore is a state store with the records of a rollout.
+// fakeStore is an in-memory state store that holds the records of a rollout.
 type fakeStore struct {
 	revision wire.Revision
 	values   map[string]json.RawMessage
 	versions map[string]wire.Revision
 }
 
-// commit carries out a transaction if its conditions hold.
+// commit applies a transaction if its conditions hold, and reports whether they do.
 func (s *fakeStore) commit(txn wire.Transaction) bool {
 	for _, condition := range txn.If {
 		if s.versions[condition.Key] != condition.Version {
@@ -137,16 +139,16 @@
 	return true
 }
 
-// process is a controller's process: which formats it reads, and what it knows.
+// process is a process of a controller, with the formats that it reads and its tracker.
 type process struct {
 	tracker     *Tracker
 	label       string
 	reads       record.FormatRange
 	incarnation wire.FencingToken
-	sent        []wire.Transaction // may arrive at any time, and again
+	sent        []wire.Transaction // each may be committed late or more than once
 }
 
-// catchUp applies all records to a process anew.
+// catchUp reloads all records of the store into the tracker of the process.
 func (p *process) catchUp(s *fakeStore) {
 	p.tracker.Reset()
 	p.tracker.ApplyState(s.values[record.RolloutKey], s.versions[record.RolloutKey])
@@ -163,18 +165,19 @@
 	}
 }
 
-// registration is the transaction by which a process registers and writes its liveness record.
+// registration returns the transaction by which a process registers and writes its liveness record.
 func (p *process) registration() wire.Transaction {
 	put := func(key string, v any) wire.Change { return wire.Change{Put: key, Value: record.Encode(1, key, v)} }
 	return wire.Transaction{If: []wire.Condition{p.tracker.Condition()}, Then: []wire.Change{
 		put(record.RegistrationKey(p.label), p.tracker.Registration(p.incarnation)), put(record.LivenessKey(p.label), record.Liveness{Incarnation: p.incarnation})}}
 }
 
-// TestNoReaderLeftBehind runs generated histories of starts, ends, stale views, activations and
-// exclusions, with transactions that arrive late or twice: every live process reads the format
-// in force, but for one that was excluded while it was running unseen.
-func TestNoReaderLeftBehind(t *testing.T) {
-	activations, waited := 0, 0
+// TestLiveProcessesReadFormatInForce checks that every live process reads the format in force. It
+// runs generated histories of process starts, expired leases, stale trackers, activations and
+// exclusions, in which transactions may be committed late or more than once. Only a process without
+// a liveness record, which may have been excluded while it runs, is not checked.
+func TestLiveProcessesReadFormatInForce(t *testing.T) {
+	activations, blocked := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{t: t, store: &fakeStore{values: map[string]json.RawMessage{}, versions: map[string]wire.Revision{}},
 			processes: map[string]*process{}, reads: map[string]record.FormatRange{}}
@@ -186,26 +189,26 @@
 			h.step(rapid.SampledFrom(labels).Draw(t, "label"))
 		}
 		activations += h.activations
-		waited += h.blockedActivations
+		blocked += h.blockedActivations
 	})
 	require.Greater(t, activations, 20, "histories with an activation")
-	require.Greater(t, waited, 20, "activations that had to wait")
+	require.Greater(t, blocked, 20, "blocked activations")
 }
 
 var labels = []string{"a", "b", "c"}
 
-// history is a generated history of a cluster.
+// history is a generated sequence of events in a cluster.
 type history struct {
 	t                  *rapid.T
 	store              *fakeStore
 	processes          map[string]*process
-	reads              map[string]record.FormatRange // by label and boot
+	reads              map[string]record.FormatRange // by label and incarnation
 	lastIncarnation    wire.FencingToken
 	activations        int
 	blockedActivations int // activations that were refused
 }
 
-// start starts a new process of a controller, of an older or a newer build.
+// start starts a new process of a controller, with an older or a newer build.
 func (h *history) start(label string) {
 	h.lastIncarnation++
 	reads := rapid.SampledFrom([]record.FormatRange{{Oldest: 1, Newest: 1}, both, both, both, both, both}).Draw(h.t, "reads")
@@ -221,7 +224,7 @@
 	started.catchUp(h.store)
 }
 
-// step has a process do something, on what it knows now or knew earlier.
+// step runs one random action of a process, whose tracker may be up to date or stale.
 func (h *history) step(label string) {
 	p := h.processes[label]
 	if rapid.Bool().Draw(h.t, "sees") {
@@ -235,7 +238,7 @@
 	switch rapid.IntRange(0, 7).Draw(h.t, "does") {
 	case 0:
 		h.start(label)
-	case 1: // its lease expires
+	case 1: // the controller's lease expires
 		h.store.commit(wire.Transaction{Then: []wire.Change{{Delete: record.LivenessKey(label)}}})
 	case 2, 3:
 		h.send(p, p.registration())
@@ -250,14 +253,14 @@
 		if txn, err := p.tracker.Exclude(rapid.SampledFrom(labels).Draw(h.t, "whom"), "why", version); err == nil {
 			h.send(p, txn)
 		}
-	case 7: // what was sent earlier arrives, perhaps again
+	case 7: // transactions sent earlier arrive, some of them again
 		for _, txn := range p.sent {
 			h.commit(txn)
 		}
 	}
 }
 
-// send has a transaction arrive now or later.
+// send commits a transaction now or leaves it to be committed by a later step.
 func (h *history) send(p *process, txn wire.Transaction) {
 	p.sent = append(p.sent, txn)
 	if rapid.Bool().Draw(h.t, "now") {
@@ -265,7 +268,7 @@
 	}
 }
 
-// commit commits a transaction and checks all live processes.
+// commit commits a transaction and checks that all live processes read the format in force.
 func (h *history) commit(txn wire.Transaction) {
 	before := h.format()
 	h.store.commit(txn)
@@ -284,6 +287,7 @@
 	}
 }
 
+// format returns the format in force.
 func (h *history) format() wire.Format {
 	state := record.Rollout{Format: record.FormatPlain}
 	if value := h.store.values[record.RolloutKey]; value != nil {
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -2,7 +2,7 @@
 
 import "lilacrill/wire"
 
-// View is what operators see of the rollout.
+// View returns the state of the rollout, as the administration API shows it to operators.
 func (t *Tracker) View() wire.AdminRollout {
 	next, ready := t.NextFormat()
 	view := wire.AdminRollout{Version: t.stateVersion, Format: t.state.Format, Oldest: t.formats.Oldest, Newest: t.formats.Newest}
