--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -9,8 +9,8 @@
 	"lilacrill/wire"
 )
 
-// pageWith makes a placement record as they are in production: jobs on several machines, named in
-// order of creation, with attempts and tasks.
+// pageWith returns a placement page like those in production: jobs on several machines, with ids in
+// order of creation, attempts and tasks.
 func pageWith(jobs, machines int) PlacementPage {
 	var p PlacementPage
 	for j := range jobs {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkDecode decodes the same records.
+// BenchmarkDecode decodes placement records of growing size in every format.
 func BenchmarkDecode(b *testing.B) {
 	for _, jobs := range []int{1, 8, 30} {
 		for format := Oldest; format <= Newest; format++ {
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -14,15 +14,16 @@
 	"lilacrill/wire"
 )
 
+// bound is the limit on the decompressed size of a value, in bytes.
 const bound = 64 << 10
 
-// sample is a record with its key and something to decode it into.
+// sample is a record with its key and a function that makes an empty record to decode it into.
 type sample struct {
 	name  string
 	key   string
 	value any
 	into  func() any
-	since wire.Format // the first format that has it
+	since wire.Format // the first format that has this record
 }
 
 func jobSpec() wire.JobSpec {
@@ -31,8 +32,8 @@
 		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 }
 
-// samples has one of each record. Their files in testdata are how each format encodes them: a
-// change that decodes them otherwise needs a format of its own.
+// samples returns samples of all kinds of records. Their files in testdata hold the encoding of each
+// sample in each format. A change that decodes these files differently needs a new format.
 func samples() []sample {
 	long := jobSpec()
 	for i := range 80 {
@@ -59,8 +60,9 @@
 	}
 }
 
-// TestFixtures decodes every record as each format encoded it, and requires the first format, and
-// later ones where they do not compress, to encode it as ever.
+// TestFixtures decodes the stored encoding of every sample in each format. It also requires that the
+// encoding of a sample has not changed, unless it is compressed. A sample whose stored encoding is
+// compressed must still be compressed.
 func TestFixtures(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		for _, s := range samples() {
@@ -83,7 +85,8 @@
 	}
 }
 
-// TestPeerMessageFixtures does so for the messages between controllers.
+// TestPeerMessageFixtures decodes the stored peer message of each format and requires that its
+// encoding has not changed.
 func TestPeerMessageFixtures(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), "line.json")
@@ -99,8 +102,8 @@
 	}
 }
 
-// TestFormatsRoundTrip encodes generated placement records in every format: they decode as they
-// were, and no value is larger than its plain one.
+// TestFormatsRoundTrip encodes generated placement records in every format. It checks that they decode
+// to the same records, and that no value is larger than the plain JSON of its record.
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		page := pageWith(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
@@ -116,8 +119,8 @@
 	})
 }
 
-// TestDamagedValues damages a compressed value in every way that storage may: it is refused with a
-// cause, or decodes as what it was.
+// TestDamagedValues truncates a compressed value at every length and flips bits in it. A truncated
+// value must be refused. A value with a flipped bit must be refused or decode to the original record.
 func TestDamagedValues(t *testing.T) {
 	page := pageWith(30, 6)
 	good := Encode(FormatCompressed, PlacementKey("t", "z", 0), page)
@@ -127,7 +130,7 @@
 	for _, bad := range []string{`""`, `"x"`, `"AAAA"`, `"KLUv/WQ="`, `"` + strings.Repeat("A", 4000) + `"`, `7`, `[]`, `"` + "\xff" + `"`} {
 		require.Error(t, Decode(json.RawMessage(bad), bound, &into), bad)
 	}
-	for size := range len(good) - 1 { // one more and its last quote is all that is cut and put back
+	for size := range len(good) - 1 { // at len(good)-1, the appended quote would restore the value
 		require.Error(t, Decode(good[:size], bound, &into))
 		cut := append(append(json.RawMessage{}, good[:max(1, size)]...), '"')
 		require.Error(t, Decode(cut, bound, &into))
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -13,18 +13,18 @@
 	"lilacrill/wire"
 )
 
-// The formats of the stored records. A build reads every format from Oldest to Newest, whichever
-// is in force; it writes the one in force.
+// The formats of the stored records. A build reads every format from Oldest to Newest, regardless of
+// which is in force, and writes the format in force.
 const (
 	// FormatPlain writes every record as plain JSON.
 	FormatPlain wire.Format = 1
 	// FormatCompressed writes large job and placement records as a JSON string that holds their
-	// plain JSON, compressed with zstd, in base64. A build that does not know this format finds a
-	// string where it expects an object and refuses the record: it never takes it for an empty
-	// one.
+	// plain JSON, compressed with zstd and encoded in base64. A build that does not know this format
+	// finds a string instead of an object and refuses the record. It cannot mistake the record for an
+	// empty one.
 	FormatCompressed wire.Format = 2
-	// FormatSharding adds the records of shards, whose versions placement transactions demand,
-	// and capacity offers and forwarded jobs in the messages between controllers.
+	// FormatSharding adds the records of shards, whose versions are conditions of placement
+	// transactions, and adds capacity offers and forwarded jobs to peer messages.
 	FormatSharding wire.Format = 3
 
 	// Oldest and Newest bound what this build reads and writes.
@@ -32,37 +32,37 @@
 	Newest = FormatSharding
 )
 
-// minCompressedSize is the size in bytes of a plain value from which on compression pays.
+// minCompressedSize is the minimum size, in bytes, of a plain value that is worth compressing.
 const minCompressedSize = 512
 
-// The causes for which Decode refuses a compressed value; its errors wrap one of them.
+// Errors that Decode wraps when it refuses a compressed value.
 var (
 	ErrDamaged  = errors.New("damaged compressed value")
 	ErrTooLarge = errors.New("compressed value expands beyond the bound")
 )
 
-// Encode encodes a record, to be stored under a key, in a format. A compressed value is used only
-// where it is the smaller one, so no value takes more bytes than its plain JSON.
+// Encode encodes a record that is to be stored under a key in the given format. The compressed
+// value is used only if it is smaller, so no value takes more bytes than its plain JSON.
 func Encode(format wire.Format, key string, record any) json.RawMessage {
 	plain := encodePlain(record)
 	if format < FormatCompressed || len(plain) < minCompressedSize || !compressible(key) {
 		return plain
 	}
-	compressed := encodePlain(compressor().EncodeAll(plain, nil)) // bytes become a base64 string
+	compressed := encodePlain(compressor().EncodeAll(plain, nil)) // json.Marshal encodes bytes as a base64 string
 	if len(compressed) >= len(plain) {
 		return plain
 	}
 	return compressed
 }
 
-// compressible reports whether records under a key grow large.
+// compressible reports whether the record under a key may be large enough to be compressed.
 func compressible(key string) bool {
 	return strings.HasPrefix(key, JobPrefix) || strings.HasPrefix(key, PlacementPrefix)
 }
 
-// Decode decodes a value of any format into the record that a pointer is given to. A compressed
-// value that expands to more than limit bytes is refused with ErrTooLarge, one that is damaged
-// with ErrDamaged.
+// Decode decodes a value of any format into record, which must be a pointer. It returns ErrTooLarge
+// for a compressed value that expands to more than limit bytes, and ErrDamaged for a damaged
+// compressed value, each wrapped.
 func Decode(value json.RawMessage, limit int, record any) error {
 	if !isString(value) {
 		return fastjson.Unmarshal(value, record)
@@ -90,8 +90,8 @@
 	return false
 }
 
-// expand decompresses a frame. It states the size of its content first, so one that is too large
-// is refused before memory is taken for it.
+// expand decompresses a zstd frame. The frame header has to state the size of the content, so that
+// content larger than limit bytes is refused before memory is allocated for it.
 func expand(compressed []byte, limit int) ([]byte, error) {
 	var header zstd.Header
 	if err := header.Decode(compressed); err != nil {
@@ -113,8 +113,8 @@
 	return plain, nil
 }
 
-// Both are made when they are first needed, and without concurrency of their own: controllers
-// have little memory, and one goroutine that works on records.
+// The compressor and the decompressor are created on first use and work without concurrency, because
+// controllers have little memory and process records in a single goroutine.
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		return must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
@@ -127,15 +127,17 @@
 )
 
 const (
-	// encoderWindow, in bytes, covers any value in the state store.
+	// encoderWindow is the window size in bytes. It covers any value in the state store.
 	encoderWindow = 64 << 10
-	// maxDecoded is the most bytes that any value may expand to, whatever the caller allows.
+	// maxDecoded is the maximum decompressed size of a value in bytes, regardless of the limit that
+	// the caller of Decode sets.
 	maxDecoded = 16 << 20
 )
 
+// must returns v and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants and valid together
+		panic(err) // cannot happen: the options are constant and valid
 	}
 	return v
 }
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -11,21 +11,22 @@
 	"lilacrill/wire"
 )
 
-// goldenRecord is a kind of record with its key.
+// goldenRecord is a kind of record with its key and the name of its golden files.
 type goldenRecord struct {
 	name string
 	key  string
 	make func() any
-	// elements is how many elements the record's lists have.
+	// elements is the number of elements in each list of the filled record.
 	elements int
-	// compresses says that the filled record is large enough to be compressed.
+	// compresses is set if the filled record is large enough to be compressed.
 	compresses bool
 }
 
-// manyElements makes a record with lists large enough to be compressed.
+// manyElements is a number of list elements that makes a job record large enough to be compressed.
 const manyElements = 60
 
-// goldenRecords has every kind of record, and those that may be compressed in both sizes.
+// goldenRecords returns every kind of record. Those that may be compressed are included in a small
+// and a large size.
 func goldenRecords() []goldenRecord {
 	newJob, newPage := func() any { return new(Job) }, func() any { return new(PlacementPage) }
 	return []goldenRecord{
@@ -47,7 +48,7 @@
 	}
 }
 
-// fillRecord gives a record something in every field.
+// fillRecord sets every field of a record to something other than its zero value.
 func fillRecord(target any, elements int) {
 	filler := golden.NewFiller(elements)
 	golden.Use(filler, func(n int) TaskSet { return Span(n, n+1).With(Span(n+2, n+5)) })
@@ -56,9 +57,10 @@
 	filler.Fill(target)
 }
 
-// TestGoldenRecords encodes every kind of record in every format, with all fields set and with
-// none. A plain value has to come out as the golden file has it; so does the plain JSON within a
-// compressed one, whose other bytes are the compressor's. The golden files are decoded as well.
+// TestGoldenRecords encodes every kind of record in every format, with all fields set and with none
+// set. A plain value has to be equal to the golden file. Of a compressed value only the plain JSON
+// within it is compared, because the compressed bytes depend on the compressor. The golden files of
+// records with all fields set are decoded as well.
 func TestGoldenRecords(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		for _, r := range goldenRecords() {
@@ -80,8 +82,8 @@
 	}
 }
 
-// compareValues requires a value to be as the golden file has it, apart from how well it
-// is compressed.
+// compareValues requires a value to be equal to the golden file. Compressed values may differ as long
+// as they decompress to the same JSON.
 func compareValues(t *testing.T, name string, written json.RawMessage) {
 	t.Helper()
 	if !isString(written) {
@@ -96,7 +98,7 @@
 	require.Equal(t, string(expandValue(t, stored)), string(expandValue(t, written)), name)
 }
 
-// expandValue is the plain JSON within a compressed value.
+// expandValue returns the plain JSON within a compressed value.
 func expandValue(t *testing.T, value json.RawMessage) []byte {
 	t.Helper()
 	var packed []byte
@@ -106,8 +108,8 @@
 	return text
 }
 
-// TestGoldenPeerMessages encodes the messages between controllers in every format, with all fields
-// set, and decodes them.
+// TestGoldenPeerMessages encodes a peer message in every format with all fields set, compares it with
+// the golden file and decodes the file.
 func TestGoldenPeerMessages(t *testing.T) {
 	for format := Oldest; format <= Newest; format++ {
 		var message wire.PeerMessage
@@ -124,8 +126,8 @@
 	}
 }
 
-// TestGoldenKeys compares the keys of records, and the words and numbers in them, with the golden
-// file.
+// TestGoldenKeys compares the keys of records, the formats, and the values of enumerations in records
+// with the golden file.
 func TestGoldenKeys(t *testing.T) {
 	text, err := json.MarshalIndent(map[string]any{
 		"fixed":    []string{RootKey, TokenKey, ProvisionerKey, SettingsKey, TerminationsKey, RolloutKey, ShardPolicyKey},
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -9,62 +9,65 @@
 	"lilacrill/wire"
 )
 
-// ErrInvalidKey is the cause for which ParsePlacementKey refuses a key.
+// ErrInvalidKey is wrapped by the errors of ParsePlacementKey.
 var ErrInvalidKey = errors.New("invalid placement key")
 
-// Keys in the state store. All are under one root, so that one watch covers all of them.
+// Keys in the state store. All share one prefix, so that a single watch covers all of them. The
+// comments state what is appended to a prefix.
 const (
 	RootKey          = "l/"
 	TokenKey         = "l/baton"
 	ProvisionerKey   = "l/buyer"
 	SettingsKey      = "l/settings"
-	LivenessPrefix   = "l/n/" // + label: live controllers, by their leases
-	JobPrefix        = "l/j/" // + job: open jobs, and the latest completions
-	CompletionPrefix = "l/f/" // + job: archived completions, kept for ever
+	LivenessPrefix   = "l/n/" // + label: liveness records of controllers, attached to their leases
+	JobPrefix        = "l/j/" // + job: jobs that are not completed, and the latest completions
+	CompletionPrefix = "l/f/" // + job: archived completions, kept forever
 	PlacementPrefix  = "l/p/" // + team/zone/page: placement records
-	TerminationsKey  = "l/m"  // terminations of machines
-	ImagePrefix      = "l/i/" // + bucket: images that machines were seen to have
-	// RolloutKey is the format in force; RegistrationPrefix + label is what the latest process of
-	// a controller reads and writes.
+	TerminationsKey  = "l/m"  // machine terminations under way
+	ImagePrefix      = "l/i/" // + bucket: images cached on machines
+	// RolloutKey is the key of the format in force. RegistrationPrefix + label is the key of the
+	// registration of a controller's latest process.
 	RolloutKey         = "l/rollout"
 	RegistrationPrefix = "l/r/"
-	// ShardPolicyKey is whether sharding is enabled; ShardPrefix + number is who owns a shard.
+	// ShardPolicyKey is the key of the setting whether sharding is enabled. ShardPrefix + number is
+	// the key of the record of a shard.
 	ShardPolicyKey = "l/shares"
 	ShardPrefix    = "l/share/"
 )
 
-// LoadPrefixes are the keys that are read when a controller starts, in this order. Archived
-// completions are not among them: they are kept for ever, and each is read when a user asks.
+// LoadPrefixes lists the prefixes of the keys that a controller reads when it starts, in this order.
+// Archived completions are not loaded, because they are kept forever. Each is read when a user
+// requests it.
 //
-// The format in force comes first, since it says how to read the rest, and jobs come before
-// placement records, which refer to them.
+// The format in force comes first, because it determines whether this process can read the other
+// records. Jobs come before placement records, which refer to them.
 var LoadPrefixes = []string{"l/r", "l/b", "l/i/", "l/j/", "l/m", "l/n/", "l/p/", "l/s"}
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of the record of a job.
 func JobKey(id wire.JobID) string { return JobPrefix + string(id) }
 
-// CompletionKey is the key of a job's archived completion.
+// CompletionKey returns the key of the archived completion of a job.
 func CompletionKey(id wire.JobID) string { return CompletionPrefix + string(id) }
 
-// LivenessKey is the key of a live controller's record.
+// LivenessKey returns the key of the liveness record of a controller.
 func LivenessKey(label string) string { return LivenessPrefix + label }
 
-// RegistrationKey is the key of the registration of a controller's latest process.
+// RegistrationKey returns the key of the registration of a controller's latest process.
 func RegistrationKey(label string) string { return RegistrationPrefix + label }
 
-// ImageKey is the key of the images of a bucket of machines.
+// ImageKey returns the key of the images on the machines of a bucket.
 func ImageKey(bucket int) string { return ImagePrefix + strconv.Itoa(bucket) }
 
-// ShardKey is the key of a shard's record.
+// ShardKey returns the key of the record of a shard.
 func ShardKey(id wire.ShardID) string { return ShardPrefix + strconv.Itoa(int(id)) }
 
-// PlacementKey is the key of a page of a team's placement records in a zone.
+// PlacementKey returns the key of a placement page of a team in a zone.
 func PlacementKey(team, zone string, page int) string {
 	return PlacementPrefix + team + "/" + zone + "/" + strconv.Itoa(page)
 }
 
-// ParsePlacementKey splits the key of a placement record. The name of a team may contain slashes,
-// that of a zone may not. Its errors wrap ErrInvalidKey.
+// ParsePlacementKey splits the key of a placement record into its parts. The name of a team may
+// contain slashes, the name of a zone may not. The returned errors wrap ErrInvalidKey.
 func ParsePlacementKey(key string) (team, zone string, page int, err error) {
 	path, number, ok := cutLast(strings.TrimPrefix(key, PlacementPrefix))
 	if !ok {
--- a/internal/record/peer_message.go
+++ b/internal/record/peer_message.go
@@ -9,18 +9,18 @@
 	"lilacrill/wire"
 )
 
-// The causes for which DecodePeerMessage refuses a message; its errors wrap one of them, or are
-// those of the decoder and of wire.Heartbeat.Check.
+// Errors that DecodePeerMessage wraps when it refuses a message. It also returns the errors of the
+// JSON decoder and of wire.Heartbeat.Check.
 var (
 	ErrPeerMessageFormat  = errors.New("peer message in a format that this build does not read")
 	ErrInvalidPeerMessage = errors.New("invalid peer message")
 )
 
-// EncodePeerMessage encodes a message between controllers, without its line end, in the message's
-// format. The formats so far differ only in that later ones name themselves.
+// EncodePeerMessage encodes a peer message, without the newline that ends it. Messages of all formats
+// are encoded alike. Those of later formats than the first have their format set in the message.
 func EncodePeerMessage(message *wire.PeerMessage) ([]byte, error) { return json.Marshal(message) }
 
-// DecodePeerMessage decodes and checks a message of any format.
+// DecodePeerMessage decodes and validates a peer message of any format.
 func DecodePeerMessage(text []byte) (*wire.PeerMessage, error) {
 	var message wire.PeerMessage
 	if err := fastjson.Unmarshal(text, &message); err != nil {
--- a/internal/record/peer_message_test.go
+++ b/internal/record/peer_message_test.go
@@ -9,8 +9,9 @@
 	"lilacrill/wire"
 )
 
-// TestPeerMessages: what was encoded decodes as it was; what was truncated or damaged is refused or
-// harmless, never fatal.
+// TestPeerMessages checks that an encoded peer message decodes to the original, and that invalid and
+// truncated messages are refused. A message with a damaged byte must be refused or have only valid
+// heartbeats.
 func TestPeerMessages(t *testing.T) {
 	l := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
 		Tasks: []wire.TaskStatus{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -11,72 +11,77 @@
 	"lilacrill/wire"
 )
 
-// Job is the record of a job that is not completed or, with Completion, how it was completed.
+// Job is the record of a job. It holds either a job that is not completed or, if Completion is set,
+// only how the job was completed.
 type Job struct {
 	Spec wire.JobSpec `json:"spec"`
-	// AcceptedAt is when the job was accepted, in Unix milliseconds.
+	// AcceptedAt is the time at which the job was accepted, in Unix milliseconds.
 	AcceptedAt int64 `json:"at"`
-	// AcceptedBy is the incarnation of the controller that accepted it and schedules it first.
+	// AcceptedBy is the incarnation of the controller that accepted the job and initially
+	// schedules it.
 	AcceptedBy wire.FencingToken `json:"by"`
-	// Completion, if set, is how it was completed, and all that is left of it.
+	// Completion is set if the job is completed. The record then has no other content.
 	Completion *Completion `json:"over,omitempty"`
 }
 
-// CompletedJob is what a job's record becomes when the job is completed.
+// CompletedJob is the record that replaces a Job when the job is completed. It decodes as a Job.
 type CompletedJob struct {
 	Completion Completion `json:"over"`
 }
 
-// Completion is how a job was completed.
+// Completion is the result of a completed job.
 type Completion struct {
 	Status wire.Status `json:"status"`
-	Done   int         `json:"done"` // tasks that succeeded
+	Done   int         `json:"done"` // number of tasks that succeeded
 }
 
-// Liveness says that a controller is alive. The record is attached to the controller's lease, and
-// is deleted when that expires.
+// Liveness is the record of a live controller. It is attached to the controller's lease and is
+// deleted when the lease expires.
 type Liveness struct {
 	Incarnation wire.FencingToken `json:"boot"`
-	// Isolated says that the controller reaches no workers, so that it should own no team.
+	// Isolated is set if the controller reaches no workers, so that it should own no team.
 	Isolated bool `json:"deaf,omitempty"`
 }
 
-// Terminations is all machines that are to be terminated, by reason, and those whose termination
-// the cloud has confirmed while there are still allocations on them: for every controller that
-// reads it, that confirms the exit of their tasks. A machine that leaves Pending without being
-// Confirmed was kept after all. One record for all of them costs one write however many machines
-// are terminated at once, and gives placement transactions one version to demand.
+// Terminations is the record of the machine terminations that are under way. Pending holds the
+// machines to be terminated, by reason. Confirmed holds machines whose termination the cloud has
+// confirmed while they still have allocations. To every controller that reads the record, this
+// confirms the exit of the tasks on these machines. A machine that leaves Pending without being
+// added to Confirmed has not been terminated.
+//
+// A single record takes one write however many machines are terminated at once, and gives placement
+// transactions a single version to use as a condition.
 type Terminations struct {
 	Pending   map[string][]wire.MachineID `json:"going,omitempty"`
 	Confirmed []wire.MachineID            `json:"gone,omitempty"`
 }
 
-// Images is which images the machines of one bucket were seen to have.
+// Images holds the images known to be cached on the machines of one bucket.
 type Images map[wire.MachineID][]string
 
-// Eviction says whether and how an allocation's tasks are to be stopped.
+// Eviction states whether and how the tasks of an allocation are to be stopped.
 type Eviction int
 
 // The kinds of eviction.
 const (
 	EvictionNone      Eviction = iota
 	EvictionGraceful           // with time to save a checkpoint
-	EvictionImmediate          // without
+	EvictionImmediate          // without time to save a checkpoint
 )
 
-// AllocationHeader is what the allocations of one job in one transaction have in common.
+// AllocationHeader holds the properties shared by all allocations of one job in one transaction.
 type AllocationHeader struct {
 	Job     wire.JobID   `json:"j"`
 	Attempt wire.Attempt `json:"a"`
 	// Launcher is the incarnation of the only controller that may send the launch.
 	Launcher wire.FencingToken `json:"l"`
-	// Fence, if not 0, is the fencing token that the machine must have seen before the launch may
-	// be sent or, with an eviction, before a heartbeat without a task confirms the task's exit.
+	// Fence, if not 0, is a fencing token. The machine must have received it before the launch may
+	// be sent or, in an eviction, before a heartbeat without a task confirms the exit of this task.
 	Fence    wire.FencingToken `json:"f,omitempty"`
 	Eviction Eviction          `json:"s,omitempty"`
 
-	// What one task takes, and the job's priority and shape, so that capacity can be computed
-	// without the job's record.
+	// The resources of one task, and the priority and the shape of the job. With these, capacity can
+	// be computed without the record of the job.
 
 	Cores        float64    `json:"c,omitempty"`
 	Accelerators float64    `json:"g,omitempty"`
@@ -85,7 +90,8 @@
 	Shape        wire.Shape `json:"b"`
 }
 
-// AllocationGroup is the allocations with one header: three lists with an element for each machine.
+// AllocationGroup holds the allocations that share one header. Its three lists have one element for
+// each machine.
 type AllocationGroup struct {
 	AllocationHeader
 	Machines    []wire.MachineID  `json:"m"`
@@ -93,18 +99,18 @@
 	Tasks       []TaskSet         `json:"k"`
 }
 
-// PlacementPage is a placement record: a part of a team's allocations in a zone. Tasks that
-// succeeded move from their allocation to Completed in the transaction that removes them, and stay
-// there until the job is completed: the completion of a task costs no write of its own.
+// PlacementPage is a placement record. It holds a part of the allocations of a team in a zone. Tasks
+// that succeeded move from their allocation to Completed in the transaction that removes them, and
+// stay there until the job is completed. The completion of a task thus needs no write of its own.
 type PlacementPage struct {
 	Groups    []AllocationGroup      `json:"e"`
 	Completed map[wire.JobID]TaskSet `json:"d,omitempty"`
 }
 
-// ErrInvalidPage is the cause for which a placement page is refused.
+// ErrInvalidPage is wrapped by the errors of PlacementPage.Check.
 var ErrInvalidPage = errors.New("invalid placement page")
 
-// Check reports a group whose lists have different lengths, wrapping ErrInvalidPage, or nil.
+// Check returns an error that wraps ErrInvalidPage if the lists of a group differ in length.
 func (p *PlacementPage) Check() error {
 	for i := range p.Groups {
 		group := &p.Groups[i]
@@ -116,31 +122,35 @@
 	return nil
 }
 
-// The bytes that parts of a page's plain JSON take beyond their content.
+// Sizes, in bytes, of the punctuation and field names in the plain JSON of a page.
 const (
 	// PageOverhead is the size of an empty page.
 	PageOverhead = len(`{"e":[],"d":{}}`)
-	// CompletedOverhead is what a set of completed tasks takes beside the job's name and the set.
+	// CompletedOverhead is the size of an entry of Completed, without the id of the job and the task
+	// set.
 	CompletedOverhead = len(`"":,`)
 
+	// machineOverhead is the size of one machine in the lists of a group, without its id, its agent
+	// epoch and its task set.
 	machineOverhead = len(`"",`) + len(`,`) + len(`,`)
 )
 
-// MachineSize is how many bytes one machine takes in a group, beside the header.
+// MachineSize returns the encoded size, in bytes, of one machine in a group, without the header.
 func MachineSize(id wire.MachineID, epoch wire.AgentEpoch, tasks TaskSet) int {
 	return machineOverhead + len(id) + len(strconv.FormatUint(uint64(epoch), 10)) + tasks.EncodedSize()
 }
 
-// EncodedSize is how many bytes a header takes with the empty lists after it.
+// EncodedSize returns the encoded size, in bytes, of a group with this header and empty lists,
+// including the comma that separates the group from the next.
 func (h *AllocationHeader) EncodedSize() int {
 	return len(encodePlain(AllocationGroup{AllocationHeader: *h})) + len(`,`)
 }
 
-// encodePlain is a record's JSON, as the first format writes it.
+// encodePlain returns the plain JSON of a record, as FormatPlain writes it.
 func encodePlain(record any) []byte {
 	text, err := json.Marshal(record)
 	if err != nil {
-		// Only this package's types come here; none of them can fail.
+		// Cannot happen: json.Marshal does not fail for the types of records.
 		panic(err)
 	}
 	return text
--- a/internal/record/rollout.go
+++ b/internal/record/rollout.go
@@ -7,32 +7,33 @@
 	"lilacrill/wire"
 )
 
-// Rollout is the format in force for the whole cluster. Without such a record, that is the first
-// one.
+// Rollout is the record of the format in force for the whole cluster. Without this record, the first
+// format is in force.
 type Rollout struct {
 	Format wire.Format `json:"format"`
-	// Excluded holds the controllers, by label, that an activation does not wait for.
+	// Excluded holds, by label, the controllers that an operator has excluded from blocking
+	// activations.
 	Excluded map[string]Exclusion `json:"excluded,omitempty"`
 }
 
-// Exclusion says why a controller that is down need not be waited for. It applies only to
-// incarnations up to the one that it names: a later one counts again.
+// Exclusion states why a controller that is down does not block activations. It applies only to
+// incarnations up to the given one. Any later incarnation of the controller can block again.
 type Exclusion struct {
 	Incarnation wire.FencingToken `json:"boot"`
 	Reason      string            `json:"reason"`
 }
 
-// Registration is what the latest process of a controller reads and writes. Unlike the liveness
-// record it stays when the process ends.
+// Registration is the record of the formats that the latest process of a controller reads and
+// writes. Unlike the liveness record, it remains when the process ends.
 type Registration struct {
 	Incarnation wire.FencingToken `json:"boot"`
 	Formats     FormatRange       `json:"formats"`
 	Release     string            `json:"release,omitempty"`
-	// Sharding says that the controller's settings enable sharding.
+	// Sharding is set if the controller's settings enable sharding.
 	Sharding bool `json:"shares,omitempty"`
 }
 
-// FormatRange is the formats that a process reads, from Oldest to Newest.
+// FormatRange is the range of formats that a process reads, from Oldest to Newest, both included.
 type FormatRange struct {
 	Oldest wire.Format `json:"oldest"`
 	Newest wire.Format `json:"newest"`
@@ -41,10 +42,11 @@
 // Reads reports whether a format lies in the range.
 func (r FormatRange) Reads(f wire.Format) bool { return r.Oldest <= f && f <= r.Newest }
 
-// ErrInvalidFormatRange is the cause for which FormatRange.Check refuses a range.
+// ErrInvalidFormatRange is wrapped by the errors of FormatRange.Check.
 var ErrInvalidFormatRange = errors.New("invalid range of formats")
 
-// Check reports a range that no build can have, wrapping ErrInvalidFormatRange, or nil.
+// Check returns an error that wraps ErrInvalidFormatRange if the range is empty or starts before the
+// first format.
 func (r FormatRange) Check() error {
 	if r.Oldest < FormatPlain || r.Newest < r.Oldest {
 		return fmt.Errorf("%w: from %d to %d", ErrInvalidFormatRange, r.Oldest, r.Newest)
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -2,32 +2,33 @@
 
 import "lilacrill/wire"
 
-// ShardPolicy says whether sharding is enabled. It is switched in one transaction that also
-// rewrites the list of terminations, whose version every placement transaction demands: so
-// placements of controllers that restrict themselves to their shards and of controllers that do
-// not never mix.
+// ShardPolicy is the record that states whether sharding is enabled. Sharding is switched in a single
+// transaction that also rewrites the terminations record, whose version is a condition of every
+// placement transaction. Placements of controllers that restrict themselves to their shards and of
+// controllers that do not therefore never mix.
 type ShardPolicy struct {
 	Enabled bool `json:"enabled"`
-	// Drained holds the controllers that are to own no shard, by label, with the reason.
+	// Drained holds the reasons why controllers are to own no shard, by label of the controller.
 	Drained map[string]string `json:"drained,omitempty"`
 }
 
-// ShardOwner is a process of a controller, as the owner of a shard.
+// ShardOwner identifies the process of a controller that owns a shard or is to own it.
 type ShardOwner struct {
 	Label       string            `json:"label"`
 	Incarnation wire.FencingToken `json:"boot"`
 }
 
-// Shard says who may place on the machines of a shard. Every placement transaction demands the
-// versions of the shards that it places in.
+// Shard is the record of the controller that may place tasks on the machines of a shard. Every
+// placement transaction has the versions of the shards in which it places tasks as conditions.
 type Shard struct {
 	Owner ShardOwner `json:"owner"`
-	// Epoch rises whenever the owner changes.
+	// Epoch is incremented whenever the owner changes.
 	Epoch wire.ShardEpoch `json:"epoch"`
 	Move  *ShardMove      `json:"move,omitempty"`
 }
 
-// ShardMove is a move of a shard that is under way. Its owner starts no placement meanwhile.
+// ShardMove is a move of a shard that is under way. The owner of the shard starts no placement there
+// during the move.
 type ShardMove struct {
 	To     ShardOwner `json:"to"`
 	Phase  MovePhase  `json:"step"`
@@ -35,13 +36,13 @@
 	Reason string     `json:"why,omitempty"`
 }
 
-// MovePhase is how far the move of a shard has come.
+// MovePhase is the phase of the move of a shard.
 type MovePhase string
 
-// The phases of a move. It ends as the target becomes the owner.
+// The phases of a move. The move ends when its target becomes the owner.
 const (
-	// MoveProposed: the owner has been asked to release the shard.
+	// MoveProposed means that the owner has been requested to release the shard.
 	MoveProposed MovePhase = "proposed"
-	// MoveReleased: the owner has no placement under way any more.
+	// MoveReleased means that the owner has no placement under way in the shard any more.
 	MoveReleased MovePhase = "released"
 )
--- a/internal/record/taskset.go
+++ b/internal/record/taskset.go
@@ -9,21 +9,22 @@
 	"lilacrill/wire"
 )
 
-// errInvalidTaskSet is the cause for which the JSON of a task set is refused.
+// errInvalidTaskSet is returned for JSON that is not a valid task set.
 var errInvalidTaskSet = errors.New("task set: not ordered ranges of task numbers")
 
-// TaskSet is a set of task numbers. The zero value is the empty set. Sets are values: no
+// TaskSet is a set of task numbers. The zero value is the empty set. Apart from UnmarshalJSON, no
 // operation changes its operands.
 type TaskSet struct {
-	ranges []taskRange // in order, none overlaps another
+	ranges []taskRange // ascending, without overlaps
 }
 
-// taskRange is the numbers from low to high, both included.
+// taskRange is the range of the numbers from low to high, both included.
 type taskRange struct{ low, high int }
 
+// len returns how many numbers the range has.
 func (r taskRange) len() int { return r.high - r.low + 1 }
 
-// Span is the set of the numbers from low up to but not including end.
+// Span returns the set of the numbers from low up to but not including end.
 func Span(low, end int) TaskSet {
 	if low >= end {
 		return TaskSet{}
@@ -31,7 +32,7 @@
 	return TaskSet{[]taskRange{{low, end - 1}}}
 }
 
-// Len counts the members.
+// Len returns how many members the set has.
 func (s TaskSet) Len() int {
 	count := 0
 	for _, r := range s.ranges {
@@ -40,7 +41,8 @@
 	return count
 }
 
-// EncodedSize is how many bytes the set's JSON takes, give or take a comma.
+// EncodedSize returns the size of the set's JSON in bytes. It counts a comma after each range, one
+// more than the JSON has.
 func (s TaskSet) EncodedSize() int {
 	size := len(`[]`)
 	for _, r := range s.ranges {
@@ -52,7 +54,7 @@
 	return size
 }
 
-// digits is how many decimal digits a number has.
+// digits returns how many decimal digits a number has.
 func digits(number int) int {
 	count := 1
 	for ; number > 9; number /= 10 {
@@ -64,7 +66,7 @@
 // Equal reports whether both sets have the same members.
 func (s TaskSet) Equal(other TaskSet) bool { return slices.Equal(s.ranges, other.ranges) }
 
-// First is the lowest member of a set, which must not be empty.
+// First returns the lowest member of the set, which must not be empty.
 func (s TaskSet) First() int { return s.ranges[0].low }
 
 // Empty reports whether the set has no members.
@@ -76,7 +78,7 @@
 	return i < len(s.ranges) && s.ranges[i].low <= number
 }
 
-// All yields the members in order.
+// All yields the members in ascending order.
 func (s TaskSet) All(yield func(int) bool) {
 	for _, r := range s.ranges {
 		for number := r.low; number <= r.high; number++ {
@@ -87,7 +89,7 @@
 	}
 }
 
-// With is the union of both sets.
+// With returns the union of both sets.
 func (s TaskSet) With(other TaskSet) TaskSet {
 	if other.Empty() {
 		return s
@@ -109,13 +111,13 @@
 	return TaskSet{merged}
 }
 
-// Add is the set with a number.
+// Add returns the set extended by a number.
 func (s TaskSet) Add(number int) TaskSet { return s.With(Span(number, number+1)) }
 
-// Without is the set less the members of another one.
+// Without returns the members of the set that are not members of the other set.
 func (s TaskSet) Without(other TaskSet) TaskSet {
 	var left []taskRange
-	first := 0 // the first range of other that may overlap the present one
+	first := 0 // index of the first range of other that may overlap r
 	for _, r := range s.ranges {
 		for first < len(other.ranges) && other.ranges[first].high < r.low {
 			first++
@@ -135,10 +137,10 @@
 	return TaskSet{left}
 }
 
-// Intersect is the set of the members of both.
+// Intersect returns the intersection of both sets.
 func (s TaskSet) Intersect(other TaskSet) TaskSet { return s.Without(s.Without(other)) }
 
-// Take splits off the first members, up to a count.
+// Take splits the set into its lowest count members, or all if there are fewer, and the rest.
 func (s TaskSet) Take(count int) (first, rest TaskSet) {
 	for i, r := range s.ranges {
 		if r.len() <= count {
@@ -156,8 +158,8 @@
 	return s, TaskSet{}
 }
 
-// MarshalJSON writes a list of the ranges, each as [low, high] or, for a single number, as the
-// number.
+// MarshalJSON encodes the set as a list of its ranges. A range is encoded as [low, high], or as the
+// number itself if it has only one.
 func (s TaskSet) MarshalJSON() ([]byte, error) {
 	list := make([]any, len(s.ranges))
 	for i, r := range s.ranges {
@@ -170,7 +172,8 @@
 	return json.Marshal(list)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes and refuses ranges that are out of order.
+// UnmarshalJSON decodes the encoding of MarshalJSON. It refuses ranges that overlap or are out of
+// order.
 func (s *TaskSet) UnmarshalJSON(text []byte) error {
 	s.ranges = nil
 	var parser taskSetParser
@@ -186,20 +189,21 @@
 	return nil
 }
 
-// taskSetParser reads the JSON of a task set, a character at a time: records are read so often
-// that this shows.
+// taskSetParser parses the JSON of a task set one character at a time. Records are decoded so often
+// that a dedicated parser has a noticeable effect.
 type taskSetParser struct {
 	ranges   []taskRange
-	depth    int // of the brackets that are open
-	number   int // the number being read, of so many digits
-	digits   int
-	pair     [2]int // the range being read, of so many elements
-	elements int
+	depth    int    // number of open brackets
+	number   int    // the number being parsed
+	digits   int    // how many digits of number have been parsed
+	pair     [2]int // the bounds of the range being parsed
+	elements int    // how many bounds of the range have been parsed
 }
 
-// maxDigits is how many digits the largest task number has.
+// maxDigits is the number of decimal digits of the largest task number.
 var maxDigits = digits(wire.MaxTasks - 1)
 
+// next parses one character.
 func (p *taskSetParser) next(char byte) error {
 	switch {
 	case char >= '0' && char <= '9' && p.depth > 0:
@@ -221,7 +225,7 @@
 	return errInvalidTaskSet
 }
 
-// closeBracket ends the list, or the range that is written as a pair.
+// closeBracket ends the list or, within it, the range that is encoded as a pair.
 func (p *taskSetParser) closeBracket() error {
 	if err := p.endNumber(); err != nil {
 		return err
@@ -233,8 +237,8 @@
 	return nil
 }
 
-// endNumber adds the number that was read, if any, to the present range. Outside a pair it is a
-// range by itself.
+// endNumber ends the number being parsed, if any, and adds it to the current range. A number outside
+// a pair is a range of its own.
 func (p *taskSetParser) endNumber() error {
 	if p.digits == 0 {
 		return nil
@@ -249,7 +253,8 @@
 	return p.endRange()
 }
 
-// addElement adds a bound to the present range; one that has too many is refused at its end.
+// addElement adds a bound to the current range. It only counts surplus bounds. endRange refuses a
+// range that has any.
 func (p *taskSetParser) addElement(number int) {
 	if p.elements < len(p.pair) {
 		p.pair[p.elements] = number
@@ -257,7 +262,7 @@
 	p.elements++
 }
 
-// endRange adds the present range to the set.
+// endRange adds the current range to the set.
 func (p *taskSetParser) endRange() error {
 	r := taskRange{p.pair[0], p.pair[1]}
 	complete := p.elements == len(p.pair)
