--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed makes generated tests use the same inputs in each run, so that a check of
-// the same sources always has the same result.
+// Package fixedseed makes property-based tests use the same generated inputs in each run, so that
+// testing the same sources always has the same result.
 package fixedseed
 
 import (
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// seed is any number but 0, which has rapid choose a new seed for each run.
+// seed is the default seed. It must not be 0, with which rapid chooses a new seed for each run.
 const seed = "20261201"
 
-// Run runs a package's tests, for its TestMain, and exits. A seed given on the command line
-// is used instead.
+// Run runs the tests of a package with the default seed and exits. It is called by TestMain. A seed
+// given on the command line takes precedence.
 func Run(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
 		if err := f.Value.Set(seed); err != nil {
-			panic(err) // the flag takes numbers
+			panic(err) // cannot happen: the flag accepts any number
 		}
 	}
 	os.Exit(m.Run())
--- a/internal/golden/filler.go
+++ b/internal/golden/filler.go
@@ -8,16 +8,16 @@
 	"lilacrill/wire"
 )
 
-// Filler sets every field of a value to something other than its zero value. The values
-// depend only on the type, so that they are the same in every run.
+// Filler sets every field of a value to something other than its zero value. The values depend
+// only on the types that are filled and their order, so that they are the same in every run.
 type Filler struct {
 	count  int
 	length int
 	makers map[reflect.Type]func(number int) reflect.Value
 }
 
-// NewFiller makes a filler that fills slices with length elements and knows the types
-// of wire that allow only some values.
+// NewFiller returns a filler that fills slices with length elements. It has makers for the types of
+// package wire that allow only certain values.
 func NewFiller(length int) *Filler {
 	f := &Filler{length: length, makers: map[reflect.Type]func(int) reflect.Value{}}
 	Use(f, func(n int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`{"n":%d}`, n)) })
@@ -33,13 +33,12 @@
 	return f
 }
 
-// Use has the filler make values of type T by makeValue, from a number that is different each
-// time.
+// Use makes the filler call makeValue for values of type T, each time with a different number.
 func Use[T any](f *Filler, makeValue func(number int) T) {
 	f.makers[reflect.TypeFor[T]()] = func(number int) reflect.Value { return reflect.ValueOf(makeValue(number)) }
 }
 
-// Fill fills the value that target points to.
+// Fill fills the value to which target points.
 func (f *Filler) Fill(target any) { f.fill(reflect.ValueOf(target).Elem()) }
 
 func (f *Filler) fill(v reflect.Value) {
@@ -77,7 +76,7 @@
 	}
 }
 
-// fillMap makes a map of one entry.
+// fillMap sets v to a map with one filled entry.
 func (f *Filler) fillMap(v reflect.Value) {
 	key := reflect.New(v.Type().Key()).Elem()
 	f.fill(key)
@@ -87,6 +86,7 @@
 	v.SetMapIndex(key, element)
 }
 
+// next returns a number that it has not returned before.
 func (f *Filler) next() int {
 	f.count++
 	return f.count
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// updateVariable is the environment variable that, when it is 1, has Compare write the
-// files instead of reading them.
+// updateVariable is the environment variable that makes Compare write the golden files first if its
+// value is 1.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Path is the path of a golden file of the package under test.
+// Path returns the path of a golden file of the package under test.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // Updating reports whether golden files are to be written.
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// Recorder is an HTTP handler that records requests, one line each, and answers with the fixed
-// body for the method and path.
+// Recorder is an HTTP handler that records requests, one line each, and responds with a fixed body
+// for each method and path.
 type Recorder struct {
-	// Answers are the bodies by method and path, as in "GET /up". The answer to any other
-	// request is 404.
+	// Answers holds the response bodies by method and path, as in "GET /up". Any other request is
+	// answered with status 404.
 	Answers map[string]string
 
 	mu       sync.Mutex
 	requests bytes.Buffer
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements the http.Handler interface.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -36,11 +36,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone away fails its own test.
+	// A client that has closed the connection fails its own test, so the error is ignored here.
 	_, _ = io.WriteString(w, answer)
 }
 
-// Requests returns the requests so far.
+// Requests returns the requests recorded so far.
 func (r *Recorder) Requests() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/golden/values.go
+++ b/internal/golden/values.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Values encodes v as nested JSON lists, field by field and without names. It requires every
-// field to be set.
+// Values encodes v as nested JSON lists of field values without the names of the fields. It requires
+// every field to be set.
 func Values(t testing.TB, v any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(values(t, reflect.ValueOf(v)), "", "  ")
@@ -17,6 +17,7 @@
 	return text
 }
 
+// values converts v to nested lists of the values of its fields and elements.
 func values(t testing.TB, v reflect.Value) any {
 	t.Helper()
 	require.False(t, v.IsZero(), "a field of type %v is not set", v.Type())
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -1,5 +1,5 @@
-// Package release names the release that this program is.
+// Package release holds the version of this release.
 package release
 
-// Version is the release.
+// Version is the version of this release.
 const Version = "0.3.0"
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,7 +1,7 @@
-// Package tracing writes the events of a process in a rollout as OpenTelemetry spans. The spans
-// of all controllers in the rollout of one format belong to one trace, whose id is derived
-// from the format's number, so that their files can be merged. It is off unless the features
-// file names a file for it.
+// Package tracing writes the rollout events of a process as OpenTelemetry spans. The spans of all
+// controllers in the rollout of one format belong to one trace. The id of this trace is derived from
+// the number of the format, so that the files of several controllers can be merged. Tracing is off
+// unless the features file names an output file.
 package tracing
 
 import (
@@ -24,7 +24,7 @@
 	"lilacrill/wire"
 )
 
-// Tracer writes spans. A nil Tracer writes none.
+// Tracer writes rollout events as spans to a file. A nil Tracer discards them.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	spans    trace.Tracer
@@ -32,7 +32,7 @@
 	lastEnd  time.Time // when the last span ended
 }
 
-// Open starts tracing for the controller label. Spans are appended to the file.
+// Open returns a tracer for the controller with the given label. It appends spans to the file at path.
 func Open(path, label string) (*Tracer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -42,7 +42,8 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("tracing: %w", err), file.Close())
 	}
-	// Spans are few, and a process may be killed at any time: each is written at once.
+	// Each span is written synchronously, because the process may be killed at any time and there
+	// are few spans.
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "lilacrill"),
 			attribute.String("service.version", release.Version), attribute.String("service.instance.id", label))))
@@ -62,8 +63,8 @@
 	t.lastEnd = now
 }
 
-// targetFormat is the format whose rollout an event belongs to: the registration and the
-// readiness of a process are steps towards the next one.
+// targetFormat returns the format to whose rollout an event belongs. The registration and the
+// readiness of a process belong to the rollout of the format after the one in force.
 func targetFormat(event controller.RolloutEvent) wire.Format {
 	if event.Kind == controller.RolloutRegistered || event.Kind == controller.RolloutReady {
 		return event.Format + 1
@@ -71,7 +72,7 @@
 	return event.Format
 }
 
-// rolloutSpanContext is the parent of all spans of a format's rollout.
+// rolloutSpanContext returns the context of the parent of all spans in the rollout of a format.
 func rolloutSpanContext(f wire.Format) trace.SpanContext {
 	sum := sha256.Sum256(fmt.Appendf(nil, "lilacrill rollout of format %d", f))
 	var id trace.TraceID
@@ -81,7 +82,7 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: id, SpanID: root, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-// Close flushes and closes the file.
+// Close shuts down the span provider and closes the file.
 func (t *Tracer) Close() error {
 	if t == nil {
 		return nil
