--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -71,7 +71,7 @@
 	}
 	for name, args := range commands {
 		t.Run(name, func(t *testing.T) {
-			api := &golden.Recorder{Answers: encodeAnswers(t, answers)}
+			api := &golden.Recorder{Responses: encodeAnswers(t, answers)}
 			server := httptest.NewServer(api)
 			defer server.Close()
 			addr := strings.TrimPrefix(server.URL, "http://")
@@ -85,7 +85,7 @@
 // same command.
 func TestShardsAlias(t *testing.T) {
 	t.Setenv(admin.TokenVariable, "secret")
-	api := &golden.Recorder{Answers: encodeAnswers(t, adminAnswers())}
+	api := &golden.Recorder{Responses: encodeAnswers(t, adminAnswers())}
 	server := httptest.NewServer(api)
 	t.Cleanup(server.Close)
 	addr := strings.TrimPrefix(server.URL, "http://")
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -98,7 +98,7 @@
 
 		quiet.print("quiet")
 		upgraded.print("upgrade")
-		fmt.Printf("%d compressed records of %d\n", u.compressedRecords(), len(u.state.Entries(record.RootKey)))
+		fmt.Printf("%d compressed records of %d\n", u.compressedRecords(), len(u.state.Entries(record.RootPrefix)))
 		if out := os.Getenv(outDirVariable); out != "" {
 			plotUserLatency(b, filepath.Join(out, "rolling-upgrade.png"), quiet, upgraded)
 		}
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -192,7 +192,7 @@
 // compressedRecords counts the compressed records in the state store.
 func (u *upgradedCluster) compressedRecords() int {
 	n := 0
-	for _, e := range u.state.Entries(record.RootKey) {
+	for _, e := range u.state.Entries(record.RootPrefix) {
 		if strings.HasPrefix(string(e.Value), `"`) {
 			n++
 		}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -26,7 +26,7 @@
 	golden.NewFiller(2).Fill(&machines)
 	golden.NewFiller(2).Fill(&names)
 	machines.More = false
-	recorder := &golden.Recorder{Answers: map[string]string{
+	recorder := &golden.Recorder{Responses: map[string]string{
 		"GET /catalog":       encode(t, catalogue),
 		"GET /hosts":         encode(t, machines),
 		"POST /hosts":        encode(t, names),
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -69,7 +69,7 @@
 
 // Formats is the range of formats that this controller reads and writes.
 func (r *Rollout) Formats() record.FormatRange {
-	formats := record.FormatRange{Oldest: record.Oldest, Newest: record.Newest}
+	formats := record.FormatRange{Oldest: record.OldestFormat, Newest: record.NewestFormat}
 	if r.NewestFormat != 0 {
 		formats.Newest = r.NewestFormat
 	}
@@ -78,7 +78,7 @@
 
 // DefaultFeatures are those without a features file.
 func DefaultFeatures() Features {
-	return Features{Rollout: Rollout{Activation: ActivationManual, NewestFormat: record.Newest}}
+	return Features{Rollout: Rollout{Activation: ActivationManual, NewestFormat: record.NewestFormat}}
 }
 
 // LoadFeatures reads and checks a features file. Its error is one line with the file and the
@@ -129,8 +129,8 @@
 	switch {
 	case rollout.Activation != ActivationManual && rollout.Activation != ActivationAutomatic:
 		return apierror.Field("rollout.activation", "%q is neither manual nor automatic", rollout.Activation)
-	case rollout.NewestFormat < record.Oldest || rollout.NewestFormat > record.Newest:
-		return apierror.Field("rollout.newest_format", "%d is not between %d and %d", rollout.NewestFormat, record.Oldest, record.Newest)
+	case rollout.NewestFormat < record.OldestFormat || rollout.NewestFormat > record.NewestFormat:
+		return apierror.Field("rollout.newest_format", "%d is not between %d and %d", rollout.NewestFormat, record.OldestFormat, record.NewestFormat)
 	case rollout.SettleS != nil && rollout.Activation != ActivationAutomatic:
 		return apierror.Field("rollout.settle_s", "goes with activation = \"automatic\" only")
 	case rollout.SettleS != nil && !(*rollout.SettleS >= 0 && *rollout.SettleS <= maxSettleS):
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,13 +14,13 @@
 func TestGoldenSettings(t *testing.T) {
 	features, err := LoadFeatures(golden.Path("features.toml"))
 	require.NoError(t, err)
-	golden.Compare(t, "features-values.json", golden.Values(t, features))
+	golden.Compare(t, "features-values.json", golden.EncodeValues(t, features))
 
 	settings, err := Load(golden.Path("settings.toml"))
 	require.NoError(t, err)
 	require.Equal(t, DefaultFeatures(), settings.Features)
 	settings.Features = features
-	golden.Compare(t, "settings-values.json", golden.Values(t, settings))
+	golden.Compare(t, "settings-values.json", golden.EncodeValues(t, settings))
 }
 
 // TestGoldenOperatorSettings encodes operators' settings with all fields set, by default and
@@ -28,7 +28,7 @@
 func TestGoldenOperatorSettings(t *testing.T) {
 	var filled Operator
 	filler := golden.NewFiller(1)
-	golden.Use(filler, func(int) Affinity { return AffinityEnforced })
+	golden.RegisterMaker(filler, func(int) Affinity { return AffinityEnforced })
 	filler.Fill(&filled)
 	compareJSON(t, "operator-settings.json", filled)
 	compareJSON(t, "operator-settings.default.json", DefaultOperator())
--- a/internal/controller/allocation.go
+++ b/internal/controller/allocation.go
@@ -43,7 +43,7 @@
 }
 
 // encodedSize returns the size of an allocation within its group, in bytes.
-func (a *Allocation) encodedSize() int { return record.MachineSize(a.Machine, a.AgentEpoch, a.Tasks) }
+func (a *Allocation) encodedSize() int { return record.EntrySize(a.Machine, a.AgentEpoch, a.Tasks) }
 
 // encodedSizeAfter returns the number of bytes that an allocation adds to a page on which it
 // follows the given allocations. It may grow slightly as its tasks end one by one. The space for
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -184,7 +184,7 @@
 		return nil
 	case record.ShardPolicyKey:
 		return c.applyShardRecord(key, value, version)
-	case record.TokenKey:
+	case record.FencingTokenKey:
 		return c.cache.applyToken(value, version)
 	case record.ProvisionerKey:
 		return c.applyProvisioner(value)
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -36,11 +36,11 @@
 // the earlier writes of other controllers.
 func TestTokenIsTakenFromTheWatchOnly(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100, WriteRPS: 50}}})
-	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.TokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
+	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.FencingTokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
 	c.calls.pending[c.calls.lastID].complete(CommitResult{Revision: 12})
 	require.Zero(t, c.cache.token)
 	require.Equal(t, wire.Revision(12), c.cache.ownRevision)
-	event := wire.ChangeEvent{Put: record.TokenKey, Value: []byte("3"), Version: 12}
+	event := wire.ChangeEvent{Put: record.FencingTokenKey, Value: []byte("3"), Version: 12}
 	require.True(t, c.applyWatchResult(WatchResult{Response: wire.WatchResponse{Revision: 12, Events: []wire.ChangeEvent{event}}}))
 	require.Equal(t, wire.FencingToken(3), c.cache.token)
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -200,7 +200,7 @@
 		}
 		machine.reconciliation.pendingCleanup[attempt] = max(c.cache.revision, c.cache.ownRevision)
 		for _, allocation := range machine.allocations {
-			if allocation.Job == attempt.task.Job && allocation.Attempt == attempt.attempt && allocation.Tasks.Has(attempt.task.Index) {
+			if allocation.Job == attempt.task.Job && allocation.Attempt == attempt.attempt && allocation.Tasks.Contains(attempt.task.Index) {
 				delete(machine.reconciliation.pendingCleanup, attempt)
 			}
 		}
@@ -215,7 +215,7 @@
 	}
 	c.fleet.lastTokenRaiseAt = c.now
 	c.commit(PriorityBackground, wire.Transaction{
-		If:   []wire.Condition{{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]}},
-		Then: []wire.Change{c.putChange(record.TokenKey, c.cache.token+1)},
+		If:   []wire.Condition{{Key: record.FencingTokenKey, Version: c.cache.keyVersions[record.FencingTokenKey]}},
+		Then: []wire.Change{c.putChange(record.FencingTokenKey, c.cache.token+1)},
 	}, func(CommitResult) { c.refreshCache() })
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -44,7 +44,7 @@
 	c.cache.ownRevision = max(c.cache.ownRevision, revision)
 	for _, change := range txn.Then {
 		switch {
-		case change.Put == record.TokenKey || exceptPrefix != "" && strings.HasPrefix(change.Put, exceptPrefix):
+		case change.Put == record.FencingTokenKey || exceptPrefix != "" && strings.HasPrefix(change.Put, exceptPrefix):
 		case change.Put != "":
 			c.apply(change.Put, change.Value, revision)
 		default:
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -29,11 +29,11 @@
 			continue
 		}
 		evicted := candidate.Tasks.Intersect(tasks)
-		if evicted.Empty() {
+		if evicted.IsEmpty() {
 			continue
 		}
 		txn.notifyMachines[target.Machine] = true
-		remaining := candidate.Tasks.Without(evicted)
+		remaining := candidate.Tasks.Difference(evicted)
 		split := *candidate
 		split.Tasks = evicted
 		if staged.size+split.encodedSizeAfter(nil) > c.pageLimit() {
@@ -41,7 +41,7 @@
 		}
 		// An earlier fence applies to a previous launcher and does not cover this eviction, so
 		// it is reset.
-		if remaining.Empty() {
+		if remaining.IsEmpty() {
 			candidate.Eviction, candidate.Fence = eviction, 0
 			return
 		}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -27,7 +27,7 @@
 		}
 		var placed record.TaskSet
 		for _, located := range c.jobAllocations(txn, id) {
-			placed = placed.With(located.allocation.Tasks)
+			placed = placed.Union(located.allocation.Tasks)
 		}
 		if n := placed.Len(); n > 0 && n < job.spec.Tasks {
 			c.stageJobEviction(txn, id, record.EvictionImmediate)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -91,7 +91,7 @@
 		cached = c.addJob(id)
 		// While all keys are being loaded, a page may be applied before the jobs of its tasks.
 		for _, page := range c.cache.team(stored.Spec.Team).pages {
-			cached.completed = cached.completed.With(page.completed[id])
+			cached.completed = cached.completed.Union(page.completed[id])
 		}
 	}
 	c.scheduler.criticalDirty = c.scheduler.criticalDirty || stored.Spec.Priority == wire.PriorityCritical
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -96,8 +96,8 @@
 func (c *Controller) joinTransaction(incarnation wire.FencingToken) wire.Transaction {
 	txn := wire.Transaction{If: []wire.Condition{c.rollout.tracker.Condition()}}
 	if c.membership.incarnation == 0 {
-		txn.If = append(txn.If, wire.Condition{Key: record.TokenKey, Version: c.cache.keyVersions[record.TokenKey]})
-		txn.Then = []wire.Change{c.putChange(record.TokenKey, incarnation),
+		txn.If = append(txn.If, wire.Condition{Key: record.FencingTokenKey, Version: c.cache.keyVersions[record.FencingTokenKey]})
+		txn.Then = []wire.Change{c.putChange(record.FencingTokenKey, incarnation),
 			c.putChange(record.RegistrationKey(c.settings.Label), c.registration(incarnation))}
 	}
 	liveness := c.putChange(record.LivenessKey(c.settings.Label), record.Liveness{Incarnation: incarnation, Isolated: c.isolated()})
--- a/internal/controller/pending_jobs.go
+++ b/internal/controller/pending_jobs.go
@@ -86,7 +86,7 @@
 			job.pendingReason = reasonCrashLoopBackoff
 		default:
 			missing := p.missingTasks(job)
-			if missing.Empty() || job.spec.Shape == wire.ShapeGang && missing.Len() < job.spec.Tasks {
+			if missing.IsEmpty() || job.spec.Shape == wire.ShapeGang && missing.Len() < job.spec.Tasks {
 				continue // a gang is placed only as a whole
 			}
 			queue = append(queue, p.newPendingJob(job, missing))
@@ -102,12 +102,12 @@
 // missingTasks returns the tasks of a job that are neither completed nor placed. Tasks that a
 // staged or in-flight transaction records as completed count as completed.
 func (p *schedulingPass) missingTasks(job *job) record.TaskSet {
-	missing := record.Span(0, job.spec.Tasks).Without(job.completed).Without(p.placed[job.id])
+	missing := record.Span(0, job.spec.Tasks).Difference(job.completed).Difference(p.placed[job.id])
 	if txn := p.c.cache.team(job.spec.Team).schedule.inFlight; txn != nil {
-		return missing.Without(txn.completed[job.id])
+		return missing.Difference(txn.completed[job.id])
 	}
 	if txn := p.transactions[job.spec.Team]; txn != nil {
-		return missing.Without(txn.completed[job.id])
+		return missing.Difference(txn.completed[job.id])
 	}
 	return missing
 }
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -61,7 +61,7 @@
 		changes = append(changes, c.putChange(record.JobKey(id), record.CompletedJob{Completion: completion}))
 	}
 	if txn.raisesToken {
-		changes = append(changes, c.putChange(record.TokenKey, c.cache.token+1))
+		changes = append(changes, c.putChange(record.FencingTokenKey, c.cache.token+1))
 	}
 	return changes
 }
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -168,7 +168,7 @@
 	c.indexPage(replacement)
 	for id, tasks := range replacement.completed {
 		if job := c.cache.jobs[id]; job != nil {
-			job.completed = job.completed.With(tasks)
+			job.completed = job.completed.Union(tasks)
 		}
 	}
 	c.scheduler.dirty = true
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -142,12 +142,12 @@
 	room := host.Free.Plus(host.Freeing, 1)
 	for _, allocation := range c.preemptableAllocations(transactions, host, pending, includeGuaranteed) {
 		remaining := c.remainingTasks(transactions, allocation)
-		for !remaining.Empty() && !room.Covers(need) {
+		for !remaining.IsEmpty() && !room.Covers(need) {
 			evicted := remaining // a gang is evicted as a whole
 			if allocation.Shape != wire.ShapeGang {
 				_, evicted = remaining.Take(remaining.Len() - 1) // the last task
 			}
-			remaining = remaining.Without(evicted)
+			remaining = remaining.Difference(evicted)
 			victims = append(victims, victim{allocation, evicted})
 			room = room.Plus(allocation.taskResources(), float64(evicted.Len()))
 		}
@@ -197,7 +197,7 @@
 	txn := transactions[c.cache.jobs[allocation.Job].spec.Team]
 	for _, located := range c.jobAllocations(txn, allocation.Job) {
 		if located.remainsOn(allocation.Machine) && located.allocation.Attempt == allocation.Attempt {
-			remaining = remaining.With(located.allocation.Tasks)
+			remaining = remaining.Union(located.allocation.Tasks)
 		}
 	}
 	return remaining
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -67,5 +67,5 @@
 			then(ok)
 		}
 		c.startBarrier()
-	}), Priority: PriorityAdmission, Prefix: record.RootKey, After: after})
+	}), Priority: PriorityAdmission, Prefix: record.RootPrefix, After: after})
 }
--- a/internal/controller/read_barrier_test.go
+++ b/internal/controller/read_barrier_test.go
@@ -52,7 +52,7 @@
 	var results []bool
 	c.readBarrier(func(ok bool) { results = append(results, ok) })
 	c.cache.revision = 90
-	response := wire.WatchResponse{Revision: 110, Events: []wire.ChangeEvent{{Put: record.TokenKey, Value: []byte("7"), Version: 105}}}
+	response := wire.WatchResponse{Revision: 110, Events: []wire.ChangeEvent{{Put: record.FencingTokenKey, Value: []byte("7"), Version: 105}}}
 	c.calls.pending[c.calls.lastID].complete(WatchResult{Response: response})
 	require.Equal(t, []bool{false}, results)
 	require.Equal(t, wire.Revision(90), c.cache.revision)
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -104,7 +104,7 @@
 // nil if the pass does not consider the allocation's machine.
 func (p *schedulingPass) countAllocation(page *page, allocation *Allocation, host *placement.Host) {
 	p.teamUsage[page.team] = p.teamUsage[page.team].Plus(allocation.taskResources(), float64(allocation.Tasks.Len()))
-	p.placed[allocation.Job] = p.placed[allocation.Job].With(allocation.Tasks)
+	p.placed[allocation.Job] = p.placed[allocation.Job].Union(allocation.Tasks)
 	if host != nil {
 		p.jobHosts[allocation.Job] = append(p.jobHosts[allocation.Job], host)
 	}
@@ -165,7 +165,7 @@
 func (p *schedulingPass) placeRemaining(jobs []*pendingJob) {
 	p.cachedImageOnly = false
 	for _, pending := range jobs {
-		if !pending.missing.Empty() {
+		if !pending.missing.IsEmpty() {
 			p.placeJob(pending)
 		}
 	}
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -90,17 +90,17 @@
 		return false
 	}
 	observed := c.observeTasks(machine, allocation)
-	if !observed.missing.Empty() {
+	if !observed.missing.IsEmpty() {
 		if c.isFencedOff(allocation, heartbeat) {
-			observed.exited = observed.exited.With(observed.missing)
+			observed.exited = observed.exited.Union(observed.missing)
 		} else {
 			c.fenceMissingTasks(txn, page, allocation)
 		}
 	}
-	if observed.exited.Empty() {
-		return !observed.missing.Empty()
+	if observed.exited.IsEmpty() {
+		return !observed.missing.IsEmpty()
 	}
-	if !observed.done.Empty() {
+	if !observed.done.IsEmpty() {
 		observed.done = c.noteTasksDone(txn, allocation, observed.done)
 	}
 	c.removeTasks(txn, page, allocation, observed.exited, observed.done)
@@ -172,10 +172,10 @@
 	if allocation.Shape == wire.ShapeGang {
 		done = record.Span(0, job.spec.Tasks)
 	}
-	txn.completed[job.id] = txn.completed[job.id].With(done)
+	txn.completed[job.id] = txn.completed[job.id].Union(done)
 	// If the transaction has no capacity left for the completion, completeJobs writes it
 	// later. The room on the machine is freed in either case.
-	if !txn.completedJobs[job.id] && job.completed.With(txn.completed[job.id]).Len() == job.spec.Tasks && c.canCompleteJob(txn) {
+	if !txn.completedJobs[job.id] && job.completed.Union(txn.completed[job.id]).Len() == job.spec.Tasks && c.canCompleteJob(txn) {
 		txn.completeJob(job)
 	}
 	return done
@@ -218,7 +218,7 @@
 		if !txn.raisesToken {
 			txn.raisesToken = true
 			txn.operations++
-			txn.conditions[record.TokenKey] = c.cache.keyVersions[record.TokenKey]
+			txn.conditions[record.FencingTokenKey] = c.cache.keyVersions[record.FencingTokenKey]
 		}
 		txn.notifyMachines[allocation.Machine] = true
 	}
@@ -235,16 +235,16 @@
 	kept := staged.allocations[:0]
 	for _, candidate := range staged.allocations {
 		if candidate.Job == allocation.Job && candidate.Attempt == allocation.Attempt && candidate.Machine == allocation.Machine {
-			candidate.Tasks = candidate.Tasks.Without(exited)
-			if candidate.Tasks.Empty() {
+			candidate.Tasks = candidate.Tasks.Difference(exited)
+			if candidate.Tasks.IsEmpty() {
 				continue
 			}
 		}
 		kept = append(kept, candidate)
 	}
 	staged.allocations = kept
-	if !done.Empty() {
-		staged.completed[allocation.Job] = staged.completed[allocation.Job].With(done)
+	if !done.IsEmpty() {
+		staged.completed[allocation.Job] = staged.completed[allocation.Job].Union(done)
 	}
 }
 
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -104,7 +104,7 @@
 		block = 0
 	}
 	c.emit(Watch{Call: registerCall(c, c.handleWatchResult), Priority: PriorityUrgent,
-		Prefix: record.RootKey, After: c.cache.revision, Block: block})
+		Prefix: record.RootPrefix, After: c.cache.revision, Block: block})
 }
 
 // handleWatchResult applies the result of the watch and sets when the next watch is opened.
--- a/internal/golden/filler.go
+++ b/internal/golden/filler.go
@@ -20,21 +20,22 @@
 // package wire that allow only certain values.
 func NewFiller(length int) *Filler {
 	f := &Filler{length: length, makers: map[reflect.Type]func(int) reflect.Value{}}
-	Use(f, func(n int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`{"n":%d}`, n)) })
-	Use(f, func(n int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", n)) })
-	Use(f, func(int) wire.Format { return 3 })
-	Use(f, func(int) wire.Shape { return wire.ShapeGang })
-	Use(f, func(int) wire.Priority { return wire.PriorityHigh })
-	Use(f, func(int) wire.Status { return wire.StatusRunning })
-	Use(f, func(int) wire.TaskState { return wire.TaskExited })
-	Use(f, func(int) wire.Cause { return wire.CauseStopped })
-	Use(f, func(int) wire.Verb { return wire.VerbLaunch })
-	Use(f, func(int) wire.MachineStatus { return wire.MachineRunning })
+	RegisterMaker(f, func(n int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`{"n":%d}`, n)) })
+	RegisterMaker(f, func(n int) wire.JobID { return wire.JobID(fmt.Sprintf("wk-%06d", n)) })
+	RegisterMaker(f, func(int) wire.Format { return 3 })
+	RegisterMaker(f, func(int) wire.Shape { return wire.ShapeGang })
+	RegisterMaker(f, func(int) wire.Priority { return wire.PriorityHigh })
+	RegisterMaker(f, func(int) wire.Status { return wire.StatusRunning })
+	RegisterMaker(f, func(int) wire.TaskState { return wire.TaskExited })
+	RegisterMaker(f, func(int) wire.Cause { return wire.CauseStopped })
+	RegisterMaker(f, func(int) wire.Verb { return wire.VerbLaunch })
+	RegisterMaker(f, func(int) wire.MachineStatus { return wire.MachineRunning })
 	return f
 }
 
-// Use makes the filler call makeValue for values of type T, each time with a different number.
-func Use[T any](f *Filler, makeValue func(number int) T) {
+// RegisterMaker makes the filler call makeValue for values of type T, each time with a different
+// number.
+func RegisterMaker[T any](f *Filler, makeValue func(number int) T) {
 	f.makers[reflect.TypeFor[T]()] = func(number int) reflect.Value { return reflect.ValueOf(makeValue(number)) }
 }
 
@@ -43,20 +44,20 @@
 
 func (f *Filler) fill(v reflect.Value) {
 	if makeValue, ok := f.makers[v.Type()]; ok {
-		v.Set(makeValue(f.next()))
+		v.Set(makeValue(f.nextNumber()))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(f.next()))
+		v.SetInt(int64(f.nextNumber()))
 	case reflect.Uint64:
-		v.SetUint(uint64(f.next()))
+		v.SetUint(uint64(f.nextNumber()))
 	case reflect.Float64:
-		v.SetFloat(float64(f.next()) + 0.5)
+		v.SetFloat(float64(f.nextNumber()) + 0.5)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.next()))
+		v.SetString(fmt.Sprintf("text-%d", f.nextNumber()))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
@@ -86,8 +87,8 @@
 	v.SetMapIndex(key, element)
 }
 
-// next returns a number that it has not returned before.
-func (f *Filler) next() int {
+// nextNumber returns a number that it has not returned before.
+func (f *Filler) nextNumber() int {
 	f.count++
 	return f.count
 }
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -11,9 +11,9 @@
 // Recorder is an HTTP handler that records requests, one line each, and responds with a fixed body
 // for each method and path.
 type Recorder struct {
-	// Answers holds the response bodies by method and path, as in "GET /up". Any other request is
+	// Responses holds the response bodies by method and path, as in "GET /up". Any other request is
 	// answered with status 404.
-	Answers map[string]string
+	Responses map[string]string
 
 	mu       sync.Mutex
 	requests bytes.Buffer
@@ -30,7 +30,7 @@
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.requests, "%s %s [%s] [%s] %s\n", request.Method, request.URL,
 		request.Header.Get("Content-Type"), request.Header.Get("Authorization"), body)
-	answer, ok := r.Answers[request.Method+" "+request.URL.Path]
+	answer, ok := r.Responses[request.Method+" "+request.URL.Path]
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -9,9 +9,9 @@
 	"lilacrill/wire"
 )
 
-// pageWith returns a placement page like those in production: jobs on several machines, with ids in
+// makePage returns a placement page like those in production: jobs on several machines, with ids in
 // order of creation, attempts and tasks.
-func pageWith(jobs, machines int) PlacementPage {
+func makePage(jobs, machines int) PlacementPage {
 	var p PlacementPage
 	for j := range jobs {
 		g := AllocationGroup{AllocationHeader: AllocationHeader{Job: wire.JobID(fmt.Sprintf("wk-%06d", 4711+j*37)), Attempt: wire.Attempt(41<<24 + j*3), Launcher: 41,
@@ -30,8 +30,8 @@
 // encoded size.
 func BenchmarkEncode(b *testing.B) {
 	for _, jobs := range []int{1, 2, 4, 8, 16, 30} {
-		page := pageWith(jobs, 6)
-		for format := Oldest; format <= Newest; format++ {
+		page := makePage(jobs, 6)
+		for format := OldestFormat; format <= NewestFormat; format++ {
 			b.Run(fmt.Sprintf("jobs=%d/format=%d", jobs, format), func(b *testing.B) {
 				var value []byte
 				for b.Loop() {
@@ -46,8 +46,8 @@
 // BenchmarkDecode decodes placement records of growing size in every format.
 func BenchmarkDecode(b *testing.B) {
 	for _, jobs := range []int{1, 8, 30} {
-		for format := Oldest; format <= Newest; format++ {
-			value := Encode(format, PlacementPrefix, pageWith(jobs, 6))
+		for format := OldestFormat; format <= NewestFormat; format++ {
+			value := Encode(format, PlacementPrefix, makePage(jobs, 6))
 			b.Run(fmt.Sprintf("jobs=%d/format=%d", jobs, format), func(b *testing.B) {
 				for b.Loop() {
 					var page PlacementPage
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -14,16 +14,16 @@
 	"lilacrill/wire"
 )
 
-// bound is the limit on the decompressed size of a value, in bytes.
-const bound = 64 << 10
+// decodeLimit is the limit on the decompressed size of a value, in bytes.
+const decodeLimit = 64 << 10
 
 // sample is a record with its key and a function that makes an empty record to decode it into.
 type sample struct {
-	name  string
-	key   string
-	value any
-	into  func() any
-	since wire.Format // the first format that has this record
+	name        string
+	key         string
+	value       any
+	newTarget   func() any
+	firstFormat wire.Format // the first format that has this record
 }
 
 func jobSpec() wire.JobSpec {
@@ -39,8 +39,8 @@
 	for i := range 80 {
 		long.Types = append(long.Types, "machine-type-"+strconv.Itoa(i))
 	}
-	page := pageWith(6, 5)
-	page.Completed = map[wire.JobID]TaskSet{"wk-000007": Span(0, 3).With(Span(7, 8))}
+	page := makePage(6, 5)
+	page.Completed = map[wire.JobID]TaskSet{"wk-000007": Span(0, 3).Union(Span(7, 8))}
 	return []sample{
 		{"job", JobKey("wk-000412"), &Job{Spec: jobSpec(), AcceptedAt: 1_700_000_000_123, AcceptedBy: 41}, func() any { return new(Job) }, 0},
 		{"job-long", JobKey("wk-000412"), &Job{Spec: long, AcceptedAt: 1_700_000_000_123, AcceptedBy: 41}, func() any { return new(Job) }, 0},
@@ -64,16 +64,16 @@
 // encoding of a sample has not changed, unless it is compressed. A sample whose stored encoding is
 // compressed must still be compressed.
 func TestFixtures(t *testing.T) {
-	for format := Oldest; format <= Newest; format++ {
+	for format := OldestFormat; format <= NewestFormat; format++ {
 		for _, s := range samples() {
-			if format < s.since {
+			if format < s.firstFormat {
 				continue
 			}
 			path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), s.name+".json")
 			stored, err := os.ReadFile(path)
 			require.NoError(t, err)
-			read := s.into()
-			require.NoError(t, Decode(stored, bound, read), path)
+			read := s.newTarget()
+			require.NoError(t, Decode(stored, decodeLimit, read), path)
 			require.Equal(t, s.value, read, path)
 			written := Encode(format, s.key, s.value)
 			if isString(stored) {
@@ -88,7 +88,7 @@
 // TestPeerMessageFixtures decodes the stored peer message of each format and requires that its
 // encoding has not changed.
 func TestPeerMessageFixtures(t *testing.T) {
-	for format := Oldest; format <= Newest; format++ {
+	for format := OldestFormat; format <= NewestFormat; format++ {
 		path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), "line.json")
 		stored, err := os.ReadFile(path)
 		require.NoError(t, err)
@@ -106,14 +106,14 @@
 // to the same records, and that no value is larger than the plain JSON of its record.
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		page := pageWith(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
+		page := makePage(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
 		before := encodePlain(page)
-		for format := Oldest; format <= Newest; format++ {
+		for format := OldestFormat; format <= NewestFormat; format++ {
 			value := Encode(format, PlacementKey("t", "z", 0), page)
 			require.LessOrEqual(t, len(value), len(before))
 			require.True(t, json.Valid(value))
 			var back PlacementPage
-			require.NoError(t, Decode(value, bound, &back))
+			require.NoError(t, Decode(value, decodeLimit, &back))
 			require.Equal(t, string(before), string(encodePlain(back)))
 		}
 	})
@@ -122,24 +122,24 @@
 // TestDamagedValues truncates a compressed value at every length and flips bits in it. A truncated
 // value must be refused. A value with a flipped bit must be refused or decode to the original record.
 func TestDamagedValues(t *testing.T) {
-	page := pageWith(30, 6)
+	page := makePage(30, 6)
 	good := Encode(FormatCompressed, PlacementKey("t", "z", 0), page)
 	require.True(t, isString(good))
 	var into PlacementPage
 	require.ErrorIs(t, Decode(good, 1000, &into), ErrTooLarge)
 	for _, bad := range []string{`""`, `"x"`, `"AAAA"`, `"KLUv/WQ="`, `"` + strings.Repeat("A", 4000) + `"`, `7`, `[]`, `"` + "\xff" + `"`} {
-		require.Error(t, Decode(json.RawMessage(bad), bound, &into), bad)
+		require.Error(t, Decode(json.RawMessage(bad), decodeLimit, &into), bad)
 	}
 	for size := range len(good) - 1 { // at len(good)-1, the appended quote would restore the value
-		require.Error(t, Decode(good[:size], bound, &into))
+		require.Error(t, Decode(good[:size], decodeLimit, &into))
 		cut := append(append(json.RawMessage{}, good[:max(1, size)]...), '"')
-		require.Error(t, Decode(cut, bound, &into))
+		require.Error(t, Decode(cut, decodeLimit, &into))
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		spoilt := append(json.RawMessage{}, good...)
 		spoilt[rapid.IntRange(1, len(spoilt)-2).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 6).Draw(t, "bit")
 		var back PlacementPage
-		if Decode(spoilt, bound, &back) == nil {
+		if Decode(spoilt, decodeLimit, &back) == nil {
 			require.Equal(t, string(encodePlain(page)), string(encodePlain(back)))
 		}
 	})
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -13,8 +13,8 @@
 	"lilacrill/wire"
 )
 
-// The formats of the stored records. A build reads every format from Oldest to Newest, regardless of
-// which is in force, and writes the format in force.
+// The formats of the stored records. A build reads every format from OldestFormat to NewestFormat,
+// regardless of which is in force, and writes the format in force.
 const (
 	// FormatPlain writes every record as plain JSON.
 	FormatPlain wire.Format = 1
@@ -27,13 +27,13 @@
 	// transactions, and adds capacity offers and forwarded jobs to peer messages.
 	FormatSharding wire.Format = 3
 
-	// Oldest and Newest bound what this build reads and writes.
-	Oldest = FormatPlain
-	Newest = FormatSharding
+	// OldestFormat and NewestFormat bound what this build reads and writes.
+	OldestFormat = FormatPlain
+	NewestFormat = FormatSharding
 )
 
-// minCompressedSize is the minimum size, in bytes, of a plain value that is worth compressing.
-const minCompressedSize = 512
+// compressionThreshold is the minimum size, in bytes, of a plain value that is worth compressing.
+const compressionThreshold = 512
 
 // Errors that Decode wraps when it refuses a compressed value.
 var (
@@ -45,7 +45,7 @@
 // value is used only if it is smaller, so no value takes more bytes than its plain JSON.
 func Encode(format wire.Format, key string, record any) json.RawMessage {
 	plain := encodePlain(record)
-	if format < FormatCompressed || len(plain) < minCompressedSize || !compressible(key) {
+	if format < FormatCompressed || len(plain) < compressionThreshold || !compressible(key) {
 		return plain
 	}
 	compressed := encodePlain(compressor().EncodeAll(plain, nil)) // json.Marshal encodes bytes as a base64 string
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal(value, &compressed); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	plain, err := expand(compressed, limit)
+	plain, err := decompress(compressed, limit)
 	if err != nil {
 		return err
 	}
@@ -90,9 +90,9 @@
 	return false
 }
 
-// expand decompresses a zstd frame. The frame header has to state the size of the content, so that
+// decompress decompresses a zstd frame. The frame header has to state the size of the content, so that
 // content larger than limit bytes is refused before memory is allocated for it.
-func expand(compressed []byte, limit int) ([]byte, error) {
+func decompress(compressed []byte, limit int) ([]byte, error) {
 	var header zstd.Header
 	if err := header.Decode(compressed); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -118,20 +118,20 @@
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		return must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-			zstd.WithWindowSize(encoderWindow), zstd.WithSingleSegment(true)))
+			zstd.WithWindowSize(encoderWindowSize), zstd.WithSingleSegment(true)))
 	})
 	decompressor = sync.OnceValue(func() *zstd.Decoder {
 		return must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-			zstd.WithDecoderMaxMemory(maxDecoded)))
+			zstd.WithDecoderMaxMemory(maxDecompressedSize)))
 	})
 )
 
 const (
-	// encoderWindow is the window size in bytes. It covers any value in the state store.
-	encoderWindow = 64 << 10
-	// maxDecoded is the maximum decompressed size of a value in bytes, regardless of the limit that
-	// the caller of Decode sets.
-	maxDecoded = 16 << 20
+	// encoderWindowSize is the window size in bytes. It covers any value in the state store.
+	encoderWindowSize = 64 << 10
+	// maxDecompressedSize is the maximum decompressed size of a value in bytes, regardless of the
+	// limit that the caller of Decode sets.
+	maxDecompressedSize = 16 << 20
 )
 
 // must returns v and panics if err is not nil.
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -13,13 +13,13 @@
 
 // goldenRecord is a kind of record with its key and the name of its golden files.
 type goldenRecord struct {
-	name string
-	key  string
-	make func() any
+	name      string
+	key       string
+	newRecord func() any
 	// elements is the number of elements in each list of the filled record.
 	elements int
-	// compresses is set if the filled record is large enough to be compressed.
-	compresses bool
+	// compressed is set if the filled record is large enough to be compressed.
+	compressed bool
 }
 
 // manyElements is a number of list elements that makes a job record large enough to be compressed.
@@ -43,7 +43,7 @@
 		{"member", RegistrationKey("rig-0"), func() any { return new(Registration) }, 2, false},
 		{"shares", ShardPolicyKey, func() any { return new(ShardPolicy) }, 2, false},
 		{"share", ShardKey(7), func() any { return new(Shard) }, 2, false},
-		{"baton", TokenKey, func() any { return new(wire.FencingToken) }, 2, false},
+		{"baton", FencingTokenKey, func() any { return new(wire.FencingToken) }, 2, false},
 		{"buyer", ProvisionerKey, func() any { return new(wire.FencingToken) }, 2, false},
 	}
 }
@@ -51,9 +51,9 @@
 // fillRecord sets every field of a record to something other than its zero value.
 func fillRecord(target any, elements int) {
 	filler := golden.NewFiller(elements)
-	golden.Use(filler, func(n int) TaskSet { return Span(n, n+1).With(Span(n+2, n+5)) })
-	golden.Use(filler, func(int) Eviction { return EvictionImmediate })
-	golden.Use(filler, func(int) MovePhase { return MoveProposed })
+	golden.RegisterMaker(filler, func(n int) TaskSet { return Span(n, n+1).Union(Span(n+2, n+5)) })
+	golden.RegisterMaker(filler, func(int) Eviction { return EvictionImmediate })
+	golden.RegisterMaker(filler, func(int) MovePhase { return MoveProposed })
 	filler.Fill(target)
 }
 
@@ -62,21 +62,21 @@
 // within it is compared, because the compressed bytes depend on the compressor. The golden files of
 // records with all fields set are decoded as well.
 func TestGoldenRecords(t *testing.T) {
-	for format := Oldest; format <= Newest; format++ {
+	for format := OldestFormat; format <= NewestFormat; format++ {
 		for _, r := range goldenRecords() {
 			name := fmt.Sprintf("format-%d/%s", format, r.name)
 			t.Run(name, func(t *testing.T) {
-				filled := r.make()
+				filled := r.newRecord()
 				fillRecord(filled, r.elements)
 				written := Encode(format, r.key, filled)
-				require.Equal(t, r.compresses && format >= FormatCompressed, isString(written))
+				require.Equal(t, r.compressed && format >= FormatCompressed, isString(written))
 				compareValues(t, name+".json", written)
 
-				back := r.make()
-				require.NoError(t, Decode(golden.Read(t, name+".json"), bound, back))
+				back := r.newRecord()
+				require.NoError(t, Decode(golden.Read(t, name+".json"), decodeLimit, back))
 				require.Equal(t, filled, back)
 
-				golden.Compare(t, name+".zero.json", Encode(format, r.key, r.make()))
+				golden.Compare(t, name+".zero.json", Encode(format, r.key, r.newRecord()))
 			})
 		}
 	}
@@ -95,15 +95,15 @@
 	}
 	stored := json.RawMessage(golden.Read(t, name))
 	require.True(t, isString(stored), name)
-	require.Equal(t, string(expandValue(t, stored)), string(expandValue(t, written)), name)
+	require.Equal(t, string(decompressValue(t, stored)), string(decompressValue(t, written)), name)
 }
 
-// expandValue returns the plain JSON within a compressed value.
-func expandValue(t *testing.T, value json.RawMessage) []byte {
+// decompressValue returns the plain JSON within a compressed value.
+func decompressValue(t *testing.T, value json.RawMessage) []byte {
 	t.Helper()
 	var packed []byte
 	require.NoError(t, json.Unmarshal(value, &packed))
-	text, err := expand(packed, bound)
+	text, err := decompress(packed, decodeLimit)
 	require.NoError(t, err)
 	return text
 }
@@ -111,10 +111,10 @@
 // TestGoldenPeerMessages encodes a peer message in every format with all fields set, compares it with
 // the golden file and decodes the file.
 func TestGoldenPeerMessages(t *testing.T) {
-	for format := Oldest; format <= Newest; format++ {
+	for format := OldestFormat; format <= NewestFormat; format++ {
 		var message wire.PeerMessage
 		filler := golden.NewFiller(2)
-		golden.Use(filler, func(int) wire.Format { return format })
+		golden.RegisterMaker(filler, func(int) wire.Format { return format })
 		filler.Fill(&message)
 		written, err := EncodePeerMessage(&message)
 		require.NoError(t, err)
@@ -130,12 +130,12 @@
 // with the golden file.
 func TestGoldenKeys(t *testing.T) {
 	text, err := json.MarshalIndent(map[string]any{
-		"fixed":    []string{RootKey, TokenKey, ProvisionerKey, SettingsKey, TerminationsKey, RolloutKey, ShardPolicyKey},
+		"fixed":    []string{RootPrefix, FencingTokenKey, ProvisionerKey, SettingsKey, TerminationsKey, RolloutKey, ShardPolicyKey},
 		"prefixes": []string{LivenessPrefix, JobPrefix, CompletionPrefix, PlacementPrefix, ImagePrefix, RegistrationPrefix, ShardPrefix},
 		"made": []string{JobKey("wk-000412"), CompletionKey("wk-000412"), LivenessKey("rig-0"), RegistrationKey("rig-0"), ImageKey(3), ShardKey(7),
 			PlacementKey("vision", "east", 1)},
 		"load":       LoadPrefixes,
-		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatSharding, Oldest, Newest},
+		"formats":    []wire.Format{FormatPlain, FormatCompressed, FormatSharding, OldestFormat, NewestFormat},
 		"halt":       []Eviction{EvictionNone, EvictionGraceful, EvictionImmediate},
 		"share-step": []MovePhase{MoveProposed, MoveReleased},
 	}, "", "  ")
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -15,8 +15,8 @@
 // Keys in the state store. All share one prefix, so that a single watch covers all of them. The
 // comments state what is appended to a prefix.
 const (
-	RootKey          = "l/"
-	TokenKey         = "l/baton"
+	RootPrefix       = "l/"
+	FencingTokenKey  = "l/baton"
 	ProvisionerKey   = "l/buyer"
 	SettingsKey      = "l/settings"
 	LivenessPrefix   = "l/n/" // + label: liveness records of controllers, attached to their leases
--- a/internal/record/peer_message.go
+++ b/internal/record/peer_message.go
@@ -29,7 +29,7 @@
 	if message.From == "" {
 		return nil, fmt.Errorf("%w: no sender", ErrInvalidPeerMessage)
 	}
-	if message.Format < 0 || message.Format > Newest {
+	if message.Format < 0 || message.Format > NewestFormat {
 		return nil, fmt.Errorf("%w: %d", ErrPeerMessageFormat, message.Format)
 	}
 	for _, heartbeat := range message.Heartbeats {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -135,8 +135,8 @@
 	machineOverhead = len(`"",`) + len(`,`) + len(`,`)
 )
 
-// MachineSize returns the encoded size, in bytes, of one machine in a group, without the header.
-func MachineSize(id wire.MachineID, epoch wire.AgentEpoch, tasks TaskSet) int {
+// EntrySize returns the encoded size, in bytes, of the entry of one machine in the lists of a group.
+func EntrySize(id wire.MachineID, epoch wire.AgentEpoch, tasks TaskSet) int {
 	return machineOverhead + len(id) + len(strconv.FormatUint(uint64(epoch), 10)) + tasks.EncodedSize()
 }
 
--- a/internal/record/rollout.go
+++ b/internal/record/rollout.go
@@ -39,8 +39,8 @@
 	Newest wire.Format `json:"newest"`
 }
 
-// Reads reports whether a format lies in the range.
-func (r FormatRange) Reads(f wire.Format) bool { return r.Oldest <= f && f <= r.Newest }
+// Contains reports whether a format lies in the range.
+func (r FormatRange) Contains(f wire.Format) bool { return r.Oldest <= f && f <= r.Newest }
 
 // ErrInvalidFormatRange is wrapped by the errors of FormatRange.Check.
 var ErrInvalidFormatRange = errors.New("invalid range of formats")
--- a/internal/record/taskset.go
+++ b/internal/record/taskset.go
@@ -46,16 +46,16 @@
 func (s TaskSet) EncodedSize() int {
 	size := len(`[]`)
 	for _, r := range s.ranges {
-		size += digits(r.low) + len(`,`)
+		size += countDigits(r.low) + len(`,`)
 		if r.low != r.high {
-			size += digits(r.high) + len(`[,]`)
+			size += countDigits(r.high) + len(`[,]`)
 		}
 	}
 	return size
 }
 
-// digits returns how many decimal digits a number has.
-func digits(number int) int {
+// countDigits returns how many decimal digits a number has.
+func countDigits(number int) int {
 	count := 1
 	for ; number > 9; number /= 10 {
 		count++
@@ -69,11 +69,11 @@
 // First returns the lowest member of the set, which must not be empty.
 func (s TaskSet) First() int { return s.ranges[0].low }
 
-// Empty reports whether the set has no members.
-func (s TaskSet) Empty() bool { return len(s.ranges) == 0 }
+// IsEmpty reports whether the set has no members.
+func (s TaskSet) IsEmpty() bool { return len(s.ranges) == 0 }
 
-// Has reports whether a number is a member.
-func (s TaskSet) Has(number int) bool {
+// Contains reports whether a number is a member.
+func (s TaskSet) Contains(number int) bool {
 	i := sort.Search(len(s.ranges), func(i int) bool { return s.ranges[i].high >= number })
 	return i < len(s.ranges) && s.ranges[i].low <= number
 }
@@ -89,12 +89,12 @@
 	}
 }
 
-// With returns the union of both sets.
-func (s TaskSet) With(other TaskSet) TaskSet {
-	if other.Empty() {
+// Union returns the union of both sets.
+func (s TaskSet) Union(other TaskSet) TaskSet {
+	if other.IsEmpty() {
 		return s
 	}
-	if s.Empty() {
+	if s.IsEmpty() {
 		return other
 	}
 	ranges := slices.Concat(s.ranges, other.ranges)
@@ -112,10 +112,10 @@
 }
 
 // Add returns the set extended by a number.
-func (s TaskSet) Add(number int) TaskSet { return s.With(Span(number, number+1)) }
+func (s TaskSet) Add(number int) TaskSet { return s.Union(Span(number, number+1)) }
 
-// Without returns the members of the set that are not members of the other set.
-func (s TaskSet) Without(other TaskSet) TaskSet {
+// Difference returns the members of the set that are not members of the other set.
+func (s TaskSet) Difference(other TaskSet) TaskSet {
 	var left []taskRange
 	first := 0 // index of the first range of other that may overlap r
 	for _, r := range s.ranges {
@@ -138,7 +138,7 @@
 }
 
 // Intersect returns the intersection of both sets.
-func (s TaskSet) Intersect(other TaskSet) TaskSet { return s.Without(s.Without(other)) }
+func (s TaskSet) Intersect(other TaskSet) TaskSet { return s.Difference(s.Difference(other)) }
 
 // Take splits the set into its lowest count members, or all if there are fewer, and the rest.
 func (s TaskSet) Take(count int) (first, rest TaskSet) {
@@ -178,11 +178,11 @@
 	s.ranges = nil
 	var parser taskSetParser
 	for _, char := range text {
-		if err := parser.next(char); err != nil {
+		if err := parser.parse(char); err != nil {
 			return err
 		}
 	}
-	if parser.depth != 0 || parser.elements != 0 {
+	if parser.depth != 0 || parser.boundCount != 0 {
 		return errInvalidTaskSet
 	}
 	s.ranges = parser.ranges
@@ -192,27 +192,27 @@
 // taskSetParser parses the JSON of a task set one character at a time. Records are decoded so often
 // that a dedicated parser has a noticeable effect.
 type taskSetParser struct {
-	ranges   []taskRange
-	depth    int    // number of open brackets
-	number   int    // the number being parsed
-	digits   int    // how many digits of number have been parsed
-	pair     [2]int // the bounds of the range being parsed
-	elements int    // how many bounds of the range have been parsed
+	ranges     []taskRange
+	depth      int    // number of open brackets
+	number     int    // the number being parsed
+	digitCount int    // how many digits of number have been parsed
+	bounds     [2]int // the bounds of the range being parsed
+	boundCount int    // how many bounds of the range have been parsed
 }
 
 // maxDigits is the number of decimal digits of the largest task number.
-var maxDigits = digits(wire.MaxTasks - 1)
+var maxDigits = countDigits(wire.MaxTasks - 1)
 
-// next parses one character.
-func (p *taskSetParser) next(char byte) error {
+// parse parses one character.
+func (p *taskSetParser) parse(char byte) error {
 	switch {
 	case char >= '0' && char <= '9' && p.depth > 0:
 		p.number = p.number*10 + int(char-'0')
-		if p.digits++; p.digits > maxDigits {
+		if p.digitCount++; p.digitCount > maxDigits {
 			return errInvalidTaskSet
 		}
 		return nil
-	case char == '[' && p.depth < 2 && p.digits == 0:
+	case char == '[' && p.depth < 2 && p.digitCount == 0:
 		p.depth++
 		return nil
 	case char == ']' && p.depth > 0:
@@ -240,33 +240,33 @@
 // endNumber ends the number being parsed, if any, and adds it to the current range. A number outside
 // a pair is a range of its own.
 func (p *taskSetParser) endNumber() error {
-	if p.digits == 0 {
+	if p.digitCount == 0 {
 		return nil
 	}
 	number := p.number
-	p.number, p.digits = 0, 0
-	p.addElement(number)
+	p.number, p.digitCount = 0, 0
+	p.addBound(number)
 	if p.depth != 1 {
 		return nil
 	}
-	p.addElement(number)
+	p.addBound(number)
 	return p.endRange()
 }
 
-// addElement adds a bound to the current range. It only counts surplus bounds. endRange refuses a
+// addBound adds a bound to the current range. It only counts surplus bounds. endRange refuses a
 // range that has any.
-func (p *taskSetParser) addElement(number int) {
-	if p.elements < len(p.pair) {
-		p.pair[p.elements] = number
+func (p *taskSetParser) addBound(number int) {
+	if p.boundCount < len(p.bounds) {
+		p.bounds[p.boundCount] = number
 	}
-	p.elements++
+	p.boundCount++
 }
 
 // endRange adds the current range to the set.
 func (p *taskSetParser) endRange() error {
-	r := taskRange{p.pair[0], p.pair[1]}
-	complete := p.elements == len(p.pair)
-	p.elements = 0
+	r := taskRange{p.bounds[0], p.bounds[1]}
+	complete := p.boundCount == len(p.bounds)
+	p.boundCount = 0
 	if !complete || r.high < r.low || r.high >= wire.MaxTasks {
 		return errInvalidTaskSet
 	}
--- a/internal/record/taskset_test.go
+++ b/internal/record/taskset_test.go
@@ -27,20 +27,20 @@
 		n := rapid.IntRange(0, 40).Draw(t, "n")
 		first, rest := a.Take(n)
 		require.Equal(t, min(n, len(pa)), first.Len())
-		require.Equal(t, a, first.With(rest))
+		require.Equal(t, a, first.Union(rest))
 		require.Equal(t, len(pa), a.Len())
 		for i := range 45 {
-			require.Equal(t, pa[i], a.Has(i))
-			require.Equal(t, pa[i] || pb[i], a.With(b).Has(i))
-			require.Equal(t, pa[i] && !pb[i], a.Without(b).Has(i))
-			require.Equal(t, pa[i] && pb[i], a.Intersect(b).Has(i))
-			require.False(t, first.Has(i) && rest.Has(i))
+			require.Equal(t, pa[i], a.Contains(i))
+			require.Equal(t, pa[i] || pb[i], a.Union(b).Contains(i))
+			require.Equal(t, pa[i] && !pb[i], a.Difference(b).Contains(i))
+			require.Equal(t, pa[i] && pb[i], a.Intersect(b).Contains(i))
+			require.False(t, first.Contains(i) && rest.Contains(i))
 		}
 		text, err := json.Marshal(a)
 		require.NoError(t, err)
 		var back TaskSet
 		require.NoError(t, json.Unmarshal(text, &back))
 		require.Equal(t, a.Len(), back.Len())
-		require.True(t, a.Without(back).Empty())
+		require.True(t, a.Difference(back).IsEmpty())
 	})
 }
--- a/internal/rollout/automatic.go
+++ b/internal/rollout/automatic.go
@@ -19,9 +19,9 @@
 		return 0, false
 	}
 	if next != t.candidate {
-		t.candidate, t.since = next, now
+		t.candidate, t.readySince = next, now
 	}
-	return next, time.Duration(now-t.since) >= settle
+	return next, time.Duration(now-t.readySince) >= settle
 }
 
 // NextFormat returns the newest format that no controller blocks and true, if that format is later
--- a/internal/rollout/blockers.go
+++ b/internal/rollout/blockers.go
@@ -57,7 +57,7 @@
 		return "is down"
 	case !registered || registration.Incarnation != live.incarnation:
 		return "runs a build that does not register what it reads"
-	case !registration.Formats.Reads(format):
+	case !registration.Formats.Contains(format):
 		return fmt.Sprintf("reads formats %d to %d only", registration.Formats.Oldest, registration.Formats.Newest)
 	case !slices.Contains(t.labels, label):
 		return "lives, but is not in the settings of " + t.label
--- a/internal/rollout/changes.go
+++ b/internal/rollout/changes.go
@@ -17,7 +17,7 @@
 	switch {
 	case format < record.FormatPlain:
 		return wire.Transaction{}, apierror.Field("activate", "%d is not a format", format)
-	case !t.formats.Reads(format):
+	case !t.formats.Contains(format):
 		return wire.Transaction{}, apierror.Field("activate", "format %d is not known to this process, which reads %d to %d", format, t.formats.Oldest, t.formats.Newest)
 	case version != t.stateVersion:
 		return wire.Transaction{}, ErrStale
@@ -27,7 +27,7 @@
 		return wire.Transaction{}, apierror.Conflict("format %d is in force already", format)
 	}
 	if blockers := t.Blockers(format); len(blockers) > 0 {
-		return wire.Transaction{}, notReady(blockers)
+		return wire.Transaction{}, notReadyError(blockers)
 	}
 	txn := t.putState(record.Rollout{Format: format})
 	for _, label := range t.knownLabels() {
--- a/internal/rollout/errors.go
+++ b/internal/rollout/errors.go
@@ -14,8 +14,8 @@
 // based.
 var ErrStale = errors.New("stale version: read the rollout again")
 
-// notReady returns the conflict error for an activation that is blocked by controllers.
-func notReady(blockers []Blocker) error {
+// notReadyError returns the conflict error for an activation that is blocked by controllers.
+func notReadyError(blockers []Blocker) error {
 	reasons := make([]string, 0, len(blockers))
 	for _, blocker := range blockers {
 		reasons = append(reasons, blocker.Label+" "+blocker.Reason)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -30,8 +30,8 @@
 	registrations map[string]registration // by label
 	live          map[string]liveness     // of the live controllers, by label
 
-	candidate wire.Format // newest format that no controller blocks, or 0
-	since     Time        // since when no controller has blocked the candidate
+	candidate  wire.Format // newest format that no controller blocks, or 0
+	readySince Time        // since when no controller has blocked the candidate
 }
 
 // registration is the registration of a controller's latest process and the version of its record.
@@ -113,7 +113,7 @@
 // CheckReadable returns an *UnreadableError if this process must not serve because it cannot read
 // the format in force, or nil.
 func (t *Tracker) CheckReadable() error {
-	if t.unreadable != nil || !t.formats.Reads(t.state.Format) {
+	if t.unreadable != nil || !t.formats.Contains(t.state.Format) {
 		return &UnreadableError{Format: t.state.Format, Formats: t.formats, Cause: t.unreadable}
 	}
 	return nil
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -19,9 +19,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-var both = record.FormatRange{Oldest: 1, Newest: 2}
+var formats1To2 = record.FormatRange{Oldest: 1, Newest: 2}
 
-func newTracker() *Tracker { return New("a", []string{"b", "c"}, both, "test") }
+func newTracker() *Tracker { return New("a", []string{"b", "c"}, formats1To2, "test") }
 
 // applyAlive applies the registration and the liveness record of a live controller.
 func (t *Tracker) applyAlive(label string, incarnation wire.FencingToken, formats record.FormatRange, version wire.Revision) {
@@ -42,7 +42,7 @@
 	tracker := newTracker()
 	tracker.ApplyState([]byte(`{"format":1,"excluded":{"c":{"boot":3,"reason":"x"}}}`), 9)
 	for _, label := range []string{"a", "b"} {
-		tracker.applyAlive(label, 5, both, 4)
+		tracker.applyAlive(label, 5, formats1To2, 4)
 	}
 	field := func(txn wire.Transaction, err error) string {
 		require.Empty(t, txn)
@@ -100,7 +100,7 @@
 func TestAutomaticActivationRestartsWait(t *testing.T) {
 	tracker := newTracker()
 	for _, label := range []string{"a", "b", "c"} {
-		tracker.applyAlive(label, 5, both, 4)
+		tracker.applyAlive(label, 5, formats1To2, 4)
 	}
 	due := func(at time.Duration) bool { _, ok := tracker.AutomaticActivation(Time(at), time.Minute); return ok }
 	require.False(t, due(0))
@@ -143,13 +143,13 @@
 type process struct {
 	tracker     *Tracker
 	label       string
-	reads       record.FormatRange
+	formats     record.FormatRange
 	incarnation wire.FencingToken
 	sent        []wire.Transaction // each may be committed late or more than once
 }
 
-// catchUp reloads all records of the store into the tracker of the process.
-func (p *process) catchUp(s *fakeStore) {
+// reload reloads all records of the store into the tracker of the process.
+func (p *process) reload(s *fakeStore) {
 	p.tracker.Reset()
 	p.tracker.ApplyState(s.values[record.RolloutKey], s.versions[record.RolloutKey])
 	for key, value := range s.values {
@@ -165,8 +165,9 @@
 	}
 }
 
-// registration returns the transaction by which a process registers and writes its liveness record.
-func (p *process) registration() wire.Transaction {
+// registrationTransaction returns the transaction by which a process registers and writes its liveness
+// record.
+func (p *process) registrationTransaction() wire.Transaction {
 	put := func(key string, v any) wire.Change { return wire.Change{Put: key, Value: record.Encode(1, key, v)} }
 	return wire.Transaction{If: []wire.Condition{p.tracker.Condition()}, Then: []wire.Change{
 		put(record.RegistrationKey(p.label), p.tracker.Registration(p.incarnation)), put(record.LivenessKey(p.label), record.Liveness{Incarnation: p.incarnation})}}
@@ -180,10 +181,10 @@
 	activations, blocked := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{t: t, store: &fakeStore{values: map[string]json.RawMessage{}, versions: map[string]wire.Revision{}},
-			processes: map[string]*process{}, reads: map[string]record.FormatRange{}}
+			processes: map[string]*process{}, formats: map[string]record.FormatRange{}}
 		for _, label := range labels {
 			h.start(label)
-			h.send(h.processes[label], h.processes[label].registration())
+			h.send(h.processes[label], h.processes[label].registrationTransaction())
 		}
 		for range rapid.IntRange(40, 120).Draw(t, "steps") {
 			h.step(rapid.SampledFrom(labels).Draw(t, "label"))
@@ -202,7 +203,7 @@
 	t                  *rapid.T
 	store              *fakeStore
 	processes          map[string]*process
-	reads              map[string]record.FormatRange // by label and incarnation
+	formats            map[string]record.FormatRange // by label and incarnation
 	lastIncarnation    wire.FencingToken
 	activations        int
 	blockedActivations int // activations that were refused
@@ -211,24 +212,24 @@
 // start starts a new process of a controller, with an older or a newer build.
 func (h *history) start(label string) {
 	h.lastIncarnation++
-	reads := rapid.SampledFrom([]record.FormatRange{{Oldest: 1, Newest: 1}, both, both, both, both, both}).Draw(h.t, "reads")
+	reads := rapid.SampledFrom([]record.FormatRange{{Oldest: 1, Newest: 1}, formats1To2, formats1To2, formats1To2, formats1To2, formats1To2}).Draw(h.t, "reads")
 	var siblings []string
 	for _, other := range labels {
 		if other != label {
 			siblings = append(siblings, other)
 		}
 	}
-	started := &process{tracker: New(label, siblings, reads, ""), label: label, reads: reads, incarnation: h.lastIncarnation}
+	started := &process{tracker: New(label, siblings, reads, ""), label: label, formats: reads, incarnation: h.lastIncarnation}
 	h.processes[label] = started
-	h.reads[fmt.Sprint(label, h.lastIncarnation)] = reads
-	started.catchUp(h.store)
+	h.formats[fmt.Sprint(label, h.lastIncarnation)] = reads
+	started.reload(h.store)
 }
 
 // step runs one random action of a process, whose tracker may be up to date or stale.
 func (h *history) step(label string) {
 	p := h.processes[label]
 	if rapid.Bool().Draw(h.t, "sees") {
-		p.catchUp(h.store)
+		p.reload(h.store)
 	}
 	if p.tracker.CheckReadable() != nil {
 		h.start(label)
@@ -241,7 +242,7 @@
 	case 1: // the controller's lease expires
 		h.store.commit(wire.Transaction{Then: []wire.Change{{Delete: record.LivenessKey(label)}}})
 	case 2, 3:
-		h.send(p, p.registration())
+		h.send(p, p.registrationTransaction())
 	case 4, 5:
 		txn, err := p.tracker.Activate(2, version)
 		if err == nil {
@@ -270,9 +271,9 @@
 
 // commit commits a transaction and checks that all live processes read the format in force.
 func (h *history) commit(txn wire.Transaction) {
-	before := h.format()
+	before := h.formatInForce()
 	h.store.commit(txn)
-	now := h.format()
+	now := h.formatInForce()
 	if now > before {
 		h.activations++
 	}
@@ -283,12 +284,12 @@
 		}
 		var liveness record.Liveness
 		require.NoError(h.t, json.Unmarshal(value, &liveness))
-		require.True(h.t, h.reads[fmt.Sprint(label, liveness.Incarnation)].Reads(now), "%s (incarnation %d) is alive and does not read format %d", label, liveness.Incarnation, now)
+		require.True(h.t, h.formats[fmt.Sprint(label, liveness.Incarnation)].Contains(now), "%s (incarnation %d) is alive and does not read format %d", label, liveness.Incarnation, now)
 	}
 }
 
-// format returns the format in force.
-func (h *history) format() wire.Format {
+// formatInForce returns the format in force.
+func (h *history) formatInForce() wire.Format {
 	state := record.Rollout{Format: record.FormatPlain}
 	if value := h.store.values[record.RolloutKey]; value != nil {
 		require.NoError(h.t, json.Unmarshal(value, &state))
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -100,7 +100,7 @@
 
 // catchUp applies all changes in the state store to the table of a controller.
 func (c *cluster) catchUp(process *controllerProcess) {
-	feed := c.store.Changes(record.RootKey, process.revision)
+	feed := c.store.Changes(record.RootPrefix, process.revision)
 	for _, event := range feed.Events {
 		c.apply(process.table, event)
 	}
--- a/internal/simulation/format_bench_test.go
+++ b/internal/simulation/format_bench_test.go
@@ -17,7 +17,7 @@
 // and what it costs.
 func BenchmarkFormats(b *testing.B) {
 	for _, machines := range []int{720, 2260, 4000} {
-		for format := record.Oldest; format <= record.Newest; format++ {
+		for format := record.OldestFormat; format <= record.NewestFormat; format++ {
 			b.Run(fmt.Sprintf("machines=%d/format=%d", machines, format), func(b *testing.B) {
 				for b.Loop() {
 					benchmarkFormat(b, machines, format)
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -83,7 +83,7 @@
 // Records lists what the state store holds, for a failing test to show.
 func (c *Cluster) Records() []string {
 	var records []string
-	for _, entry := range c.store.List(record.RootKey) {
+	for _, entry := range c.store.List(record.RootPrefix) {
 		records = append(records, entry.Key+" "+string(entry.Value)+"\n")
 	}
 	return records
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -68,7 +68,7 @@
 // for a process that reads the format in force.
 func (c *Cluster) checkLivenessFormat(txn wire.Transaction, formats record.FormatRange) {
 	for _, change := range txn.Then {
-		if strings.HasPrefix(change.Put, record.LivenessPrefix) && !formats.Reads(c.ActiveFormat()) {
+		if strings.HasPrefix(change.Put, record.LivenessPrefix) && !formats.Contains(c.ActiveFormat()) {
 			c.violation("%s written by a process that does not read format %d", change.Put, c.ActiveFormat())
 		}
 	}
--- a/internal/simulation/rollout_helpers_test.go
+++ b/internal/simulation/rollout_helpers_test.go
@@ -69,7 +69,7 @@
 // compressedRecords counts the records in the state store that are compressed.
 func (c *Cluster) compressedRecords() int {
 	n := 0
-	for _, entry := range c.store.List(record.RootKey) {
+	for _, entry := range c.store.List(record.RootPrefix) {
 		if strings.HasPrefix(string(entry.Value), `"`) {
 			n++
 		}
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -290,6 +290,6 @@
 	cluster.Run(15 * time.Second)
 	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "not settled")
 	cluster.Run(15 * time.Second)
-	require.Equal(t, record.Newest, cluster.ActiveFormat())
+	require.Equal(t, record.NewestFormat, cluster.ActiveFormat())
 	require.Empty(t, cluster.Violations)
 }
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -47,7 +47,7 @@
 	golden.NewFiller(2).Fill(&committed)
 	golden.NewFiller(2).Fill(&watched)
 	entries.More = false
-	recorder := &golden.Recorder{Answers: map[string]string{
+	recorder := &golden.Recorder{Responses: map[string]string{
 		"GET /kv/a/b":           encode(t, entry),
 		"GET /kv":               encode(t, entries),
 		"POST /multi":           encode(t, committed),
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -27,7 +27,7 @@
 // Tracer writes rollout events as spans to a file. A nil Tracer discards them.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
-	spans    trace.Tracer
+	tracer   trace.Tracer
 	file     io.Closer
 	lastEnd  time.Time // when the last span ended
 }
@@ -47,7 +47,7 @@
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "lilacrill"),
 			attribute.String("service.version", release.Version), attribute.String("service.instance.id", label))))
-	return &Tracer{provider: provider, spans: provider.Tracer("lilacrill/rollout"), file: file, lastEnd: time.Now()}, nil
+	return &Tracer{provider: provider, tracer: provider.Tracer("lilacrill/rollout"), file: file, lastEnd: time.Now()}, nil
 }
 
 // RecordRollout writes an event as a span that starts at the end of the previous one.
@@ -57,7 +57,7 @@
 	}
 	now := time.Now()
 	ctx := trace.ContextWithRemoteSpanContext(context.Background(), rolloutSpanContext(targetFormat(event)))
-	_, span := t.spans.Start(ctx, string(event.Kind), trace.WithTimestamp(t.lastEnd), trace.WithAttributes(
+	_, span := t.tracer.Start(ctx, string(event.Kind), trace.WithTimestamp(t.lastEnd), trace.WithAttributes(
 		attribute.Int("format", int(event.Format)), attribute.Int64("boot", int64(event.Incarnation)), attribute.Int64("revision", int64(event.Revision))))
 	span.End(trace.WithTimestamp(now))
 	t.lastEnd = now
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -22,7 +22,7 @@
 	golden.NewFiller(2).Fill(&heartbeat)
 	response, err := json.Marshal(&heartbeat)
 	require.NoError(t, err)
-	recorder := &golden.Recorder{Answers: map[string]string{"POST /do": string(response), "GET /show": string(response)}}
+	recorder := &golden.Recorder{Responses: map[string]string{"POST /do": string(response), "GET /show": string(response)}}
 	server := httptest.NewServer(recorder)
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
