--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -12,18 +12,18 @@
 // makePage returns a placement page like those in production: jobs on several machines, with ids in
 // order of creation, attempts and tasks.
 func makePage(jobs, machines int) PlacementPage {
-	var p PlacementPage
+	var page PlacementPage
 	for j := range jobs {
-		g := AllocationGroup{AllocationHeader: AllocationHeader{Job: wire.JobID(fmt.Sprintf("wk-%06d", 4711+j*37)), Attempt: wire.Attempt(41<<24 + j*3), Launcher: 41,
+		group := AllocationGroup{AllocationHeader: AllocationHeader{Job: wire.JobID(fmt.Sprintf("wk-%06d", 4711+j*37)), Attempt: wire.Attempt(41<<24 + j*3), Launcher: 41,
 			Cores: 4, MemGB: 13, Priority: 2, Shape: wire.ShapeArray}}
 		for m := range machines {
-			g.Machines = append(g.Machines, wire.MachineID(fmt.Sprintf("m-%06d", (j*131+m*17)%4200)))
-			g.AgentEpochs = append(g.AgentEpochs, 1)
-			g.Tasks = append(g.Tasks, Span(m*2, m*2+2))
+			group.Machines = append(group.Machines, wire.MachineID(fmt.Sprintf("m-%06d", (j*131+m*17)%4200)))
+			group.AgentEpochs = append(group.AgentEpochs, 1)
+			group.Tasks = append(group.Tasks, Span(m*2, m*2+2))
 		}
-		p.Groups = append(p.Groups, g)
+		page.Groups = append(page.Groups, group)
 	}
-	return p
+	return page
 }
 
 // BenchmarkEncode encodes placement records of growing size in every format and reports their
--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -72,9 +72,9 @@
 			path := filepath.Join("testdata", "format-"+strconv.Itoa(int(format)), s.name+".json")
 			stored, err := os.ReadFile(path)
 			require.NoError(t, err)
-			read := s.newTarget()
-			require.NoError(t, Decode(stored, decodeLimit, read), path)
-			require.Equal(t, s.value, read, path)
+			decoded := s.newTarget()
+			require.NoError(t, Decode(stored, decodeLimit, decoded), path)
+			require.Equal(t, s.value, decoded, path)
 			written := Encode(format, s.key, s.value)
 			if isString(stored) {
 				require.True(t, isString(written), path)
@@ -107,14 +107,14 @@
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		page := makePage(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
-		before := encodePlain(page)
+		plain := encodePlain(page)
 		for format := OldestFormat; format <= NewestFormat; format++ {
 			value := Encode(format, PlacementKey("t", "z", 0), page)
-			require.LessOrEqual(t, len(value), len(before))
+			require.LessOrEqual(t, len(value), len(plain))
 			require.True(t, json.Valid(value))
-			var back PlacementPage
-			require.NoError(t, Decode(value, decodeLimit, &back))
-			require.Equal(t, string(before), string(encodePlain(back)))
+			var decoded PlacementPage
+			require.NoError(t, Decode(value, decodeLimit, &decoded))
+			require.Equal(t, string(plain), string(encodePlain(decoded)))
 		}
 	})
 }
@@ -136,11 +136,11 @@
 		require.Error(t, Decode(cut, decodeLimit, &into))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		spoilt := append(json.RawMessage{}, good...)
-		spoilt[rapid.IntRange(1, len(spoilt)-2).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 6).Draw(t, "bit")
-		var back PlacementPage
-		if Decode(spoilt, decodeLimit, &back) == nil {
-			require.Equal(t, string(encodePlain(page)), string(encodePlain(back)))
+		corrupted := append(json.RawMessage{}, good...)
+		corrupted[rapid.IntRange(1, len(corrupted)-2).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 6).Draw(t, "bit")
+		var decoded PlacementPage
+		if Decode(corrupted, decodeLimit, &decoded) == nil {
+			require.Equal(t, string(encodePlain(page)), string(encodePlain(decoded)))
 		}
 	})
 }
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -72,9 +72,9 @@
 				require.Equal(t, r.compressed && format >= FormatCompressed, isString(written))
 				compareValues(t, name+".json", written)
 
-				back := r.newRecord()
-				require.NoError(t, Decode(golden.Read(t, name+".json"), decodeLimit, back))
-				require.Equal(t, filled, back)
+				decoded := r.newRecord()
+				require.NoError(t, Decode(golden.Read(t, name+".json"), decodeLimit, decoded))
+				require.Equal(t, filled, decoded)
 
 				golden.Compare(t, name+".zero.json", Encode(format, r.key, r.newRecord()))
 			})
@@ -101,9 +101,9 @@
 // decompressValue returns the plain JSON within a compressed value.
 func decompressValue(t *testing.T, value json.RawMessage) []byte {
 	t.Helper()
-	var packed []byte
-	require.NoError(t, json.Unmarshal(value, &packed))
-	text, err := decompress(packed, decodeLimit)
+	var compressed []byte
+	require.NoError(t, json.Unmarshal(value, &compressed))
+	text, err := decompress(compressed, decodeLimit)
 	require.NoError(t, err)
 	return text
 }
@@ -120,9 +120,9 @@
 		require.NoError(t, err)
 		name := fmt.Sprintf("format-%d/sibling-line.json", format)
 		golden.Compare(t, name, written)
-		back, err := DecodePeerMessage(golden.Read(t, name))
+		decoded, err := DecodePeerMessage(golden.Read(t, name))
 		require.NoError(t, err)
-		require.Equal(t, &message, back)
+		require.Equal(t, &message, decoded)
 	}
 }
 
--- a/internal/record/peer_message_test.go
+++ b/internal/record/peer_message_test.go
@@ -13,14 +13,14 @@
 // truncated messages are refused. A message with a damaged byte must be refused or have only valid
 // heartbeats.
 func TestPeerMessages(t *testing.T) {
-	l := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
+	message := &wire.PeerMessage{From: "rig-1", Heartbeats: []*wire.Heartbeat{{Machine: "m-1", Addr: "10.0.0.1:1", Type: "g8", Zone: "a", AgentEpoch: 1,
 		Tasks: []wire.TaskStatus{{Task: wire.TaskID{Job: "wk-1", Index: 2}, Attempt: 3, State: wire.TaskRunning}}}},
 		UnchangedHeartbeats: []wire.UnchangedHeartbeat{{Machine: "m-2", AgentEpoch: 1, Sequence: 7, Token: 3}}}
-	good, err := EncodePeerMessage(l)
+	good, err := EncodePeerMessage(message)
 	require.NoError(t, err)
-	back, err := DecodePeerMessage(good)
+	decoded, err := DecodePeerMessage(good)
 	require.NoError(t, err)
-	require.Equal(t, l, back)
+	require.Equal(t, message, decoded)
 	for _, bad := range []string{``, `{}`, `[]`, `null`, `{"from":"rig-1","reports":[{}]}`, `{"from":7}`, `{"from":"rig-1","reports":[null]}`,
 		`{"from":"rig-1","format":-1}`, `{"from":"rig-1","format":4}`} {
 		_, err := DecodePeerMessage([]byte(bad))
@@ -31,11 +31,11 @@
 		require.Error(t, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b := append([]byte(nil), good...)
-		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
-		if l, err := DecodePeerMessage(b); err == nil {
-			for _, r := range l.Heartbeats {
-				require.NoError(t, r.Check())
+		damaged := append([]byte(nil), good...)
+		damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+		if decoded, err := DecodePeerMessage(damaged); err == nil {
+			for _, heartbeat := range decoded.Heartbeats {
+				require.NoError(t, heartbeat.Check())
 			}
 		}
 	})
--- a/internal/record/taskset_test.go
+++ b/internal/record/taskset_test.go
@@ -22,25 +22,25 @@
 			}
 			return s, plain
 		}
-		a, pa := build("a")
-		b, pb := build("b")
+		a, plainA := build("a")
+		b, plainB := build("b")
 		n := rapid.IntRange(0, 40).Draw(t, "n")
 		first, rest := a.Take(n)
-		require.Equal(t, min(n, len(pa)), first.Len())
+		require.Equal(t, min(n, len(plainA)), first.Len())
 		require.Equal(t, a, first.Union(rest))
-		require.Equal(t, len(pa), a.Len())
+		require.Equal(t, len(plainA), a.Len())
 		for i := range 45 {
-			require.Equal(t, pa[i], a.Contains(i))
-			require.Equal(t, pa[i] || pb[i], a.Union(b).Contains(i))
-			require.Equal(t, pa[i] && !pb[i], a.Difference(b).Contains(i))
-			require.Equal(t, pa[i] && pb[i], a.Intersect(b).Contains(i))
+			require.Equal(t, plainA[i], a.Contains(i))
+			require.Equal(t, plainA[i] || plainB[i], a.Union(b).Contains(i))
+			require.Equal(t, plainA[i] && !plainB[i], a.Difference(b).Contains(i))
+			require.Equal(t, plainA[i] && plainB[i], a.Intersect(b).Contains(i))
 			require.False(t, first.Contains(i) && rest.Contains(i))
 		}
 		text, err := json.Marshal(a)
 		require.NoError(t, err)
-		var back TaskSet
-		require.NoError(t, json.Unmarshal(text, &back))
-		require.Equal(t, a.Len(), back.Len())
-		require.True(t, a.Difference(back).IsEmpty())
+		var decoded TaskSet
+		require.NoError(t, json.Unmarshal(text, &decoded))
+		require.Equal(t, a.Len(), decoded.Len())
+		require.True(t, a.Difference(decoded).IsEmpty())
 	})
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -102,15 +102,15 @@
 	for _, label := range []string{"a", "b", "c"} {
 		tracker.applyAlive(label, 5, formats1To2, 4)
 	}
-	due := func(at time.Duration) bool { _, ok := tracker.AutomaticActivation(Time(at), time.Minute); return ok }
-	require.False(t, due(0))
-	require.False(t, due(59*time.Second))
+	isDue := func(at time.Duration) bool { _, due := tracker.AutomaticActivation(Time(at), time.Minute); return due }
+	require.False(t, isDue(0))
+	require.False(t, isDue(59*time.Second))
 	tracker.ApplyLiveness("b", 0, 0)
-	require.False(t, due(61*time.Second))
+	require.False(t, isDue(61*time.Second))
 	tracker.ApplyLiveness("b", 5, 6)
-	require.False(t, due(62*time.Second))
-	require.False(t, due(121*time.Second))
-	require.True(t, due(122*time.Second))
+	require.False(t, isDue(62*time.Second))
+	require.False(t, isDue(121*time.Second))
+	require.True(t, isDue(122*time.Second))
 }
 
 // fakeStore is an in-memory state store that holds the records of a rollout.
@@ -271,10 +271,10 @@
 
 // commit commits a transaction and checks that all live processes read the format in force.
 func (h *history) commit(txn wire.Transaction) {
-	before := h.formatInForce()
+	previous := h.formatInForce()
 	h.store.commit(txn)
-	now := h.formatInForce()
-	if now > before {
+	current := h.formatInForce()
+	if current > previous {
 		h.activations++
 	}
 	for key, value := range h.store.values {
@@ -284,7 +284,7 @@
 		}
 		var liveness record.Liveness
 		require.NoError(h.t, json.Unmarshal(value, &liveness))
-		require.True(h.t, h.formats[fmt.Sprint(label, liveness.Incarnation)].Contains(now), "%s (incarnation %d) is alive and does not read format %d", label, liveness.Incarnation, now)
+		require.True(h.t, h.formats[fmt.Sprint(label, liveness.Incarnation)].Contains(current), "%s (incarnation %d) is alive and does not read format %d", label, liveness.Incarnation, current)
 	}
 }
 
