--- a/internal/record/fixtures_test.go
+++ b/internal/record/fixtures_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestFormatsRoundTrip encodes generated placement records in every format. It checks that they decode
-// to the same records, and that no value is larger than the plain JSON of its record.
+// TestFormatsRoundTrip encodes generated placement records in every format. It checks that they
+// decode to the same records, and that no value is larger than the plain JSON of its record.
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		page := makePage(rapid.IntRange(1, 40).Draw(t, "jobs"), rapid.IntRange(1, 9).Draw(t, "machines"))
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -90,8 +90,8 @@
 	return false
 }
 
-// decompress decompresses a zstd frame. The frame header has to state the size of the content, so that
-// content larger than limit bytes is refused before memory is allocated for it.
+// decompress decompresses a zstd frame. The frame header has to state the size of the content, so
+// that content larger than limit bytes is refused before memory is allocated for it.
 func decompress(compressed []byte, limit int) ([]byte, error) {
 	var header zstd.Header
 	if err := header.Decode(compressed); err != nil {
--- a/internal/record/taskset_test.go
+++ b/internal/record/taskset_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTaskSet compares the operations of TaskSet with the same operations on plain sets of numbers, and
-// checks that a set survives encoding and decoding.
+// TestTaskSet compares the operations of TaskSet with the same operations on plain sets of numbers.
+// It also checks that a set survives encoding and decoding.
 func TestTaskSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		numbers := rapid.SliceOfN(rapid.IntRange(0, 40), 0, 30)
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -32,7 +32,8 @@
 	lastEnd  time.Time // when the last span ended
 }
 
-// Open returns a tracer for the controller with the given label. It appends spans to the file at path.
+// Open returns a tracer for the controller with the given label. It appends spans to the file at
+// path.
 func Open(path, label string) (*Tracer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
