--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -59,7 +59,7 @@
 	for _, status := range errorStatuses {
 		destinations[status] = &failure
 	}
-	status, err := c.calls.Bearer(c.token).Call(method, Prefix+"/"+string(view), body, callTimeout, destinations)
+	status, err := c.calls.WithBearer(c.token).Call(method, Prefix+"/"+string(view), body, callTimeout, destinations)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/apierror/errors.go
+++ b/internal/apierror/errors.go
@@ -23,15 +23,15 @@
 
 // NotFoundError says that what a request names does not exist.
 type NotFoundError struct {
-	What string // kind and name, as in `shard: 40`
+	Resource string // kind and name, as in `shard: 40`
 }
 
 // Error implements error.
-func (e *NotFoundError) Error() string { return "no such " + e.What }
+func (e *NotFoundError) Error() string { return "no such " + e.Resource }
 
 // NotFound makes a NotFoundError whose text is formatted as by fmt.Sprintf.
 func NotFound(format string, args ...any) error {
-	return &NotFoundError{What: fmt.Sprintf(format, args...)}
+	return &NotFoundError{Resource: fmt.Sprintf(format, args...)}
 }
 
 // ConflictError says why a change cannot be made in the present state. It may be possible
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,8 +8,8 @@
 	"lilacrill/internal/apierror"
 )
 
-// maxText is the longest text, in bytes, that a setting may have.
-const maxText = 100
+// maxTextBytes is the longest text, in bytes, that a setting may have.
+const maxTextBytes = 100
 
 // maxAmount bounds amounts and times; beyond it is a mistake.
 const maxAmount = 1e9
@@ -19,39 +19,39 @@
 	secondsPerDay  = 24 * secondsPerHour
 )
 
-// settingsCheck checks fields one by one and keeps the first fault.
-type settingsCheck struct {
-	fault error
+// settingsChecker checks fields one by one and keeps the first fault.
+type settingsChecker struct {
+	firstError error
 }
 
 // check returns an *apierror.FieldError for the first field that is wrong, or nil.
 func (s *Settings) check() error {
-	var check settingsCheck
-	check.text("label", s.Label)
-	check.text("area", s.Zone)
-	check.addr("public_addr", s.PublicAddr)
-	check.addr("peer_listen", s.PeerListen)
-	check.siblings(s.Label, s.Siblings)
-	check.addr("services.cloud", s.Services.Cloud)
-	check.addr("services.state", s.Services.State)
+	var checker settingsChecker
+	checker.text("label", s.Label)
+	checker.text("area", s.Zone)
+	checker.addr("public_addr", s.PublicAddr)
+	checker.addr("peer_listen", s.PeerListen)
+	checker.siblings(s.Label, s.Siblings)
+	checker.addr("services.cloud", s.Services.Cloud)
+	checker.addr("services.state", s.Services.State)
 	if s.Cluster.Size != len(s.Siblings)+1 {
-		check.fail("cluster.size", "%d, but %d siblings are named", s.Cluster.Size, len(s.Siblings))
+		checker.fail("cluster.size", "%d, but %d siblings are named", s.Cluster.Size, len(s.Siblings))
 	}
-	check.cluster(&s.Cluster)
-	return check.fault
+	checker.cluster(&s.Cluster)
+	return checker.firstError
 }
 
-func (c *settingsCheck) siblings(ownLabel string, siblings []Sibling) {
+func (c *settingsChecker) siblings(ownLabel string, siblings []Sibling) {
 	labels := map[string]bool{ownLabel: true}
 	for i, sibling := range siblings {
 		field := fmt.Sprintf("siblings[%d]", i)
 		c.text(field+".label", sibling.Label)
 		c.addr(field+".endpoint", sibling.Endpoint)
-		c.unused(field+".label", sibling.Label, labels)
+		c.unique(field+".label", sibling.Label, labels)
 	}
 }
 
-func (c *settingsCheck) cluster(cluster *Cluster) {
+func (c *settingsChecker) cluster(cluster *Cluster) {
 	if len(cluster.Zones) == 0 {
 		c.fail("cluster.zones", "missing")
 	}
@@ -71,7 +71,7 @@
 	c.quota(&cluster.Quota)
 }
 
-func (c *settingsCheck) teams(teams []Team) {
+func (c *settingsChecker) teams(teams []Team) {
 	if len(teams) == 0 {
 		c.fail("cluster.teams", "missing")
 	}
@@ -79,7 +79,7 @@
 	for i, team := range teams {
 		field := fmt.Sprintf("cluster.teams[%d]", i)
 		c.text(field+".name", team.Name)
-		c.unused(field+".name", team.Name, names)
+		c.unique(field+".name", team.Name, names)
 		c.within(field+".cpus", team.CPUs, 0, maxAmount)
 		c.limit(field+".cpus_max", team.CPUsMax, team.CPUs)
 		c.within(field+".gpus", team.GPUs, 0, maxAmount)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (c *settingsCheck) workers(workers *Workers) {
+func (c *settingsChecker) workers(workers *Workers) {
 	c.within("cluster.workers.report_s", workers.ReportS, 0.01, secondsPerHour)
 	c.within("cluster.workers.lease_s", workers.LeaseS, workers.ReportS, secondsPerDay)
 	c.within("cluster.workers.gang_wait_s", workers.GangWaitS, 0.01, secondsPerDay)
@@ -95,7 +95,7 @@
 	c.within("cluster.workers.cancel_s", workers.CancelS, 0.01, secondsPerDay)
 }
 
-func (c *settingsCheck) services(state *State, cloud *Cloud) {
+func (c *settingsChecker) services(state *State, cloud *Cloud) {
 	c.within("cluster.state.rps", state.RPS, 1, 1e7)
 	c.within("cluster.state.write_rps", state.WriteRPS, 1, 1e7)
 	c.within("cluster.state.value_kb", state.ValueKB, 2, 1<<20)
@@ -104,28 +104,28 @@
 	c.within("cluster.cloud.list_lag_s", cloud.ListLagS, 0, secondsPerHour)
 }
 
-func (c *settingsCheck) quota(quota *Quota) {
+func (c *settingsChecker) quota(quota *Quota) {
 	c.within("cluster.quota.core_share", quota.CoreShare, 0.01, 1024)
 	c.within("cluster.quota.mem_mb", quota.MemMB, 32, 1e7)
 	c.within("cluster.quota.sockets", float64(quota.Sockets), 32, 1e7)
 }
 
-func (c *settingsCheck) fail(field, format string, args ...any) {
-	if c.fault == nil {
-		c.fault = apierror.Field(field, format, args...)
+func (c *settingsChecker) fail(field, format string, args ...any) {
+	if c.firstError == nil {
+		c.firstError = apierror.Field(field, format, args...)
 	}
 }
 
-func (c *settingsCheck) text(field, text string) {
+func (c *settingsChecker) text(field, text string) {
 	switch {
 	case text == "":
 		c.fail(field, "missing")
-	case len(text) > maxText:
-		c.fail(field, "longer than %d bytes", maxText)
+	case len(text) > maxTextBytes:
+		c.fail(field, "longer than %d bytes", maxTextBytes)
 	}
 }
 
-func (c *settingsCheck) addr(field, text string) {
+func (c *settingsChecker) addr(field, text string) {
 	c.text(field, text)
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil || !addr.Addr().Is4() || addr.Port() == 0 {
@@ -133,21 +133,21 @@
 	}
 }
 
-func (c *settingsCheck) within(field string, value, low, high float64) {
+func (c *settingsChecker) within(field string, value, low, high float64) {
 	if math.IsNaN(value) || value < low || value > high {
 		c.fail(field, "%v is not between %v and %v", value, low, high)
 	}
 }
 
 // limit checks a team's limit, which is none if it is 0.
-func (c *settingsCheck) limit(field string, limit, guarantee float64) {
+func (c *settingsChecker) limit(field string, limit, guarantee float64) {
 	if limit != 0 {
 		c.within(field, limit, guarantee, maxAmount)
 	}
 }
 
 // unused fails if a name was used before, and notes it.
-func (c *settingsCheck) unused(field, name string, used map[string]bool) {
+func (c *settingsChecker) unique(field, name string, used map[string]bool) {
 	if used[name] {
 		c.fail(field, "%q is used twice", name)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"lilacrill/internal/apierror"
 )
 
-const good = `
+const validSettings = `
 label = "rig-0"
 area = "east"
 public_addr = "10.0.0.1:8080"
@@ -78,13 +78,13 @@
 	}
 }
 
-// TestSettings: good settings are accepted, and each wrong field is named, on one line.
+// TestSettings: validSettings settings are accepted, and each wrong field is named, on one line.
 func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "rig-1", s.Siblings[0].Label)
 	require.Equal(t, 12, s.Cluster.State.TxnOps)
-	for _, c := range []struct{ old, spoilt, field string }{
+	for _, c := range []struct{ old, replacement, field string }{
 		{`label = "rig-0"`, ``, "label"},
 		{`area = "east"`, `area = ""`, "area"},
 		{`"10.0.0.1:8080"`, `"rig-0:8080"`, "public_addr"},
@@ -104,8 +104,8 @@
 		{`mem_mb = 234.0`, `mem_mb = "much"`, "mem_mb"},
 		{`[cluster.quota]`, `[cluster.quota`, "line"},
 	} {
-		text := strings.Replace(good, c.old, c.spoilt, 1)
-		require.NotEqual(t, good, text, c.old)
+		text := strings.Replace(validSettings, c.old, c.replacement, 1)
+		require.NotEqual(t, validSettings, text, c.old)
 		_, err := Parse([]byte(text))
 		require.ErrorContains(t, err, c.field)
 		requireField(t, c.field, err)
@@ -115,9 +115,9 @@
 	require.ErrorContains(t, err, "none.toml")
 }
 
-// TestNoLimit: a limit of 0, as guests have, is no limit.
-func TestNoLimit(t *testing.T) {
-	s, err := Parse([]byte(strings.Replace(good, `cpus_max = 48.0`, `cpus_max = 0.0`, 1)))
+// TestZeroLimitIsUnlimited: a limit of 0, as guests have, is no limit.
+func TestZeroLimitIsUnlimited(t *testing.T) {
+	s, err := Parse([]byte(strings.Replace(validSettings, `cpus_max = 48.0`, `cpus_max = 0.0`, 1)))
 	require.NoError(t, err)
 	cpus, gpus := s.Cluster.Teams[0].Limits()
 	require.Equal(t, Unlimited, cpus)
@@ -126,7 +126,7 @@
 
 // TestOperatorSettings: a change keeps the other settings, and each wrong field is named.
 func TestOperatorSettings(t *testing.T) {
-	d := DefaultOperator()
+	d := DefaultOperatorSettings()
 	require.NoError(t, d.check())
 	o, err := d.With([]byte(`{"spare_share":0.5,"affinity":"enforced"}`))
 	require.NoError(t, err)
@@ -153,7 +153,7 @@
 		{func(s *Settings) { s.Cluster.Quota.CoreShare = 0.02 }, "cluster.quota.core_share", 1},
 		{func(s *Settings) { s.Cluster.Quota.MemMB = 40 }, "cluster.quota.mem_mb", 1},
 	} {
-		s, err := Parse([]byte(good))
+		s, err := Parse([]byte(validSettings))
 		require.NoError(t, err)
 		c.change(s)
 		require.Len(t, s.Warnings(), c.warnings)
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -58,9 +58,9 @@
 // activation: time to see that a release is good, and to go back if it is not.
 const defaultSettle = 10 * time.Minute
 
-// Settle is how long all controllers have to be ready before an automatic activation. It is
+// SettlePeriod is how long all controllers have to be ready before an automatic activation. It is
 // defaultSettle unless the file says otherwise.
-func (r *Rollout) Settle() time.Duration {
+func (r *Rollout) SettlePeriod() time.Duration {
 	if r.SettleS == nil {
 		return defaultSettle
 	}
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, DefaultFeatures(), f)
 	f, err = ParseFeatures([]byte("[rollout]\nactivation = \"automatic\"\nsettle_s = 60.0\n"))
 	require.NoError(t, err)
-	require.Equal(t, time.Minute, f.Rollout.Settle())
+	require.Equal(t, time.Minute, f.Rollout.SettlePeriod())
 	for text, field := range map[string]string{
 		"[rollout]\nspeed = 3":                               "rollout.speed",
 		"[shares]\non = true":                                "shares.on",
@@ -47,23 +47,23 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestSettingsOfLaterRelease: fields of a later release are kept by a change that is made
+// TestSettingsOfNewerReleaseAreKept: fields of a later release are kept by a change that is made
 // through this one; a value that this one does not allow is not taken.
-func TestSettingsOfLaterRelease(t *testing.T) {
-	stored, err := ReadOperator(json.RawMessage(`{"idle_s":50,"later":{"x":[1,2]},"other":null}`))
+func TestSettingsOfNewerReleaseAreKept(t *testing.T) {
+	stored, err := ParseStoredOperatorSettings(json.RawMessage(`{"idle_s":50,"later":{"x":[1,2]},"other":null}`))
 	require.NoError(t, err)
 	require.Equal(t, 50.0, stored.IdleS)
 	changed, err := stored.With(json.RawMessage(`{"idle_s":60}`))
 	require.NoError(t, err)
 	written, err := json.Marshal(changed)
 	require.NoError(t, err)
-	again, err := ReadOperator(written)
+	again, err := ParseStoredOperatorSettings(written)
 	require.NoError(t, err)
 	require.Equal(t, 60.0, again.IdleS)
-	require.JSONEq(t, `{"x":[1,2]}`, string(again.later["later"]))
-	require.Contains(t, again.later, "other")
+	require.JSONEq(t, `{"x":[1,2]}`, string(again.unknown["later"]))
+	require.Contains(t, again.unknown, "other")
 	_, err = stored.With(json.RawMessage(`{"later":1}`))
 	require.ErrorContains(t, err, "later")
-	_, err = ReadOperator(json.RawMessage(`{"idle_s":1e9}`))
+	_, err = ParseStoredOperatorSettings(json.RawMessage(`{"idle_s":1e9}`))
 	require.ErrorContains(t, err, "idle_s")
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -26,32 +26,32 @@
 // TestGoldenOperatorSettings encodes operators' settings with all fields set, by default and
 // with none set, and decodes the first in each way that there is.
 func TestGoldenOperatorSettings(t *testing.T) {
-	var filled Operator
+	var filled OperatorSettings
 	filler := golden.NewFiller(1)
 	golden.RegisterMaker(filler, func(int) Affinity { return AffinityEnforced })
 	filler.Fill(&filled)
 	compareJSON(t, "operator-settings.json", filled)
-	compareJSON(t, "operator-settings.default.json", DefaultOperator())
-	compareJSON(t, "operator-settings.zero.json", Operator{})
+	compareJSON(t, "operator-settings.default.json", DefaultOperatorSettings())
+	compareJSON(t, "operator-settings.zero.json", OperatorSettings{})
 
 	text := golden.Read(t, "operator-settings.json")
-	changed, err := DefaultOperator().With(text)
+	changed, err := DefaultOperatorSettings().With(text)
 	require.NoError(t, err)
 	require.Equal(t, filled, changed)
-	stored, err := ReadOperator(text)
+	stored, err := ParseStoredOperatorSettings(text)
 	require.NoError(t, err)
-	require.Equal(t, filled, stored.Operator)
+	require.Equal(t, filled, stored.OperatorSettings)
 	compareJSON(t, "operator-settings.json", stored)
 
-	stored.later = map[string]json.RawMessage{"later": json.RawMessage(`{"x":[1,2]}`)}
+	stored.unknown = map[string]json.RawMessage{"later": json.RawMessage(`{"x":[1,2]}`)}
 	compareJSON(t, "operator-settings.later.json", stored)
-	again, err := ReadOperator(golden.Read(t, "operator-settings.later.json"))
+	again, err := ParseStoredOperatorSettings(golden.Read(t, "operator-settings.later.json"))
 	require.NoError(t, err)
 	require.Equal(t, stored, again)
 }
 
-// TestGoldenWords compares the values that enumerated fields of the files may have.
-func TestGoldenWords(t *testing.T) {
+// TestGoldenEnumValues compares the values that enumerated fields of the files may have.
+func TestGoldenEnumValues(t *testing.T) {
 	compareJSON(t, "words.json", map[string]any{
 		"activation": []Activation{ActivationManual, ActivationAutomatic},
 		"affinity":   []Affinity{AffinityPreferred, AffinityEnforced},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -21,10 +21,10 @@
 	AffinityEnforced  Affinity = "enforced"
 )
 
-// Operator are the settings that operators change at run time, through the administration
+// OperatorSettings are the settings that operators change at run time, through the administration
 // API. They are kept in the state store and are the same for all controllers. Fields that end
 // in S are seconds.
-type Operator struct {
+type OperatorSettings struct {
 	// ProbeMachines, ProbeTries and ProbeS bound placement under contention: how many machines
 	// are tried at a time, how often, and for how long.
 	ProbeMachines int     `json:"probe_hosts"`
@@ -44,9 +44,9 @@
 	IdleS float64 `json:"idle_s"`
 }
 
-// DefaultOperator are the settings until operators change them.
-func DefaultOperator() Operator {
-	return Operator{
+// DefaultOperatorSettings are the settings until operators change them.
+func DefaultOperatorSettings() OperatorSettings {
+	return OperatorSettings{
 		ProbeMachines: 16, ProbeTries: 3, ProbeS: 0.4, PlacementRetryS: 1,
 		Affinity:         AffinityPreferred,
 		HeadroomFraction: 0.1, MinHeadroom: 1,
@@ -56,7 +56,7 @@
 
 // With returns the settings changed to the values of a JSON object, by their names. Its error
 // is an *apierror.FieldError.
-func (o Operator) With(changes json.RawMessage) (Operator, error) {
+func (o OperatorSettings) With(changes json.RawMessage) (OperatorSettings, error) {
 	next, unknown, err := o.withKnown(changes)
 	for name := range unknown {
 		return o, apierror.Field(name, "no such setting")
@@ -67,36 +67,36 @@
 	return next, next.check()
 }
 
-// StoredOperator is a settings record in the state store: the fields that this release knows,
+// StoredOperatorSettings is a settings record in the state store: the fields that this release knows,
 // and those that only a later one does. The latter are written back with every change, so that
 // none is lost when a release is rolled back and forward again.
-type StoredOperator struct {
-	Operator
-	later map[string]json.RawMessage
+type StoredOperatorSettings struct {
+	OperatorSettings
+	unknown map[string]json.RawMessage
 }
 
-// ReadOperator decodes and checks a settings record.
-func ReadOperator(stored json.RawMessage) (StoredOperator, error) {
-	known, later, err := DefaultOperator().withKnown(stored)
+// ParseStoredOperatorSettings decodes and checks a settings record.
+func ParseStoredOperatorSettings(stored json.RawMessage) (StoredOperatorSettings, error) {
+	known, unknown, err := DefaultOperatorSettings().withKnown(stored)
 	if err == nil {
 		err = known.check()
 	}
-	return StoredOperator{known, later}, err
+	return StoredOperatorSettings{known, unknown}, err
 }
 
 // With is the record with changes of fields that this release knows.
-func (s StoredOperator) With(changes json.RawMessage) (StoredOperator, error) {
-	next, err := s.Operator.With(changes)
-	return StoredOperator{next, s.later}, err
+func (s StoredOperatorSettings) With(changes json.RawMessage) (StoredOperatorSettings, error) {
+	next, err := s.OperatorSettings.With(changes)
+	return StoredOperatorSettings{next, s.unknown}, err
 }
 
 // MarshalJSON implements json.Marshaler.
-func (s StoredOperator) MarshalJSON() ([]byte, error) {
-	known, err := json.Marshal(s.Operator)
-	if err != nil || len(s.later) == 0 {
+func (s StoredOperatorSettings) MarshalJSON() ([]byte, error) {
+	known, err := json.Marshal(s.OperatorSettings)
+	if err != nil || len(s.unknown) == 0 {
 		return known, err
 	}
-	fields := maps.Clone(s.later)
+	fields := maps.Clone(s.unknown)
 	if err := json.Unmarshal(known, &fields); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 
 // withKnown returns the settings with the values of the fields that this release knows, and
 // the other fields.
-func (o Operator) withKnown(changes json.RawMessage) (next Operator, unknown map[string]json.RawMessage, err error) {
+func (o OperatorSettings) withKnown(changes json.RawMessage) (next OperatorSettings, unknown map[string]json.RawMessage, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(changes, &fields); err != nil || fields == nil {
 		return o, nil, apierror.Field("settings", "want a JSON object")
@@ -126,7 +126,7 @@
 }
 
 // check returns an *apierror.FieldError for the first setting out of its bounds, or nil.
-func (o *Operator) check() error {
+func (o *OperatorSettings) check() error {
 	for _, setting := range []struct {
 		name      string
 		value     float64
@@ -151,5 +151,5 @@
 	return nil
 }
 
-// Probe is how long placement under contention may take.
-func (o *Operator) Probe() time.Duration { return Seconds(o.ProbeS) }
+// ProbeDuration is how long placement under contention may take.
+func (o *OperatorSettings) ProbeDuration() time.Duration { return Seconds(o.ProbeS) }
--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -17,7 +17,7 @@
 // operatorSettings holds the operators' settings and their version, which is 0 until an operator
 // changes the defaults.
 type operatorSettings struct {
-	values  config.StoredOperator
+	values  config.StoredOperatorSettings
 	version wire.Revision
 	// unreadableCause is the error because of which the stored settings cannot be read. While it
 	// is set, the stored settings are not overwritten.
@@ -27,9 +27,9 @@
 // applySettings applies the stored settings; a nil value restores the defaults. If a newer release
 // stored values that this release does not allow, the previous settings stay in effect.
 func (c *Controller) applySettings(value json.RawMessage, version wire.Revision) error {
-	settings := config.StoredOperator{Operator: config.DefaultOperator()}
+	settings := config.StoredOperatorSettings{OperatorSettings: config.DefaultOperatorSettings()}
 	if value != nil {
-		if settings, c.operator.unreadableCause = config.ReadOperator(value); c.operator.unreadableCause != nil {
+		if settings, c.operator.unreadableCause = config.ParseStoredOperatorSettings(value); c.operator.unreadableCause != nil {
 			return c.operator.unreadableCause
 		}
 	}
@@ -138,7 +138,7 @@
 	})
 }
 
-func (c *Controller) commitSettings(request RequestID, next config.StoredOperator) {
+func (c *Controller) commitSettings(request RequestID, next config.StoredOperatorSettings) {
 	c.commit(PriorityAdmission, wire.Transaction{
 		If:   []wire.Condition{{Key: record.SettingsKey, Version: c.cache.keyVersions[record.SettingsKey]}},
 		Then: []wire.Change{c.putChange(record.SettingsKey, next)},
--- a/internal/controller/admin_views.go
+++ b/internal/controller/admin_views.go
@@ -25,8 +25,8 @@
 		Provisioner:      c.isProvisioner(),
 		Self:             true,
 		StoreReachable:   c.storeReachable(),
-		HeardFrom:        true,
-		HearsUs:          true,
+		InboundOK:        true,
+		OutboundOK:       true,
 		Isolated:         c.isolated(),
 		Revision:         c.cache.revision,
 		Token:            c.cache.token,
@@ -49,8 +49,8 @@
 	}
 	if peer := c.gossip.peers[label]; peer != nil {
 		view.StoreReachable = peer.storeReachable && c.now.Sub(peer.lastHeardAt) < peerTimeout
-		view.HeardFrom = peer.isHeard(c.now)
-		view.HearsUs = peer.isConnected(c.now)
+		view.InboundOK = peer.isHeard(c.now)
+		view.OutboundOK = peer.isConnected(c.now)
 	}
 	return view
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,7 +80,7 @@
 	c.metrics.init()
 	c.cancellations.init(c.rand.Uint64())
 	c.completedTasks.init()
-	c.operator.values.Operator = config.DefaultOperator()
+	c.operator.values.OperatorSettings = config.DefaultOperatorSettings()
 	c.rollout.init(settings)
 	c.shards.init(settings)
 	c.forwarding.init()
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -220,7 +220,7 @@
 // free capacity is contended, no further transaction is made whose result could end the retries.
 // Without this time limit the machines would stay contended, and the tasks pending, forever.
 func (c *Controller) expirePlacementRetries(team *team) {
-	if team.schedule.lostPlacements > 0 && c.now.Sub(team.schedule.firstLostAt) > c.operator.values.Probe() {
+	if team.schedule.lostPlacements > 0 && c.now.Sub(team.schedule.firstLostAt) > c.operator.values.ProbeDuration() {
 		c.backOffPlacement(team)
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -92,7 +92,7 @@
 		return
 	}
 	c.rollout.nextActivation = c.now.Add(activationInterval)
-	next, due := c.rollout.tracker.AutomaticActivation(rollout.Time(c.now), settings.Settle())
+	next, due := c.rollout.tracker.AutomaticActivation(rollout.Time(c.now), settings.SettlePeriod())
 	if !due {
 		return
 	}
--- a/internal/fastjson/fastjson_test.go
+++ b/internal/fastjson/fastjson_test.go
@@ -34,8 +34,8 @@
 		func() any { return new(wire.MachineList) }},
 }
 
-// damaged changes a document in up to three places.
-func damaged(t *rapid.T, text string) []byte {
+// corrupted changes a document in up to three places.
+func corrupted(t *rapid.T, text string) []byte {
 	b := []byte(text)
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
@@ -56,12 +56,12 @@
 	return b
 }
 
-// TestDecodesLikeTheStandardLibrary guards against a library that takes what is
+// TestUnmarshalMatchesEncodingJSON guards against a library that takes what is
 // malformed, refuses what is not, or reads something else out of it.
-func TestDecodesLikeTheStandardLibrary(t *testing.T) {
+func TestUnmarshalMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rapid.SampledFrom(documents).Draw(t, "document")
-		text := damaged(t, d.text)
+		text := corrupted(t, d.text)
 		want, got := d.value(), d.value()
 		wantErr, gotErr := json.Unmarshal(text, want), fastjson.Unmarshal(text, got)
 		if wantErr != nil {
@@ -73,9 +73,9 @@
 	})
 }
 
-// TestKeepsNothingOfItsInput guards against values that change when the buffer that they were
+// TestUnmarshalDoesNotAliasInput guards against values that change when the buffer that they were
 // decoded from is used for the next message.
-func TestKeepsNothingOfItsInput(t *testing.T) {
+func TestUnmarshalDoesNotAliasInput(t *testing.T) {
 	for _, d := range documents {
 		want, got := d.value(), d.value()
 		require.NoError(t, json.Unmarshal([]byte(d.text), want))
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -55,8 +55,8 @@
 	return conn, nil
 }
 
-// Bearer is the same client, over the same connections, with a bearer token in every call.
-func (c *Client) Bearer(token string) *Client {
+// WithBearer is the same client, over the same connections, with a bearer token in every call.
+func (c *Client) WithBearer(token string) *Client {
 	authorized := *c
 	authorized.bearer = token
 	return &authorized
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -120,12 +120,12 @@
 // there are even more connections, or too many user requests in progress, users are refused.
 func (s *Server) limitUserRequests(c fiber.Ctx) error {
 	connections := int(s.app.Server().GetOpenConnectionsCount())
-	if connections > s.budget.CloseAfterReply {
+	if connections > s.budget.CloseAfterReplyAbove {
 		c.RequestCtx().SetConnectionClose()
 	}
 	inProgress := s.userRequests.Add(1)
 	defer s.userRequests.Add(-1)
-	if inProgress > s.maxUserRequests || connections > s.budget.RefuseUsers {
+	if inProgress > s.maxUserRequests || connections > s.budget.RefuseUsersAbove {
 		return sendUnavailable(c, "too many requests at once")
 	}
 	return c.Next()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -82,13 +82,13 @@
 	first := user()
 	require.Equal(t, http.StatusOK, first.StatusCode)
 	require.False(t, first.Close)
-	for open < s.budget.CloseAfterReply {
+	for open < s.budget.CloseAfterReplyAbove {
 		worker()
 	}
 	crowded := user()
 	require.Equal(t, http.StatusOK, crowded.StatusCode)
 	require.True(t, crowded.Close, "a user keeps its connection")
-	for open < s.budget.RefuseUsers {
+	for open < s.budget.RefuseUsersAbove {
 		worker()
 	}
 	full := user()
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -16,10 +16,10 @@
 type Budget struct {
 	// Inbound is for users, workers and health checks.
 	Inbound int
-	// CloseAfterReply is how many of them there may be before users' connections are closed
-	// after each reply, and RefuseUsers before users are refused and told when to retry: the
+	// CloseAfterReplyAbove is how many of them there may be before users' connections are closed
+	// after each reply, and RefuseUsersAbove before users are refused and told when to retry: the
 	// rest is for workers and health checks.
-	CloseAfterReply, RefuseUsers int
+	CloseAfterReplyAbove, RefuseUsersAbove int
 	// Workers is for calls to workers.
 	Workers int
 	// Peers is for connections from siblings.
@@ -31,13 +31,13 @@
 const (
 	workerCallsDivisor      = 8  // one socket in so many is for calls to workers
 	stateDivisor            = 64 // one in so many is for the state store, within its bounds
-	minWorkers              = 4
-	minInbound              = 8
+	minWorkerSockets        = 4
+	minInboundSockets       = 8
 	cloudSockets            = 4
-	minState                = 8
-	maxState                = 28
+	minStateSockets         = 8
+	maxStateSockets         = 28
 	connectionsPerPeer      = 3 // a sibling that restarts may leave dead connections behind
-	ownSockets              = 4 // of listeners and the runtime
+	reservedSockets         = 4 // of listeners and the runtime
 	closeAfterReplyFraction = 0.6
 	refuseUsersFraction     = 0.85
 )
@@ -46,14 +46,14 @@
 func NewBudget(settings *config.Settings) Budget {
 	total, peers := settings.Cluster.Quota.Sockets, len(settings.Siblings)
 	budget := Budget{
-		Workers: max(minWorkers, total/workerCallsDivisor),
+		Workers: max(minWorkerSockets, total/workerCallsDivisor),
 		Peers:   connectionsPerPeer * peers,
-		State:   max(minState, min(maxState, total/stateDivisor)),
+		State:   max(minStateSockets, min(maxStateSockets, total/stateDivisor)),
 		Cloud:   cloudSockets,
 	}
-	budget.Inbound = max(minInbound, total-budget.Workers-budget.Peers-peers-budget.State-budget.Cloud-ownSockets)
-	budget.CloseAfterReply = int(closeAfterReplyFraction * float64(budget.Inbound))
-	budget.RefuseUsers = int(refuseUsersFraction * float64(budget.Inbound))
+	budget.Inbound = max(minInboundSockets, total-budget.Workers-budget.Peers-peers-budget.State-budget.Cloud-reservedSockets)
+	budget.CloseAfterReplyAbove = int(closeAfterReplyFraction * float64(budget.Inbound))
+	budget.RefuseUsersAbove = int(refuseUsersFraction * float64(budget.Inbound))
 	return budget
 }
 
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -21,34 +21,34 @@
 // than the process may hold.
 func TestBudgetFitsQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var set config.Settings
-		set.Cluster.Quota.Sockets = rapid.IntRange(64, 100_000).Draw(t, "sockets")
-		set.Siblings = make([]config.Sibling, rapid.IntRange(0, 6).Draw(t, "siblings"))
-		b := NewBudget(&set)
-		require.LessOrEqual(t, b.Inbound+b.Workers+b.Peers+len(set.Siblings)+b.State+b.Cloud, set.Cluster.Quota.Sockets)
-		require.Less(t, b.CloseAfterReply, b.RefuseUsers)
-		require.Less(t, b.RefuseUsers, b.Inbound)
+		var settings config.Settings
+		settings.Cluster.Quota.Sockets = rapid.IntRange(64, 100_000).Draw(t, "sockets")
+		settings.Siblings = make([]config.Sibling, rapid.IntRange(0, 6).Draw(t, "siblings"))
+		b := NewBudget(&settings)
+		require.LessOrEqual(t, b.Inbound+b.Workers+b.Peers+len(settings.Siblings)+b.State+b.Cloud, settings.Cluster.Quota.Sockets)
+		require.Less(t, b.CloseAfterReplyAbove, b.RefuseUsersAbove)
+		require.Less(t, b.RefuseUsersAbove, b.Inbound)
 	})
 }
 
-// failing is a listener that is out of sockets at first.
-type failing struct {
+// failingListener is a listener that is out of sockets at first.
+type failingListener struct {
 	net.Listener
-	left int
+	remainingFailures int
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if f.left > 0 {
-		f.left--
+func (f *failingListener) Accept() (net.Conn, error) {
+	if f.remainingFailures > 0 {
+		f.remainingFailures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return nil, net.ErrClosed
 }
 
-// TestOutOfSockets guards against a server that ends because it was briefly out of sockets.
-func TestOutOfSockets(t *testing.T) {
-	f := &failing{left: 2}
+// TestListenerRetriesWhenOutOfSockets guards against a server that ends because it was briefly out of sockets.
+func TestListenerRetriesWhenOutOfSockets(t *testing.T) {
+	f := &failingListener{remainingFailures: 2}
 	_, err := NewRetryingListener(f, slog.New(slog.NewTextHandler(io.Discard, nil))).Accept()
 	require.True(t, errors.Is(err, net.ErrClosed))
-	require.Zero(t, f.left)
+	require.Zero(t, f.remainingFailures)
 }
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -38,13 +38,13 @@
 	Provisioner    bool         `json:"buyer"`
 	Self           bool         `json:"self"`
 	StoreReachable bool         `json:"state_fresh"`
-	// HeardFrom says that the answering controller receives its messages, HearsUs that it
+	// InboundOK says that the answering controller receives its messages, HearsUs that it
 	// receives the answering one's, and Isolated that it reports to reach no workers.
-	HeardFrom bool         `json:"heard"`
-	HearsUs   bool         `json:"hears"`
-	Isolated  bool         `json:"deaf,omitempty"`
-	Revision  Revision     `json:"ledger,omitempty"`
-	Token     FencingToken `json:"baton,omitempty"`
+	InboundOK  bool         `json:"heard"`
+	OutboundOK bool         `json:"hears"`
+	Isolated   bool         `json:"deaf,omitempty"`
+	Revision   Revision     `json:"ledger,omitempty"`
+	Token      FencingToken `json:"baton,omitempty"`
 	// Only of the answering controller: for how long its cache has not been current, the
 	// age of what it knows of cancellations, from the state store or its siblings'
 	// watermarks, and whether that is recent enough to renew workers' leases.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -21,8 +21,8 @@
 
 // message is a type that goes over the wire, with the name of its golden files.
 type message struct {
-	name string
-	make func() any
+	name     string
+	newValue func() any
 }
 
 func messageOf[T any](name string) message { return message{name, func() any { return new(T) }} }
@@ -78,7 +78,7 @@
 // viewList is the name of the list that repeats the views.
 const viewList = "admin-view-all"
 
-// enumValues are the words that enumerated fields may hold, by what they are of.
+// enumValues are the constants that enumerated fields may hold, by what they are of.
 var enumValues = map[string]any{
 	"job-shape":   []wire.Shape{wire.ShapeArray, wire.ShapeGang, wire.ShapeService},
 	"job-rank":    []wire.Priority{wire.PriorityCritical, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityBestEffort},
@@ -99,7 +99,7 @@
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) {
-			filled := m.make()
+			filled := m.newValue()
 			golden.NewFiller(2).Fill(filled)
 			text, err := json.Marshal(filled)
 			require.NoError(t, err)
@@ -107,14 +107,14 @@
 
 			strict := json.NewDecoder(bytes.NewReader(text))
 			strict.DisallowUnknownFields()
-			back := m.make()
+			back := m.newValue()
 			require.NoError(t, strict.Decode(back))
 			require.Equal(t, filled, back)
-			back = m.make()
+			back = m.newValue()
 			require.NoError(t, fastjson.Unmarshal(text, back))
 			require.Equal(t, filled, back)
 
-			empty, err := json.Marshal(m.make())
+			empty, err := json.Marshal(m.newValue())
 			require.NoError(t, err)
 			golden.Compare(t, m.name+".zero.json", empty)
 		})
@@ -148,32 +148,32 @@
 func TestGoldenIsComplete(t *testing.T) {
 	var covered []string
 	for _, m := range messages {
-		covered = append(covered, reflect.TypeOf(m.make()).Elem().Name())
+		covered = append(covered, reflect.TypeOf(m.newValue()).Elem().Name())
 	}
-	structs, words := declarations(t)
+	structs, constants := declarations(t)
 	require.ElementsMatch(t, structs, covered)
-	require.NotEmpty(t, words)
-	require.ElementsMatch(t, words, enumWords(t))
+	require.NotEmpty(t, constants)
+	require.ElementsMatch(t, constants, enumStrings(t))
 }
 
-// enumWords lists the words of the golden enum values, each field's once.
-func enumWords(t *testing.T) (words []string) {
+// enumStrings lists the constants of the golden enum values, each field's once.
+func enumStrings(t *testing.T) (constants []string) {
 	var values map[string][]any
 	require.NoError(t, json.Unmarshal(golden.Read(t, "enum-values.json"), &values))
 	delete(values, viewList)
 	for _, list := range values {
 		for _, value := range list {
-			if word, ok := value.(string); ok {
-				words = append(words, word)
+			if text, ok := value.(string); ok {
+				constants = append(constants, text)
 			}
 		}
 	}
-	return words
+	return constants
 }
 
 // declarations lists the exported struct types of the package's source, and the values
 // of its exported constants that are strings.
-func declarations(t *testing.T) (structs, words []string) {
+func declarations(t *testing.T) (structs, constants []string) {
 	entries, err := os.ReadDir(".")
 	require.NoError(t, err)
 	for _, entry := range entries {
@@ -192,24 +192,24 @@
 					structs = append(structs, node.Name.Name)
 				}
 			case *ast.ValueSpec:
-				words = append(words, exportedWords(t, node)...)
+				constants = append(constants, exportedStrings(t, node)...)
 			}
 			return true
 		})
 	}
-	return structs, words
+	return structs, constants
 }
 
-// exportedWords lists the strings that a declaration gives to exported names.
-func exportedWords(t *testing.T, spec *ast.ValueSpec) (words []string) {
+// exportedStrings lists the strings that a declaration gives to exported names.
+func exportedStrings(t *testing.T, spec *ast.ValueSpec) (constants []string) {
 	for i, value := range spec.Values {
 		literal, ok := value.(*ast.BasicLit)
 		if !ok || literal.Kind != token.STRING || !spec.Names[i].IsExported() {
 			continue
 		}
-		word, err := strconv.Unquote(literal.Value)
+		text, err := strconv.Unquote(literal.Value)
 		require.NoError(t, err)
-		words = append(words, word)
+		constants = append(constants, text)
 	}
-	return words
+	return constants
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -36,9 +36,9 @@
 
 // Bounds of the fields of a submission; a value beyond them is a mistake.
 const (
-	maxAmount = 1e9
-	maxName   = 100
-	maxTypes  = 64
+	maxAmount       = 1e9
+	maxNameBytes    = 100
+	maxMachineTypes = 64
 )
 
 // ParseJob decodes and checks a submission. Its error is a *apierror.FieldError for the first
@@ -48,31 +48,31 @@
 	if err != nil {
 		return JobSpec{}, err
 	}
-	var check submissionCheck
+	var checker submissionChecker
 	spec := JobSpec{
-		ID:                  check.jobID("id", submission.ID),
-		Class:               check.text("jobclass", submission.Class),
-		Team:                check.text("crew", submission.Team),
-		Shape:               oneOf(&check, "shape", submission.Shape, shapes, "want batch, group or daemon"),
-		Priority:            oneOf(&check, "rank", submission.Priority, priorities, "want critical, high, normal or best_effort"),
-		Tasks:               check.taskCount("loads", submission.Tasks),
-		Cores:               check.amount("cores", submission.Cores),
-		Accelerators:        check.amount("accelerators", submission.Accelerators),
-		MemGB:               check.amount("mem_gb", submission.MemGB),
-		Image:               check.text("kit", submission.Image),
-		ImageGB:             check.amount("size_gb", submission.ImageGB),
-		Types:               check.machineTypes("rigtypes", submission.Types),
-		Zone:                check.optionalText("yard", submission.Zone),
-		SingleZone:          check.flag("together", submission.SingleZone),
-		SpreadZones:         check.flag("apart", submission.SpreadZones),
-		Spot:                check.flag("loaners", submission.Spot),
-		RuntimeS:            check.amount("runtime_s", submission.RuntimeS),
-		CheckpointIntervalS: check.amount("savepoint_s", submission.CheckpointIntervalS),
-		CheckpointSaveS:     check.amount("stash_s", submission.CheckpointSaveS),
-		DeadlineS:           check.optionalAmount("due_s", submission.DeadlineS),
-	}
-	if check.fault != nil {
-		return JobSpec{}, check.fault
+		ID:                  checker.jobID("id", submission.ID),
+		Class:               checker.text("jobclass", submission.Class),
+		Team:                checker.text("crew", submission.Team),
+		Shape:               oneOf(&checker, "shape", submission.Shape, shapes, "want batch, group or daemon"),
+		Priority:            oneOf(&checker, "rank", submission.Priority, priorities, "want critical, high, normal or best_effort"),
+		Tasks:               checker.taskCount("loads", submission.Tasks),
+		Cores:               checker.amount("cores", submission.Cores),
+		Accelerators:        checker.amount("accelerators", submission.Accelerators),
+		MemGB:               checker.amount("mem_gb", submission.MemGB),
+		Image:               checker.text("kit", submission.Image),
+		ImageGB:             checker.amount("size_gb", submission.ImageGB),
+		Types:               checker.machineTypes("rigtypes", submission.Types),
+		Zone:                checker.optionalText("yard", submission.Zone),
+		SingleZone:          checker.flag("together", submission.SingleZone),
+		SpreadZones:         checker.flag("apart", submission.SpreadZones),
+		Spot:                checker.flag("loaners", submission.Spot),
+		RuntimeS:            checker.amount("runtime_s", submission.RuntimeS),
+		CheckpointIntervalS: checker.amount("savepoint_s", submission.CheckpointIntervalS),
+		CheckpointSaveS:     checker.amount("stash_s", submission.CheckpointSaveS),
+		DeadlineS:           checker.optionalAmount("due_s", submission.DeadlineS),
+	}
+	if checker.firstError != nil {
+		return JobSpec{}, checker.firstError
 	}
 	return spec, nil
 }
@@ -94,20 +94,20 @@
 	return &submission, nil
 }
 
-// submissionCheck checks fields one by one and keeps the first fault. Its methods return
+// submissionChecker checks fields one by one and keeps the first fault. Its methods return
 // the checked value, or anything if there is a fault.
-type submissionCheck struct {
-	fault error
+type submissionChecker struct {
+	firstError error
 }
 
-func (c *submissionCheck) fail(field, format string, args ...any) {
-	if c.fault == nil {
-		c.fault = apierror.Field(field, format, args...)
+func (c *submissionChecker) fail(field, format string, args ...any) {
+	if c.firstError == nil {
+		c.firstError = apierror.Field(field, format, args...)
 	}
 }
 
 // required returns a field's value, or the zero value if the field is missing.
-func required[T any](c *submissionCheck, field string, value *T) (_ T, given bool) {
+func required[T any](c *submissionChecker, field string, value *T) (_ T, given bool) {
 	if value == nil {
 		c.fail(field, "missing")
 		var zero T
@@ -117,7 +117,7 @@
 }
 
 // oneOf checks a field that allows only some values.
-func oneOf[T comparable](c *submissionCheck, field string, value *T, allowed []T, reason string) T {
+func oneOf[T comparable](c *submissionChecker, field string, value *T, allowed []T, reason string) T {
 	v, given := required(c, field, value)
 	if given && !slices.Contains(allowed, v) {
 		c.fail(field, "%s", reason)
@@ -125,7 +125,7 @@
 	return v
 }
 
-func (c *submissionCheck) jobID(field string, value *JobID) JobID {
+func (c *submissionChecker) jobID(field string, value *JobID) JobID {
 	id, given := required(c, field, value)
 	if given && !id.Valid() {
 		c.fail(field, "want wk-NUMBER")
@@ -133,7 +133,7 @@
 	return id
 }
 
-func (c *submissionCheck) taskCount(field string, value *int) int {
+func (c *submissionChecker) taskCount(field string, value *int) int {
 	count, given := required(c, field, value)
 	if given && (count < 1 || count > MaxTasks) {
 		c.fail(field, "want 1 to %d", MaxTasks)
@@ -141,22 +141,22 @@
 	return count
 }
 
-func (c *submissionCheck) text(field string, value *string) string {
+func (c *submissionChecker) text(field string, value *string) string {
 	text, given := required(c, field, value)
-	if given && (text == "" || len(text) > maxName) {
-		c.fail(field, "want 1 to %d bytes", maxName)
+	if given && (text == "" || len(text) > maxNameBytes) {
+		c.fail(field, "want 1 to %d bytes", maxNameBytes)
 	}
 	return text
 }
 
-func (c *submissionCheck) optionalText(field string, value *string) string {
+func (c *submissionChecker) optionalText(field string, value *string) string {
 	if value == nil {
 		return ""
 	}
 	return c.text(field, value)
 }
 
-func (c *submissionCheck) amount(field string, value *float64) float64 {
+func (c *submissionChecker) amount(field string, value *float64) float64 {
 	amount, given := required(c, field, value)
 	if given && (math.IsNaN(amount) || amount < 0 || amount > maxAmount) {
 		c.fail(field, "out of range")
@@ -164,25 +164,25 @@
 	return amount
 }
 
-func (c *submissionCheck) optionalAmount(field string, value *float64) float64 {
+func (c *submissionChecker) optionalAmount(field string, value *float64) float64 {
 	if value == nil {
 		return 0
 	}
 	return c.amount(field, value)
 }
 
-func (c *submissionCheck) flag(field string, value *bool) bool {
+func (c *submissionChecker) flag(field string, value *bool) bool {
 	flag, _ := required(c, field, value)
 	return flag
 }
 
 // machineTypes checks an optional list.
-func (c *submissionCheck) machineTypes(field string, value *[]string) []string {
+func (c *submissionChecker) machineTypes(field string, value *[]string) []string {
 	if value == nil {
 		return nil
 	}
-	if len(*value) == 0 || len(*value) > maxTypes {
-		c.fail(field, "want null or 1 to %d names", maxTypes)
+	if len(*value) == 0 || len(*value) > maxMachineTypes {
+		c.fail(field, "want null or 1 to %d names", maxMachineTypes)
 	}
 	for i := range *value {
 		c.text(field, &(*value)[i])
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -11,22 +11,22 @@
 	"lilacrill/internal/apierror"
 )
 
-const example = `{"id":"wk-000412","jobclass":"train","crew":"vision","shape":"group","rank":"high","loads":16,
+const exampleJob = `{"id":"wk-000412","jobclass":"train","crew":"vision","shape":"group","rank":"high","loads":16,
  "cores":8.0,"accelerators":1.0,"mem_gb":64.0,"kit":"img-07","size_gb":6.2,
  "rigtypes":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,
  "runtime_s":240.0,"savepoint_s":30.0,"stash_s":4.0,"due_s":900.0,"later":{"x":[1]}}`
 
-// TestParseJobTakesTheExample decodes the example of the protocol.
-func TestParseJobTakesTheExample(t *testing.T) {
-	j, err := ParseJob([]byte(example))
+// TestParseJobAcceptsExample decodes the exampleJob of the protocol.
+func TestParseJobAcceptsExample(t *testing.T) {
+	j, err := ParseJob([]byte(exampleJob))
 	require.NoError(t, err)
 	require.Equal(t, JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: PriorityHigh, Tasks: 16,
 		Cores: 8, Accelerators: 1, MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, SingleZone: true, Spot: true,
 		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}, j)
 }
 
-// TestParseJobNamesTheField removes a field, or makes it wrong: the error names it.
-func TestParseJobNamesTheField(t *testing.T) {
+// TestParseJobReportsInvalidField removes a field, or makes it wrong: the error names it.
+func TestParseJobReportsInvalidField(t *testing.T) {
 	nullable := map[string]bool{"rigtypes": true, "yard": true, "due_s": true}
 	wrong := map[string][]string{
 		"id":       {`7`, `""`, `"wk-"`, `"wk-12x"`, `"job-1"`, `"wk-1234567890123456789"`},
@@ -41,7 +41,7 @@
 		"rigtypes": {`[]`, `"g8"`, `[""]`},
 	}
 	var fields map[string]json.RawMessage
-	require.NoError(t, json.Unmarshal([]byte(example), &fields))
+	require.NoError(t, json.Unmarshal([]byte(exampleJob), &fields))
 	with := func(name, value string) []byte {
 		changed := map[string]json.RawMessage{}
 		for k, v := range fields {
@@ -75,7 +75,7 @@
 			requireField(t, name, err)
 		}
 	}
-	for _, body := range []string{"", "nothing", "[]", `"x"`, "null", "{", example[:100], `{"id":NaN}`} {
+	for _, body := range []string{"", "nothing", "[]", `"x"`, "null", "{", exampleJob[:100], `{"id":NaN}`} {
 		_, err := ParseJob([]byte(body))
 		require.Error(t, err, body)
 	}
@@ -89,8 +89,8 @@
 	require.Equal(t, field, fieldErr.Field)
 }
 
-// TestFormatsRoundTrip encodes generated heartbeats and decodes them.
-func TestFormatsRoundTrip(t *testing.T) {
+// TestHeartbeatRoundTrip encodes generated heartbeats and decodes them.
+func TestHeartbeatRoundTrip(t *testing.T) {
 	task := rapid.Custom(func(t *rapid.T) TaskStatus {
 		r := TaskStatus{Task: TaskID{JobID("wk-" + rapid.StringMatching("[0-9]{1,18}").Draw(t, "job")), rapid.IntRange(0, MaxTasks-1).Draw(t, "index")},
 			Attempt: Attempt(rapid.Uint64().Draw(t, "try")),
@@ -116,23 +116,23 @@
 	})
 }
 
-// TestHeartbeatsAreChecked truncates and corrupts a heartbeat: none may be accepted, and none
+// TestParseHeartbeatRejectsInvalid truncates and corrupts a heartbeat: none may be accepted, and none
 // may make the decoder panic.
-func TestHeartbeatsAreChecked(t *testing.T) {
-	good := `{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,"loads":[{"load":"wk-000412/3","try":2,"status":"running"}]}`
-	_, err := ParseHeartbeat([]byte(good))
+func TestParseHeartbeatRejectsInvalid(t *testing.T) {
+	validHeartbeat := `{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,"loads":[{"load":"wk-000412/3","try":2,"status":"running"}]}`
+	_, err := ParseHeartbeat([]byte(validHeartbeat))
 	require.NoError(t, err)
-	for i := range len(good) {
-		_, err := ParseHeartbeat([]byte(good[:i]))
-		require.Error(t, err, good[:i])
+	for i := range len(validHeartbeat) {
+		_, err := ParseHeartbeat([]byte(validHeartbeat[:i]))
+		require.Error(t, err, validHeartbeat[:i])
 	}
-	for old, spoilt := range map[string]string{`"rig":"m-000231"`: `"rig":""`, `"shift":1`: `"shift":0`, `"tally":88`: `"tally":-1`,
+	for old, invalid := range map[string]string{`"rig":"m-000231"`: `"rig":""`, `"shift":1`: `"shift":0`, `"tally":88`: `"tally":-1`,
 		`wk-000412/3`: `wk-000412/100000`, `"running"`: `"flying"`, `"baton":41`: `"baton":1e99`, `"try":2`: `"try":2.5`, `/3`: `/-3`} {
-		_, err := ParseHeartbeat([]byte(strings.Replace(good, old, spoilt, 1)))
-		require.Error(t, err, spoilt)
+		_, err := ParseHeartbeat([]byte(strings.Replace(validHeartbeat, old, invalid, 1)))
+		require.Error(t, err, invalid)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b := []byte(good)
+		b := []byte(validHeartbeat)
 		for range rapid.IntRange(1, 4).Draw(t, "spots") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -78,9 +78,9 @@
 // Check returns what makes the heartbeat unusable, or nil.
 func (h *Heartbeat) Check() error {
 	switch {
-	case h.Machine == "" || len(h.Machine) > maxName:
+	case h.Machine == "" || len(h.Machine) > maxNameBytes:
 		return errors.New("report: bad rig")
-	case h.Addr == "" || len(h.Addr) > maxName:
+	case h.Addr == "" || len(h.Addr) > maxNameBytes:
 		return errors.New("report: bad addr")
 	case h.Type == "" || h.Zone == "":
 		return errors.New("report: no rigtype or yard")
