--- a/wire/admin.go
+++ b/wire/admin.go
@@ -9,13 +9,13 @@
 	"lilacrill/internal/apierror"
 )
 
-// The administration API, under /admin/v1. Each controller answers a view from what it
-// knows itself.
+// The administration API is served under /admin/v1. Each controller builds a view from its
+// own state.
 
 // AdminView names a view of the administration API.
 type AdminView string
 
-// The views.
+// The views of the administration API.
 const (
 	ViewControllers AdminView = "controllers"
 	ViewTeams       AdminView = "teams"
@@ -27,10 +27,10 @@
 	ViewShards      AdminView = "shares"
 )
 
-// AdminViews lists the views.
+// AdminViews lists all views.
 var AdminViews = []AdminView{ViewControllers, ViewTeams, ViewMachines, ViewJobs, ViewSettings, ViewMetrics, ViewRollout, ViewShards}
 
-// AdminController is one controller.
+// AdminController is an entry of ViewControllers: the state of one controller.
 type AdminController struct {
 	Label          string       `json:"label"`
 	Incarnation    FencingToken `json:"boot"`
@@ -38,25 +38,27 @@
 	Provisioner    bool         `json:"buyer"`
 	Self           bool         `json:"self"`
 	StoreReachable bool         `json:"state_fresh"`
-	// InboundOK says that the answering controller receives its messages, HearsUs that it
-	// receives the answering one's, and Isolated that it reports to reach no workers.
+	// InboundOK says that the answering controller recently received a message from this
+	// controller, OutboundOK that this controller recently acknowledged a message of the
+	// answering one, and Isolated that this controller reports that it reaches no workers.
 	InboundOK  bool         `json:"heard"`
 	OutboundOK bool         `json:"hears"`
 	Isolated   bool         `json:"deaf,omitempty"`
 	Revision   Revision     `json:"ledger,omitempty"`
 	Token      FencingToken `json:"baton,omitempty"`
-	// Only of the answering controller: for how long its cache has not been current, the
-	// age of what it knows of cancellations, from the state store or its siblings'
-	// watermarks, and whether that is recent enough to renew workers' leases.
+	// The following fields are set only for the answering controller. StoreLagS is the time
+	// since its cache was last current. CancellationLagS is the age of its knowledge of
+	// cancellations, which comes from the state store or from its siblings' watermarks.
+	// RenewsLeases says whether that knowledge is recent enough to renew workers' leases.
 	StoreLagS        float64 `json:"in_step_s,omitempty"`
 	CancellationLagS float64 `json:"withdrawals_known_s,omitempty"`
 	RenewsLeases     bool    `json:"answers_workers,omitempty"`
-	// TimerLagS is how late its timers fire: its share of a processor is too small, or it
-	// stalled.
+	// TimerLagS is how late the controller's timers fire. Timers are late if the process
+	// gets too little processor time, or stalled.
 	TimerLagS float64 `json:"late_s,omitempty"`
 }
 
-// AdminTeam is a team's usage against its guarantee and its limit.
+// AdminTeam is an entry of ViewTeams: a team's usage, quota guarantee and quota limit.
 type AdminTeam struct {
 	Name             string  `json:"name"`
 	Owner            string  `json:"steward"`
@@ -72,7 +74,7 @@
 	PlacementBackoff bool    `json:"placement_paused"`
 }
 
-// AdminMachine is one machine.
+// AdminMachine is an entry of ViewMachines: the state of one machine.
 type AdminMachine struct {
 	ID                MachineID     `json:"id"`
 	Type              string        `json:"rigtype"`
@@ -83,12 +85,13 @@
 	Tasks             int           `json:"tasks"`
 	TerminationReason string        `json:"doomed,omitempty"`
 	Faulty            bool          `json:"faulty,omitempty"`
-	ProvisioningLate  bool          `json:"late,omitempty"` // it should have joined by now
-	Reserved          bool          `json:"reserved,omitempty"`
+	ProvisioningLate  bool          `json:"late,omitempty"`     // the machine has not joined within the time expected
+	Reserved          bool          `json:"reserved,omitempty"` // the machine is kept as headroom
 	PreemptionNotice  bool          `json:"recalled,omitempty"`
 }
 
-// AdminJob is one job that is not over, with the reason why tasks are pending.
+// AdminJob is an entry of ViewJobs: a job that is not in a terminal status. Reason says why
+// tasks are pending.
 type AdminJob struct {
 	ID       JobID    `json:"id"`
 	Class    string   `json:"jobclass"`
@@ -99,26 +102,27 @@
 	Placed   int      `json:"placed"`
 	Waiting  int      `json:"waiting"`
 	Reason   string   `json:"reason,omitempty"`
-	// FailedOn is on how many machines its tasks failed since one succeeded, and
-	// BackoffS for how long none is started.
+	// FailedOn is the number of machines on which tasks of the job failed since one last
+	// succeeded. BackoffS is the time until tasks of the job are started again.
 	FailedOn int     `json:"failed_on,omitempty"`
 	BackoffS float64 `json:"paused_s,omitempty"`
 }
 
-// AdminSettings is the operators' settings with their version.
+// AdminSettings is the content of ViewSettings, and the body of a change: the operator settings with their
+// version.
 type AdminSettings struct {
 	Version  Revision        `json:"version"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// AdminMetrics has counts since the controller started, and distributions of times in
-// milliseconds.
+// AdminMetrics is the content of ViewMetrics: counters since the controller started, and distributions of
+// latencies in milliseconds.
 type AdminMetrics struct {
 	Counts map[string]uint64       `json:"counts"`
 	Times  map[string]AdminLatency `json:"times_ms"`
 }
 
-// AdminLatency sums up a histogram.
+// AdminLatency summarizes a histogram of latencies.
 type AdminLatency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -127,22 +131,22 @@
 	Max   int64 `json:"max"`
 }
 
-// AdminRollout is the format in force, and what blocks the next one.
+// AdminRollout is the content of ViewRollout: the format in force, and what blocks the next format.
 type AdminRollout struct {
 	Version Revision `json:"version"`
 	Format  Format   `json:"format"`
 	// Oldest and Newest are the formats that the answering controller reads.
 	Oldest Format `json:"oldest"`
 	Newest Format `json:"newest"`
-	// Next is the format that could come next, if there is one, and Ready says that no
-	// controller blocks it.
+	// Next is the format that can be activated next, or 0 if there is none. Ready says
+	// that no controller blocks the next format.
 	Next        Format                   `json:"next,omitempty"`
 	Ready       bool                     `json:"ready"`
 	Controllers []AdminRolloutController `json:"controllers"`
 }
 
-// AdminRolloutController is one controller in a rollout. Its formats are those of its
-// latest process that registered, if any did.
+// AdminRolloutController is the state of one controller in a rollout. Oldest and Newest are
+// the formats of its latest registered process, or 0 if none has registered.
 type AdminRolloutController struct {
 	Label       string       `json:"label"`
 	Alive       bool         `json:"alive"`
@@ -150,12 +154,12 @@
 	Oldest      Format       `json:"oldest,omitempty"`
 	Newest      Format       `json:"newest,omitempty"`
 	Release     string       `json:"release,omitempty"`
-	Blocks      string       `json:"blocks,omitempty"` // why it blocks the next format
-	Excluded    string       `json:"excluded,omitempty"`
+	Blocks      string       `json:"blocks,omitempty"`   // why the controller blocks the next format
+	Excluded    string       `json:"excluded,omitempty"` // why an operator excluded the controller
 }
 
-// AdminRolloutChange asks for exactly one of: a format to be activated, a controller
-// that is down to be excluded, for a reason, or an exclusion to be taken back.
+// AdminRolloutChange requests exactly one change of the rollout: activate a format, exclude a
+// controller that is down, with a reason, or include an excluded controller again.
 type AdminRolloutChange struct {
 	Version  Revision `json:"version"`
 	Activate *Format  `json:"activate,omitempty"`
@@ -164,7 +168,7 @@
 	Include  string   `json:"include,omitempty"`
 }
 
-// ParseAdminRolloutChange decodes and checks a change. Its error is a *apierror.FieldError.
+// ParseAdminRolloutChange decodes and checks a change. Its error is an *apierror.FieldError.
 func ParseAdminRolloutChange(body []byte) (AdminRolloutChange, error) {
 	var change AdminRolloutChange
 	if err := decodeStrict(body, &change); err != nil {
@@ -179,6 +183,7 @@
 	return change, nil
 }
 
+// countTrue returns how many of the values are true.
 func countTrue(values ...bool) int {
 	count := 0
 	for _, value := range values {
@@ -189,8 +194,8 @@
 	return count
 }
 
-// decodeStrict decodes a JSON object and refuses fields that the target does not have: the
-// senders are operators, who should learn of a misspelt one.
+// decodeStrict decodes a JSON object and rejects fields that the target does not have, so that
+// an operator who misspells a field gets an error.
 func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -19,7 +19,7 @@
 	"lilacrill/wire"
 )
 
-// message is a type that goes over the wire, with the name of its golden files.
+// message is a message type of the package, with the name of its golden files.
 type message struct {
 	name     string
 	newValue func() any
@@ -27,7 +27,7 @@
 
 func messageOf[T any](name string) message { return message{name, func() any { return new(T) }} }
 
-// messages has every exported struct type of the package.
+// messages lists every exported struct type of the package.
 var messages = []message{
 	messageOf[wire.JobSpec]("job-spec"),
 	messageOf[wire.JobStatus]("job-status"),
@@ -75,10 +75,10 @@
 	messageOf[wire.AdminShardChange]("admin-shares-change"),
 }
 
-// viewList is the name of the list that repeats the views.
+// viewList is the key in enumValues under which the views are listed a second time.
 const viewList = "admin-view-all"
 
-// enumValues are the constants that enumerated fields may hold, by what they are of.
+// enumValues are the values of the enumerated fields, and the limits, by name.
 var enumValues = map[string]any{
 	"job-shape":   []wire.Shape{wire.ShapeArray, wire.ShapeGang, wire.ShapeService},
 	"job-rank":    []wire.Priority{wire.PriorityCritical, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityBestEffort},
@@ -94,8 +94,8 @@
 	"limits": []int{wire.MaxTasks, wire.MaxBody, wire.MaxProvision, wire.MaxTerminate, wire.MaxMachinesPerPage},
 }
 
-// TestGoldenMessages encodes every message with all fields set and decodes it with both
-// decoders; then it encodes it with none set.
+// TestGoldenMessages encodes every message with all fields set, and decodes it with encoding/json
+// and with fastjson. It also encodes every message with no field set.
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range messages {
 		t.Run(m.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGoldenParsers gives golden messages to the functions that decode and check.
+// TestGoldenParsers decodes golden messages with the functions that also check them.
 func TestGoldenParsers(t *testing.T) {
 	var spec wire.JobSpec
 	golden.NewFiller(2).Fill(&spec)
@@ -136,7 +136,8 @@
 	require.Equal(t, &report, parsedReport)
 }
 
-// TestGoldenEnumValues compares the values of enumerated fields, and the limits.
+// TestGoldenEnumValues compares the values of enumerated fields and the limits with the golden
+// file.
 func TestGoldenEnumValues(t *testing.T) {
 	text, err := json.MarshalIndent(enumValues, "", "  ")
 	require.NoError(t, err)
@@ -156,7 +157,8 @@
 	require.ElementsMatch(t, constants, enumStrings(t))
 }
 
-// enumStrings lists the constants of the golden enum values, each field's once.
+// enumStrings lists the strings among the golden enum values, without the second list of the
+// views.
 func enumStrings(t *testing.T) (constants []string) {
 	var values map[string][]any
 	require.NoError(t, json.Unmarshal(golden.Read(t, "enum-values.json"), &values))
@@ -171,8 +173,8 @@
 	return constants
 }
 
-// declarations lists the exported struct types of the package's source, and the values
-// of its exported constants that are strings.
+// declarations lists the exported struct types in the source of the package, and the values of
+// its exported string constants.
 func declarations(t *testing.T) (structs, constants []string) {
 	entries, err := os.ReadDir(".")
 	require.NoError(t, err)
@@ -200,7 +202,7 @@
 	return structs, constants
 }
 
-// exportedStrings lists the strings that a declaration gives to exported names.
+// exportedStrings lists the string literals that a declaration assigns to exported names.
 func exportedStrings(t *testing.T, spec *ast.ValueSpec) (constants []string) {
 	for i, value := range spec.Values {
 		literal, ok := value.(*ast.BasicLit)
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -1,6 +1,6 @@
-// Package wire has the messages that lilacrill exchanges with users, workers, the cloud, the
-// state store and its siblings. Clients may import it. The JSON names are the protocol's,
-// the Go names those of docs/glossary.md. Fields that end in S are seconds.
+// Package wire defines the messages that a controller exchanges with users, workers, the cloud,
+// the state store and its peers. Clients may import it. The JSON names are those of the
+// protocol, the Go names those of docs/glossary.md. Fields whose names end in S are in seconds.
 package wire
 
 import (
@@ -9,13 +9,14 @@
 	"strings"
 )
 
-// JobID names a job; users choose it.
+// JobID identifies a job. Users choose it.
 type JobID string
 
-// maxJobDigits bounds the number in a job id so that ids stay short keys.
+// maxJobDigits is the maximum number of digits in a job ID. It keeps the keys that contain job
+// IDs short.
 const maxJobDigits = 18
 
-// Valid reports whether the id has the form that the protocol allows: wk-NUMBER.
+// Valid reports whether the ID has the form wk-NUMBER that the protocol requires.
 func (id JobID) Valid() bool {
 	digits, ok := strings.CutPrefix(string(id), "wk-")
 	if !ok || len(digits) == 0 || len(digits) > maxJobDigits {
@@ -29,16 +30,16 @@
 	return true
 }
 
-// MachineID names a machine.
+// MachineID identifies a machine.
 type MachineID string
 
-// TaskID names one task of a job, as in "wk-000412/3".
+// TaskID identifies one task of a job, as in "wk-000412/3".
 type TaskID struct {
 	Job   JobID
 	Index int
 }
 
-// String gives the form used on the wire.
+// String returns the ID in the form used in messages.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -58,15 +59,14 @@
 	return nil
 }
 
-// Attempt tells one start of a task from another.
+// Attempt numbers a task attempt, so that one start of a task can be distinguished from another.
 type Attempt uint64
 
-// FencingToken orders the controllers that command workers: a worker refuses commands with a
-// lower token than it has seen.
+// FencingToken orders the controllers that send commands to workers. A worker rejects a command
+// whose token is lower than the highest that it has received.
 type FencingToken uint64
 
-// AgentEpoch counts the starts of a worker's agent. What an earlier one reported no longer
-// holds.
+// AgentEpoch counts the starts of a worker's agent. Heartbeats of an earlier epoch are outdated.
 type AgentEpoch uint64
 
 // Sequence orders the heartbeats of a worker within one agent epoch.
@@ -75,13 +75,13 @@
 // Revision is a revision of the state store, or the one at which a key was last written.
 type Revision uint64
 
-// LeaseID names a lease of the state store.
+// LeaseID identifies a lease of the state store.
 type LeaseID uint64
 
-// Format numbers a way of encoding records and peer messages.
+// Format is the number of an encoding of records and peer messages.
 type Format int
 
-// ShardID numbers a shard of the machines.
+// ShardID is the number of a shard of the machines.
 type ShardID int
 
 // ShardEpoch counts the changes of a shard's owner.
--- a/wire/job.go
+++ b/wire/job.go
@@ -9,8 +9,7 @@
 	"lilacrill/internal/apierror"
 )
 
-// jobSubmission mirrors JobSpec with pointers, to tell a missing field
-// from a zero one.
+// jobSubmission mirrors JobSpec with pointers, to distinguish a missing field from a zero value.
 type jobSubmission struct {
 	ID                  *JobID    `json:"id"`
 	Class               *string   `json:"jobclass"`
@@ -34,15 +33,15 @@
 	DeadlineS           *float64  `json:"due_s"`
 }
 
-// Bounds of the fields of a submission; a value beyond them is a mistake.
+// Upper bounds of fields of submissions and heartbeats. A larger value is considered a mistake.
 const (
-	maxAmount       = 1e9
+	maxAmount       = 1e9 // of resources, and of times in seconds
 	maxNameBytes    = 100
 	maxMachineTypes = 64
 )
 
-// ParseJob decodes and checks a submission. Its error is a *apierror.FieldError for the first
-// field that is wrong, in the order of the fields of JobSpec.
+// ParseJob decodes and checks a submission. Its error is an *apierror.FieldError for the first
+// invalid field, in the order of the fields of JobSpec.
 func ParseJob(body []byte) (JobSpec, error) {
 	submission, err := decodeSubmission(body)
 	if err != nil {
@@ -77,8 +76,8 @@
 	return spec, nil
 }
 
-// decodeSubmission decodes a JSON object. encoding/json ignores fields that it does not
-// know, so that newer clients may send more.
+// decodeSubmission decodes a JSON object. It ignores unknown fields, so that newer clients may
+// send additional ones.
 func decodeSubmission(body []byte) (*jobSubmission, error) {
 	if firstByte(body) != '{' {
 		return nil, apierror.Field("body", "want a JSON object")
@@ -94,19 +93,21 @@
 	return &submission, nil
 }
 
-// submissionChecker checks fields one by one and keeps the first fault. Its methods return
-// the checked value, or anything if there is a fault.
+// submissionChecker checks the fields of a submission one by one and keeps the first error. The
+// values that its methods return are only meaningful if there is no error.
 type submissionChecker struct {
 	firstError error
 }
 
+// fail records an error for the field unless there is an earlier one.
 func (c *submissionChecker) fail(field, format string, args ...any) {
 	if c.firstError == nil {
 		c.firstError = apierror.Field(field, format, args...)
 	}
 }
 
-// required returns a field's value, or the zero value if the field is missing.
+// required returns the value of a field. If the field is missing, required records an error and
+// returns the zero value.
 func required[T any](c *submissionChecker, field string, value *T) (_ T, given bool) {
 	if value == nil {
 		c.fail(field, "missing")
@@ -116,7 +117,7 @@
 	return *value, true
 }
 
-// oneOf checks a field that allows only some values.
+// oneOf checks a required field that allows only the given values.
 func oneOf[T comparable](c *submissionChecker, field string, value *T, allowed []T, reason string) T {
 	v, given := required(c, field, value)
 	if given && !slices.Contains(allowed, v) {
@@ -176,7 +177,7 @@
 	return flag
 }
 
-// machineTypes checks an optional list.
+// machineTypes checks an optional list of names of machine types.
 func (c *submissionChecker) machineTypes(field string, value *[]string) []string {
 	if value == nil {
 		return nil
@@ -190,7 +191,7 @@
 	return *value
 }
 
-// firstByte is the first byte that is not white space, 0 if there is none.
+// firstByte returns the first byte that is not white space, or 0 if there is none.
 func firstByte(text []byte) byte {
 	for _, c := range text {
 		if c != ' ' && c != '\t' && c != '\n' && c != '\r' {
--- a/wire/services.go
+++ b/wire/services.go
@@ -21,8 +21,8 @@
 	Types []MachineType `json:"rigtypes"`
 }
 
-// ProvisionRequest is the body of POST /hosts. Its name makes repeating it safe, and is never
-// used for another request.
+// ProvisionRequest is the body of POST /hosts. The request can safely be repeated under the same
+// name, and the name is never used for another request.
 type ProvisionRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"rigtype"`
@@ -36,17 +36,17 @@
 	Names []MachineID `json:"rigs"`
 }
 
-// MachineStatus is a machine's state in the cloud's list.
+// MachineStatus is the state of a machine in the cloud's list of machines.
 type MachineStatus string
 
-// The states of listed machines.
+// The states of machines in the list.
 const (
 	MachineBooting MachineStatus = "booting"
 	MachineRunning MachineStatus = "running"
 	MachineFailed  MachineStatus = "failed"
 )
 
-// CloudMachine is one entry of the cloud's list.
+// CloudMachine is one entry of the cloud's list of machines.
 type CloudMachine struct {
 	ID     MachineID     `json:"id"`
 	Addr   string        `json:"addr"`
@@ -63,7 +63,7 @@
 	More     bool           `json:"more"`
 }
 
-// Limits of single cloud calls.
+// Limits of a single call to the cloud, in machines.
 const (
 	MaxProvision       = 50
 	MaxTerminate       = 100
@@ -84,7 +84,7 @@
 	Revision Revision `json:"ledger"`
 }
 
-// Condition requires a key to have a version; 0 requires that it does not exist.
+// Condition requires a key to have a version. Version 0 requires that the key does not exist.
 type Condition struct {
 	Key     string   `json:"key"`
 	Version Revision `json:"stamp"`
@@ -104,14 +104,14 @@
 	Then []Change    `json:"then"`
 }
 
-// TransactionResponse answers /multi: 200 if the changes were made, or 409 with the keys whose
-// conditions failed.
+// TransactionResponse answers POST /multi. The status is 200 if the changes were made, or 409 if
+// conditions failed, with the keys of those conditions.
 type TransactionResponse struct {
 	Revision Revision `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
-// ChangeEvent is one change of a watch.
+// ChangeEvent is one change that a watch returns.
 type ChangeEvent struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
@@ -125,60 +125,63 @@
 	Events   []ChangeEvent `json:"log"`
 }
 
-// PeerMessage is one message between controllers. One with nothing else only says that its
+// PeerMessage is one message between controllers. A message without content only shows that its
 // sender is alive.
 type PeerMessage struct {
 	From string `json:"from"`
-	// Format is the format of the message; messages of the first format leave it out.
+	// Format is the format of the message. Messages of the first format omit it.
 	Format Format `json:"format,omitempty"`
-	// StoreReachable says that the state store has answered the sender recently.
+	// StoreReachable says that the state store has recently answered the sender.
 	StoreReachable bool `json:"state_fresh,omitempty"`
-	// Watermark, on some messages, bounds which cancellations the receiver may not know.
+	// Watermark, if set, bounds which cancellations the receiver may not know.
 	Watermark *CancellationWatermark `json:"vouch,omitempty"`
-	// Heartbeats are those that the sender received and in which more than the sequence
-	// has changed.
+	// Heartbeats are the heartbeats that the sender received and that differ from the ones
+	// sent before in more than their sequence and token.
 	Heartbeats []*Heartbeat `json:"reports,omitempty"`
-	// UnchangedHeartbeats are of the machines that reported the same as before.
+	// UnchangedHeartbeats are those of the machines whose status has not changed.
 	UnchangedHeartbeats []UnchangedHeartbeat `json:"heard,omitempty"`
-	// CloudMachines is what is new in the cloud's machine list as the sender read it.
+	// CloudMachines are the changed entries of the cloud's list of machines as the sender read it.
 	CloudMachines []CloudMachine `json:"cloud,omitempty"`
 	// Capacity, if set, is the free capacity of the sender's shards.
 	Capacity *[]CapacityOffer `json:"room,omitempty"`
-	// ForwardedJobs are the jobs that the sender forwards.
+	// ForwardedJobs are the jobs that the sender forwards to other controllers.
 	ForwardedJobs []ForwardedJob `json:"hand_offs,omitempty"`
 }
 
 // CancellationWatermark covers every cancellation that its sender may have confirmed to a user
-// until it sent the message: those that are not among the state store's changes up to Since
-// are listed.
+// before it sent the message. A receiver knows all of them once it has read the state store's
+// changes up to revision Since and applied the cancellations listed.
 type CancellationWatermark struct {
-	// Process tells the sender's process from earlier ones of its label, and Sequence
-	// counts that process's watermarks.
+	// Process distinguishes the sender's process from earlier processes with the same label,
+	// and Sequence counts the watermarks of that process.
 	Process  uint64 `json:"p"`
 	Sequence uint64 `json:"n"`
-	// Revision is the revision up to which the sender knows all changes.
+	// Revision is the revision up to which the sender knows all changes of the state store.
 	Revision Revision `json:"l"`
 	Since    Revision `json:"f"`
-	// Acks names the newest watermark that the sender received of each sibling, which
-	// bounds the age of this one by the sibling's own clock.
+	// Acks is the newest watermark that the sender received from each sibling, by label. The
+	// sibling knows when it sent that watermark, and so can bound the age of this one by its
+	// own clock.
 	Acks          map[string]WatermarkAck `json:"h,omitempty"`
 	Cancellations []Cancellation          `json:"w,omitempty"`
 }
 
-// WatermarkAck names a watermark that was received.
+// WatermarkAck identifies a watermark that was received.
 type WatermarkAck struct {
 	Process  uint64 `json:"p"`
 	Sequence uint64 `json:"n"`
 }
 
-// Cancellation is a job that was cancelled at a revision, with so many tasks done.
+// Cancellation is a cancelled job, with the revision of the cancellation and the number of tasks
+// that were done.
 type Cancellation struct {
 	Job     JobID    `json:"j"`
 	Version Revision `json:"s"`
 	Done    int      `json:"d,omitempty"`
 }
 
-// UnchangedHeartbeat is a heartbeat with nothing new but these fields.
+// UnchangedHeartbeat stands for a heartbeat that differs from the one sent before in nothing but
+// its sequence and token.
 type UnchangedHeartbeat struct {
 	Machine    MachineID    `json:"m"`
 	AgentEpoch AgentEpoch   `json:"s"`
--- a/wire/user.go
+++ b/wire/user.go
@@ -1,15 +1,15 @@
 package wire
 
-// MaxTasks is the largest number of tasks a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxBody is the largest request body the protocol allows.
+// MaxBody is the maximum size of a request body, in bytes.
 const MaxBody = 64 << 10
 
-// Shape says how a job's tasks depend on one another.
+// Shape is the kind of a job, which determines how its tasks depend on one another.
 type Shape string
 
-// The shapes of jobs.
+// The shapes of jobs: array, gang and service jobs.
 const (
 	ShapeArray   Shape = "batch"
 	ShapeGang    Shape = "group"
@@ -19,7 +19,7 @@
 // shapes lists the shapes that the protocol allows.
 var shapes = []Shape{ShapeArray, ShapeGang, ShapeService}
 
-// Priority is a job's priority.
+// Priority is the priority of a job.
 type Priority string
 
 // The priorities, most urgent first.
@@ -33,8 +33,8 @@
 // priorities lists the priorities that the protocol allows, most urgent first.
 var priorities = []Priority{PriorityCritical, PriorityHigh, PriorityNormal, PriorityBestEffort}
 
-// Level is 0 for the most urgent priority and rises from there. Values that the protocol
-// does not allow count as best effort.
+// Level returns the rank of the priority, from 0 for the most urgent to 3 for the least urgent.
+// Values that the protocol does not allow count as best effort.
 func (p Priority) Level() int {
 	switch p {
 	case PriorityCritical:
@@ -47,8 +47,8 @@
 	return 3
 }
 
-// JobSpec is a job as a user submits it. Amounts and times are those of one task, times
-// in seconds.
+// JobSpec is a job as a user submits it. Amounts and times are those of one task, except that
+// DeadlineS counts from the acceptance of the job. Times are in seconds.
 type JobSpec struct {
 	ID                  JobID    `json:"id"`
 	Class               string   `json:"jobclass"`
@@ -72,7 +72,7 @@
 	DeadlineS           float64  `json:"due_s,omitempty"`
 }
 
-// Status is the state of a job as users see it.
+// Status is the status of a job as reported to users.
 type Status string
 
 // The statuses of jobs.
@@ -83,10 +83,10 @@
 	StatusCancelled Status = "withdrawn"
 )
 
-// IsTerminal reports whether the status never changes again.
+// IsTerminal reports whether the status is final.
 func (s Status) IsTerminal() bool { return s == StatusDone || s == StatusCancelled }
 
-// JobStatus answers a submission, a poll or a cancellation. Done and Running count tasks.
+// JobStatus answers a submission, a poll or a cancellation. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      JobID  `json:"id"`
 	Status  Status `json:"status"`
@@ -94,7 +94,7 @@
 	Running int    `json:"running"`
 }
 
-// ErrorResponse is the body of an answer that refuses a request.
+// ErrorResponse is the body of a response that rejects a request.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -16,7 +16,7 @@
  "rigtypes":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,
  "runtime_s":240.0,"savepoint_s":30.0,"stash_s":4.0,"due_s":900.0,"later":{"x":[1]}}`
 
-// TestParseJobAcceptsExample decodes the exampleJob of the protocol.
+// TestParseJobAcceptsExample decodes the example of the protocol.
 func TestParseJobAcceptsExample(t *testing.T) {
 	j, err := ParseJob([]byte(exampleJob))
 	require.NoError(t, err)
@@ -25,7 +25,8 @@
 		RuntimeS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}, j)
 }
 
-// TestParseJobReportsInvalidField removes a field, or makes it wrong: the error names it.
+// TestParseJobReportsInvalidField removes a field or gives it an invalid value, and requires an
+// error that names the field.
 func TestParseJobReportsInvalidField(t *testing.T) {
 	nullable := map[string]bool{"rigtypes": true, "yard": true, "due_s": true}
 	wrong := map[string][]string{
@@ -81,7 +82,7 @@
 	}
 }
 
-// requireField requires an error that names a field.
+// requireField requires an *apierror.FieldError for the field.
 func requireField(t *testing.T, field string, err error) {
 	t.Helper()
 	var fieldErr *apierror.FieldError
@@ -89,7 +90,7 @@
 	require.Equal(t, field, fieldErr.Field)
 }
 
-// TestHeartbeatRoundTrip encodes generated heartbeats and decodes them.
+// TestHeartbeatRoundTrip requires generated heartbeats to be unchanged after encoding and decoding.
 func TestHeartbeatRoundTrip(t *testing.T) {
 	task := rapid.Custom(func(t *rapid.T) TaskStatus {
 		r := TaskStatus{Task: TaskID{JobID("wk-" + rapid.StringMatching("[0-9]{1,18}").Draw(t, "job")), rapid.IntRange(0, MaxTasks-1).Draw(t, "index")},
@@ -116,8 +117,9 @@
 	})
 }
 
-// TestParseHeartbeatRejectsInvalid truncates and corrupts a heartbeat: none may be accepted, and none
-// may make the decoder panic.
+// TestParseHeartbeatRejectsInvalid requires truncated heartbeats and those with invalid values to be
+// rejected. Random corruption must not make the decoder panic, and a corrupted heartbeat that is
+// accepted must pass the check.
 func TestParseHeartbeatRejectsInvalid(t *testing.T) {
 	validHeartbeat := `{"rig":"m-000231","addr":"10.1.0.232:9000","rigtype":"g8","yard":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,"loads":[{"load":"wk-000412/3","try":2,"status":"running"}]}`
 	_, err := ParseHeartbeat([]byte(validHeartbeat))
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -8,7 +8,7 @@
 	"lilacrill/internal/fastjson"
 )
 
-// TaskState is a task's state on its machine.
+// TaskState is the state of a task on its machine.
 type TaskState string
 
 // The states of tasks.
@@ -20,10 +20,10 @@
 	TaskExited        TaskState = "exited"
 )
 
-// Cause says why a task exited.
+// Cause is the cause of a task exit.
 type Cause string
 
-// The causes of exits.
+// The causes of task exits.
 const (
 	CauseDone        Cause = "done"
 	CauseStopped     Cause = "halted"
@@ -35,7 +35,7 @@
 	CauseUnknown     Cause = "unknown"
 )
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task         TaskID    `json:"load"`
 	Attempt      Attempt   `json:"try"`
@@ -44,7 +44,8 @@
 	Checkpointed bool      `json:"stored,omitempty"`
 }
 
-// Heartbeat is what a worker reports: in POST /hello, and in its answers to /do and /show.
+// Heartbeat is the status of a worker. Workers send it in POST /hello and in their responses to
+// /do and /show.
 type Heartbeat struct {
 	Machine           MachineID    `json:"rig"`
 	Addr              string       `json:"addr"`
@@ -58,7 +59,7 @@
 	Tasks             []TaskStatus `json:"loads"`
 }
 
-// Newer reports whether the worker made h after other.
+// Newer reports whether the worker created h after other.
 func (h *Heartbeat) Newer(other *Heartbeat) bool {
 	return h.AgentEpoch > other.AgentEpoch || h.AgentEpoch == other.AgentEpoch && h.Sequence > other.Sequence
 }
@@ -75,7 +76,7 @@
 	return &heartbeat, nil
 }
 
-// Check returns what makes the heartbeat unusable, or nil.
+// Check returns an error that says why the heartbeat is invalid, or nil.
 func (h *Heartbeat) Check() error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > maxNameBytes:
@@ -103,18 +104,18 @@
 	return nil
 }
 
-// Verb is what a command tells a worker to do.
+// Verb is the action that a command requests from a worker.
 type Verb string
 
-// The verbs of commands. Clear has the worker clean up an exited task.
+// The verbs of commands. VerbClear requests the cleanup of an exited task.
 const (
 	VerbLaunch Verb = "launch"
 	VerbStop   Verb = "stop"
 	VerbClear  Verb = "clear"
 )
 
-// Command is one command to a worker. The grace period is how long a task that is stopped
-// may take to exit.
+// Command is one command to a worker. GracePeriodS is the time that a task that is stopped may take
+// to exit.
 type Command struct {
 	Verb         Verb     `json:"verb"`
 	Task         TaskID   `json:"load"`
@@ -122,18 +123,19 @@
 	GracePeriodS *float64 `json:"windup_s,omitempty"`
 }
 
-// HeartbeatResponse answers /hello with 200.
+// HeartbeatResponse answers POST /hello with status 200.
 type HeartbeatResponse struct {
 	Token    FencingToken `json:"baton"`
 	Commands []Command    `json:"orders"`
 }
 
-// Redirect answers /hello with 421: the controller named, if any, is to get the heartbeats.
+// Redirect answers POST /hello with status 421. Controller, if set, is the controller to which the
+// worker is to send its heartbeats.
 type Redirect struct {
 	Controller string `json:"foreman,omitempty"`
 }
 
-// CommandRequest is the body of /do.
+// CommandRequest is the body of /do requests.
 type CommandRequest struct {
 	Token      FencingToken `json:"baton"`
 	AgentEpoch AgentEpoch   `json:"shift"`
