--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,10 +8,11 @@
 	"lilacrill/internal/apierror"
 )
 
-// maxTextBytes is the longest text, in bytes, that a setting may have.
+// maxTextBytes is the maximum length of a text in the settings, in bytes.
 const maxTextBytes = 100
 
-// maxAmount bounds amounts and times; beyond it is a mistake.
+// maxAmount is the upper bound of amounts, and of times in seconds. A larger value is considered a
+// mistake.
 const maxAmount = 1e9
 
 const (
@@ -19,12 +20,12 @@
 	secondsPerDay  = 24 * secondsPerHour
 )
 
-// settingsChecker checks fields one by one and keeps the first fault.
+// settingsChecker checks fields one by one and keeps the first error.
 type settingsChecker struct {
 	firstError error
 }
 
-// check returns an *apierror.FieldError for the first field that is wrong, or nil.
+// check returns an *apierror.FieldError for the first invalid field, or nil.
 func (s *Settings) check() error {
 	var checker settingsChecker
 	checker.text("label", s.Label)
@@ -110,6 +111,7 @@
 	c.within("cluster.quota.sockets", float64(quota.Sockets), 32, 1e7)
 }
 
+// fail records an error for the field unless there is an earlier one.
 func (c *settingsChecker) fail(field, format string, args ...any) {
 	if c.firstError == nil {
 		c.firstError = apierror.Field(field, format, args...)
@@ -139,14 +141,14 @@
 	}
 }
 
-// limit checks a team's limit, which is none if it is 0.
+// limit checks a team's quota limit. A limit of 0 means that there is none.
 func (c *settingsChecker) limit(field string, limit, guarantee float64) {
 	if limit != 0 {
 		c.within(field, limit, guarantee, maxAmount)
 	}
 }
 
-// unused fails if a name was used before, and notes it.
+// unique records an error if the name has been used before, and marks it as used.
 func (c *settingsChecker) unique(field, name string, used map[string]bool) {
 	if used[name] {
 		c.fail(field, "%q is used twice", name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// to every controller.
+// Package config reads and checks the settings file, which the platform provides to every
+// controller, the features file and the operator settings.
 package config
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the settings file of one controller. Fields of the file that it does not have
-// are ignored, since the platform may add some. Fields that end in S are seconds.
+// Settings is the settings file of one controller. Unknown fields of the file are ignored, since
+// the platform may add some. Fields whose names end in S are in seconds.
 type Settings struct {
 	Label      string    `toml:"label"`
 	Zone       string    `toml:"area"`
@@ -23,24 +23,25 @@
 	Services   Services  `toml:"services"`
 	Cluster    Cluster   `toml:"cluster"`
 
-	// Features come from a file of their own.
+	// Features are read from a separate file.
 	Features Features `toml:"-"`
 }
 
-// Sibling is another controller of the cluster, with the address that it takes peer messages on.
+// Sibling is another controller of the cluster. Endpoint is the address on which it receives peer
+// messages.
 type Sibling struct {
 	Label    string `toml:"label"`
 	Zone     string `toml:"area"`
 	Endpoint string `toml:"endpoint"`
 }
 
-// Services holds the addresses, with port, of the outside services.
+// Services holds the addresses, with port, of the cloud and the state store.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Cluster is what is the same for all controllers.
+// Cluster holds the settings that are the same for all controllers.
 type Cluster struct {
 	Size       int         `toml:"size"`
 	Zones      []string    `toml:"zones"`
@@ -53,8 +54,9 @@
 	Quota      Quota       `toml:"quota"`
 }
 
-// Team has a quota guarantee and a limit. A guarantee of 0 is none, and so is a limit of 0:
-// guests are listed with both at 0, and get what is free.
+// Team is a team with its quota guarantee and quota limit. A guarantee of 0 means no guarantee, and
+// a limit of 0 means no limit. Guest teams are listed with both at 0, and get the capacity that is
+// free.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -63,11 +65,11 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Unlimited stands for no limit. It is more than any cluster has, and small enough that its
-// quotient by a task's fraction of a core is a number.
+// Unlimited is the amount that stands for no limit. It is more than any cluster has, and small
+// enough that its quotient by a task's fraction of a core is still a finite number.
 const Unlimited = 1e12
 
-// Limits are the most that the team's tasks may use at any time.
+// Limits returns the maximum amounts that the team's tasks may use at any time.
 func (t *Team) Limits() (cpus, gpus float64) {
 	cpus, gpus = t.CPUsMax, t.GPUsMax
 	if cpus == 0 {
@@ -79,8 +81,8 @@
 	return cpus, gpus
 }
 
-// Objective is a service level that users ask for: this fraction of the cases of a kind,
-// in jobs of a class, is to be within a time.
+// Objective is a service level objective. The fraction Share of the cases of a kind, in jobs of a
+// class, is to take at most WithinS seconds.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -88,9 +90,9 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers holds the timing of workers: how often they send heartbeats, when their lease runs
-// out, how long a gang's tasks wait for one another, and when a cancelled job must have
-// stopped.
+// Workers holds the timing of workers: the interval between their heartbeats, the duration of their
+// lease, how long a gang's tasks wait for one another, and the time within which a cancelled job
+// must have stopped.
 type Workers struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -113,15 +115,15 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Quota is what one controller process may use.
+// Quota holds the resources that one controller process may use.
 type Quota struct {
 	CoreShare float64 `toml:"core_share"`
 	MemMB     float64 `toml:"mem_mb"`
 	Sockets   int     `toml:"sockets"`
 }
 
-// Load reads and checks the file. Its error is one line with the file and the field: it wraps
-// an *apierror.FieldError, unless the file cannot be read or is not TOML.
+// Load reads and checks the settings file. Its error is one line that names the file and the field.
+// The error wraps an *apierror.FieldError unless the file cannot be read or is not TOML.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -138,8 +140,8 @@
 	return s, nil
 }
 
-// Parse decodes and checks settings. Its error is an *apierror.FieldError for the first field
-// that is wrong, or says where the text is not TOML.
+// Parse decodes and checks settings. Its error is an *apierror.FieldError for the first invalid
+// field, or gives the position at which the text is not TOML.
 func Parse(text []byte) (*Settings, error) {
 	s := Settings{Features: DefaultFeatures()}
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -148,5 +150,5 @@
 	return &s, s.check()
 }
 
-// Seconds converts a number of seconds from the settings.
+// Seconds converts a number of seconds from the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -67,7 +67,8 @@
 sockets = 5000
 `
 
-// requireField requires an error that names a field, unless the text is not TOML.
+// requireField requires an *apierror.FieldError for the field. If the text is not TOML, it requires an
+// error with the line.
 func requireField(t *testing.T, field string, err error) {
 	t.Helper()
 	var fieldErr *apierror.FieldError
@@ -78,7 +79,8 @@
 	}
 }
 
-// TestSettings: validSettings settings are accepted, and each wrong field is named, on one line.
+// TestSettings requires valid settings to be accepted, and the error for an invalid field to name the
+// field on one line.
 func TestSettings(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
@@ -115,7 +117,7 @@
 	require.ErrorContains(t, err, "none.toml")
 }
 
-// TestZeroLimitIsUnlimited: a limit of 0, as guests have, is no limit.
+// TestZeroLimitIsUnlimited checks that a limit of 0, which guest teams have, means no limit.
 func TestZeroLimitIsUnlimited(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(validSettings, `cpus_max = 48.0`, `cpus_max = 0.0`, 1)))
 	require.NoError(t, err)
@@ -124,7 +126,8 @@
 	require.Equal(t, Unlimited, gpus)
 }
 
-// TestOperatorSettings: a change keeps the other settings, and each wrong field is named.
+// TestOperatorSettings checks that a change keeps the other settings, and that the error for an
+// invalid field names the field.
 func TestOperatorSettings(t *testing.T) {
 	d := DefaultOperatorSettings()
 	require.NoError(t, d.check())
@@ -141,7 +144,7 @@
 	}
 }
 
-// TestWarnings: settings that are valid but will cost users something are named.
+// TestWarnings checks that a warning names each setting that is valid but degrades the service.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct {
 		change   func(*Settings)
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -15,8 +15,8 @@
 	"lilacrill/wire"
 )
 
-// Features is the features file: what operators enable beyond the default. Without a file,
-// DefaultFeatures holds.
+// Features is the features file, in which operators enable features beyond the defaults. Without a
+// file, DefaultFeatures applies.
 type Features struct {
 	Rollout  Rollout  `toml:"rollout"`
 	Tracing  Tracing  `toml:"tracing"`
@@ -25,49 +25,49 @@
 
 // Sharding says whether the machines are divided among the controllers.
 type Sharding struct {
-	// Enabled has sharding used once all live controllers enable it.
+	// Enabled lets sharding be used once all live controllers enable it.
 	Enabled bool `toml:"enabled"`
 }
 
-// Rollout says how newer formats of records come into force.
+// Rollout says how newer formats of records are activated.
 type Rollout struct {
-	// Activation is by an operator or, once all controllers have been ready for SettleS
-	// seconds, automatic.
+	// Activation is manual, by an operator, or automatic, once all controllers have been
+	// ready for SettleS seconds.
 	Activation Activation `toml:"activation"`
 	SettleS    *float64   `toml:"settle_s"`
-	// NewestFormat is the newest format that this controller takes part in.
+	// NewestFormat is the newest format that this controller reads and writes.
 	NewestFormat wire.Format `toml:"newest_format"`
 }
 
-// Activation says what brings a format into force.
+// Activation is the way in which formats are activated.
 type Activation string
 
-// The ways of activation.
+// The ways in which formats are activated: by an operator, or automatically.
 const (
 	ActivationManual    Activation = "manual"
 	ActivationAutomatic Activation = "automatic"
 )
 
-// Tracing says where spans go.
+// Tracing says where spans are written.
 type Tracing struct {
-	// File, if set, gets one JSON object for each span.
+	// File, if set, is the file to which one JSON object for each span is written.
 	File string `toml:"file"`
 }
 
-// defaultSettle is how long all controllers have to be ready before an automatic
-// activation: time to see that a release is good, and to go back if it is not.
-const defaultSettle = 10 * time.Minute
+// defaultSettlePeriod is how long all controllers have to be ready before an automatic activation.
+// It leaves time to find out whether a release works, and to roll it back if it does not.
+const defaultSettlePeriod = 10 * time.Minute
 
-// SettlePeriod is how long all controllers have to be ready before an automatic activation. It is
-// defaultSettle unless the file says otherwise.
+// SettlePeriod returns how long all controllers have to be ready before an automatic activation. It
+// is defaultSettlePeriod unless the file sets settle_s.
 func (r *Rollout) SettlePeriod() time.Duration {
 	if r.SettleS == nil {
-		return defaultSettle
+		return defaultSettlePeriod
 	}
 	return Seconds(*r.SettleS)
 }
 
-// Formats is the range of formats that this controller reads and writes.
+// Formats returns the range of formats that this controller reads and writes.
 func (r *Rollout) Formats() record.FormatRange {
 	formats := record.FormatRange{Oldest: record.OldestFormat, Newest: record.NewestFormat}
 	if r.NewestFormat != 0 {
@@ -76,13 +76,14 @@
 	return formats
 }
 
-// DefaultFeatures are those without a features file.
+// DefaultFeatures returns the features that apply without a features file.
 func DefaultFeatures() Features {
 	return Features{Rollout: Rollout{Activation: ActivationManual, NewestFormat: record.NewestFormat}}
 }
 
-// LoadFeatures reads and checks a features file. Its error is one line with the file and the
-// field, and wraps an *apierror.FieldError as that of Load does.
+// LoadFeatures reads and checks a features file. Its error is one line that names the file and the
+// field. Like that of Load, the error wraps an *apierror.FieldError unless the file cannot be read
+// or is not TOML.
 func LoadFeatures(path string) (Features, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,8 +96,8 @@
 	return features, nil
 }
 
-// ParseFeatures decodes and checks features. Unlike settings, which the platform may extend,
-// they are the operators' own: a field that is not known is an error.
+// ParseFeatures decodes and checks features. An unknown field is an error: unlike the settings file,
+// which the platform may extend, the features file is written by operators.
 func ParseFeatures(text []byte) (Features, error) {
 	features := DefaultFeatures()
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -106,7 +107,7 @@
 	return features, features.check()
 }
 
-// describeTOML says on one line where a text cannot be decoded.
+// describeTOML returns an error that says on one line where a text cannot be decoded.
 func describeTOML(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -120,10 +121,10 @@
 	return err
 }
 
-// maxSettleS is the longest time that an automatic activation may wait: a week.
+// maxSettleS is the maximum settle period, in seconds: a week.
 const maxSettleS = 7 * 86400
 
-// check returns an *apierror.FieldError for the first field that is wrong, or nil.
+// check returns an *apierror.FieldError for the first invalid field, or nil.
 func (f *Features) check() error {
 	rollout := &f.Rollout
 	switch {
--- a/internal/config/features_test.go
+++ b/internal/config/features_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFeatures accepts good files, the one under deploy among them, and names the field
-// of what is unknown, wrong or contradicts itself.
+// TestFeatures requires valid files, including those under deploy, to be accepted, and the error for
+// an unknown, invalid or contradictory field to name the field.
 func TestFeatures(t *testing.T) {
 	f, err := ParseFeatures(nil)
 	require.NoError(t, err)
@@ -47,8 +47,9 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestSettingsOfNewerReleaseAreKept: fields of a later release are kept by a change that is made
-// through this one; a value that this one does not allow is not taken.
+// TestSettingsOfNewerReleaseAreKept checks that a change made by this release keeps the stored fields
+// that only a newer release knows, that a change cannot set such a field, and that a stored value out
+// of bounds is rejected.
 func TestSettingsOfNewerReleaseAreKept(t *testing.T) {
 	stored, err := ParseStoredOperatorSettings(json.RawMessage(`{"idle_s":50,"later":{"x":[1,2]},"other":null}`))
 	require.NoError(t, err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,8 +9,8 @@
 	"lilacrill/internal/golden"
 )
 
-// TestGoldenSettings decodes a settings file and a features file that have every field, and
-// compares the values.
+// TestGoldenSettings decodes a settings file and a features file that have every field, and compares
+// the values with the golden files.
 func TestGoldenSettings(t *testing.T) {
 	features, err := LoadFeatures(golden.Path("features.toml"))
 	require.NoError(t, err)
@@ -23,8 +23,8 @@
 	golden.Compare(t, "settings-values.json", golden.EncodeValues(t, settings))
 }
 
-// TestGoldenOperatorSettings encodes operators' settings with all fields set, by default and
-// with none set, and decodes the first in each way that there is.
+// TestGoldenOperatorSettings encodes operator settings with all fields set, with the defaults and
+// with no field set. It decodes those with all fields set as a change and as a stored record.
 func TestGoldenOperatorSettings(t *testing.T) {
 	var filled OperatorSettings
 	filler := golden.NewFiller(1)
@@ -50,7 +50,7 @@
 	require.Equal(t, stored, again)
 }
 
-// TestGoldenEnumValues compares the values that enumerated fields of the files may have.
+// TestGoldenEnumValues compares the values of enumerated fields with the golden file.
 func TestGoldenEnumValues(t *testing.T) {
 	compareJSON(t, "words.json", map[string]any{
 		"activation": []Activation{ActivationManual, ActivationAutomatic},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,31 +11,32 @@
 	"lilacrill/internal/apierror"
 )
 
-// Affinity says what happens when no machine that meets a job's preferred rules has the
+// Affinity says what happens if no machine that meets a job's preferred rules has enough free
 // capacity.
 type Affinity string
 
-// Preferred has the job scheduled elsewhere, enforced has it wait.
+// With AffinityPreferred the job is scheduled on other machines. With AffinityEnforced it waits.
 const (
 	AffinityPreferred Affinity = "preferred"
 	AffinityEnforced  Affinity = "enforced"
 )
 
 // OperatorSettings are the settings that operators change at run time, through the administration
-// API. They are kept in the state store and are the same for all controllers. Fields that end
-// in S are seconds.
+// API. They are kept in the state store and are the same for all controllers. Fields whose names
+// end in S are in seconds.
 type OperatorSettings struct {
-	// ProbeMachines, ProbeTries and ProbeS bound placement under contention: how many machines
-	// are tried at a time, how often, and for how long.
+	// ProbeMachines, ProbeTries and ProbeS bound placement under contention: the number of
+	// machines considered at a time, the number of tries, and their total duration.
 	ProbeMachines int     `json:"probe_hosts"`
 	ProbeTries    int     `json:"probe_tries"`
 	ProbeS        float64 `json:"probe_s"`
-	// PlacementRetryS is the delay before a task is scheduled again after all tries.
+	// PlacementRetryS is how long a team's placements pause after all tries have failed.
 	PlacementRetryS float64 `json:"busy_s"`
-	// Affinity applies to preferred rules that cannot be met.
+	// Affinity applies if preferred rules cannot be met.
 	Affinity Affinity `json:"affinity"`
-	// HeadroomFraction is the fraction of the running tasks, of classes with an objective of a
-	// short wait, for which headroom is kept; MinHeadroom is the least, in tasks.
+	// HeadroomFraction and MinHeadroom determine the headroom for critical jobs of classes
+	// that have an objective for their waiting time: the fraction of their uncompleted tasks
+	// plus MinHeadroom, in tasks.
 	HeadroomFraction float64 `json:"spare_share"`
 	MinHeadroom      int     `json:"spare_least"`
 	// UnresponsiveS is how long a machine may be unresponsive before it is terminated.
@@ -44,7 +45,7 @@
 	IdleS float64 `json:"idle_s"`
 }
 
-// DefaultOperatorSettings are the settings until operators change them.
+// DefaultOperatorSettings returns the settings that apply until operators change them.
 func DefaultOperatorSettings() OperatorSettings {
 	return OperatorSettings{
 		ProbeMachines: 16, ProbeTries: 3, ProbeS: 0.4, PlacementRetryS: 1,
@@ -54,8 +55,8 @@
 	}
 }
 
-// With returns the settings changed to the values of a JSON object, by their names. Its error
-// is an *apierror.FieldError.
+// With returns a copy of the settings with the values of a JSON object, whose fields are names of
+// settings. Its error is an *apierror.FieldError.
 func (o OperatorSettings) With(changes json.RawMessage) (OperatorSettings, error) {
 	next, unknown, err := o.withKnown(changes)
 	for name := range unknown {
@@ -67,15 +68,15 @@
 	return next, next.check()
 }
 
-// StoredOperatorSettings is a settings record in the state store: the fields that this release knows,
-// and those that only a later one does. The latter are written back with every change, so that
-// none is lost when a release is rolled back and forward again.
+// StoredOperatorSettings is the record of the operator settings in the state store. It holds the
+// fields that this release knows, and those that only a newer release knows. The latter are written
+// back with every change, so that none is lost when a release is rolled back and forward again.
 type StoredOperatorSettings struct {
 	OperatorSettings
 	unknown map[string]json.RawMessage
 }
 
-// ParseStoredOperatorSettings decodes and checks a settings record.
+// ParseStoredOperatorSettings decodes and checks the record of the operator settings.
 func ParseStoredOperatorSettings(stored json.RawMessage) (StoredOperatorSettings, error) {
 	known, unknown, err := DefaultOperatorSettings().withKnown(stored)
 	if err == nil {
@@ -84,7 +85,8 @@
 	return StoredOperatorSettings{known, unknown}, err
 }
 
-// With is the record with changes of fields that this release knows.
+// With returns a copy of the record with the values of a JSON object, whose fields must be known to
+// this release.
 func (s StoredOperatorSettings) With(changes json.RawMessage) (StoredOperatorSettings, error) {
 	next, err := s.OperatorSettings.With(changes)
 	return StoredOperatorSettings{next, s.unknown}, err
@@ -103,8 +105,8 @@
 	return json.Marshal(fields)
 }
 
-// withKnown returns the settings with the values of the fields that this release knows, and
-// the other fields.
+// withKnown returns a copy of the settings with the values of those fields of a JSON object that this
+// release knows, and the other fields of the object as unknown.
 func (o OperatorSettings) withKnown(changes json.RawMessage) (next OperatorSettings, unknown map[string]json.RawMessage, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(changes, &fields); err != nil || fields == nil {
@@ -125,7 +127,7 @@
 	return o, fields, nil
 }
 
-// check returns an *apierror.FieldError for the first setting out of its bounds, or nil.
+// check returns an *apierror.FieldError for the first setting that is out of bounds, or nil.
 func (o *OperatorSettings) check() error {
 	for _, setting := range []struct {
 		name      string
@@ -151,5 +153,5 @@
 	return nil
 }
 
-// ProbeDuration is how long placement under contention may take.
+// ProbeDuration returns the time limit of placement under contention.
 func (o *OperatorSettings) ProbeDuration() time.Duration { return Seconds(o.ProbeS) }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Values below which Warnings warns.
+// Values below which Warnings returns a warning.
 const (
-	recommendedSlackS = 10
-	recommendedCores  = 0.04
-	recommendedMB     = 80
+	recommendedSlackS = 10   // of cancel_s over lease_s, in seconds
+	recommendedCores  = 0.04 // what some 500 machines need
+	recommendedMB     = 80   // what some 500 machines need
 )
 
-// Warnings lists the settings that are valid but will cost users something, each by its name
-// with the reason.
+// Warnings returns a warning for each setting that is valid but degrades the service for users. A
+// warning names the setting and gives the reason.
 func (s *Settings) Warnings() []string {
 	var warnings []string
 	workers, quota := &s.Cluster.Workers, &s.Cluster.Quota
