--- a/internal/apierror/errors.go
+++ b/internal/apierror/errors.go
@@ -1,4 +1,4 @@
-// Package apierror has the errors that requests, and settings, are refused with.
+// Package apierror defines the errors with which requests and settings are rejected.
 package apierror
 
 import (
@@ -7,21 +7,21 @@
 	"net/http"
 )
 
-// FieldError says which field of a request or a file is wrong, and why.
+// FieldError says which field of a request or a file is invalid, and why.
 type FieldError struct {
-	Field  string // as the sender names it; "body" for a request as a whole
+	Field  string // the name in the request or the file, or "body" for a request as a whole
 	Reason string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Field makes a FieldError whose reason is formatted as by fmt.Sprintf.
+// Field returns a *FieldError whose reason is formatted as by fmt.Sprintf.
 func Field(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// NotFoundError says that what a request names does not exist.
+// NotFoundError says that a resource that a request refers to does not exist.
 type NotFoundError struct {
 	Resource string // kind and name, as in `shard: 40`
 }
@@ -29,12 +29,12 @@
 // Error implements error.
 func (e *NotFoundError) Error() string { return "no such " + e.Resource }
 
-// NotFound makes a NotFoundError whose text is formatted as by fmt.Sprintf.
+// NotFound returns a *NotFoundError whose resource is formatted as by fmt.Sprintf.
 func NotFound(format string, args ...any) error {
 	return &NotFoundError{Resource: fmt.Sprintf(format, args...)}
 }
 
-// ConflictError says why a change cannot be made in the present state. It may be possible
+// ConflictError says why a change cannot be made in the current state. The change may be possible
 // later.
 type ConflictError struct {
 	Reason string
@@ -43,13 +43,13 @@
 // Error implements error.
 func (e *ConflictError) Error() string { return e.Reason }
 
-// Conflict makes a ConflictError whose reason is formatted as by fmt.Sprintf.
+// Conflict returns a *ConflictError whose reason is formatted as by fmt.Sprintf.
 func Conflict(format string, args ...any) error {
 	return &ConflictError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Status is the HTTP status that tells a change's sender of an error: 400 for a
-// FieldError, 404 for a NotFoundError and 409 for any other.
+// Status returns the HTTP status of the response to a change that failed with err: 400 for a
+// FieldError, 404 for a NotFoundError and 409 for any other error.
 func Status(err error) int {
 	var field *FieldError
 	var notFound *NotFoundError
--- a/internal/apierror/errors_test.go
+++ b/internal/apierror/errors_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestStatusAndText checks the HTTP status and the text of each kind of error.
 func TestStatusAndText(t *testing.T) {
 	for _, c := range []struct {
 		err    error
--- a/internal/fastjson/fastjson_test.go
+++ b/internal/fastjson/fastjson_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// document is a message as it comes over the network, and the type it is decoded into.
+// document is an encoded message, with a function that allocates the value it is decoded into.
 type document struct {
 	text  string
 	value func() any
@@ -34,7 +34,7 @@
 		func() any { return new(wire.MachineList) }},
 }
 
-// corrupted changes a document in up to three places.
+// corrupted returns a copy of a document with up to three random changes.
 func corrupted(t *rapid.T, text string) []byte {
 	b := []byte(text)
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
@@ -56,8 +56,8 @@
 	return b
 }
 
-// TestUnmarshalMatchesEncodingJSON guards against a library that takes what is
-// malformed, refuses what is not, or reads something else out of it.
+// TestUnmarshalMatchesEncodingJSON guards against a library that accepts malformed documents, rejects
+// valid ones, or decodes them to other values than encoding/json does.
 func TestUnmarshalMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := rapid.SampledFrom(documents).Draw(t, "document")
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestUnmarshalDoesNotAliasInput guards against values that change when the buffer that they were
-// decoded from is used for the next message.
+// TestUnmarshalDoesNotAliasInput guards against decoded values that change when the buffer that they
+// were decoded from is reused for the next message.
 func TestUnmarshalDoesNotAliasInput(t *testing.T) {
 	for _, d := range documents {
 		want, got := d.value(), d.value()
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,5 @@
-// Package httpcall makes single JSON calls over HTTP to one address. It never retries a call by
-// itself: whether that is safe is for the caller to know.
+// Package httpcall makes single JSON calls over HTTP to one address. It never retries a call, since
+// only the caller knows whether the call can safely be repeated.
 package httpcall
 
 import (
@@ -14,21 +14,21 @@
 	"lilacrill/internal/fastjson"
 )
 
-// ErrNotSent is wrapped by the errors of calls that certainly did not reach their address.
+// ErrNotSent is wrapped by the errors of calls that certainly did not reach the address.
 var ErrNotSent = errors.New("not sent")
 
-// Client calls one address, over connections that it keeps.
+// Client makes calls to one address over persistent connections.
 type Client struct {
 	host   *fasthttp.HostClient
 	base   string
 	bearer string
 }
 
-// dialTimeout bounds how long a connection may take to open.
+// dialTimeout is the maximum time to open a connection.
 const dialTimeout = time.Second
 
-// New makes a client that holds at most maxConnections connections, and closes those that have
-// been idle for idleTimeout.
+// New returns a client that holds at most maxConnections connections, and closes connections that
+// have been idle for idleTimeout.
 func New(addr string, maxConnections int, idleTimeout time.Duration) *Client {
 	return &Client{
 		host: &fasthttp.HostClient{
@@ -44,6 +44,7 @@
 	}
 }
 
+// dial opens a TCP connection within the timeout, which it caps at dialTimeout.
 func dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > dialTimeout {
 		timeout = dialTimeout
@@ -55,7 +56,8 @@
 	return conn, nil
 }
 
-// WithBearer is the same client, over the same connections, with a bearer token in every call.
+// WithBearer returns a client that shares the connections of c and sends a bearer token with every
+// call.
 func (c *Client) WithBearer(token string) *Client {
 	authorized := *c
 	authorized.bearer = token
@@ -65,13 +67,13 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
 
-// Destinations maps the statuses whose responses are decoded to where they are decoded into,
-// a pointer each.
+// Destinations maps each status whose response is decoded to a pointer to the value that the
+// response is decoded into.
 type Destinations map[int]any
 
-// Call sends body as JSON (nil: none) and returns the status of the response, which it decodes
-// if into has a destination for that status. An error that wraps [ErrNotSent] says that the
-// call certainly did not reach the address; after any other error it may have been executed.
+// Call sends body as JSON, or no body if it is nil, and returns the status of the response. It decodes
+// the response if into has a destination for that status. An error that wraps [ErrNotSent] means that
+// the call certainly did not reach the address. After any other error the call may have been executed.
 func (c *Client) Call(method, path string, body any, timeout time.Duration, into Destinations) (int, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -94,6 +96,7 @@
 	return status, nil
 }
 
+// build sets the method, URI, headers and body of a request.
 func (c *Client) build(request *fasthttp.Request, method, path string, body any) error {
 	request.Header.SetMethod(method)
 	request.SetRequestURI(c.base + path)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets divides the sockets that a controller may hold among the kinds of its
-// connections, so that none crowds out the others: out of sockets, a controller would receive
-// no heartbeats, and take all workers for unresponsive.
+// Package sockets divides the sockets that a controller may hold among the kinds of its connections,
+// so that no kind uses up the sockets of the others. A controller without free sockets would receive
+// no heartbeats, and would consider all workers unresponsive.
 package sockets
 
 import (
@@ -12,13 +12,13 @@
 	"lilacrill/internal/config"
 )
 
-// Budget is how many connections of each kind a controller may hold.
+// Budget is the maximum number of connections of each kind that a controller may hold.
 type Budget struct {
-	// Inbound is for users, workers and health checks.
+	// Inbound is for connections from users, workers and health checks.
 	Inbound int
-	// CloseAfterReplyAbove is how many of them there may be before users' connections are closed
-	// after each reply, and RefuseUsersAbove before users are refused and told when to retry: the
-	// rest is for workers and health checks.
+	// With more than CloseAfterReplyAbove inbound connections, users' connections are closed
+	// after each reply. With more than RefuseUsersAbove, requests of users are refused with a
+	// time to retry, so that the remaining connections are left for workers and health checks.
 	CloseAfterReplyAbove, RefuseUsersAbove int
 	// Workers is for calls to workers.
 	Workers int
@@ -29,20 +29,20 @@
 }
 
 const (
-	workerCallsDivisor      = 8  // one socket in so many is for calls to workers
-	stateDivisor            = 64 // one in so many is for the state store, within its bounds
+	workerCallsDivisor      = 8  // 1 socket of this many is for calls to workers
+	stateDivisor            = 64 // 1 socket of this many is for the state store, within minStateSockets and maxStateSockets
 	minWorkerSockets        = 4
 	minInboundSockets       = 8
 	cloudSockets            = 4
 	minStateSockets         = 8
 	maxStateSockets         = 28
-	connectionsPerPeer      = 3 // a sibling that restarts may leave dead connections behind
-	reservedSockets         = 4 // of listeners and the runtime
+	connectionsPerPeer      = 3 // a sibling that restarts may leave stale connections open
+	reservedSockets         = 4 // for the listeners and the runtime
 	closeAfterReplyFraction = 0.6
 	refuseUsersFraction     = 0.85
 )
 
-// NewBudget divides the sockets of a controller's settings.
+// NewBudget divides the sockets in a controller's quota.
 func NewBudget(settings *config.Settings) Budget {
 	total, peers := settings.Cluster.Quota.Sockets, len(settings.Siblings)
 	budget := Budget{
@@ -57,18 +57,20 @@
 	return budget
 }
 
-// NewRetryingListener makes a listener that retries when it is briefly out of sockets. A server
-// that gave up then would end the whole process.
+// NewRetryingListener returns a listener that retries when accepting a connection fails, as it does
+// while the process is briefly out of sockets. Otherwise the server would stop, and the whole process
+// with it.
 func NewRetryingListener(listener net.Listener, log *slog.Logger) net.Listener {
 	return &retryingListener{Listener: listener, log: log}
 }
 
+// retryingListener is the listener that NewRetryingListener returns.
 type retryingListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// acceptRetryDelay is the delay before the next attempt to accept.
+// acceptRetryDelay is the delay between a failed attempt to accept a connection and the next one.
 const acceptRetryDelay = 50 * time.Millisecond
 
 // Accept implements net.Listener.
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// TestBudgetFitsQuota guards against bounds of the kinds of connections that add up to more
-// than the process may hold.
+// TestBudgetFitsQuota guards against a budget whose connections add up to more than the process may
+// hold.
 func TestBudgetFitsQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var settings config.Settings
@@ -31,7 +31,7 @@
 	})
 }
 
-// failingListener is a listener that is out of sockets at first.
+// failingListener is a listener whose first attempts to accept fail for lack of sockets.
 type failingListener struct {
 	net.Listener
 	remainingFailures int
@@ -45,7 +45,8 @@
 	return nil, net.ErrClosed
 }
 
-// TestListenerRetriesWhenOutOfSockets guards against a server that ends because it was briefly out of sockets.
+// TestListenerRetriesWhenOutOfSockets guards against a server that stops because the process is
+// briefly out of sockets.
 func TestListenerRetriesWhenOutOfSockets(t *testing.T) {
 	f := &failingListener{remainingFailures: 2}
 	_, err := NewRetryingListener(f, slog.New(slog.NewTextHandler(io.Discard, nil))).Accept()
