--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -50,8 +50,8 @@
 	require.Equal(t, stored, again)
 }
 
-// TestGoldenEnumValues compares the values of enumerated fields with the golden file.
-func TestGoldenEnumValues(t *testing.T) {
+// TestGoldenEnumSettings compares the values of enumerated settings with the golden file.
+func TestGoldenEnumSettings(t *testing.T) {
 	compareJSON(t, "words.json", map[string]any{
 		"activation": []Activation{ActivationManual, ActivationAutomatic},
 		"affinity":   []Affinity{AffinityPreferred, AffinityEnforced},
