--- a/cmd/lilacrill/admin.go
+++ b/cmd/lilacrill/admin.go
@@ -82,8 +82,8 @@
 	addr string // from --addr
 }
 
-// client makes a client of the controller, with the token of the environment.
-func (t *adminTarget) client() (*admin.Client, error) {
+// newClient makes a newClient of the controller, with the token of the environment.
+func (t *adminTarget) newClient() (*admin.Client, error) {
 	if _, err := netip.ParseAddrPort(t.addr); err != nil {
 		return nil, errors.New("--addr: want an IPv4 address with a port, as in 10.0.0.1:8080")
 	}
@@ -96,7 +96,7 @@
 
 // call runs calls to the controller and prints the answer that they return.
 func (t *adminTarget) call(cmd *cobra.Command, calls func(*admin.Client) (json.RawMessage, error)) error {
-	client, err := t.client()
+	client, err := t.newClient()
 	if err != nil {
 		return err
 	}
--- a/cmd/lilacrill/admin_shards.go
+++ b/cmd/lilacrill/admin_shards.go
@@ -37,7 +37,7 @@
 			change := wire.AdminShardChange{Move: &id, To: args[1], Epoch: wire.ShardEpoch(epoch)}
 			return target.call(cmd, func(client *admin.Client) (json.RawMessage, error) {
 				if !cmd.Flags().Changed(epochFlag) {
-					if change.Epoch, err = presentEpoch(client, id); err != nil {
+					if change.Epoch, err = currentEpoch(client, id); err != nil {
 						return nil, err
 					}
 				}
@@ -81,9 +81,9 @@
 	return t.call(cmd, func(client *admin.Client) (json.RawMessage, error) { return client.ChangeShards(change) })
 }
 
-// presentEpoch reads the epoch of a shard. It is 0 if there is no such shard: the
+// currentEpoch reads the epoch of a shard. It is 0 if there is no such shard: the
 // controller refuses the change then, and says so.
-func presentEpoch(client *admin.Client, id wire.ShardID) (wire.ShardEpoch, error) {
+func currentEpoch(client *admin.Client, id wire.ShardID) (wire.ShardEpoch, error) {
 	shards, err := decodeView[wire.AdminShards](client, wire.ViewShards)
 	if err != nil {
 		return 0, err
--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -60,7 +60,7 @@
 		"rollout-exclude":       {"rollout", "exclude", "rig-2", "--reason", "its host burnt"},
 		"rollout-include":       {"rollout", "include", "rig-2", "--version", "7"},
 		"shares-move":           {"shares", "move", "4", "rig-1", "--epoch", "7"},
-		"shares-move-any-epoch": {"shares", "move", shardNumber(answers), "rig-1"},
+		"shares-move-any-epoch": {"shares", "move", firstShardNumber(answers), "rig-1"},
 		"shares-drain":          {"shares", "drain", "rig-1", "--reason", "new disks"},
 		"shares-end-drain":      {"shares", "end-drain", "rig-1"},
 	}
@@ -93,8 +93,8 @@
 	golden.Compare(t, "admin-shares.txt", []byte(string(api.Requests())+"\n"+out))
 }
 
-// shardNumber is the number of a shard that the view of shards has.
-func shardNumber(answers map[wire.AdminView]any) string {
+// firstShardNumber is the number of a shard that the view of shards has.
+func firstShardNumber(answers map[wire.AdminView]any) string {
 	return fmt.Sprint(answers[wire.ViewShards].(*wire.AdminShards).Shards[0].Shard)
 }
 
--- a/cmd/lilacrill/latency_test.go
+++ b/cmd/lilacrill/latency_test.go
@@ -13,15 +13,15 @@
 	times *hdrhistogram.Histogram
 }
 
-const longestLatency = 5 * time.Minute
+const maxLatency = 5 * time.Minute
 
 func (l *latencyHistogram) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.times == nil {
-		l.times = hdrhistogram.New(1, longestLatency.Microseconds(), 3)
+		l.times = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	}
-	_ = l.times.RecordValue(min(d, longestLatency).Microseconds()) // within its bounds
+	_ = l.times.RecordValue(min(d, maxLatency).Microseconds()) // within its bounds
 }
 
 // take returns what was recorded and starts a new histogram.
@@ -31,7 +31,7 @@
 	times := l.times
 	l.times = nil
 	if times == nil {
-		times = hdrhistogram.New(1, longestLatency.Microseconds(), 3)
+		times = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	}
 	return times
 }
--- a/cmd/lilacrill/load_bench_test.go
+++ b/cmd/lilacrill/load_bench_test.go
@@ -84,11 +84,11 @@
 		l.runPhase("idle", func() { time.Sleep(phaseTime) })
 		l.submitServices()
 		time.Sleep(settleTime)
-		l.nextPhase()
+		l.startNextPhase()
 		l.runPhase("ordinary", func() { l.submitArrays(phaseTime) })
 		l.runPhase("burst", func() {
 			for range 100 {
-				l.startUser(l.arrayJob(8), 10*time.Second)
+				l.startUser(l.newArrayJob(8), 10*time.Second)
 			}
 			time.Sleep(10 * time.Second)
 		})
@@ -129,8 +129,8 @@
 	addrs               []string
 	configs             []string
 	processes           []*exec.Cmd
-	phases              []int                 // of each process
-	counts              map[int]processCounts // by process id, at the end of the last phase
+	phases              []int               // of each process
+	memoryStats         map[int]memoryStats // by process id, at the end of the last phase
 	workers             *simulation.LoopbackWorkers
 	state               *simulation.StoreServer
 	history             *simulation.History
@@ -147,7 +147,7 @@
 }
 
 func startLoadCluster(b testing.TB, size loadSize) *loadCluster {
-	l := &loadCluster{tb: b, size: size, outDir: os.Getenv(outDirVariable), counts: map[int]processCounts{}, history: simulation.NewHistory()}
+	l := &loadCluster{tb: b, size: size, outDir: os.Getenv(outDirVariable), memoryStats: map[int]memoryStats{}, history: simulation.NewHistory()}
 	if l.outDir == "" {
 		l.outDir = b.TempDir()
 	}
@@ -190,7 +190,7 @@
 	for i := range l.processes {
 		l.start(i)
 	}
-	l.keepMachines()
+	l.keepIdleMachines()
 	return l
 }
 
@@ -258,8 +258,8 @@
 	}
 }
 
-// keepMachines has idle machines kept: the fake cloud provisions no others.
-func (l *loadCluster) keepMachines() {
+// keepIdleMachines has idle machines kept: the fake cloud provisions no others.
+func (l *loadCluster) keepIdleMachines() {
 	client := admin.NewClient(l.addrs[0], loadToken)
 	require.Eventually(l.tb, func() bool {
 		_, err := client.ChangeSettings(wire.AdminSettings{Settings: json.RawMessage(`{"idle_s":86400}`)})
@@ -269,15 +269,15 @@
 
 // runPhase runs a phase of the load and prints what it cost each controller.
 func (l *loadCluster) runPhase(name string, run func()) {
-	before := l.usage()
+	before := l.readUsage()
 	polls, served, refused, from := l.pollCount.Load(), l.submissionsAccepted.Load(), l.submissionsRefused.Load(), time.Now()
 	run()
 	took := time.Since(from).Seconds()
-	counts := l.nextPhase()
-	for i, usage := range l.usage() {
+	counts := l.startNextPhase()
+	for i, usage := range l.readUsage() {
 		if usage.pid == before[i].pid {
 			usage = usage.since(before[i])
-			counts[i].Allocations -= before[i].counts.Allocations
+			counts[i].Allocations -= before[i].memory.Allocations
 		}
 		fmt.Printf("%-26s node-%d: %5.2f %% of a core (%4.2f s user, %4.2f s system), %6.0f switches/s, %7.0f allocations/s, heap %3.0f MB, resident %3.0f MB, peak %3.0f MB\n",
 			name, i, 100*(usage.user+usage.system)/took, usage.user, usage.system, usage.switches/took, float64(counts[i].Allocations)/took, counts[i].HeapMB, usage.residentMB, usage.peakMB)
@@ -285,9 +285,9 @@
 	fmt.Printf("%-26s %.0f s; polls %d, submissions taken %d, refused or failed %d\n", name, took, l.pollCount.Load()-polls, l.submissionsAccepted.Load()-served, l.submissionsRefused.Load()-refused)
 }
 
-// nextPhase has the controllers start profiles for the next phase, and returns their counts.
-func (l *loadCluster) nextPhase() []processCounts {
-	counts := make([]processCounts, len(l.processes))
+// startNextPhase has the controllers start profiles for the next phase, and returns their counts.
+func (l *loadCluster) startNextPhase() []memoryStats {
+	counts := make([]memoryStats, len(l.processes))
 	for i, process := range l.processes {
 		require.NoError(l.tb, process.Process.Signal(syscall.SIGUSR1))
 		path := filepath.Join(l.outDir, fmt.Sprintf("%d-%d.json", process.Process.Pid, l.phases[i]))
@@ -299,7 +299,7 @@
 		}, testTimeout, 10*time.Millisecond)
 		require.NoError(l.tb, json.Unmarshal(text, &counts[i]))
 		l.phases[i]++
-		l.counts[process.Process.Pid] = counts[i]
+		l.memoryStats[process.Process.Pid] = counts[i]
 	}
 	return counts
 }
--- a/cmd/lilacrill/load_profile_test.go
+++ b/cmd/lilacrill/load_profile_test.go
@@ -30,14 +30,14 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	if err := profiledController(dir); err != nil {
+	if err := runProfiledController(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// processCounts is what a controller counted of itself by the end of a phase.
-type processCounts struct {
+// memoryStats is what a controller counted of itself by the end of a phase.
+type memoryStats struct {
 	Allocations uint64
 	Bytes       uint64
 	Collections uint32
@@ -45,9 +45,9 @@
 	SystemMB    float64
 }
 
-// profiledController runs the command line. At SIGUSR1 it closes the processor
+// runProfiledController runs the command line. At SIGUSR1 it closes the processor
 // profile of the phase that ends, and writes what it counted and its heap.
-func profiledController(dir string) error {
+func runProfiledController(dir string) error {
 	phase := 0
 	name := func(kind string) string {
 		return filepath.Join(dir, fmt.Sprintf("%d-%d.%s", os.Getpid(), phase, kind))
@@ -67,7 +67,7 @@
 	go func() {
 		for range next {
 			pprof.StopCPUProfile()
-			if err := writeCounts(name); err != nil {
+			if err := writeMemoryProfile(name); err != nil {
 				panic(err)
 			}
 			phase++
@@ -79,7 +79,7 @@
 	return rootCommand().Execute()
 }
 
-func writeCounts(name func(kind string) string) error {
+func writeMemoryProfile(name func(kind string) string) error {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	heap, err := os.Create(name("heap"))
@@ -90,7 +90,7 @@
 		return err
 	}
 	const megabyte = 1 << 20
-	counts, err := json.Marshal(processCounts{Allocations: mem.Mallocs, Bytes: mem.TotalAlloc, Collections: mem.NumGC,
+	counts, err := json.Marshal(memoryStats{Allocations: mem.Mallocs, Bytes: mem.TotalAlloc, Collections: mem.NumGC,
 		HeapMB: float64(mem.HeapAlloc) / megabyte, SystemMB: float64(mem.Sys) / megabyte})
 	if err != nil {
 		return err
--- a/cmd/lilacrill/load_shards_test.go
+++ b/cmd/lilacrill/load_shards_test.go
@@ -17,10 +17,10 @@
 	"lilacrill/wire"
 )
 
-// shardingFeatures is a features file of a controller that enables sharding, with automatic
+// shardingFeaturesFile is a features file of a controller that enables sharding, with automatic
 // activation of formats.
-func shardingFeatures(t testing.TB) string {
-	return featuresFile(t, "[rollout]\nactivation = \"automatic\"\nsettle_s = 0.0\n[shares]\nenabled = true\n")
+func shardingFeaturesFile(t testing.TB) string {
+	return writeFeaturesFile(t, "[rollout]\nactivation = \"automatic\"\nsettle_s = 0.0\n[shares]\nenabled = true\n")
 }
 
 // shuffledCluster is a cluster whose shards are moved at random under load.
@@ -31,7 +31,7 @@
 }
 
 func startShuffledCluster(t testing.TB, size loadSize, seed uint64) *shuffledCluster {
-	s := &shuffledCluster{upgradedCluster: startUpgradedCluster(t, size, build{features: shardingFeatures(t)}, seed)}
+	s := &shuffledCluster{upgradedCluster: startUpgradedCluster(t, size, build{features: shardingFeaturesFile(t)}, seed)}
 	s.awaitStableShards()
 	return s
 }
@@ -62,8 +62,8 @@
 	}, testTimeout, 100*time.Millisecond)
 }
 
-// shuffle asks a controller to move random shards to random controllers until stop is closed.
-func (s *shuffledCluster) shuffle(stop <-chan struct{}, asked int, seed uint64) {
+// moveRandomShards asks a controller to move random shards to random controllers until stop is closed.
+func (s *shuffledCluster) moveRandomShards(stop <-chan struct{}, asked int, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, uint64(asked)))
 	for {
 		select {
@@ -88,9 +88,9 @@
 	}
 }
 
-// disturb kills or freezes a controller, for longer or shorter than its lease, and says
+// injectFault kills or freezes a controller, for longer or shorter than its lease, and says
 // what it did.
-func (s *shuffledCluster) disturb() string {
+func (s *shuffledCluster) injectFault() string {
 	i := s.rand.IntN(s.size.controllers)
 	if s.rand.IntN(2) == 0 {
 		s.replace(i, s.builds[i])
@@ -107,13 +107,13 @@
 	stop := make(chan struct{})
 	for i := range s.size.controllers {
 		seed := s.rand.Uint64()
-		s.users.Go(func() { s.shuffle(stop, i, seed) })
+		s.users.Go(func() { s.moveRandomShards(stop, i, seed) })
 	}
 	submitted := make(chan struct{})
 	go func() {
 		defer close(submitted)
 		for n := range jobs {
-			spec := s.arrayJob(1 + n%5)
+			spec := s.newArrayJob(1 + n%5)
 			if n%6 == 5 {
 				spec.Shape, spec.Tasks = wire.ShapeGang, 2
 			}
@@ -125,7 +125,7 @@
 		}
 	}()
 	for range disturbances {
-		t.Log(s.disturb())
+		t.Log(s.injectFault())
 	}
 	<-submitted
 	close(stop)
--- a/cmd/lilacrill/load_usage_test.go
+++ b/cmd/lilacrill/load_usage_test.go
@@ -16,7 +16,7 @@
 	user, system       float64 // seconds
 	switches           float64
 	residentMB, peakMB float64
-	counts             processCounts
+	memory             memoryStats
 }
 
 func (u processUsage) since(before processUsage) processUsage {
@@ -31,23 +31,23 @@
 	kilobytesPerMB = 1024
 )
 
-func (l *loadCluster) usage() []processUsage {
+func (l *loadCluster) readUsage() []processUsage {
 	all := make([]processUsage, len(l.processes))
 	for i, process := range l.processes {
 		usage := processUsage{pid: process.Process.Pid}
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", usage.pid))
 		require.NoError(l.tb, err)
 		fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-		usage.user, usage.system = number(fields[11])/ticksPerSecond, number(fields[12])/ticksPerSecond
+		usage.user, usage.system = parseNumber(fields[11])/ticksPerSecond, parseNumber(fields[12])/ticksPerSecond
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", usage.pid))
 		require.NoError(l.tb, err)
 		for line := range strings.Lines(string(status)) {
 			words := strings.Fields(line)
 			switch words[0] {
 			case "VmRSS:":
-				usage.residentMB = number(words[1]) / kilobytesPerMB
+				usage.residentMB = parseNumber(words[1]) / kilobytesPerMB
 			case "VmHWM:":
-				usage.peakMB = number(words[1]) / kilobytesPerMB
+				usage.peakMB = parseNumber(words[1]) / kilobytesPerMB
 			}
 		}
 		threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", usage.pid))
@@ -59,17 +59,17 @@
 			}
 			for line := range strings.Lines(string(status)) {
 				if rest, found := strings.CutPrefix(line, "voluntary_ctxt_switches:"); found {
-					usage.switches += number(strings.TrimSpace(rest))
+					usage.switches += parseNumber(strings.TrimSpace(rest))
 				}
 			}
 		}
-		usage.counts = l.counts[usage.pid]
+		usage.memory = l.memoryStats[usage.pid]
 		all[i] = usage
 	}
 	return all
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	v, _ := strconv.ParseFloat(text, 64)
 	return v
 }
--- a/cmd/lilacrill/load_users_test.go
+++ b/cmd/lilacrill/load_users_test.go
@@ -13,7 +13,7 @@
 
 func (l *loadCluster) submitServices() {
 	for n := range l.size.services {
-		spec := l.job(wire.ShapeService, wire.PriorityCritical, []int{3, 6, 8, 9}[n%4])
+		spec := l.newJob(wire.ShapeService, wire.PriorityCritical, []int{3, 6, 8, 9}[n%4])
 		spec.Image = fmt.Sprint("service-", n%12)
 		l.startUser(spec, 0)
 	}
@@ -22,17 +22,17 @@
 // submitArrays submits arrays for a while.
 func (l *loadCluster) submitArrays(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(l.size.arrayInterval) {
-		l.startUser(l.arrayJob(l.size.arrayTasks), 25*time.Second)
+		l.startUser(l.newArrayJob(l.size.arrayTasks), 25*time.Second)
 	}
 }
 
-func (l *loadCluster) arrayJob(tasks int) wire.JobSpec {
-	spec := l.job(wire.ShapeArray, wire.PriorityNormal, tasks)
+func (l *loadCluster) newArrayJob(tasks int) wire.JobSpec {
+	spec := l.newJob(wire.ShapeArray, wire.PriorityNormal, tasks)
 	spec.Image = fmt.Sprint("array-", spec.ID[len(spec.ID)-1:])
 	return spec
 }
 
-func (l *loadCluster) job(shape wire.Shape, rank wire.Priority, tasks int) wire.JobSpec {
+func (l *loadCluster) newJob(shape wire.Shape, rank wire.Priority, tasks int) wire.JobSpec {
 	number := l.jobs.Add(1)
 	return wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", number)), Class: string(shape), Team: fmt.Sprint("team-", number%4), Shape: shape, Priority: rank,
 		Tasks: tasks, Cores: 1, MemGB: 2, ImageGB: 1, RuntimeS: 25}
@@ -40,20 +40,20 @@
 
 // startUser starts a user of a job, whose tasks run for so long.
 func (l *loadCluster) startUser(spec wire.JobSpec, runtime time.Duration) {
-	l.users.Go(func() { l.submit(spec, runtime) })
+	l.users.Go(func() { l.submitAndPoll(spec, runtime) })
 }
 
 // startCancel starts a user that cancels a job after a delay.
 func (l *loadCluster) startCancel(id wire.JobID, delay time.Duration) {
 	l.users.Go(func() {
 		l.sleep(delay)
-		l.cancel(id)
+		l.cancelUntilConfirmed(id)
 	})
 }
 
-// submit is a user: it submits a job until that is accepted, and then polls it until it is
+// submitAndPoll is a user: it submits a job until that is accepted, and then polls it until it is
 // finished.
-func (l *loadCluster) submit(spec wire.JobSpec, runtime time.Duration) {
+func (l *loadCluster) submitAndPoll(spec wire.JobSpec, runtime time.Duration) {
 	l.workers.SetRuntime(spec.ID, runtime)
 	l.history.RecordSubmission(spec)
 	submitted := time.Now()
@@ -69,7 +69,7 @@
 	for l.ctx.Err() == nil {
 		var s wire.JobStatus
 		asked := time.Now()
-		status, err := client.Call(http.MethodPost, "/work", submissionOf(spec), 5*time.Second,
+		status, err := client.Call(http.MethodPost, "/work", submissionBody(spec), 5*time.Second,
 			map[int]any{http.StatusCreated: &s, http.StatusOK: &s})
 		if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 			l.submissionsAccepted.Add(1)
@@ -101,8 +101,8 @@
 	}
 }
 
-// cancel is a user that cancels a job until that is confirmed or the job is done.
-func (l *loadCluster) cancel(id wire.JobID) {
+// cancelUntilConfirmed is a user that cancels a job until that is confirmed or the job is done.
+func (l *loadCluster) cancelUntilConfirmed(id wire.JobID) {
 	l.history.Record(simulation.HistoryEvent{Kind: simulation.CancelRequested, Job: id})
 	for l.ctx.Err() == nil {
 		client := httpcall.New(l.addrs[rand.IntN(len(l.addrs))], 1, time.Minute)
@@ -125,8 +125,8 @@
 	}
 }
 
-// submissionOf is a job as a user sends it, with every required field.
-func submissionOf(spec wire.JobSpec) map[string]any {
+// submissionBody is a job as a user sends it, with every required field.
+func submissionBody(spec wire.JobSpec) map[string]any {
 	var zone any
 	if spec.Zone != "" {
 		zone = spec.Zone
--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -23,10 +23,10 @@
 
 // Exit statuses.
 const (
-	statusFailed = 1
-	// statusUnreadable is the status of a process that cannot read the format in force:
+	exitFailed = 1
+	// exitFormatUnreadable is the status of a process that cannot read the format in force:
 	// starting it again is of no use.
-	statusUnreadable = 3
+	exitFormatUnreadable = 3
 )
 
 func main() {
@@ -37,9 +37,9 @@
 	fmt.Fprintln(os.Stderr, "lilacrill:", strings.ReplaceAll(err.Error(), "\n", " "))
 	var unreadable *rollout.UnreadableError
 	if errors.As(err, &unreadable) {
-		os.Exit(statusUnreadable)
+		os.Exit(exitFormatUnreadable)
 	}
-	os.Exit(statusFailed)
+	os.Exit(exitFailed)
 }
 
 // rootCommand is the command line: without a subcommand it runs a controller.
--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -47,10 +47,10 @@
 }
 
 func startCluster(t *testing.T, token string) *cluster {
-	return startClusterWith(t, token, config.DefaultFeatures())
+	return startClusterWithFeatures(t, token, config.DefaultFeatures())
 }
 
-func startClusterWith(t *testing.T, token string, features config.Features) *cluster {
+func startClusterWithFeatures(t *testing.T, token string, features config.Features) *cluster {
 	t.Setenv(admin.TokenVariable, token)
 	started := &cluster{state: simulation.NewStoreServer()}
 	state := httptest.NewServer(started.state)
@@ -241,7 +241,7 @@
 	c.callUntil(t, 0, "PATCH", path, `{"version":7,"activate":2}`, 409, auth...)
 	require.Contains(t, c.callUntil(t, 0, "PATCH", path, `{"exclude":"rig-1","reason":"x"}`, 409, auth...), "rig-1 is alive")
 	require.Contains(t, c.callUntil(t, 0, "GET", path, "", 200, auth...), `"format":1`)
-	command := func(args ...string) (string, error) { return c.adminCommand("rollout", args...) }
+	command := func(args ...string) (string, error) { return c.runAdminCommand("rollout", args...) }
 	out, err := command()
 	require.NoError(t, err)
 	require.Contains(t, out, `"ready": true`)
@@ -259,8 +259,8 @@
 	c.callUntil(t, 0, "GET", path, "", 503, auth...)
 }
 
-// adminCommand runs a subcommand of admin against the first controller.
-func (c *cluster) adminCommand(name string, args ...string) (string, error) {
+// runAdminCommand runs a subcommand of admin against the first controller.
+func (c *cluster) runAdminCommand(name string, args ...string) (string, error) {
 	var out bytes.Buffer
 	root := rootCommand()
 	root.SetOut(&out)
@@ -274,15 +274,15 @@
 func TestShardsAdministration(t *testing.T) {
 	features := config.DefaultFeatures()
 	features.Sharding.Enabled = true
-	c := startClusterWith(t, "secret", features)
+	c := startClusterWithFeatures(t, "secret", features)
 	path, auth := admin.Prefix+"/shares", []string{"Authorization", "Bearer secret"}
 	require.Contains(t, c.callUntil(t, 0, "GET", path, "", 200, auth...), "dormant")
-	_, err := c.adminCommand("shares", "move", "3", "rig-1")
+	_, err := c.runAdminCommand("shares", "move", "3", "rig-1")
 	require.ErrorContains(t, err, "409: shares are dormant")
-	_, err = c.adminCommand("rollout", "activate", "3")
+	_, err = c.runAdminCommand("rollout", "activate", "3")
 	require.NoError(t, err)
 	shares := func() (v wire.AdminShards) {
-		out, err := c.adminCommand("shares")
+		out, err := c.runAdminCommand("shares")
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal([]byte(out), &v))
 		return v
@@ -304,20 +304,20 @@
 
 	before := shares().Shards[3]
 	to := map[string]string{"rig-0": "rig-1", "rig-1": "rig-0"}[before.Owner]
-	_, err = c.adminCommand("shares", "move", "3", to)
+	_, err = c.runAdminCommand("shares", "move", "3", to)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { now := shares().Shards[3]; return now.Owner == to && now.Epoch == before.Epoch+1 }, testTimeout, 50*time.Millisecond)
-	_, err = c.adminCommand("shares", "move", "3", before.Owner, "--epoch", fmt.Sprint(before.Epoch))
+	_, err = c.runAdminCommand("shares", "move", "3", before.Owner, "--epoch", fmt.Sprint(before.Epoch))
 	require.ErrorContains(t, err, "stale epoch")
 
-	_, err = c.adminCommand("shares", "drain", "rig-1", "--reason", "new disks")
+	_, err = c.runAdminCommand("shares", "drain", "rig-1", "--reason", "new disks")
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return shares().Owned["rig-0"] == 32 }, testTimeout, 50*time.Millisecond)
-	_, err = c.adminCommand("shares", "move", "3", "rig-1")
+	_, err = c.runAdminCommand("shares", "move", "3", "rig-1")
 	require.ErrorContains(t, err, "rig-1 is drained: new disks")
-	_, err = c.adminCommand("shares", "drain", "rig-0", "--reason", "x")
+	_, err = c.runAdminCommand("shares", "drain", "rig-0", "--reason", "x")
 	require.ErrorContains(t, err, "nobody else")
-	_, err = c.adminCommand("shares", "end-drain", "rig-1")
+	_, err = c.runAdminCommand("shares", "end-drain", "rig-1")
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return shares().Owned["rig-1"] > 10 }, testTimeout, 50*time.Millisecond)
 	c.state.Unavailable.Store(true)
@@ -327,8 +327,8 @@
 	require.NotEmpty(t, retryAfter)
 }
 
-// TestAdministrationIsOff: without a token the API says that it is off.
-func TestAdministrationIsOff(t *testing.T) {
+// TestAdministrationWithoutToken: without a token the API says that it is off.
+func TestAdministrationWithoutToken(t *testing.T) {
 	c := startCluster(t, "")
 	require.Contains(t, c.callUntil(t, 0, "GET", admin.Prefix+"/teams", "", 403), admin.TokenVariable)
 }
--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -131,10 +131,10 @@
 		return errors.Join(public.Close(), peers.Close())
 	})
 	group.Go(func() error { return server.New(p.settings, p, os.Getenv(admin.TokenVariable), p.log).Serve(public) })
-	group.Go(func() error { return p.peers.Serve(peers, p.receivePeerMessage) })
+	group.Go(func() error { return p.peers.Serve(peers, p.enqueuePeerMessage) })
 	group.Go(func() error { p.peers.Send(ctx); return nil })
 	group.Go(func() error { p.state.Serve(ctx); return nil })
-	group.Go(func() error { return p.loop(ctx) })
+	group.Go(func() error { return p.runEventLoop(ctx) })
 	err = group.Wait()
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -172,17 +172,17 @@
 	return p.healthy.Load() && time.Since(p.start)-time.Duration(p.lastStep.Load()) < maxStepGap
 }
 
-// receivePeerMessage passes a message on to the event loop. It is dropped if the loop is
+// enqueuePeerMessage passes a message on to the event loop. It is dropped if the loop is
 // behind: peer messages are repeated, and late ones only delay the others.
-func (p *process) receivePeerMessage(message *wire.PeerMessage) {
+func (p *process) enqueuePeerMessage(message *wire.PeerMessage) {
 	select {
 	case p.peerMessages <- controller.PeerMessageReceived{Message: message}:
 	default:
 	}
 }
 
-// loop feeds the controller until ctx ends or the controller asks to shut down.
-func (p *process) loop(ctx context.Context) error {
+// runEventLoop feeds the controller until ctx ends or the controller asks to shut down.
+func (p *process) runEventLoop(ctx context.Context) error {
 	defer close(p.stopped)
 	tick := time.NewTicker(controller.TickInterval)
 	defer tick.Stop()
@@ -224,8 +224,8 @@
 	}
 }
 
-// complete returns the callback that passes a call's result to the controller.
-func complete[R controller.Result](p *process, call controller.CallID) func(R) {
+// completionCallback returns the callback that passes a call's result to the controller.
+func completionCallback[R controller.Result](p *process, call controller.CallID) func(R) {
 	return func(result R) {
 		select {
 		case p.completions <- controller.CallCompleted{Call: call, Result: result}:
@@ -234,8 +234,8 @@
 	}
 }
 
-// reply answers a request.
-func (p *process) reply(reply controller.Reply) {
+// sendReply answers a request.
+func (p *process) sendReply(reply controller.Reply) {
 	if waiting := p.replies[reply.Request]; waiting != nil {
 		delete(p.replies, reply.Request)
 		waiting <- reply
@@ -247,33 +247,33 @@
 func (p *process) execute(output controller.Output) {
 	switch output := output.(type) {
 	case controller.Reply:
-		p.reply(output)
+		p.sendReply(output)
 	case controller.LoadKeys:
-		p.state.Load(output, complete[controller.LoadResult](p, output.Call))
+		p.state.Load(output, completionCallback[controller.LoadResult](p, output.Call))
 	case controller.Watch:
-		p.state.Watch(output, complete[controller.WatchResult](p, output.Call))
+		p.state.Watch(output, completionCallback[controller.WatchResult](p, output.Call))
 	case controller.GetKey:
-		p.state.Get(output, complete[controller.GetResult](p, output.Call))
+		p.state.Get(output, completionCallback[controller.GetResult](p, output.Call))
 	case controller.Commit:
-		p.state.Commit(output, complete[controller.CommitResult](p, output.Call))
+		p.state.Commit(output, completionCallback[controller.CommitResult](p, output.Call))
 	case controller.GrantLease:
-		p.state.GrantLease(output, complete[controller.LeaseResult](p, output.Call))
+		p.state.GrantLease(output, completionCallback[controller.LeaseResult](p, output.Call))
 	case controller.RenewLease:
-		p.state.RenewLease(output, complete[controller.LeaseResult](p, output.Call))
+		p.state.RenewLease(output, completionCallback[controller.LeaseResult](p, output.Call))
 	case controller.SetRateFraction:
 		p.state.SetRateFraction(output.Fraction)
 	case controller.ReadCatalogue:
-		p.cloud.ReadCatalogue(complete[controller.CatalogueResult](p, output.Call))
+		p.cloud.ReadCatalogue(completionCallback[controller.CatalogueResult](p, output.Call))
 	case controller.ListMachines:
-		p.cloud.ListMachines(complete[controller.MachinesResult](p, output.Call))
+		p.cloud.ListMachines(completionCallback[controller.MachinesResult](p, output.Call))
 	case controller.ProvisionMachines:
-		p.cloud.Provision(output.Request, complete[controller.ProvisionResult](p, output.Call))
+		p.cloud.Provision(output.Request, completionCallback[controller.ProvisionResult](p, output.Call))
 	case controller.TerminateMachines:
-		p.cloud.Terminate(output.Machines, complete[controller.TerminateResult](p, output.Call))
+		p.cloud.Terminate(output.Machines, completionCallback[controller.TerminateResult](p, output.Call))
 	case controller.SendCommands:
-		p.workers.SendCommands(output.Addr, output.Body, complete[controller.WorkerResponse](p, output.Call))
+		p.workers.SendCommands(output.Addr, output.Body, completionCallback[controller.WorkerResponse](p, output.Call))
 	case controller.RequestHeartbeat:
-		p.workers.RequestHeartbeat(output.Addr, complete[controller.WorkerResponse](p, output.Call))
+		p.workers.RequestHeartbeat(output.Addr, completionCallback[controller.WorkerResponse](p, output.Call))
 	case controller.Broadcast:
 		p.peers.Broadcast(output.Message)
 	case controller.RolloutEvent:
--- a/cmd/lilacrill/shards_bench_test.go
+++ b/cmd/lilacrill/shards_bench_test.go
@@ -37,7 +37,7 @@
 		on.awaitServices()
 		on.runMeasuredPhase("shares on")
 		stop := make(chan struct{})
-		on.users.Go(func() { on.shuffle(stop, 0, 1) })
+		on.users.Go(func() { on.moveRandomShards(stop, 0, 1) })
 		on.runMeasuredPhase("moving")
 		close(stop)
 		on.awaitStableShards()
@@ -55,7 +55,7 @@
 
 // runMeasuredPhase runs an ordinary load and prints what it cost.
 func (u *upgradedCluster) runMeasuredPhase(name string) {
-	u.nextPhase()
+	u.startNextPhase()
 	before := u.metricCounts()
 	from := time.Now()
 	u.takeUserLatency(from)
@@ -84,8 +84,8 @@
 	return sum
 }
 
-// owners is the record of each shard in the state store.
-func (l *loadCluster) owners() map[wire.ShardID]record.Shard {
+// shardRecords is the record of each shard in the state store.
+func (l *loadCluster) shardRecords() map[wire.ShardID]record.Shard {
 	owners := map[wire.ShardID]record.Shard{}
 	for id := range wire.ShardID(shard.Count) {
 		for _, e := range l.state.Entries(record.ShardKey(id)) {
@@ -103,7 +103,7 @@
 	var took []time.Duration
 	for n := range 20 {
 		id := wire.ShardID(n)
-		before := s.owners()[id]
+		before := s.shardRecords()[id]
 		to := 0
 		for fmt.Sprint("node-", to) == before.Owner.Label {
 			to++
@@ -113,7 +113,7 @@
 		if err != nil {
 			continue // the balance moves it just now
 		}
-		for s.owners()[id].Epoch == before.Epoch && time.Since(from) < testTimeout {
+		for s.shardRecords()[id].Epoch == before.Epoch && time.Since(from) < testTimeout {
 			time.Sleep(time.Millisecond)
 		}
 		took = append(took, time.Since(from))
@@ -126,7 +126,7 @@
 func (s *shuffledCluster) measureFailover() {
 	const killed = 1
 	before := 0
-	for _, o := range s.owners() {
+	for _, o := range s.shardRecords() {
 		if o.Owner.Label == fmt.Sprint("node-", killed) {
 			before++
 		}
@@ -135,7 +135,7 @@
 	from := time.Now()
 	for left := before; left > 0 && time.Since(from) < testTimeout; time.Sleep(time.Millisecond) {
 		left = 0
-		for _, o := range s.owners() {
+		for _, o := range s.shardRecords() {
 			if o.Owner.Label == fmt.Sprint("node-", killed) {
 				left++
 			}
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -20,16 +20,16 @@
 	"lilacrill/internal/simulation"
 )
 
-// previousVariable names a program that was built of an earlier release.
-const previousVariable = "LILACRILL_PREVIOUS"
+// previousProgramVariable names a program that was built of an earlier release.
+const previousProgramVariable = "LILACRILL_PREVIOUS"
 
 // BenchmarkUpgradeFromPrevious upgrades controllers of an earlier release, rolls them
 // back and upgrades them again, at random and under load. The later format must not come
 // into force before the last of them is gone, although they cannot know of it. Run it with
 // -benchtime=1x and the earlier program's path in LILACRILL_PREVIOUS.
 func BenchmarkUpgradeFromPrevious(b *testing.B) {
-	previous := os.Getenv(previousVariable)
-	require.NotEmpty(b, previous, previousVariable)
+	previous := os.Getenv(previousProgramVariable)
+	require.NotEmpty(b, previous, previousProgramVariable)
 	for b.Loop() {
 		for seed := range uint64(3) {
 			u := startUpgradedCluster(b, upgradeLoad, build{program: previous}, seed)
@@ -45,7 +45,7 @@
 				require.Zero(b, u.compressedRecords())
 			}
 			u.upgradeRest()
-			u.mustActivate()
+			u.activateWhenReady()
 			time.Sleep(5 * time.Second)
 			require.Positive(b, u.compressedRecords())
 			close(stop)
@@ -64,8 +64,8 @@
 	}
 }
 
-// wideUpgradeLoad is five controllers with 4,000 workers.
-var wideUpgradeLoad = loadSize{controllers: 5, workers: 4000, services: 300, zones: []string{"a", "b", "c", "d"}, reportS: 5, leaseS: 45, cancelS: 65,
+// largeUpgradeLoad is five controllers with 4,000 workers.
+var largeUpgradeLoad = loadSize{controllers: 5, workers: 4000, services: 300, zones: []string{"a", "b", "c", "d"}, reportS: 5, leaseS: 45, cancelS: 65,
 	quota: config.Quota{CoreShare: 0.5, MemMB: 400, Sockets: 8000}, writeRPS: 100, arrayInterval: time.Second, arrayTasks: 80}
 
 // BenchmarkRollingUpgrade measures what users notice of a rolling upgrade of five
@@ -73,7 +73,7 @@
 // the folder that LILACRILL_LOAD_OUT names. Run it with -benchtime=1x.
 func BenchmarkRollingUpgrade(b *testing.B) {
 	for b.Loop() {
-		u := startUpgradedCluster(b, wideUpgradeLoad, build{features: olderFeatures(b)}, 1)
+		u := startUpgradedCluster(b, largeUpgradeLoad, build{features: olderFeaturesFile(b)}, 1)
 		time.Sleep(settleTime)
 		stop := make(chan struct{})
 		u.users.Go(func() { u.submitJobs(stop, 20*time.Second) })
@@ -90,7 +90,7 @@
 			u.awaitHealthy(i)
 		}
 		fmt.Printf("five controllers replaced after %v\n", time.Since(from).Round(time.Millisecond))
-		u.mustActivate()
+		u.activateWhenReady()
 		took := time.Since(from)
 		fmt.Printf("format in force after %v\n", took.Round(time.Millisecond))
 		time.Sleep(max(0, phaseTime-took))
@@ -153,7 +153,7 @@
 // plotUserLatency draws both phases by percentile, on a logarithmic scale of milliseconds.
 func plotUserLatency(b testing.TB, path string, quiet, upgraded userLatency) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Rolling upgrade of %d controllers, %d workers", wideUpgradeLoad.controllers, wideUpgradeLoad.workers)
+	p.Title.Text = fmt.Sprintf("Rolling upgrade of %d controllers, %d workers", largeUpgradeLoad.controllers, largeUpgradeLoad.workers)
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
--- a/cmd/lilacrill/upgrade_mixed_bench_test.go
+++ b/cmd/lilacrill/upgrade_mixed_bench_test.go
@@ -18,8 +18,8 @@
 // everything that this build stored. Run it with -benchtime=1x and the earlier program's
 // path in LILACRILL_PREVIOUS.
 func BenchmarkMixedWithPrevious(b *testing.B) {
-	previous := os.Getenv(previousVariable)
-	require.NotEmpty(b, previous, previousVariable)
+	previous := os.Getenv(previousProgramVariable)
+	require.NotEmpty(b, previous, previousProgramVariable)
 	for b.Loop() {
 		for seed := range uint64(3) {
 			u := startUpgradedCluster(b, upgradeLoad, build{program: previous}, seed)
@@ -29,7 +29,7 @@
 				b.Log(u.randomStep())
 			}
 			require.Zero(b, u.compressedRecords(), "the later format is dormant")
-			u.mustActivate()
+			u.activateWhenReady()
 			for range 6 {
 				b.Log(u.randomStep())
 			}
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -36,10 +36,12 @@
 	upgraded     map[int]bool
 }
 
-// olderFeatures is a features file of a controller that reads the first format only.
-func olderFeatures(t testing.TB) string { return featuresFile(t, "[rollout]\nnewest_format = 1\n") }
+// olderFeaturesFile is a features file of a controller that reads the first format only.
+func olderFeaturesFile(t testing.TB) string {
+	return writeFeaturesFile(t, "[rollout]\nnewest_format = 1\n")
+}
 
-func featuresFile(t testing.TB, text string) string {
+func writeFeaturesFile(t testing.TB, text string) string {
 	path := filepath.Join(t.TempDir(), "features.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -118,7 +120,7 @@
 			return
 		case <-time.After(u.size.arrayInterval):
 		}
-		spec := u.arrayJob(1 + n%u.size.arrayTasks)
+		spec := u.newArrayJob(1 + n%u.size.arrayTasks)
 		if n%4 == 3 {
 			spec.Shape, spec.Priority, spec.Tasks = wire.ShapeGang, wire.PriorityHigh, 1+n%3
 		}
@@ -178,8 +180,8 @@
 	return err
 }
 
-// mustActivate asks for the compressed format until all controllers are ready for it.
-func (u *upgradedCluster) mustActivate() {
+// activateWhenReady asks for the compressed format until all controllers are ready for it.
+func (u *upgradedCluster) activateWhenReady() {
 	var err error
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		if err = u.activate(u.rand.IntN(u.size.controllers)); err == nil {
@@ -224,9 +226,9 @@
 // format into force. No job is lost, run twice or misplaced, and an older process that
 // starts after that exits with the status for it.
 func TestRollingUpgrade(t *testing.T) {
-	u := startUpgradedCluster(t, upgradeLoad, build{features: olderFeatures(t)}, 1)
+	u := startUpgradedCluster(t, upgradeLoad, build{features: olderFeaturesFile(t)}, 1)
 	spans := filepath.Join(t.TempDir(), "spans.jsonl")
-	u.newer = build{features: featuresFile(t, fmt.Sprintf("[tracing]\nfile = %q\n", spans))}
+	u.newer = build{features: writeFeaturesFile(t, fmt.Sprintf("[tracing]\nfile = %q\n", spans))}
 	stop := make(chan struct{})
 	u.users.Go(func() { u.submitJobs(stop, 8*time.Second) })
 	for range 8 {
@@ -237,12 +239,12 @@
 		require.Zero(t, u.compressedRecords(), "the later format is dormant")
 	}
 	u.upgradeRest()
-	u.mustActivate()
+	u.activateWhenReady()
 	u.freeze(1, 7*time.Second)
 	require.Eventually(t, func() bool { return u.compressedRecords() > 0 }, testTimeout, 100*time.Millisecond)
 
 	u.replace(2, u.older)
-	require.Equal(t, statusUnreadable, u.awaitExit(2))
+	require.Equal(t, exitFormatUnreadable, u.awaitExit(2))
 	u.replace(2, u.newer)
 	time.Sleep(3 * time.Second)
 	close(stop)
