--- a/cmd/lilacrill/admin.go
+++ b/cmd/lilacrill/admin.go
@@ -15,7 +15,7 @@
 	"lilacrill/wire"
 )
 
-// viewCommand describes the subcommand that prints a view of the administration API.
+// viewCommand describes a subcommand that prints one view of the administration API.
 type viewCommand struct {
 	view    wire.AdminView
 	name    string
@@ -23,29 +23,30 @@
 	short   string
 }
 
-// viewCommands has a subcommand for each view.
+// viewCommands lists the subcommands, one for each view.
 var viewCommands = []viewCommand{
 	{view: wire.ViewControllers, name: "controllers", short: "List the controllers"},
 	{view: wire.ViewTeams, name: "teams", short: "List the teams with their usage, guarantee and limit"},
 	{view: wire.ViewMachines, name: "machines", short: "List the machines"},
-	{view: wire.ViewJobs, name: "jobs", short: "List the jobs that are not over, and why tasks are pending"},
+	{view: wire.ViewJobs, name: "jobs", short: "List the unfinished jobs, and why their tasks are pending"},
 	{view: wire.ViewSettings, name: "settings", short: "Read the operators' settings and their version"},
 	{view: wire.ViewMetrics, name: "metrics", short: "Read counters and latencies"},
 	{view: wire.ViewRollout, name: "rollout", short: "Show which format of records is in force, and what blocks the next one"},
-	// Operators' scripts say "shares", as the API's path does.
+	// The alias "shares", which is also the name in the API's path, is used by operators' scripts.
 	{view: wire.ViewShards, name: "shards", aliases: []string{"shares"},
 		short: "Show which controller owns which shard of the machines, and the moves under way"},
 }
 
-// adminCommand holds the subcommands that call the administration API.
+// adminCommand returns the command whose subcommands call the administration API.
 func adminCommand() *cobra.Command {
 	var target adminTarget
 	cmd := &cobra.Command{
 		Use:   "admin",
-		Short: "Look at a running controller, and read or change the operators' settings",
+		Short: "Inspect a running controller, and read or change the operators' settings",
 		Long: `The admin commands call the administration API of a running controller. They
-send the token in ` + admin.TokenVariable + `; the controller must have been
-started with the same one, or its API is off.`,
+authenticate with the token in the environment variable
+` + admin.TokenVariable + `. The controller must have been started with the same
+token; without a token, its API is disabled.`,
 		Example: `  lilacrill admin machines --addr 10.0.0.1:8080
   lilacrill admin set --addr 10.0.0.1:8080 spare_share=0.2 affinity=enforced`,
 	}
@@ -64,7 +65,7 @@
 	return cmd
 }
 
-// command makes the subcommand.
+// command returns the subcommand that prints the view.
 func (v viewCommand) command(target *adminTarget) *cobra.Command {
 	return &cobra.Command{
 		Use:     v.name,
@@ -77,12 +78,12 @@
 	}
 }
 
-// adminTarget is the controller that the admin commands call.
+// adminTarget identifies the controller that the admin commands call.
 type adminTarget struct {
 	addr string // from --addr
 }
 
-// newClient makes a newClient of the controller, with the token of the environment.
+// newClient returns a client for the controller that uses the token from the environment.
 func (t *adminTarget) newClient() (*admin.Client, error) {
 	if _, err := netip.ParseAddrPort(t.addr); err != nil {
 		return nil, errors.New("--addr: want an IPv4 address with a port, as in 10.0.0.1:8080")
@@ -94,20 +95,21 @@
 	return admin.NewClient(t.addr, token), nil
 }
 
-// call runs calls to the controller and prints the answer that they return.
-func (t *adminTarget) call(cmd *cobra.Command, calls func(*admin.Client) (json.RawMessage, error)) error {
+// call passes a client for the controller to makeCalls and prints the answer that makeCalls
+// returns.
+func (t *adminTarget) call(cmd *cobra.Command, makeCalls func(*admin.Client) (json.RawMessage, error)) error {
 	client, err := t.newClient()
 	if err != nil {
 		return err
 	}
-	answer, err := calls(client)
+	answer, err := makeCalls(client)
 	if err != nil {
 		return err
 	}
 	return printIndented(cmd.OutOrStdout(), answer)
 }
 
-// decodeView reads a view.
+// decodeView reads a view from the controller and decodes it.
 func decodeView[T any](client *admin.Client, view wire.AdminView) (T, error) {
 	var decoded T
 	answer, err := client.View(view)
@@ -120,32 +122,32 @@
 	return decoded, nil
 }
 
-// versionFlag is the flag --version: the version that a change was made from. The
-// controller refuses the change if the version is another one by then.
+// versionFlag holds the value of the flag --version, the version that a change is based on.
+// The controller refuses the change if the current version differs.
 type versionFlag struct {
 	version uint64
 }
 
 const versionFlagName = "version"
 
-// add adds the flag to a command that changes what the usage text names.
+// add adds the flag to a command, with a usage text.
 func (f *versionFlag) add(cmd *cobra.Command, usage string) {
 	cmd.Flags().Uint64Var(&f.version, versionFlagName, 0, usage)
 }
 
-// resolve returns the flag's value or, if the flag is not given, the present version of
-// a view.
+// resolve returns the value of the flag. If the flag is not given, it reads the current version
+// from a view.
 func (f *versionFlag) resolve(cmd *cobra.Command, client *admin.Client, view wire.AdminView) (wire.Revision, error) {
 	if cmd.Flags().Changed(versionFlagName) {
 		return wire.Revision(f.version), nil
 	}
-	present, err := decodeView[struct {
+	current, err := decodeView[struct {
 		Version wire.Revision `json:"version"`
 	}](client, view)
-	return present.Version, err
+	return current.Version, err
 }
 
-// printIndented prints an answer for people to read.
+// printIndented prints an answer as indented JSON.
 func printIndented(w io.Writer, answer json.RawMessage) error {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, answer, "", "  "); err != nil {
--- a/cmd/lilacrill/admin_rollout.go
+++ b/cmd/lilacrill/admin_rollout.go
@@ -11,16 +11,16 @@
 	"lilacrill/wire"
 )
 
-// rolloutCommands are the subcommands that change a rollout.
+// rolloutCommands returns the subcommands that change a rollout.
 func rolloutCommands(target *adminTarget) []*cobra.Command {
 	return []*cobra.Command{activateCommand(target), excludeCommand(target), includeCommand(target)}
 }
 
-// activateCommand brings a format into force.
+// activateCommand returns the command that brings a format into force.
 func activateCommand(target *adminTarget) *cobra.Command {
 	return rolloutCommand(target, &cobra.Command{
 		Use:   "activate FORMAT",
-		Short: "Bring a format into force, for good, once all controllers read it",
+		Short: "Bring a format that all controllers read into force; this cannot be undone",
 	}, func(arg string) (wire.AdminRolloutChange, error) {
 		number, err := strconv.Atoi(arg)
 		if err != nil {
@@ -31,31 +31,32 @@
 	})
 }
 
-// excludeCommand has activations not wait for a controller that is down.
+// excludeCommand returns the command that excludes a controller that is down, so that
+// activations do not wait for it.
 func excludeCommand(target *adminTarget) *cobra.Command {
 	var reason string
 	cmd := rolloutCommand(target, &cobra.Command{
 		Use:   "exclude LABEL --reason TEXT",
-		Short: "Have an activation not wait for a controller that is down",
+		Short: "Exclude a controller that is down, so that an activation does not wait for it",
 	}, func(label string) (wire.AdminRolloutChange, error) {
 		return wire.AdminRolloutChange{Exclude: label, Reason: reason}, nil
 	})
-	cmd.Flags().StringVar(&reason, "reason", "", "why it need not be waited for")
+	cmd.Flags().StringVar(&reason, "reason", "", "why an activation need not wait for the controller")
 	return cmd
 }
 
-// includeCommand ends an exclusion.
+// includeCommand returns the command that ends an exclusion.
 func includeCommand(target *adminTarget) *cobra.Command {
 	return rolloutCommand(target, &cobra.Command{
 		Use:   "include LABEL",
-		Short: "Take an exclusion back",
+		Short: "End the exclusion of a controller",
 	}, func(label string) (wire.AdminRolloutChange, error) {
 		return wire.AdminRolloutChange{Include: label}, nil
 	})
 }
 
-// rolloutCommand completes a command that makes a change of the rollout of its one
-// argument: it runs the change against the version of --version.
+// rolloutCommand completes a command that takes one argument and changes the rollout. The change
+// is what makeChange returns for the argument, with the version from --version.
 func rolloutCommand(target *adminTarget, cmd *cobra.Command, makeChange func(arg string) (wire.AdminRolloutChange, error)) *cobra.Command {
 	var version versionFlag
 	cmd.Args = cobra.ExactArgs(1)
@@ -72,6 +73,6 @@
 			return client.ChangeRollout(change)
 		})
 	}
-	version.add(cmd, "the `VERSION` of the rollout that the change was made from; by default the present one")
+	version.add(cmd, "the `VERSION` of the rollout that the change is based on; by default the current one")
 	return cmd
 }
--- a/cmd/lilacrill/admin_settings.go
+++ b/cmd/lilacrill/admin_settings.go
@@ -11,14 +11,14 @@
 	"lilacrill/wire"
 )
 
-// setCommand changes operators' settings.
+// setCommand returns the command that changes operators' settings.
 func setCommand(target *adminTarget) *cobra.Command {
 	var version versionFlag
 	cmd := &cobra.Command{
 		Use:   "set NAME=VALUE...",
 		Short: "Change operators' settings on all controllers",
-		Long: `Changes the settings named. Without --version it reads the present version
-first; with it, the change is refused if somebody changed them since.`,
+		Long: `Changes the named settings. Without --version, the current version is read first.
+With --version, the change is refused if the settings have changed since that version.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			settings, err := parseAssignments(args)
@@ -34,12 +34,12 @@
 			})
 		},
 	}
-	version.add(cmd, "the `VERSION` that the change was made from")
+	version.add(cmd, "the `VERSION` of the settings that the change is based on; by default the current one")
 	return cmd
 }
 
-// parseAssignments makes a JSON object of NAME=VALUE arguments. A value that is not JSON
-// becomes a string.
+// parseAssignments converts NAME=VALUE arguments to a JSON object. A value that is not valid
+// JSON becomes a string.
 func parseAssignments(args []string) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	for _, arg := range args {
--- a/cmd/lilacrill/admin_shards.go
+++ b/cmd/lilacrill/admin_shards.go
@@ -11,22 +11,22 @@
 	"lilacrill/wire"
 )
 
-// shardCommands are the subcommands that move shards and drain controllers.
+// shardCommands returns the subcommands that move shards and drain controllers.
 func shardCommands(target *adminTarget) []*cobra.Command {
 	return []*cobra.Command{moveCommand(target), drainCommand(target), endDrainCommand(target)}
 }
 
-// moveCommand has a shard handed over to another controller.
+// moveCommand returns the command that moves a shard to another controller.
 func moveCommand(target *adminTarget) *cobra.Command {
 	const epochFlag = "epoch"
 	var epoch uint64
 	cmd := &cobra.Command{
 		Use:   "move SHARD CONTROLLER",
 		Short: "Have a shard's owner hand it over to another controller",
-		Long: `Proposes a move; the owner releases the shard once no placement of its own is under
-way there, and the controller named adopts it. Running tasks are not touched. Without
---epoch the present one is read first; with it, the move is refused if the shard has
-changed owners since.`,
+		Long: `Proposes a move. The owner releases the shard once none of its placements is under
+way there, and the named controller then adopts the shard. Running tasks are not
+affected. Without --epoch, the current epoch is read first. With --epoch, the move is
+refused if the shard has changed owners since that epoch.`,
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[0])
@@ -45,26 +45,26 @@
 			})
 		},
 	}
-	cmd.Flags().Uint64Var(&epoch, epochFlag, 0, "the `EPOCH` that the move was decided in; by default the present one")
+	cmd.Flags().Uint64Var(&epoch, epochFlag, 0, "the `EPOCH` of the shard that the move is based on; by default the current one")
 	return cmd
 }
 
-// drainCommand has a controller hand over all its shards.
+// drainCommand returns the command that makes a controller hand over all its shards.
 func drainCommand(target *adminTarget) *cobra.Command {
 	var reason string
 	cmd := &cobra.Command{
 		Use:   "drain CONTROLLER --reason TEXT",
-		Short: "Have a controller hand over all its shards and get none",
+		Short: "Have a controller hand over all its shards and receive no others",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return target.changeShards(cmd, wire.AdminShardChange{Drain: args[0], Reason: reason})
 		},
 	}
-	cmd.Flags().StringVar(&reason, "reason", "", "why")
+	cmd.Flags().StringVar(&reason, "reason", "", "why the controller is drained")
 	return cmd
 }
 
-// endDrainCommand ends a drain.
+// endDrainCommand returns the command that ends a drain.
 func endDrainCommand(target *adminTarget) *cobra.Command {
 	return &cobra.Command{
 		Use:   "end-drain CONTROLLER",
@@ -76,13 +76,13 @@
 	}
 }
 
-// changeShards asks for a change and prints the answer.
+// changeShards sends a change of the shards to the controller and prints the answer.
 func (t *adminTarget) changeShards(cmd *cobra.Command, change wire.AdminShardChange) error {
 	return t.call(cmd, func(client *admin.Client) (json.RawMessage, error) { return client.ChangeShards(change) })
 }
 
-// currentEpoch reads the epoch of a shard. It is 0 if there is no such shard: the
-// controller refuses the change then, and says so.
+// currentEpoch reads the epoch of a shard from the controller. It returns 0 if there is no such
+// shard, which the controller then reports when it refuses the change.
 func currentEpoch(client *admin.Client, id wire.ShardID) (wire.ShardEpoch, error) {
 	shards, err := decodeView[wire.AdminShards](client, wire.ViewShards)
 	if err != nil {
--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -24,8 +24,8 @@
 // Exit statuses.
 const (
 	exitFailed = 1
-	// exitFormatUnreadable is the status of a process that cannot read the format in force:
-	// starting it again is of no use.
+	// exitFormatUnreadable is the status of a process that cannot read the format in force.
+	// Restarting it does not help.
 	exitFormatUnreadable = 3
 )
 
@@ -42,7 +42,7 @@
 	os.Exit(exitFailed)
 }
 
-// rootCommand is the command line: without a subcommand it runs a controller.
+// rootCommand returns the command line. Without a subcommand it runs a controller.
 func rootCommand() *cobra.Command {
 	var files configFiles
 	root := &cobra.Command{
@@ -51,10 +51,10 @@
 		Long: `lilacrill is one controller of a cluster scheduler. It takes jobs from users,
 provisions machines from a cloud, has workers run the tasks, and keeps its state in
 a key-value store. Several controllers run side by side, each with a settings
-file of its own; any of them may stop at any time.
+file of its own. Any of them may stop at any time.
 
-The exit status is 3 if the service has moved on to a format of records that this
-process does not read, and 1 after any other error.
+The exit status is 3 if the format of records in force is one that this process does
+not read, and 1 after any other error.
 
 The log goes to standard error. LOG_LEVEL is error, info (the default) or debug.`,
 		Example: `  lilacrill --config /etc/lilacrill.toml     run a controller
@@ -70,12 +70,12 @@
 		},
 	}
 	root.Flags().StringVar(&files.settings, "config", "", "the settings `FILE` (TOML) of this controller")
-	root.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML): what is enabled beyond the ordinary")
+	root.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML), which enables features beyond the default")
 	root.AddCommand(checkCommand(), versionCommand(), adminCommand())
 	return root
 }
 
-// versionCommand prints the release.
+// versionCommand returns the command that prints the release.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -88,30 +88,30 @@
 	}
 }
 
-// checkCommand says what is wrong with the files that a controller is started with.
+// checkCommand returns the command that checks the files that a controller is started with.
 func checkCommand() *cobra.Command {
 	var files configFiles
 	cmd := &cobra.Command{
 		Use:   "check FILE [--features FILE]",
-		Short: "Check a settings file, and a features file, and say what is wrong with them",
+		Short: "Check a settings file, and optionally a features file, and report what is wrong",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files.settings = args[0]
 			return check(cmd.OutOrStdout(), files)
 		},
 	}
-	cmd.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML) to check too")
+	cmd.Flags().StringVar(&files.features, "features", "", "a features `FILE` (TOML) to check as well")
 	return cmd
 }
 
-// configFiles are the paths of the files that a controller is started with.
+// configFiles holds the paths of the files that a controller is started with.
 type configFiles struct {
 	settings string
 	features string // "" for the default features
 }
 
-// check writes the warnings about the files, and that they are good. It returns the first
-// fault.
+// check checks the files. It writes the warnings about the settings and a line for each file that
+// is valid, and returns the first error.
 func check(out io.Writer, files configFiles) error {
 	settings, err := config.Load(files.settings)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return err
 }
 
-// run runs a controller until a signal or its own decision stops it.
+// run runs a controller until a signal arrives or the controller shuts itself down.
 func run(ctx context.Context, files configFiles) error {
 	settings, err := loadFiles(files)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return errors.Join(newProcess(settings, log, tracer).run(ctx), tracer.Close())
 }
 
-// loadFiles reads and checks the files.
+// loadFiles reads and checks the files. It returns the settings with the features set.
 func loadFiles(files configFiles) (*config.Settings, error) {
 	settings, err := config.Load(files.settings)
 	if err != nil {
@@ -172,8 +172,8 @@
 	return settings, nil
 }
 
-// openTracer opens the file for spans. The tracer is nil, and traces nothing, if the
-// features name no file.
+// openTracer opens the file that spans are written to. If the features name no file, it returns
+// a nil tracer, which records nothing.
 func openTracer(settings *config.Settings) (*tracing.Tracer, error) {
 	file := settings.Features.Tracing.File
 	if file == "" {
@@ -182,14 +182,14 @@
 	return tracing.Open(file, settings.Label)
 }
 
-// newLogger writes to standard error whatever is at least as severe as level, by default
-// "info".
+// newLogger returns a logger that writes records of at least the given level to standard error.
+// The level is "info" if empty.
 func newLogger(level string) (*slog.Logger, error) {
-	var least slog.Level
+	var minLevel slog.Level
 	if level != "" {
-		if err := least.UnmarshalText([]byte(level)); err != nil {
+		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 			return nil, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", level)
 		}
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: least})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: minLevel})), nil
 }
--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -29,8 +29,9 @@
 	"lilacrill/wire"
 )
 
-// process runs one controller: one goroutine, its event loop, feeds the controller inputs and
-// executes its outputs, while listeners and clients connect it to the outside.
+// process runs one controller. A single goroutine, the event loop, passes inputs to the controller
+// and executes its outputs. Other goroutines serve the listeners and run the clients of other
+// services.
 type process struct {
 	settings   *config.Settings
 	log        *slog.Logger
@@ -38,14 +39,15 @@
 	start      time.Time
 
 	requests     chan pendingRequest
-	completions  chan controller.Input // of calls to other services
+	completions  chan controller.Input // results of calls to other services
 	peerMessages chan controller.Input
-	// stopped is closed when the event loop ends: nobody receives from the channels then.
+	// stopped is closed when the event loop ends. After that nothing receives from the channels
+	// above.
 	stopped chan struct{}
 
 	replies     map[controller.RequestID]chan controller.Reply
 	lastRequest atomic.Uint64
-	lastStep    atomic.Int64 // when the controller last took a step, since start
+	lastStep    atomic.Int64 // time of the controller's last step, in nanoseconds since start
 	healthy     atomic.Bool
 
 	state   *statestore.Client
@@ -54,44 +56,44 @@
 	peers   *peer.Mesh
 	tracer  *tracing.Tracer
 
-	// shutdown fires when the event loop must end because of shutdownCause. It is nil until
-	// the controller asks for that.
+	// shutdown fires when the event loop must end because of shutdownCause. It is nil until the
+	// controller requests a shutdown.
 	shutdown      <-chan time.Time
 	shutdownCause error
 }
 
-// pendingRequest is a request's input with the channel that its reply is sent to.
+// pendingRequest holds the input of a request and the channel that its reply is sent to.
 type pendingRequest struct {
 	id    controller.RequestID
 	input controller.Input
 	reply chan controller.Reply
 }
 
-// Sizes of the event loop's queues. A request or peer message that finds its queue full is
-// refused or dropped, so that the controller never works on what is out of date.
+// Sizes of the event loop's queues. A request is refused, and a peer message dropped, if its queue
+// is full, so that the controller does not work on outdated input.
 const (
 	requestQueueSize     = 512
 	completionQueueSize  = 4096
-	peerMessageQueueSize = 64 // each may name very many machines
+	peerMessageQueueSize = 64 // a message may name very many machines
 )
 
 const (
-	// maxStepGap is how long the event loop may go without a step and still count as healthy.
+	// maxStepGap is the time without a step after which the process no longer counts as healthy.
 	maxStepGap = time.Second
-	// shutdownGrace is how long a process that must end still answers requests, with
-	// refusals.
+	// shutdownGrace is the time during which a process that shuts down still refuses requests
+	// before it exits.
 	shutdownGrace = 200 * time.Millisecond
 )
 
 // Limits of the Go runtime.
 const (
-	heapFraction  = 0.7 // of the memory quota; stacks and the rest need some too
+	heapFraction  = 0.7 // of the memory quota; stacks and other memory need the rest
 	gcPercent     = 200
 	bytesPerMB    = 1 << 20
 	minGoMaxProcs = 1
 )
 
-// newProcess makes a process that has not started yet. A nil tracer traces nothing.
+// newProcess returns a process that has not been started. A nil tracer records nothing.
 func newProcess(settings *config.Settings, log *slog.Logger, tracer *tracing.Tracer) *process {
 	limitRuntime(settings.Cluster.Quota)
 	return &process{
@@ -112,14 +114,14 @@
 	}
 }
 
-// limitRuntime keeps the Go runtime within the quota of the process.
+// limitRuntime sets the limits of the Go runtime according to the quota of the process.
 func limitRuntime(quota config.Quota) {
 	debug.SetMemoryLimit(int64(quota.MemMB * heapFraction * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(max(minGoMaxProcs, int(math.Ceil(quota.CoreShare))))
 }
 
-// run serves until ctx ends, a listener fails or the controller asks to shut down.
+// run serves until ctx ends, a listener fails or the controller requests a shutdown.
 func (p *process) run(ctx context.Context) error {
 	public, peers, err := p.listen()
 	if err != nil {
@@ -172,8 +174,8 @@
 	return p.healthy.Load() && time.Since(p.start)-time.Duration(p.lastStep.Load()) < maxStepGap
 }
 
-// enqueuePeerMessage passes a message on to the event loop. It is dropped if the loop is
-// behind: peer messages are repeated, and late ones only delay the others.
+// enqueuePeerMessage queues a message for the event loop. It drops the message if the queue is full.
+// Peer messages are repeated, and outdated ones would only delay the others.
 func (p *process) enqueuePeerMessage(message *wire.PeerMessage) {
 	select {
 	case p.peerMessages <- controller.PeerMessageReceived{Message: message}:
@@ -181,7 +183,8 @@
 	}
 }
 
-// runEventLoop feeds the controller until ctx ends or the controller asks to shut down.
+// runEventLoop passes inputs to the controller until ctx ends or the shutdown that the controller
+// requested is due.
 func (p *process) runEventLoop(ctx context.Context) error {
 	defer close(p.stopped)
 	tick := time.NewTicker(controller.TickInterval)
@@ -205,7 +208,7 @@
 	}
 }
 
-// step gives the controller one input and executes its outputs, in their order.
+// step passes one input to the controller and executes its outputs in order.
 func (p *process) step(input controller.Input) {
 	now := time.Now()
 	sinceStart := now.Sub(p.start)
@@ -216,15 +219,15 @@
 	p.healthy.Store(p.controller.Healthy())
 }
 
-// shutDown has the event loop end after a grace period, in which the controller refuses the
-// requests that came until then.
+// shutDown makes the event loop end after shutdownGrace. The controller refuses the requests that
+// arrive until then.
 func (p *process) shutDown(cause error) {
 	if p.shutdown == nil {
 		p.shutdown, p.shutdownCause = time.After(shutdownGrace), cause
 	}
 }
 
-// completionCallback returns the callback that passes a call's result to the controller.
+// completionCallback returns a callback that passes the result of a call to the controller.
 func completionCallback[R controller.Result](p *process, call controller.CallID) func(R) {
 	return func(result R) {
 		select {
@@ -234,16 +237,16 @@
 	}
 }
 
-// sendReply answers a request.
+// sendReply sends a reply to the goroutine that waits for it.
 func (p *process) sendReply(reply controller.Reply) {
-	if waiting := p.replies[reply.Request]; waiting != nil {
+	if replies := p.replies[reply.Request]; replies != nil {
 		delete(p.replies, reply.Request)
-		waiting <- reply
+		replies <- reply
 	}
 }
 
-// execute does what one output asks for. No call waits for its result here: the client that
-// makes it returns the result by a callback.
+// execute executes one output. It does not wait for the results of calls. The client that makes a
+// call returns its result through a callback.
 func (p *process) execute(output controller.Output) {
 	switch output := output.(type) {
 	case controller.Reply:
