--- a/cmd/lilacrill/load_shards_test.go
+++ b/cmd/lilacrill/load_shards_test.go
@@ -17,10 +17,10 @@
 	"lilacrill/wire"
 )
 
-// shardingFeaturesFile writes a features file that enables sharding and the automatic activation of
+// shardingFeatures writes a features file that enables sharding and the automatic activation of
 // formats, and returns its path.
-func shardingFeaturesFile(t testing.TB) string {
-	return writeFeaturesFile(t, "[rollout]\nactivation = \"automatic\"\nsettle_s = 0.0\n[shares]\nenabled = true\n")
+func shardingFeatures(t testing.TB) string {
+	return writeFeatures(t, "[rollout]\nactivation = \"automatic\"\nsettle_s = 0.0\n[shares]\nenabled = true\n")
 }
 
 // shuffledCluster is a cluster whose shards are moved at random under load.
@@ -31,7 +31,7 @@
 }
 
 func startShuffledCluster(t testing.TB, size loadSize, seed uint64) *shuffledCluster {
-	s := &shuffledCluster{upgradedCluster: startUpgradedCluster(t, size, build{features: shardingFeaturesFile(t)}, seed)}
+	s := &shuffledCluster{upgradedCluster: startUpgradedCluster(t, size, build{features: shardingFeatures(t)}, seed)}
 	s.awaitStableShards()
 	return s
 }
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -75,7 +75,7 @@
 // -benchtime=1x.
 func BenchmarkRollingUpgrade(b *testing.B) {
 	for b.Loop() {
-		u := startUpgradedCluster(b, largeUpgradeLoad, build{features: olderFeaturesFile(b)}, 1)
+		u := startUpgradedCluster(b, largeUpgradeLoad, build{features: olderFeatures(b)}, 1)
 		time.Sleep(settleTime)
 		stop := make(chan struct{})
 		u.users.Go(func() { u.submitJobs(stop, 20*time.Second) })
--- a/cmd/lilacrill/upgrade_test.go
+++ b/cmd/lilacrill/upgrade_test.go
@@ -36,14 +36,12 @@
 	upgraded     map[int]bool
 }
 
-// olderFeaturesFile writes the features file of a controller that reads only the first format, and
+// olderFeatures writes the features file of a controller that reads only the first format, and
 // returns its path.
-func olderFeaturesFile(t testing.TB) string {
-	return writeFeaturesFile(t, "[rollout]\nnewest_format = 1\n")
-}
+func olderFeatures(t testing.TB) string { return writeFeatures(t, "[rollout]\nnewest_format = 1\n") }
 
-// writeFeaturesFile writes a features file and returns its path.
-func writeFeaturesFile(t testing.TB, text string) string {
+// writeFeatures writes a features file and returns its path.
+func writeFeatures(t testing.TB, text string) string {
 	path := filepath.Join(t.TempDir(), "features.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -230,9 +228,9 @@
 // force. No job may be lost, run twice or misplaced, and an older process that starts after the
 // activation must exit with exitFormatUnreadable.
 func TestRollingUpgrade(t *testing.T) {
-	u := startUpgradedCluster(t, upgradeLoad, build{features: olderFeaturesFile(t)}, 1)
+	u := startUpgradedCluster(t, upgradeLoad, build{features: olderFeatures(t)}, 1)
 	spans := filepath.Join(t.TempDir(), "spans.jsonl")
-	u.newer = build{features: writeFeaturesFile(t, fmt.Sprintf("[tracing]\nfile = %q\n", spans))}
+	u.newer = build{features: writeFeatures(t, fmt.Sprintf("[tracing]\nfile = %q\n", spans))}
 	stop := make(chan struct{})
 	u.users.Go(func() { u.submitJobs(stop, 8*time.Second) })
 	for range 8 {
