--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -29,9 +29,9 @@
 type partitionThenOutage struct {
 	name string
 	// onPartition happens as the rejections begin: rejected is the controller that is rejected.
-	onPartition func(cluster *Cluster, rejected int)
+	onPartition func(cluster *Cluster, partitioned int)
 	// onOutage happens once cancellations were confirmed, just before the outage.
-	onOutage             func(cluster *Cluster, rejected int)
+	onOutage             func(cluster *Cluster, partitioned int)
 	dropDirectCalls      bool // no direct call reaches a worker
 	cancelWhileLaunching bool // jobs are cancelled while their tasks are being launched
 }
@@ -41,20 +41,20 @@
 	{name: "direct calls dropped", dropDirectCalls: true},
 	{name: "launches under way", cancelWhileLaunching: true},
 	{name: "launches under way, direct calls dropped", cancelWhileLaunching: true, dropDirectCalls: true},
-	{name: "partitioned from peers", dropDirectCalls: true, onPartition: func(cluster *Cluster, rejected int) { cluster.PeersPartitioned[rejected] = true }},
+	{name: "partitioned from peers", dropDirectCalls: true, onPartition: func(cluster *Cluster, partitioned int) { cluster.PeersPartitioned[partitioned] = true }},
 	{name: "peer messages lost", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.PeerMessageLoss = 0.7 }},
-	{name: "confirming controllers restart", dropDirectCalls: true, onOutage: func(cluster *Cluster, rejected int) {
+	{name: "confirming controllers restart", dropDirectCalls: true, onOutage: func(cluster *Cluster, partitioned int) {
 		for i := range cluster.controllers {
-			if i != rejected {
+			if i != partitioned {
 				cluster.Stop(i)
 				cluster.At(2*time.Second, func() { cluster.Start(i) })
 			}
 		}
 	}},
-	{name: "confirming controllers restart, partitioned from peers", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, rejected int) { cluster.PeersPartitioned[rejected] = true },
-		onOutage: func(cluster *Cluster, rejected int) {
+	{name: "confirming controllers restart, partitioned from peers", cancelWhileLaunching: true, onPartition: func(cluster *Cluster, partitioned int) { cluster.PeersPartitioned[partitioned] = true },
+		onOutage: func(cluster *Cluster, partitioned int) {
 			for i := range cluster.controllers {
-				if i != rejected {
+				if i != partitioned {
 					cluster.Stop(i)
 					cluster.At(300*time.Millisecond, func() { cluster.Start(i) })
 				}
@@ -81,7 +81,7 @@
 		cluster.everyOtherBusyMachine(func(machine *fakeMachine) { machine.hung = true; cluster.At(40*time.Second, machine.resume) })
 		cluster.At(9*time.Second, func() { cluster.CloudUnavailable = false })
 	}},
-	{name: "partitioned controller stalls", dropDirectCalls: true, onOutage: func(cluster *Cluster, rejected int) { cluster.Stall(rejected, 50*time.Second) }},
+	{name: "partitioned controller stalls", dropDirectCalls: true, onOutage: func(cluster *Cluster, partitioned int) { cluster.Stall(partitioned, 50*time.Second) }},
 	{name: "duplicated heartbeats", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.DuplicatedHeartbeats = 0.3 }},
 }
 
@@ -89,55 +89,55 @@
 // stops in time where a partition meets an outage: the partitioned controller went on
 // answering workers, and kept alive what it did not know to be cancelled.
 func TestCancelledTasksStopAcrossPartitionAndOutage(t *testing.T) {
-	for _, g := range partitionsThenOutages {
-		t.Run(g.name, func(t *testing.T) {
+	for _, variant := range partitionsThenOutages {
+		t.Run(variant.name, func(t *testing.T) {
 			confirmed := 0
 			for seed := range uint64(4) {
-				confirmed += g.run(t, seed, true)
+				confirmed += variant.run(t, seed, true)
 			}
 			require.Greater(t, confirmed, 8, "cancellations that others confirmed between partition and outage")
 		})
 	}
 }
 
-func (g partitionThenOutage) run(t *testing.T, seed uint64, withOutage bool) int {
+func (p partitionThenOutage) run(t *testing.T, seed uint64, withOutage bool) int {
 	t.Helper()
 	cluster := newClusterWith(shortCancelSettings(), seed, 3)
-	rejected := int(seed) % 3
+	partitioned := int(seed) % 3
 	for i := range 9 {
 		cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 	}
 	cluster.At(6*time.Second, func() {
 		for _, machine := range cluster.machines {
-			machine.controller = rejected
+			machine.controller = partitioned
 		}
 	})
 	for n := range 24 {
 		spec, _ := testJob(n, 0)
 		spec.Tasks, spec.RuntimeS = 2, 200
 		at := 2 * time.Second
-		if g.cancelWhileLaunching {
+		if p.cancelWhileLaunching {
 			at = 17*time.Second + time.Duration(n)*100*time.Millisecond
 		}
 		cluster.At(at, func() { cluster.Submit(spec, 200*time.Second) })
 	}
 	cluster.Run(20 * time.Second)
-	cluster.StorePartitioned[rejected], cluster.DropDirectCalls = true, g.dropDirectCalls
-	if g.onPartition != nil {
-		g.onPartition(cluster, rejected)
+	cluster.StorePartitioned[partitioned], cluster.DropDirectCalls = true, p.dropDirectCalls
+	if p.onPartition != nil {
+		p.onPartition(cluster, partitioned)
 	}
 	for n := range 24 {
 		if n%4 != 3 {
-			cluster.At(time.Duration(100+n*60)*time.Millisecond, func() { cluster.CancelJob(cluster.jobID(n)) })
+			cluster.At(time.Duration(100+n*60)*time.Millisecond, func() { cluster.CancelJob(cluster.testJobID(n)) })
 		}
 	}
 	cluster.Run(1900 * time.Millisecond)
 	confirmed := cluster.cancelledBetween(20*time.Second, cluster.Now())
-	if g.onOutage != nil {
-		g.onOutage(cluster, rejected)
+	if p.onOutage != nil {
+		p.onOutage(cluster, partitioned)
 	}
 	cluster.StoreUnavailable = withOutage
-	cluster.At(12*time.Second, func() { delete(cluster.StorePartitioned, rejected) })
+	cluster.At(12*time.Second, func() { delete(cluster.StorePartitioned, partitioned) })
 	cluster.Run(cluster.CancelTimeout + 12*time.Second) // longer than cancel_s
 	cluster.StoreUnavailable, cluster.DropDirectCalls, cluster.CloudUnavailable, cluster.PeersPartitioned, cluster.PeerMessageLoss, cluster.DuplicatedHeartbeats = false, false, false, map[int]bool{}, 0, 0
 	cluster.store.RenewAll(cluster.now)
@@ -155,7 +155,7 @@
 	return confirmed
 }
 
-func (c *Cluster) jobID(n int) wire.JobID { spec, _ := testJob(n, 0); return spec.ID }
+func (c *Cluster) testJobID(n int) wire.JobID { spec, _ := testJob(n, 0); return spec.ID }
 
 // cancelledBetween counts the jobs that were reported cancelled in that time.
 func (c *Cluster) cancelledBetween(from, to time.Duration) int {
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -16,38 +16,38 @@
 // cluster of nine to thirteen machines on which work runs; observed is what the cluster
 // must have counted for them to have met, summed over the seeds.
 type faultPair struct {
-	name      string
-	configure func(*config.Settings)
-	inject    func(cluster *Cluster)
-	observed  map[Observation]int
+	name        string
+	configure   func(*config.Settings)
+	inject      func(cluster *Cluster)
+	minObserved map[Observation]int
 }
 
 // lowerTeamLimits has teams reach their limits with the jobs that there are.
-func lowerTeamLimits(set *config.Settings) {
-	for i := range set.Cluster.Teams {
-		set.Cluster.Teams[i].CPUsMax = 12
+func lowerTeamLimits(settings *config.Settings) {
+	for i := range settings.Cluster.Teams {
+		settings.Cluster.Teams[i].CPUsMax = 12
 	}
 }
 
 var faultPairs = []faultPair{
-	{name: "delayed commits and provisioner restarts", observed: map[Observation]int{unansweredCommit: 15, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "delayed commits and provisioner restarts", minObserved: map[Observation]int{unansweredCommit: 15, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits = 0.3
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(15*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(32*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "answers of commits lost during bursts of requests", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "answers of commits lost during bursts of requests", minObserved: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits, cluster.LoseAnswersOnly, cluster.RequestBursts = 0.3, true, true
 		submitMixedJobs(cluster, 60, 5)
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "delayed commits during bursts of requests", observed: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "delayed commits during bursts of requests", minObserved: map[Observation]int{unansweredCommit: 15, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.DelayedCommits, cluster.RequestBursts = 0.2, true
 		submitMixedJobs(cluster, 60, 5)
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits = 0 })
 	}},
-	{name: "heartbeats replayed as a provisioner starts", observed: map[Observation]int{replayToNewController: 100, controllerRestarted: 12}, inject: func(cluster *Cluster) {
+	{name: "heartbeats replayed as a provisioner starts", minObserved: map[Observation]int{replayToNewController: 100, controllerRestarted: 12}, inject: func(cluster *Cluster) {
 		cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0.2, 0.1
 		submitMixedJobs(cluster, 60, 4)
 		for i := range 3 {
@@ -55,7 +55,7 @@
 		}
 		cluster.At(60*time.Second, func() { cluster.ReplayedHeartbeats, cluster.DuplicatedHeartbeats = 0, 0 })
 	}},
-	{name: "heartbeats of earlier agent epochs replayed as controllers start", observed: map[Observation]int{replayOfEarlierEpoch: 20}, inject: func(cluster *Cluster) {
+	{name: "heartbeats of earlier agent epochs replayed as controllers start", minObserved: map[Observation]int{replayOfEarlierEpoch: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(10*time.Second, func() { cluster.ReplayedHeartbeats = 0.5 })
 		cluster.At(20*time.Second, func() {
@@ -65,20 +65,20 @@
 		})
 		cluster.At(70*time.Second, func() { cluster.ReplayedHeartbeats = 0 })
 	}},
-	{name: "cancelled and polled on completion", observed: map[Observation]int{cancelledOnCompletion: 100, requestBurst: 1000}, inject: func(cluster *Cluster) {
+	{name: "cancelled and polled on completion", minObserved: map[Observation]int{cancelledOnCompletion: 100, requestBurst: 1000}, inject: func(cluster *Cluster) {
 		cluster.CancelOnCompletion, cluster.RequestBursts = 0.7, true
 		submitMixedJobs(cluster, 80, 0)
 	}},
-	{name: "small jobs, a quarter cancelled", observed: map[Observation]int{jobCancelled: 100}, inject: func(cluster *Cluster) {
+	{name: "small jobs, a quarter cancelled", minObserved: map[Observation]int{jobCancelled: 100}, inject: func(cluster *Cluster) {
 		submitSmallJobs(cluster, 240)
 	}},
-	{name: "small jobs, cancelled, bursts of requests, provisioner restarts", observed: map[Observation]int{jobCancelled: 50, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "small jobs, cancelled, bursts of requests, provisioner restarts", minObserved: map[Observation]int{jobCancelled: 50, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		submitSmallJobs(cluster, 200)
 		cluster.RequestBursts = true
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(36*time.Second, func() { cluster.restartProvisioner(200 * time.Millisecond) })
 	}},
-	{name: "provisioner partitioned with users and workers, jobs cancelled at another", observed: map[Observation]int{jobCancelled: 20, provisionerPartitioned: 4}, inject: func(cluster *Cluster) {
+	{name: "provisioner partitioned with users and workers, jobs cancelled at another", minObserved: map[Observation]int{jobCancelled: 20, provisionerPartitioned: 4}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 21*time.Second)
 		cluster.At(20*time.Second, func() {
 			n := max(0, cluster.provisioner())
@@ -91,19 +91,19 @@
 			cluster.At(45*time.Second, func() { delete(cluster.PeersPartitioned, n) })
 		})
 	}},
-	{name: "cancelled during failovers", observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "cancelled during failovers", minObserved: map[Observation]int{jobCancelled: 20, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 20500*time.Millisecond)
 		cluster.At(20*time.Second, func() { cluster.restart(0, 6*time.Second) })
 		cluster.At(21*time.Second, func() { cluster.restart(1, 400*time.Millisecond) })
 	}},
-	{name: "at the limit, machines hang on cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, machines hang on cancellations, provisioner changes", configure: lowerTeamLimits, minObserved: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 25 * time.Second
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, cluster.countTeamsAtLimit)
 		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(45*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "at the limit, inbound partitions at cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, inbound partitions at cancellations, provisioner changes", configure: lowerTeamLimits, minObserved: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, func() {
 			cluster.countTeamsAtLimit()
@@ -114,12 +114,12 @@
 		})
 		cluster.At(20500*time.Millisecond, func() { cluster.restartProvisioner(3 * time.Second) })
 	}},
-	{name: "at the limit, zone partitioned at cancellations, provisioner changes", configure: lowerTeamLimits, observed: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
+	{name: "at the limit, zone partitioned at cancellations, provisioner changes", configure: lowerTeamLimits, minObserved: map[Observation]int{jobCancelled: 20, controllerRestarted: 4, teamAtLimit: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 16, 20*time.Second)
 		cluster.At(19*time.Second, func() { cluster.countTeamsAtLimit(); cluster.PartitionZone(zones[0], 2, 35*time.Second) })
 		cluster.At(20500*time.Millisecond, func() { cluster.restart(0, 3*time.Second) })
 	}},
-	{name: "provisioner changes twice, all restart, one at once", observed: map[Observation]int{controllerRestarted: 20}, inject: func(cluster *Cluster) {
+	{name: "provisioner changes twice, all restart, one at once", minObserved: map[Observation]int{controllerRestarted: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(12*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
@@ -129,7 +129,7 @@
 			}
 		})
 	}},
-	{name: "provisioner restarts while machines with long tasks hang or are unreachable", observed: map[Observation]int{controllerRestarted: 4, machineUnreachable: 8}, inject: func(cluster *Cluster) {
+	{name: "provisioner restarts while machines with long tasks hang or are unreachable", minObserved: map[Observation]int{controllerRestarted: 4, machineUnreachable: 8}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 30*time.Second)
 		cluster.At(20*time.Second, func() {
 			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
@@ -145,7 +145,7 @@
 			cluster.restartProvisioner(3 * time.Second)
 		})
 	}},
-	{name: "outbound partitions, jobs cancelled", observed: map[Observation]int{machineUnreachable: 8, jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "outbound partitions, jobs cancelled", minObserved: map[Observation]int{machineUnreachable: 8, jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitLongJobs(cluster, 10, 21*time.Second)
 		cluster.At(20*time.Second, func() {
 			cluster.eachBusyMachine(2, func(machine *fakeMachine) {
@@ -155,7 +155,7 @@
 			})
 		})
 	}},
-	{name: "all controllers down for longer than a lease", observed: map[Observation]int{controllerRestarted: 12, jobCancelled: 10}, inject: func(cluster *Cluster) {
+	{name: "all controllers down for longer than a lease", minObserved: map[Observation]int{controllerRestarted: 12, jobCancelled: 10}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(20*time.Second, func() {
 			for i := range cluster.controllers {
@@ -163,18 +163,18 @@
 			}
 		})
 	}},
-	{name: "provisioner changes ten times, also in an outage", observed: map[Observation]int{controllerRestarted: 40, jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "provisioner changes ten times, also in an outage", minObserved: map[Observation]int{controllerRestarted: 40, jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 80, 4)
 		for i := range 10 {
 			cluster.At(time.Duration(10+8*i)*time.Second, func() { cluster.restartProvisioner(time.Duration(200+700*(i%4)) * time.Millisecond) })
 		}
 		cluster.At(40*time.Second, func() { cluster.storeOutage(25 * time.Second) })
 	}},
-	{name: "zone partitioned with a controller", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "zone partitioned with a controller", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 3)
 		cluster.At(15*time.Second, func() { cluster.PartitionZone(zones[1], 1, cluster.Lease+20*time.Second) })
 	}},
-	{name: "completions far apart across provisioner changes", observed: map[Observation]int{controllerRestarted: 12}, inject: func(cluster *Cluster) {
+	{name: "completions far apart across provisioner changes", minObserved: map[Observation]int{controllerRestarted: 12}, inject: func(cluster *Cluster) {
 		for n := range 12 {
 			spec, _ := testJob(n, 0)
 			spec.Tasks = 2 + n%2
@@ -186,12 +186,12 @@
 			cluster.At(time.Duration(10+10*i)*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		}
 	}},
-	{name: "more work than capacity over slow links", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "more work than capacity over slow links", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		cluster.StoreDelay, cluster.MessageLoss = 700*time.Millisecond, 0.02
 		submitMixedJobs(cluster, 120, 4)
 		cluster.At(70*time.Second, func() { cluster.StoreDelay, cluster.MessageLoss = 0, 0 })
 	}},
-	{name: "store slow, then partitioned, then unavailable, while users cancel", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "store slow, then partitioned, then unavailable, while users cancel", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		cluster.RequestBursts = true
 		submitLongJobs(cluster, 12, 24*time.Second)
 		cluster.At(15*time.Second, func() { cluster.StoreDelay = 600 * time.Millisecond })
@@ -201,7 +201,7 @@
 		})
 		cluster.At(25200*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 8*time.Second) })
 	}},
-	{name: "jobs of one zone lose machines", observed: map[Observation]int{machineDied: 8}, inject: func(cluster *Cluster) {
+	{name: "jobs of one zone lose machines", minObserved: map[Observation]int{machineDied: 8}, inject: func(cluster *Cluster) {
 		for n := range 24 {
 			spec, run := testJob(n, 7)
 			cluster.At(time.Duration(2+n/2)*time.Second, func() { cluster.Submit(spec, run+10*time.Second) })
@@ -218,12 +218,12 @@
 			})
 		}
 	}},
-	{name: "commands and answers delayed", observed: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
+	{name: "commands and answers delayed", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		cluster.MessageLoss = 0.15 // half of what is not lost outright is delayed
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(60*time.Second, func() { cluster.MessageLoss = 0 })
 	}},
-	{name: "machines join at once, commits lag, provisioner restarts", observed: map[Observation]int{unansweredCommit: 12, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "machines join at once, commits lag, provisioner restarts", minObserved: map[Observation]int{unansweredCommit: 12, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.ProvisioningDelay = func(string, string) time.Duration { return time.Second }
 		cluster.DelayedCommits, cluster.StoreDelay = 0.2, 300*time.Millisecond
 		submitMixedJobs(cluster, 60, 4)
@@ -231,13 +231,13 @@
 		cluster.At(22*time.Second, func() { cluster.restartProvisioner(500 * time.Millisecond) })
 		cluster.At(60*time.Second, func() { cluster.DelayedCommits, cluster.StoreDelay = 0, 0 })
 	}},
-	{name: "machines hang on cancellations in an outage", observed: map[Observation]int{machineHungOnCancellation: 8}, inject: func(cluster *Cluster) {
+	{name: "machines hang on cancellations in an outage", minObserved: map[Observation]int{machineHungOnCancellation: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 60 * time.Second
 		submitLongJobs(cluster, 10, 19500*time.Millisecond)
 		cluster.At(20600*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 5*time.Second) })
 		cluster.At(40*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
-	{name: "all restart while machines hang with cancelled work", observed: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 12, jobCancelled: 8}, inject: func(cluster *Cluster) {
+	{name: "all restart while machines hang with cancelled work", minObserved: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 12, jobCancelled: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 60 * time.Second
 		submitLongJobs(cluster, 10, 18*time.Second)
 		cluster.At(21*time.Second, func() {
@@ -252,7 +252,7 @@
 			cluster.storeOutage(22 * time.Second)
 		})
 	}},
-	{name: "repeated and unschedulable requests while the provisioner changes", observed: map[Observation]int{unschedulableJobRejected: 20, submissionRepeated: 100, cancelledAfterCompletion: 100, controllerRestarted: 8}, inject: func(cluster *Cluster) {
+	{name: "repeated and unschedulable requests while the provisioner changes", minObserved: map[Observation]int{unschedulableJobRejected: 20, submissionRepeated: 100, cancelledAfterCompletion: 100, controllerRestarted: 8}, inject: func(cluster *Cluster) {
 		cluster.machineTypes = append(slices.Clone(cluster.machineTypes), wire.MachineType{Name: "x2", Cores: 64, MemGB: 64, OnDemandPrice: 3, SpotPrice: 1, StartupS: 5, Zones: zones[:1]})
 		submitMixedJobs(cluster, 60, 6)
 		for i := range 20 {
@@ -274,7 +274,7 @@
 		cluster.At(20*time.Second, func() { cluster.restartProvisioner(3 * time.Second) })
 		cluster.At(40*time.Second, func() { cluster.restartProvisioner(300 * time.Millisecond) })
 	}},
-	{name: "all keys loaded anew during bursts of requests", observed: map[Observation]int{storeCompacted: 4, requestBurst: 500}, inject: func(cluster *Cluster) {
+	{name: "all keys loaded anew during bursts of requests", minObserved: map[Observation]int{storeCompacted: 4, requestBurst: 500}, inject: func(cluster *Cluster) {
 		cluster.RequestBursts = true
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(20*time.Second, func() {
@@ -300,7 +300,7 @@
 func TestFaultPairs(t *testing.T) {
 	for _, pair := range faultPairs {
 		t.Run(pair.name, func(t *testing.T) {
-			seen := map[Observation]int{}
+			observed := map[Observation]int{}
 			for seed := range uint64(4) {
 				settings := testSettings()
 				if pair.configure != nil {
@@ -319,13 +319,13 @@
 				require.Empty(t, cluster.Violations, "seed %d", seed)
 				require.Empty(t, cluster.Unfinished(), "seed %d", seed)
 				for name, n := range cluster.Observed {
-					seen[name] += n
+					observed[name] += n
 				}
 			}
-			for name, n := range pair.observed {
-				require.GreaterOrEqual(t, seen[name], n, fmt.Sprintf("%s: not what the test is about", name))
+			for name, n := range pair.minObserved {
+				require.GreaterOrEqual(t, observed[name], n, fmt.Sprintf("%s: not what the test is about", name))
 			}
-			t.Log(seen)
+			t.Log(observed)
 		})
 	}
 }
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -71,13 +71,13 @@
 		machine.inboundPartitioned = true
 	}
 	cluster.Run(cluster.Lease - time.Second)
-	unreachable := 0
+	terminated := 0
 	for _, machine := range cluster.machines[:8] {
 		if machine.terminated {
-			unreachable++
+			terminated++
 		}
 	}
-	require.Equal(t, 8, unreachable, "terminated before their leases run out")
+	require.Equal(t, 8, terminated, "terminated before their leases run out")
 	require.Empty(t, cluster.Violations)
 }
 
@@ -119,14 +119,14 @@
 // against machines of a conflicting placement that stay reserved for ever, as when they are
 // the only ones with room.
 func TestSchedulingContinuesWithoutPeers(t *testing.T) {
-	for reporting := range 3 {
+	for receiver := range 3 {
 		settings := testSettings()
 		settings.Cluster.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 60}}
 		cluster := clusterSetup{settings: settings, machines: 10, controllers: 3, seed: 1}.start()
 		cluster.Capacity = 0
 		cluster.Run(5 * time.Second)
 		for _, machine := range cluster.machines {
-			machine.controller = reporting
+			machine.controller = receiver
 		}
 		cluster.Run(5 * time.Second)
 		cluster.PeersPartitioned[0], cluster.PeersPartitioned[1], cluster.PeersPartitioned[2] = true, true, true
@@ -139,10 +139,10 @@
 		cluster.Run(12 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
-		require.GreaterOrEqual(t, running, 36, "all report to rig-%d", reporting)
+		require.GreaterOrEqual(t, running, 36, "all report to rig-%d", receiver)
 		cluster.PeersPartitioned = map[int]bool{}
 		cluster.Run(120 * time.Second)
-		require.Empty(t, cluster.Unfinished(), "all report to rig-%d", reporting)
+		require.Empty(t, cluster.Unfinished(), "all report to rig-%d", receiver)
 		require.Empty(t, cluster.Violations)
 	}
 }
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -101,7 +101,7 @@
 // TestControllerStartRacesActivation: an older process that starts in the very moment of the
 // activation either is waited for or ends; never do both succeed.
 func TestControllerStartRacesActivation(t *testing.T) {
-	rejected, retired := 0, 0
+	rejected, activated := 0, 0
 	for step := range 40 {
 		cluster := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewer)
 		cluster.Run(5 * time.Second)
@@ -115,7 +115,7 @@
 		if cluster.ActiveFormat() == record.FormatCompressed {
 			require.Equal(t, http.StatusOK, reply.Status)
 			require.Len(t, cluster.Shutdowns, 1)
-			retired++
+			activated++
 		} else {
 			require.Equal(t, http.StatusConflict, reply.Status)
 			require.True(t, cluster.controllers[2].controller.Healthy())
@@ -124,7 +124,7 @@
 		require.Empty(t, cluster.Violations)
 	}
 	require.Positive(t, rejected)
-	require.Positive(t, retired)
+	require.Positive(t, activated)
 }
 
 // TestActivationAnswerLost: the activation is carried out and only its answer lost. The
@@ -213,7 +213,7 @@
 	cluster := newLargeValueCluster(7, 4, (*Cluster).startNewer)
 	submitBusyLoad(cluster)
 	cluster.Run(12 * time.Second)
-	mixed := func() {
+	restartMixed := func() {
 		for i := range cluster.controllers {
 			cluster.Stop(i)
 		}
@@ -227,7 +227,7 @@
 		}
 		cluster.Run(10 * time.Second)
 	}
-	mixed()
+	restartMixed()
 	require.Empty(t, cluster.Shutdowns)
 	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-1 reads")
 	cluster.startNewer(1)
@@ -235,7 +235,7 @@
 	cluster.Run(8 * time.Second)
 	cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusOK)
 	cluster.Run(5 * time.Second)
-	mixed()
+	restartMixed()
 	require.Len(t, cluster.Shutdowns, 2)
 	require.True(t, cluster.controllers[0].controller.Healthy() && cluster.controllers[2].controller.Healthy())
 	requireAllFinished(t, cluster)
@@ -265,8 +265,8 @@
 	cluster.Stop(2)
 	cluster.Run(7 * time.Second)
 	lease := cluster.store.Grant(cluster.now, controller.Time(time.Hour))
-	enrol := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
-	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{enrol}}).Outcome)
+	livenessChange := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
+	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{livenessChange}}).Outcome)
 	cluster.Run(time.Second)
 	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 runs a build that does not register")
 	cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
--- a/internal/simulation/scheduling_test.go
+++ b/internal/simulation/scheduling_test.go
@@ -33,9 +33,9 @@
 		second.ID, second.Tasks = "wk-000900", 2
 		cluster.At(20*time.Second, func() { cluster.Submit(second, 0) })
 		cluster.Run(90 * time.Second)
-		launched, running := 0, 0
+		launches, running := 0, 0
 		for _, machine := range cluster.machines {
-			launched += machine.launches
+			launches += machine.launches
 		}
 		cluster.eachActiveTask(func(_ *fakeMachine, task *fakeTask) {
 			if task.id.Job == second.ID {
@@ -43,7 +43,7 @@
 			}
 		})
 		require.Equal(t, 2, running, "replicas")
-		require.Less(t, launched, 40, "launches")
+		require.Less(t, launches, 40, "launches")
 		require.Empty(t, cluster.Violations)
 	}
 }
@@ -73,9 +73,9 @@
 		gang.Tasks, gang.Cores, gang.Accelerators, gang.SingleZone = 4, 7, 2, true
 		cluster.At(20*time.Second, func() { cluster.Submit(gang, 20*time.Second) })
 		cluster.Run(65 * time.Second)
-		began, ok := cluster.StartDelay(gang.ID)
+		startDelay, ok := cluster.StartDelay(gang.ID)
 		require.True(t, ok, "seed %d: the gang has not begun", seed)
-		require.Less(t, began, 40*time.Second, "seed %d", seed)
+		require.Less(t, startDelay, 40*time.Second, "seed %d", seed)
 		cluster.Run(150 * time.Second)
 		require.Empty(t, cluster.Violations)
 		require.Empty(t, cluster.Unfinished())
@@ -102,9 +102,9 @@
 		gang.Tasks, gang.Cores, gang.ImageGB, gang.SingleZone = 3, 3, 3, false
 		cluster.At(0, func() { cluster.Submit(gang, 5*time.Second) })
 		cluster.Run(80 * time.Second)
-		began, ok := cluster.StartDelay(gang.ID)
+		startDelay, ok := cluster.StartDelay(gang.ID)
 		require.True(t, ok)
-		require.Less(t, began, 50*time.Second, "seed %d", seed)
+		require.Less(t, startDelay, 50*time.Second, "seed %d", seed)
 		require.Empty(t, cluster.Unfinished(), "seed %d", seed)
 		require.Empty(t, cluster.Violations)
 	}
@@ -134,9 +134,9 @@
 	}
 	cluster.Run(200*1500*time.Millisecond + 4*time.Minute)
 	for _, id := range large {
-		after, began := cluster.StartDelay(id)
-		require.True(t, began, "%s never began", id)
-		require.LessOrEqual(t, after, 4*time.Minute, "%s began late", id)
+		startDelay, started := cluster.StartDelay(id)
+		require.True(t, started, "%s never began", id)
+		require.LessOrEqual(t, startDelay, 4*time.Minute, "%s began late", id)
 	}
 	require.Empty(t, cluster.Violations)
 }
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -13,17 +13,17 @@
 	"lilacrill/wire"
 )
 
-// adopted stands for the moment after a move, beside its phases.
-const adopted record.MovePhase = "adopted"
+// moveAdopted stands for the moment after a move, beside its phases.
+const moveAdopted record.MovePhase = "adopted"
 
 // controllerIndex is the number of the controller with a label.
-func (c *Cluster) controllerIndex(l string) int {
-	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return controllerLabel(process.index) == l })
+func (c *Cluster) controllerIndex(label string) int {
+	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return controllerLabel(process.index) == label })
 }
 
-// startMove has a shard moved, and returns its source and target when the move has come to
+// moveShardUntil has a shard moved, and returns its source and target when the move has come to
 // a phase.
-func (c *Cluster) startMove(t *testing.T, id wire.ShardID, step record.MovePhase) (source, target int) {
+func (c *Cluster) moveShardUntil(t *testing.T, id wire.ShardID, phase record.MovePhase) (source, target int) {
 	t.Helper()
 	before := c.Shard(id)
 	source = c.controllerIndex(before.Owner.Label)
@@ -32,11 +32,11 @@
 	for range 3000 {
 		c.Run(time.Millisecond)
 		s := c.Shard(id)
-		if s.Move != nil && s.Move.Phase == step || step == adopted && s.Epoch > before.Epoch {
+		if s.Move != nil && s.Move.Phase == phase || phase == moveAdopted && s.Epoch > before.Epoch {
 			return source, target
 		}
 	}
-	require.Fail(t, "the move never came to a step", "%s: %+v", step, c.Shard(id))
+	require.Fail(t, "the move never came to a step", "%s: %+v", phase, c.Shard(id))
 	return 0, 0
 }
 
@@ -53,11 +53,11 @@
 	}
 }
 
-// finishSharded lets everything end, and requires that every shard is owned by a live
+// requireShardsSettled lets everything end, and requires that every shard is owned by a live
 // process, and that moves come to rest: as the last machines are terminated, controllers
 // that receive no heartbeats any more hand over all that they own, and get their part
 // again.
-func finishSharded(t *testing.T, cluster *Cluster) {
+func requireShardsSettled(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	requireAllFinished(t, cluster)
 	require.Zero(t, cluster.unownedShards())
@@ -86,31 +86,31 @@
 // and come back within a moment or long after.
 func TestControllersRestartDuringShardMove(t *testing.T) {
 	t.Parallel()
-	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased, adopted} {
-		for ends, who := range []string{"source", "target", "both"} {
-			for _, back := range []time.Duration{300 * time.Millisecond, 9 * time.Second} {
-				t.Run(fmt.Sprint(step, " ", who, " ", back), func(t *testing.T) {
-					cluster := newShardedCluster(t, uint64(ends)+7, 3)
+	for _, phase := range []record.MovePhase{record.MoveProposed, record.MoveReleased, moveAdopted} {
+		for restarted, role := range []string{"source", "target", "both"} {
+			for _, downtime := range []time.Duration{300 * time.Millisecond, 9 * time.Second} {
+				t.Run(fmt.Sprint(phase, " ", role, " ", downtime), func(t *testing.T) {
+					cluster := newShardedCluster(t, uint64(restarted)+7, 3)
 					submitMixedJobs(cluster, 60, 6)
 					cluster.Run(10 * time.Second)
 					const id = 11
 					before := cluster.Shard(id)
-					source, target := cluster.startMove(t, id, step)
+					source, target := cluster.moveShardUntil(t, id, phase)
 					for i, controller := range []int{source, target} {
-						if ends == i || ends == 2 {
-							cluster.restart(controller, back)
+						if restarted == i || restarted == 2 {
+							cluster.restart(controller, downtime)
 						}
 					}
 					cluster.Run(8 * time.Second)
-					if who == "target" && back > 8*time.Second && step != adopted {
+					if role == "target" && downtime > 8*time.Second && phase != moveAdopted {
 						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, cluster.Shard(id), "undone")
 					}
 					cluster.Run(12 * time.Second)
 					require.True(t, cluster.isLive(cluster.Shard(id).Owner))
-					if who != "target" || step == adopted {
+					if role != "target" || phase == moveAdopted {
 						require.Greater(t, cluster.Shard(id).Epoch, before.Epoch)
 					}
-					finishSharded(t, cluster)
+					requireShardsSettled(t, cluster)
 				})
 			}
 		}
@@ -143,7 +143,7 @@
 		cluster.Run(50 * time.Second)
 		conflicts += cluster.Observed[placementConflictedOnShard]
 		delayed += cluster.Observed[delayedDirectCall(stalled)]
-		finishSharded(t, cluster)
+		requireShardsSettled(t, cluster)
 	}
 	require.Greater(t, failedOver, 50)
 	require.Greater(t, conflicts, 4)
@@ -155,7 +155,7 @@
 // in a new agent epoch.
 func TestContinuousShardMoves(t *testing.T) {
 	t.Parallel()
-	seen := map[Observation]int{}
+	observed := map[Observation]int{}
 	for seed := range uint64(6) {
 		settings := testSettings()
 		settings.Cluster.State.ValueKB = 8
@@ -190,15 +190,15 @@
 				cluster.Observed[machineInNewEpoch]++
 			}
 		}
-		finishSharded(t, cluster)
+		requireShardsSettled(t, cluster)
 		for name, n := range cluster.Observed {
-			seen[name] += n
+			observed[name] += n
 		}
 	}
-	t.Log(seen)
-	for name, least := range map[Observation]int{shardAdopted: 1000, jobCancelled: 30, teamAtLimit: 3, placedInShard: 300,
+	t.Log(observed)
+	for name, threshold := range map[Observation]int{shardAdopted: 1000, jobCancelled: 30, teamAtLimit: 3, placedInShard: 300,
 		machineProvisionedInMovingShard: 5, machineTerminatedInMovingShard: 5, machineHungInMovingShard: 5, machineInNewEpoch: 3} {
-		require.Greater(t, seen[name], least, name)
+		require.Greater(t, observed[name], threshold, name)
 	}
 }
 
@@ -210,14 +210,14 @@
 		cluster := newShardedCluster(t, 90+seed, 3)
 		submitMixedJobs(cluster, 60, 6)
 		cluster.Run(8 * time.Second)
-		_, target := cluster.startMove(t, 7, record.MoveReleased)
+		_, target := cluster.moveShardUntil(t, 7, record.MoveReleased)
 		before := cluster.Observed[unansweredCommit]
 		cluster.DelayCommitsOf[target], cluster.LoseAnswersOnly = true, true
 		cluster.Run(2 * time.Second)
 		cluster.DelayCommitsOf[target] = false
 		require.Greater(t, cluster.Observed[unansweredCommit], before)
 		require.Equal(t, controllerLabel(target), cluster.Shard(7).Owner.Label)
-		finishSharded(t, cluster)
+		requireShardsSettled(t, cluster)
 	}
 }
 
@@ -225,16 +225,16 @@
 // unavailable for longer than a lease within a move: every lease has its full time again.
 func TestStoreOutageDuringShardMove(t *testing.T) {
 	t.Parallel()
-	for _, step := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
+	for _, phase := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
 		cluster := newShardedCluster(t, 95, 3)
 		submitMixedJobs(cluster, 60, 6)
 		cluster.Run(8 * time.Second)
-		_, target := cluster.startMove(t, 9, step)
+		_, target := cluster.moveShardUntil(t, 9, phase)
 		before := cluster.Observed[shardFailedOver]
 		cluster.storeOutage(9 * time.Second)
 		cluster.Run(15 * time.Second)
 		require.Equal(t, controllerLabel(target), cluster.Shard(9).Owner.Label)
 		require.Equal(t, before, cluster.Observed[shardFailedOver])
-		finishSharded(t, cluster)
+		requireShardsSettled(t, cluster)
 	}
 }
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -95,17 +95,17 @@
 	}
 	require.Greater(t, cluster.Observed[placedInShard], 50)
 	requireAllFinished(t, cluster)
-	led, machines := 0, 0
+	atOwner, machines := 0, 0
 	for _, machine := range cluster.machines {
 		if machine.up && !machine.terminated {
 			machines++
 			require.EqualValues(t, 1, machine.agentEpoch)
 			if controllerLabel(machine.controller) == cluster.Shard(shard.Of(machine.id)).Owner.Label {
-				led++
+				atOwner++
 			}
 		}
 	}
-	require.Greater(t, led, machines*3/4, "of %d", machines)
+	require.Greater(t, atOwner, machines*3/4, "of %d", machines)
 }
 
 // TestConcurrentShardMovesOneSucceeds checks that of two moves of a shard that operators
@@ -185,7 +185,7 @@
 	cluster.changeShards(2, wire.AdminShardChange{EndDrain: "rig-1"})
 	cluster.Run(20 * time.Second)
 	require.InDelta(t, shard.Count/3, cluster.shardsByOwner()["rig-1"], shard.BalanceTolerance)
-	finishSharded(t, cluster)
+	requireShardsSettled(t, cluster)
 }
 
 // TestGangSpansShards checks that a gang that needs more machines than any controller owns,
@@ -202,16 +202,16 @@
 		gang.Tasks, gang.Cores, gang.SingleZone = 10, 4, false
 		cluster.Submit(gang, 10*time.Second)
 		cluster.Run(12 * time.Second)
-		began, ok := cluster.StartDelay(gang.ID)
+		startDelay, ok := cluster.StartDelay(gang.ID)
 		require.True(t, ok, "seed %d", seed)
-		t.Log("gang of 10 over 12 machines started after", began)
+		t.Log("gang of 10 over 12 machines started after", startDelay)
 		cluster.Run(15 * time.Second)
 		array, _ := testJob(3, 0)
 		array.Tasks, array.Cores = 12, 4
 		cluster.Submit(array, 20*time.Second)
 		cluster.Run(8 * time.Second)
 		require.Len(t, cluster.jobs[array.ID].active(), 12, "seed %d", seed)
-		finishSharded(t, cluster)
+		requireShardsSettled(t, cluster)
 	}
 }
 
@@ -221,7 +221,7 @@
 // that is gone.
 func TestNoPlacementOnTerminatedMachine(t *testing.T) {
 	t.Parallel()
-	refused := 0
+	conflicts := 0
 	for seed := range uint64(8) {
 		cluster := newCluster(300+seed, 3)
 		cluster.Capacity = 0
@@ -238,10 +238,10 @@
 		cluster.DelayPlacements = false
 		cluster.Run(10 * time.Second)
 		cluster.Capacity = 3
-		refused += cluster.Observed[placementConflictedOnTermination]
+		conflicts += cluster.Observed[placementConflictedOnTermination]
 		requireAllFinished(t, cluster)
 	}
-	require.Greater(t, refused, 5)
+	require.Greater(t, conflicts, 5)
 }
 
 // changeSettings has an operator change the settings.
