--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -12,8 +12,8 @@
 	"lilacrill/wire"
 )
 
-// shortCancelSettings leaves between a lease and cancel_s as little as the users' own
-// deployments do.
+// shortCancelSettings returns settings in which cancel_s exceeds the lease by as little as in
+// production deployments.
 func shortCancelSettings() config.Settings {
 	settings := testSettings()
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
@@ -23,16 +23,18 @@
 	return settings
 }
 
-// partitionThenOutage is a variant of this: the state store rejects the controller that the
-// workers send heartbeats to, another confirms cancellations, and then the state store is
-// unavailable for all for longer than cancel_s.
+// partitionThenOutage is a variant of the following scenario. The state store rejects the
+// controller to which the workers send their heartbeats, and the other controllers confirm
+// cancellations. Then the state store is unavailable to all controllers for longer than
+// cancel_s.
 type partitionThenOutage struct {
 	name string
-	// onPartition happens as the rejections begin: rejected is the controller that is rejected.
+	// onPartition, if set, runs when the partition begins. partitioned is the controller that
+	// the state store rejects.
 	onPartition func(cluster *Cluster, partitioned int)
-	// onOutage happens once cancellations were confirmed, just before the outage.
+	// onOutage, if set, runs after cancellations were confirmed, just before the outage.
 	onOutage             func(cluster *Cluster, partitioned int)
-	dropDirectCalls      bool // no direct call reaches a worker
+	dropDirectCalls      bool // no direct call of a controller reaches a worker
 	cancelWhileLaunching bool // jobs are cancelled while their tasks are being launched
 }
 
@@ -85,9 +87,10 @@
 	{name: "duplicated heartbeats", dropDirectCalls: true, onPartition: func(cluster *Cluster, _ int) { cluster.DuplicatedHeartbeats = 0.3 }},
 }
 
-// TestCancelledTasksStopAcrossPartitionAndOutage guards the rule that a cancelled task
-// stops in time where a partition meets an outage: the partitioned controller went on
-// answering workers, and kept alive what it did not know to be cancelled.
+// TestCancelledTasksStopAcrossPartitionAndOutage guards against cancelled tasks that run for
+// longer than cancel_s when an outage of the state store follows a partition from it. This
+// happens if the partitioned controller continues to answer heartbeats and thereby keeps tasks
+// running whose cancellation it does not know of.
 func TestCancelledTasksStopAcrossPartitionAndOutage(t *testing.T) {
 	for _, variant := range partitionsThenOutages {
 		t.Run(variant.name, func(t *testing.T) {
@@ -95,11 +98,13 @@
 			for seed := range uint64(4) {
 				confirmed += variant.run(t, seed, true)
 			}
-			require.Greater(t, confirmed, 8, "cancellations that others confirmed between partition and outage")
+			require.Greater(t, confirmed, 8, "too few cancellations were confirmed between partition and outage")
 		})
 	}
 }
 
+// run runs the scenario with a seed and returns the number of cancellations that were
+// confirmed between the start of the partition and the outage.
 func (p partitionThenOutage) run(t *testing.T, seed uint64, withOutage bool) int {
 	t.Helper()
 	cluster := newClusterWith(shortCancelSettings(), seed, 3)
@@ -155,9 +160,10 @@
 	return confirmed
 }
 
+// testJobID returns the ID of test job n.
 func (c *Cluster) testJobID(n int) wire.JobID { spec, _ := testJob(n, 0); return spec.ID }
 
-// cancelledBetween counts the jobs that were reported cancelled in that time.
+// cancelledBetween returns the number of jobs that were reported cancelled between two times.
 func (c *Cluster) cancelledBetween(from, to time.Duration) int {
 	n := 0
 	for _, job := range c.jobs {
@@ -168,10 +174,11 @@
 	return n
 }
 
-// TestDelayedLaunchOfCancelledJob guards against a launch that is delayed on its way for
-// longer than cancel_s while nobody can raise a fencing token: its job was cancelled before
-// the worker had it, and in the outage that follows the worker's lease must not be renewed
-// for so long that the launch still finds its agent epoch.
+// TestDelayedLaunchOfCancelledJob guards against a worker that executes the launch of a
+// cancelled job. The job is cancelled before the launch reaches the worker, the launch is
+// delayed for longer than cancel_s, and in an outage of the state store no controller can
+// raise the worker's fencing token. The worker's lease must therefore not be renewed for so
+// long that the launch still matches the worker's agent epoch.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
 	executedLate := 0
 	for seed := range uint64(6) {
@@ -180,14 +187,14 @@
 			cluster.AddMachine(machineTypes[0], zones[i%3], false, 0)
 		}
 		cluster.Run(20 * time.Second)
-		cluster.DropDirectCalls = true // what is sent directly now is delayed
+		cluster.DropDirectCalls = true // the launches are dropped here and delivered late below
 		for n := range 12 {
 			spec, _ := testJob(n, 0)
 			spec.Tasks = 1
 			cluster.At(0, func() { cluster.Submit(spec, 200*time.Second) })
 			cluster.At(1500*time.Millisecond, func() { cluster.CancelJob(spec.ID) })
 		}
-		// The launches as they were sent: with the token of then, for the agent epoch of then.
+		// The launches as they were sent, with the fencing token and agent epoch of that moment.
 		type launch struct {
 			machine *fakeMachine
 			body    wire.CommandRequest
@@ -204,7 +211,7 @@
 				}
 			}
 		})
-		cluster.Run(1530 * time.Millisecond) // cancelled, and no token raised yet
+		cluster.Run(1530 * time.Millisecond) // the jobs are cancelled, but no fencing token is raised yet
 		cluster.StoreUnavailable, cluster.DropDirectCalls = true, false
 		cluster.At(cluster.CancelTimeout+5*time.Second, func() {
 			for _, delayed := range delayedLaunches {
@@ -218,14 +225,14 @@
 		cluster.Run(cluster.CancelTimeout + 10*time.Second)
 		require.Empty(t, cluster.Violations, "seed %d", seed)
 	}
-	require.Greater(t, executedLate, 10, "launches that came late")
+	require.Greater(t, executedLate, 10, "too few launches were delivered late")
 }
 
-// TestCancelledTasksStopInPartitionedZone guards against tasks that a partitioned
-// controller keeps alive although others have reported their jobs cancelled, while the
-// cloud is unavailable so that their machines cannot be terminated. It was found on a rough
-// day: a zone was partitioned, and the one controller outside that was well suspected
-// itself of isolation, since more than a third of the machines were unresponsive.
+// TestCancelledTasksStopInPartitionedZone guards against tasks that a controller in a
+// partitioned zone keeps running although other controllers have reported their jobs
+// cancelled, while the cloud is unavailable and their machines cannot be terminated. This can
+// happen if the only healthy controller outside the zone suspects that it is isolated itself,
+// because more than a third of the machines are unresponsive.
 func TestCancelledTasksStopInPartitionedZone(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -242,7 +249,7 @@
 		cluster.PartitionZone("east", 0, 100*time.Second)
 		cloudBack := 90 * time.Second
 		if seed%2 == 1 {
-			cloudBack = 25 * time.Second // and then one controller alone is well
+			cloudBack = 25 * time.Second // meanwhile controller 2 is the only healthy one
 			cluster.StorePartitioned[1], cluster.PeersPartitioned[1], cluster.WorkersPartitioned[1] = true, true, true
 			cluster.At(60*time.Second, func() {
 				delete(cluster.StorePartitioned, 1)
@@ -257,9 +264,10 @@
 	}
 }
 
-// TestNoPlacementOfCancelledJob guards a placement's condition on its job: users cancel
-// while placements of the job are on their way to a slow state store. The cluster checks
-// every placement page against the jobs there are when it is committed.
+// TestNoPlacementOfCancelledJob guards against placements of cancelled jobs. A placement whose
+// transaction has no condition on its job can be committed after the job was cancelled, if
+// the state store is slow. The cluster checks every placement page against the jobs that
+// exist when the page is committed.
 func TestNoPlacementOfCancelledJob(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newCluster(seed, 3)
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -12,17 +12,20 @@
 	"lilacrill/wire"
 )
 
-// faultPair is two faults that meet. inject brings them about within 100 seconds, on a
-// cluster of nine to thirteen machines on which work runs; observed is what the cluster
-// must have counted for them to have met, summed over the seeds.
+// faultPair is a combination of two faults.
 type faultPair struct {
-	name        string
-	configure   func(*config.Settings)
-	inject      func(cluster *Cluster)
+	name string
+	// configure changes the settings of the cluster, if it is set.
+	configure func(*config.Settings)
+	// inject submits jobs and injects the faults within 100 seconds, on a cluster of nine to
+	// thirteen machines.
+	inject func(cluster *Cluster)
+	// minObserved holds the minimum counts, summed over the seeds, that show that the faults
+	// have coincided.
 	minObserved map[Observation]int
 }
 
-// lowerTeamLimits has teams reach their limits with the jobs that there are.
+// lowerTeamLimits lowers the limits of the teams so that the submitted jobs reach them.
 func lowerTeamLimits(settings *config.Settings) {
 	for i := range settings.Cluster.Teams {
 		settings.Cluster.Teams[i].CPUsMax = 12
@@ -60,7 +63,7 @@
 		cluster.At(10*time.Second, func() { cluster.ReplayedHeartbeats = 0.5 })
 		cluster.At(20*time.Second, func() {
 			for i := range cluster.controllers {
-				cluster.restart(i, 20*time.Second) // all are away for longer than a lease
+				cluster.restart(i, 20*time.Second) // all controllers are down for longer than a lease
 			}
 		})
 		cluster.At(70*time.Second, func() { cluster.ReplayedHeartbeats = 0 })
@@ -219,7 +222,9 @@
 		}
 	}},
 	{name: "commands and answers delayed", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
-		cluster.MessageLoss = 0.15 // half of what is not lost outright is delayed
+		// Direct calls are delayed at this rate. Of the heartbeats and users' requests that
+		// are affected, half are lost and half are delayed.
+		cluster.MessageLoss = 0.15
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(60*time.Second, func() { cluster.MessageLoss = 0 })
 	}},
@@ -266,7 +271,7 @@
 			case 2:
 				spec.Zone, spec.Types = zones[1], []string{"x2"}
 			case 3:
-				// Only one zone has machines that large.
+				// Only one zone has machines with 9 cores or more.
 				spec.Shape, spec.SpreadZones, spec.Tasks, spec.Cores, spec.Team = wire.ShapeService, true, 2, 9, "red"
 			}
 			cluster.At(time.Duration(5+3*i)*time.Second, func() { cluster.SubmitUnschedulable(spec) })
@@ -278,14 +283,15 @@
 		cluster.RequestBursts = true
 		submitMixedJobs(cluster, 60, 4)
 		cluster.At(20*time.Second, func() {
-			// The watch goes back no further than that, as after very many changes.
+			// The store compacts its log just before the partition ends, as after very many
+			// changes. The controller cannot resume its watch and reloads all keys.
 			cluster.partitionFromStore(0, 8*time.Second)
 			cluster.At(7500*time.Millisecond, func() { cluster.store.Compact(); cluster.Observed[storeCompacted]++ })
 		})
 	}},
 }
 
-// countTeamsAtLimit counts the teams that use all that they may.
+// countTeamsAtLimit counts the teams whose use of cores is within one core of their limit.
 func (c *Cluster) countTeamsAtLimit() {
 	used := map[string]float64{}
 	c.eachActiveTask(func(_ *fakeMachine, t *fakeTask) { spec := &c.jobs[t.id.Job].spec; used[spec.Team] += spec.Cores })
@@ -296,7 +302,7 @@
 	}
 }
 
-// TestFaultPairs checks the rules where two faults meet, one pair at a time.
+// TestFaultPairs checks that the cluster's rules hold when two faults coincide.
 func TestFaultPairs(t *testing.T) {
 	for _, pair := range faultPairs {
 		t.Run(pair.name, func(t *testing.T) {
@@ -323,16 +329,17 @@
 				}
 			}
 			for name, n := range pair.minObserved {
-				require.GreaterOrEqual(t, observed[name], n, fmt.Sprintf("%s: not what the test is about", name))
+				require.GreaterOrEqual(t, observed[name], n, fmt.Sprintf("%s: observed too rarely, the faults did not coincide", name))
 			}
 			t.Log(observed)
 		})
 	}
 }
 
-// TestOverlappingFaults is a day of overlapping faults: the state store is unavailable
-// while all controllers restart and a machine hangs; then one controller is partitioned
-// from the store while another machine dies; then the store is slow.
+// TestOverlappingFaults checks that the cluster's rules hold when faults overlap. First the
+// state store is unavailable while all controllers restart and a machine hangs. Then one
+// controller is partitioned from the store while another machine dies. Finally the store is
+// slow while the cloud is unavailable.
 func TestOverlappingFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
