--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -14,8 +14,9 @@
 	"lilacrill/wire"
 )
 
-// TestRolloutControllerDown: a controller that is down throughout holds the activation
-// up, by name, until an operator excludes it; back as it was, it must not serve.
+// TestRolloutControllerDown checks that the activation of a format is rejected, with the name
+// of the controller that is down, until an operator excludes this controller. When it is
+// started again with the older release, it must shut down instead of serving.
 func TestRolloutControllerDown(t *testing.T) {
 	cluster := newLargeValueCluster(1, 3, (*Cluster).startOlder)
 	submitBusyLoad(cluster)
@@ -30,7 +31,7 @@
 	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
 	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
 	cluster.Run(10 * time.Second)
-	require.Positive(t, cluster.compressedRecords(), "records are compressed now")
+	require.Positive(t, cluster.compressedRecords(), "no records are compressed after the activation")
 
 	cluster.startOlder(2)
 	cluster.Run(10 * time.Second)
@@ -43,8 +44,8 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestRollbackOfHalfUpgradedCluster: with half of the controllers upgraded nothing of the later
-// format is written, and they may go back.
+// TestRollbackOfHalfUpgradedCluster checks that no records of the later format are written
+// while only half of the controllers are upgraded, and that these can be rolled back.
 func TestRollbackOfHalfUpgradedCluster(t *testing.T) {
 	cluster := newLargeValueCluster(2, 4, (*Cluster).startOlder)
 	submitBusyLoad(cluster)
@@ -65,9 +66,10 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestStalledControllerDuringActivation checks that an older controller that stalls across
-// the activation, with commits and direct calls on their way that are executed after it,
-// and resumes with what waited in its buffers, ends by itself, and nothing runs twice.
+// TestStalledControllerDuringActivation checks a controller of the older release that stalls
+// during the activation. Its commits and direct calls under way are executed after the
+// activation, and when it resumes it handles its buffered inputs. It must shut down, and no
+// task may run twice.
 func TestStalledControllerDuringActivation(t *testing.T) {
 	unanswered, delayed := 0, 0
 	for seed := range uint64(8) {
@@ -84,7 +86,7 @@
 		cluster.Run(5 * time.Second)
 		cluster.Stall(2, 25*time.Second)
 		cluster.DelayedCommits, cluster.MessageLoss = 0, 0
-		cluster.Run(9 * time.Second) // its lease runs out
+		cluster.Run(9 * time.Second) // until its lease has expired
 		cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "hangs"}, http.StatusOK)
 		cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
 		cluster.Run(20 * time.Second)
@@ -94,12 +96,12 @@
 		cluster.startNewer(2)
 		requireAllFinished(t, cluster)
 	}
-	require.Greater(t, unanswered, 8, "commits that were executed late")
-	require.Greater(t, delayed, 8, "direct calls of the older controller that came late")
+	require.Greater(t, unanswered, 8, "too few commits were executed late")
+	require.Greater(t, delayed, 8, "too few direct calls of the older controller were delayed")
 }
 
-// TestControllerStartRacesActivation: an older process that starts in the very moment of the
-// activation either is waited for or ends; never do both succeed.
+// TestControllerStartRacesActivation checks a process of the older release that starts at the
+// same time as the activation. Either the activation is rejected or the process shuts down.
 func TestControllerStartRacesActivation(t *testing.T) {
 	rejected, activated := 0, 0
 	for step := range 40 {
@@ -127,8 +129,9 @@
 	require.Positive(t, activated)
 }
 
-// TestActivationAnswerLost: the activation is carried out and only its answer lost. The
-// operator is told that it may have been; asked again it is in force.
+// TestActivationAnswerLost checks an activation that is committed but whose answer is lost.
+// The reply leaves open whether the change was made, and a new request is rejected because the
+// format is in force.
 func TestActivationAnswerLost(t *testing.T) {
 	cluster := newLargeValueCluster(4, 3, (*Cluster).startNewer)
 	cluster.Run(10 * time.Second)
@@ -148,9 +151,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestActivationDuringStoreOutage checks that the operator is told to come back while the
-// state store is unavailable, and that a controller that is partitioned from it for longer
-// than a lease holds the activation up.
+// TestActivationDuringStoreOutage checks that the operator is asked to retry while the state
+// store is unavailable, and that the activation is rejected while a controller has been
+// partitioned from the store for longer than a lease.
 func TestActivationDuringStoreOutage(t *testing.T) {
 	cluster := newLargeValueCluster(5, 3, (*Cluster).startNewer)
 	submitBusyLoad(cluster)
@@ -171,8 +174,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestExcludedControllerReturns: an exclusion holds for the processes of before only.
-// One that returns and reads too little holds the activation up again.
+// TestExcludedControllerReturns checks that an exclusion applies to earlier processes of the
+// controller only. If the controller returns with a release that does not read the format,
+// the activation is rejected again.
 func TestExcludedControllerReturns(t *testing.T) {
 	cluster := newLargeValueCluster(6, 3, (*Cluster).startNewer)
 	cluster.Run(5 * time.Second)
@@ -193,8 +197,8 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestConcurrentActivationsOneSucceeds: of two that activate at once, from the same version, one
-// succeeds and the other is told.
+// TestConcurrentActivationsOneSucceeds checks that of two concurrent activations that are based
+// on the same version one succeeds and the other is rejected.
 func TestConcurrentActivationsOneSucceeds(t *testing.T) {
 	for seed := range uint64(10) {
 		cluster := newLargeValueCluster(200+seed, 3, (*Cluster).startNewer)
@@ -207,8 +211,8 @@
 	}
 }
 
-// TestRestartIntoMixedVersions: all end and come back, some of them older, before and
-// after the activation.
+// TestRestartIntoMixedVersions restarts all controllers, half of them with the older release,
+// before and after the activation. After it, the older processes must shut down.
 func TestRestartIntoMixedVersions(t *testing.T) {
 	cluster := newLargeValueCluster(7, 4, (*Cluster).startNewer)
 	submitBusyLoad(cluster)
@@ -241,8 +245,8 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestPeerMessagesOfEarlierFormat checks that copies of peer messages from before the
-// activation, and from processes of before, do no harm long after it.
+// TestPeerMessagesOfEarlierFormat checks that copies of peer messages that were sent before
+// the activation, or by earlier processes, are harmless when they arrive long after it.
 func TestPeerMessagesOfEarlierFormat(t *testing.T) {
 	cluster := newLargeValueCluster(8, 3, (*Cluster).startNewer)
 	cluster.DuplicatedPeerMessages = 0.2
@@ -256,9 +260,10 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestUnregisteredBuild: a build that knows of no registration lists itself among the
-// living and registers nothing. It holds the activation up, also over the record that
-// a newer process of the same controller left.
+// TestUnregisteredBuild checks that the activation is rejected while a controller runs a build
+// that predates registrations, which writes a liveness record but does not register the formats
+// that it reads. The registration that a newer process of the same controller has left must
+// not count for this build.
 func TestUnregisteredBuild(t *testing.T) {
 	cluster := newLargeValueCluster(9, 3, (*Cluster).startNewer)
 	cluster.Run(6 * time.Second)
@@ -273,8 +278,8 @@
 	require.Equal(t, record.FormatPlain, cluster.ActiveFormat())
 }
 
-// TestAutomaticActivation: where the deployment wants it, a format comes into force by
-// itself, once all have been ready for long enough without a break.
+// TestAutomaticActivation checks that, where automatic activation is configured, a format is
+// activated once all controllers have been ready for settle_s without interruption.
 func TestAutomaticActivation(t *testing.T) {
 	cluster := newLargeValueCluster(10, 3, func(cluster *Cluster, i int) {
 		features, settle := config.DefaultFeatures(), 20.0
@@ -285,10 +290,10 @@
 	cluster.Run(15 * time.Second)
 	cluster.Stop(1)
 	cluster.Run(30 * time.Second)
-	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "one is down")
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "activated while a controller is down")
 	cluster.Start(1)
 	cluster.Run(15 * time.Second)
-	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "not settled")
+	require.Equal(t, record.FormatPlain, cluster.ActiveFormat(), "activated before settle_s has passed")
 	cluster.Run(15 * time.Second)
 	require.Equal(t, record.NewestFormat, cluster.ActiveFormat())
 	require.Empty(t, cluster.Violations)
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -13,16 +13,17 @@
 	"lilacrill/wire"
 )
 
-// moveAdopted stands for the moment after a move, beside its phases.
+// moveAdopted stands for the state after a move, in which the target has adopted the shard. It
+// is not a phase that is stored.
 const moveAdopted record.MovePhase = "adopted"
 
-// controllerIndex is the number of the controller with a label.
+// controllerIndex returns the index of the controller with a label.
 func (c *Cluster) controllerIndex(label string) int {
 	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return controllerLabel(process.index) == label })
 }
 
-// moveShardUntil has a shard moved, and returns its source and target when the move has come to
-// a phase.
+// moveShardUntil requests a move of a shard and runs the cluster until the move has reached a
+// phase. It returns the source and the target of the move.
 func (c *Cluster) moveShardUntil(t *testing.T, id wire.ShardID, phase record.MovePhase) (source, target int) {
 	t.Helper()
 	before := c.Shard(id)
@@ -36,11 +37,11 @@
 			return source, target
 		}
 	}
-	require.Fail(t, "the move never came to a step", "%s: %+v", phase, c.Shard(id))
+	require.Fail(t, "the move did not reach the phase", "%s: %+v", phase, c.Shard(id))
 	return 0, 0
 }
 
-// shuffleShards has every shard moved to another controller again and again until some
+// shuffleShards requests moves of all shards to other controllers, over and over, until the given
 // time.
 func (c *Cluster) shuffleShards(until time.Duration) {
 	for n := 0; c.Now()+time.Duration(n)*200*time.Millisecond < until; n++ {
@@ -53,10 +54,10 @@
 	}
 }
 
-// requireShardsSettled lets everything end, and requires that every shard is owned by a live
-// process, and that moves come to rest: as the last machines are terminated, controllers
-// that receive no heartbeats any more hand over all that they own, and get their part
-// again.
+// requireShardsSettled requires that all jobs finish, that every shard is owned by a live
+// process, and that all moves end. Moves can still be under way then: when the last machines
+// are terminated, controllers that no longer receive heartbeats hand over all their shards, and
+// later get their part again.
 func requireShardsSettled(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	requireAllFinished(t, cluster)
@@ -67,10 +68,10 @@
 		}
 		cluster.Run(time.Second)
 	}
-	require.Zero(t, cluster.movingShards(), "moves never come to rest")
+	require.Zero(t, cluster.movingShards(), "shards are still being moved")
 }
 
-// movingShards counts the shards on the move.
+// movingShards returns the number of shards that are being moved.
 func (c *Cluster) movingShards() int {
 	n := 0
 	for id := range wire.ShardID(shard.Count) {
@@ -81,9 +82,9 @@
 	return n
 }
 
-// TestControllersRestartDuringShardMove checks that a move is finished or undone, and
-// nothing is lost or doubled, when its source, target or both end at each of its phases,
-// and come back within a moment or long after.
+// TestControllersRestartDuringShardMove checks that a move is finished or undone, and no task
+// is lost or run twice, when the source, the target or both stop in any phase of the move and
+// restart 0.3 s or 9 s later.
 func TestControllersRestartDuringShardMove(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []record.MovePhase{record.MoveProposed, record.MoveReleased, moveAdopted} {
@@ -103,7 +104,7 @@
 					}
 					cluster.Run(8 * time.Second)
 					if role == "target" && downtime > 8*time.Second && phase != moveAdopted {
-						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, cluster.Shard(id), "undone")
+						require.Equal(t, record.Shard{Owner: before.Owner, Epoch: before.Epoch}, cluster.Shard(id), "the move was not undone")
 					}
 					cluster.Run(12 * time.Second)
 					require.True(t, cluster.isLive(cluster.Shard(id).Owner))
@@ -117,9 +118,10 @@
 	}
 }
 
-// TestStalledShardOwnerIsFenced checks an owner that stalls for long past its lease, with
-// commits and launches on their way that are executed after its shards failed over, and
-// resumes. Its commits conflict on their shards, and nothing runs twice.
+// TestStalledShardOwnerIsFenced checks an owner that stalls until long after its lease has
+// expired and then resumes. Its commits and launches that are under way are executed after its
+// shards have failed over. The commits must conflict on the records of the shards, and no task
+// may run twice.
 func TestStalledShardOwnerIsFenced(t *testing.T) {
 	t.Parallel()
 	conflicts, delayed, failedOver := 0, 0, 0
@@ -132,7 +134,7 @@
 		cluster.Run(5 * time.Second)
 		cluster.Stall(stalled, 50*time.Second)
 		cluster.DelayCommitsOf[stalled], cluster.MessageLoss = false, 0
-		// Its lease runs out, or later, where a renewal of it was delayed on its way.
+		// Its shards fail over when its lease expires, which a delayed renewal can postpone.
 		for range 45 {
 			if cluster.Run(time.Second); cluster.shardsByOwner()[controllerLabel(stalled)] == 0 {
 				break
@@ -147,12 +149,12 @@
 	}
 	require.Greater(t, failedOver, 50)
 	require.Greater(t, conflicts, 4)
-	require.Greater(t, delayed, 10, "launches that were executed late")
+	require.Greater(t, delayed, 10, "too few launches were executed late")
 }
 
-// TestContinuousShardMoves moves all shards round and round while jobs run, teams are at
-// their limits, users cancel, and machines are provisioned, terminated, hang and come back
-// in a new agent epoch.
+// TestContinuousShardMoves checks that the cluster's rules hold while all shards are moved
+// continuously, jobs run, teams reach their limits, users cancel jobs, and machines are
+// provisioned, are terminated, hang and return in a new agent epoch.
 func TestContinuousShardMoves(t *testing.T) {
 	t.Parallel()
 	observed := map[Observation]int{}
@@ -202,8 +204,8 @@
 	}
 }
 
-// TestShardAdoptionAnswerLost checks an adoption that is committed and whose answer is
-// lost.
+// TestShardAdoptionAnswerLost checks that an adoption takes effect if it is committed but its
+// answer is lost.
 func TestShardAdoptionAnswerLost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -221,8 +223,9 @@
 	}
 }
 
-// TestStoreOutageDuringShardMove checks that nothing fails over when the state store is
-// unavailable for longer than a lease within a move: every lease has its full time again.
+// TestStoreOutageDuringShardMove checks that a move is finished and no shard fails over when the
+// state store is unavailable for longer than a lease during the move, because every lease has
+// its full duration when the store is available again.
 func TestStoreOutageDuringShardMove(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []record.MovePhase{record.MoveProposed, record.MoveReleased} {
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -15,8 +15,8 @@
 	"lilacrill/wire"
 )
 
-// startWithShards starts a controller that enables shards, and activates the newest format
-// once all read it.
+// startWithShards starts a controller that enables shards and automatically activates the
+// newest format once all controllers read it.
 func (c *Cluster) startWithShards(i int) {
 	features, settle := config.DefaultFeatures(), 0.0
 	features.Rollout.Activation, features.Rollout.SettleS = config.ActivationAutomatic, &settle
@@ -25,7 +25,7 @@
 	c.Start(i)
 }
 
-// newShardedCluster is a cluster in which shards are in use, with machines in most of them.
+// newShardedCluster returns a cluster in which shards are in use and most have machines.
 func newShardedCluster(t require.TestingT, seed uint64, controllers int) *Cluster {
 	cluster := newLargeValueCluster(seed, controllers, (*Cluster).startWithShards)
 	for i := range 24 {
@@ -37,7 +37,7 @@
 	return cluster
 }
 
-// unownedShards counts the shards without a live owner.
+// unownedShards returns the number of shards without a live owner.
 func (c *Cluster) unownedShards() int {
 	n := 0
 	for id := range wire.ShardID(shard.Count) {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// shardsByOwner counts the shards of each controller.
+// shardsByOwner returns the number of shards that each controller owns, by its label.
 func (c *Cluster) shardsByOwner() map[string]int {
 	owned := map[string]int{}
 	for id := range wire.ShardID(shard.Count) {
@@ -57,7 +57,8 @@
 	return owned
 }
 
-// changeShards requests a change from a controller; the reply is there some time later.
+// changeShards requests a change from a controller. The returned reply is filled in when it
+// arrives.
 func (c *Cluster) changeShards(i int, change wire.AdminShardChange) *controller.Reply {
 	reply := &controller.Reply{}
 	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
@@ -67,15 +68,16 @@
 	return reply
 }
 
-// shardMove is a change that moves a shard, from the epoch that stands in the state store.
+// shardMove returns a change that moves a shard from its epoch in the state store to another
+// controller.
 func (c *Cluster) shardMove(id wire.ShardID, to int) wire.AdminShardChange {
 	return wire.AdminShardChange{Move: &id, To: controllerLabel(to), Epoch: c.Shard(id).Epoch}
 }
 
-// TestShardsAreBalanced checks that, once all enable them, every shard has one owner, each
-// owns about as many, a controller that joins later gets its part, and jobs run as ever.
-// Workers are redirected to the owners of their shards, and none loses its lease on the
-// way.
+// TestShardsAreBalanced checks that, once all controllers enable shards, every shard has an
+// owner, the shards are evenly distributed, and a controller that joins later gets its part.
+// Jobs run as without shards. Workers are redirected to the owners of their shards, and none
+// loses its lease in the process.
 func TestShardsAreBalanced(t *testing.T) {
 	cluster := newShardedCluster(t, 1, 3)
 	cluster.changeSettings(`{"idle_s":86400}`)
@@ -105,11 +107,11 @@
 			}
 		}
 	}
-	require.Greater(t, atOwner, machines*3/4, "of %d", machines)
+	require.Greater(t, atOwner, machines*3/4, "too few of %d workers send heartbeats to the owners of their shards", machines)
 }
 
-// TestConcurrentShardMovesOneSucceeds checks that of two moves of a shard that operators
-// request at once one is made, and the other rejected.
+// TestConcurrentShardMovesOneSucceeds checks that of two concurrent requests to move a shard
+// one succeeds and the other is rejected.
 func TestConcurrentShardMovesOneSucceeds(t *testing.T) {
 	cluster := newShardedCluster(t, 2, 3)
 	submitMixedJobs(cluster, 40, 6)
@@ -128,9 +130,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestShardsDormantUntilAllControllersEnableThem checks that one controller that reads the
-// second format only keeps shards dormant, and one that does not enable them keeps them
-// off; started without, it switches them off.
+// TestShardsDormantUntilAllControllersEnableThem checks that shards are dormant while one
+// controller reads no format later than the second, and off while one controller does not
+// enable them. Restarting a controller without shards enabled switches them off again.
 func TestShardsDormantUntilAllControllersEnableThem(t *testing.T) {
 	t.Parallel()
 	cluster := newLargeValueCluster(96, 3, func(cluster *Cluster, i int) {
@@ -150,7 +152,7 @@
 	require.Equal(t, 409, reply.Status)
 	require.Contains(t, reply.Body.(wire.ErrorResponse).Error, "dormant")
 
-	cluster.startNewer(2) // reads all formats, and does not enable shares
+	cluster.startNewer(2) // reads all formats but does not enable shards
 	cluster.Run(15 * time.Second)
 	require.Equal(t, record.FormatSharding, cluster.ActiveFormat())
 	require.False(t, cluster.shardPolicy().Enabled)
@@ -165,8 +167,8 @@
 }
 
 // TestDrainedControllerHandsOverShards checks that a drained controller hands over all its
-// shards before it stops, so that nothing has to fail over. Its drain ended, it gets its
-// part again.
+// shards, so that none fails over when it stops. Once its drain is ended, it gets its part
+// again.
 func TestDrainedControllerHandsOverShards(t *testing.T) {
 	t.Parallel()
 	cluster := newShardedCluster(t, 97, 3)
@@ -181,16 +183,16 @@
 	require.Equal(t, before, cluster.Observed[shardFailedOver])
 	cluster.startWithShards(1)
 	cluster.Run(10 * time.Second)
-	require.Zero(t, cluster.shardsByOwner()["rig-1"], "it is drained still")
+	require.Zero(t, cluster.shardsByOwner()["rig-1"], "a controller that is still drained owns shards")
 	cluster.changeShards(2, wire.AdminShardChange{EndDrain: "rig-1"})
 	cluster.Run(20 * time.Second)
 	require.InDelta(t, shard.Count/3, cluster.shardsByOwner()["rig-1"], shard.BalanceTolerance)
 	requireShardsSettled(t, cluster)
 }
 
-// TestGangSpansShards checks that a gang that needs more machines than any controller owns,
-// where none can be provisioned, gets the shards of others, and that an array uses the
-// machines of all at once.
+// TestGangSpansShards checks that a gang starts although it needs more machines than are in the
+// shards of any one controller and none can be provisioned. Shards of other controllers must be
+// moved for it. The test also checks that an array uses the machines of all controllers at once.
 func TestGangSpansShards(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -215,10 +217,10 @@
 	}
 }
 
-// TestNoPlacementOnTerminatedMachine guards the condition on the list of terminations: a
-// placement is delayed on its way, the provisioner terminates the idle machine that it is
-// on, and the placement arrives after that. Without the condition it stands on a machine
-// that is gone.
+// TestNoPlacementOnTerminatedMachine guards against placements on terminated machines. A
+// placement is delayed on its way to the state store, and meanwhile the provisioner terminates
+// the machine, which is idle. Without a condition on the list of terminations the placement
+// would still be committed.
 func TestNoPlacementOnTerminatedMachine(t *testing.T) {
 	t.Parallel()
 	conflicts := 0
@@ -244,7 +246,7 @@
 	require.Greater(t, conflicts, 5)
 }
 
-// changeSettings has an operator change the settings.
+// changeSettings changes the operator settings and runs the cluster for a second.
 func (c *Cluster) changeSettings(settings string) {
 	_, version, _ := c.store.Get(record.SettingsKey)
 	c.sendToController(c.controllers[0], func(id controller.RequestID) controller.Input {
