--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -10,8 +10,9 @@
 )
 
 // TestInboundPartitionedMachineIsReplaced guards against a machine whose heartbeats arrive
-// while nothing reaches it: it looks well, and its lease runs out unseen. What ran on it
-// must run elsewhere, no new work may go there, and it must be terminated.
+// although no response or command reaches it. The machine looks healthy while its lease
+// expires. Its tasks must be run elsewhere, no new tasks may be placed on it, and it must be
+// terminated.
 func TestInboundPartitionedMachineIsReplaced(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -34,7 +35,7 @@
 		}
 		before := partitioned.launches
 		cluster.Run(8 * time.Second)
-		require.LessOrEqual(t, partitioned.launches-before, 0, "new work on a machine that nothing reaches")
+		require.LessOrEqual(t, partitioned.launches-before, 0, "tasks were launched on the partitioned machine")
 		cluster.Run(22 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(machine *fakeMachine, task *fakeTask) {
@@ -42,7 +43,7 @@
 				running++
 			}
 		})
-		require.Equal(t, 4, running, "replicas on machines that are reached")
+		require.Equal(t, 4, running, "replicas on other machines")
 		require.True(t, partitioned.terminated, "the machine was not terminated")
 		cluster.Run(60 * time.Second)
 		require.Empty(t, cluster.Violations)
@@ -50,7 +51,8 @@
 	}
 }
 
-// newBusyFleet is three controllers with so many machines, on each of which something runs.
+// newBusyFleet returns a cluster of three controllers and a number of machines, with tasks
+// running on every machine.
 func newBusyFleet(machines int) *Cluster {
 	settings := testSettings()
 	settings.Cluster.Teams[1].CPUsMax = 1000
@@ -62,9 +64,9 @@
 	return cluster
 }
 
-// TestInboundPartitionedArrivalsAreDetected guards the reason for which workers that come
-// from another controller are probed at all: many that came because nothing reaches them
-// are still told from the others.
+// TestInboundPartitionedArrivalsAreDetected checks that a controller detects inbound-partitioned
+// machines when the workers of many of them switch to it at once. Workers that switch
+// controllers are probed, as they may have switched because nothing reaches them.
 func TestInboundPartitionedArrivalsAreDetected(t *testing.T) {
 	cluster := newBusyFleet(80)
 	for _, machine := range cluster.machines[:8] {
@@ -77,13 +79,13 @@
 			terminated++
 		}
 	}
-	require.Equal(t, 8, terminated, "terminated before their leases run out")
+	require.Equal(t, 8, terminated, "not all partitioned machines were terminated before their leases expired")
 	require.Empty(t, cluster.Violations)
 }
 
-// TestIsolatedControllerRedirectsWorkers guards against a controller that is partitioned
-// from the state store and its peers but not from its workers: what completes there cannot
-// be recorded, so its workers must find the others while it lasts.
+// TestIsolatedControllerRedirectsWorkers guards against a controller that keeps its workers
+// while it is partitioned from the state store and its peers. It cannot record the completions
+// of their tasks, so its workers must switch to the other controllers.
 func TestIsolatedControllerRedirectsWorkers(t *testing.T) {
 	cluster := newCluster(3, 3)
 	cluster.Lease = 25 * time.Second
@@ -104,20 +106,20 @@
 	cluster.Run(8 * time.Second)
 	cluster.StorePartitioned[0], cluster.PeersPartitioned[0] = true, true
 	cluster.Run(40 * time.Second)
-	require.Empty(t, cluster.Unfinished(), "its workers did not find the others")
+	require.Empty(t, cluster.Unfinished(), "completions were not recorded, as workers did not switch to the other controllers")
 	for _, machine := range cluster.machines {
-		require.EqualValues(t, 1, machine.agentEpoch, "a lease ran out")
-		require.False(t, machine.terminated, "a machine was given up")
-		require.NotZero(t, machine.controller, "a worker stayed where nothing can be written down")
+		require.EqualValues(t, 1, machine.agentEpoch, "a worker's lease expired")
+		require.False(t, machine.terminated, "a machine was terminated")
+		require.NotZero(t, machine.controller, "a worker still sends heartbeats to the isolated controller")
 	}
 	require.Empty(t, cluster.Violations)
 }
 
-// TestSchedulingContinuesWithoutPeers guards placement while connections between
-// controllers are refused: each receives only the heartbeats that workers send to it, and
-// an owner that received few of them once placed nothing on the others. It also guards
-// against machines of a conflicting placement that stay reserved for ever, as when they are
-// the only ones with room.
+// TestSchedulingContinuesWithoutPeers guards against an owner that places nothing on machines
+// whose heartbeats it does not receive. While connections between controllers are refused, a
+// controller receives only the heartbeats that workers send to it directly, which may be few.
+// The test also guards against machines that stay reserved forever after a placement on them
+// conflicted, which matters if no other machines have room.
 func TestSchedulingContinuesWithoutPeers(t *testing.T) {
 	for receiver := range 3 {
 		settings := testSettings()
@@ -133,23 +135,24 @@
 		cluster.Run(9 * time.Second)
 		for n := range 10 {
 			spec, run := testJob(2*n, 0)
-			spec.Tasks = 4 // all of them need all machines
+			spec.Tasks = 4 // together the jobs need all machines
 			cluster.At(0, func() { cluster.Submit(spec, run+60*time.Second) })
 		}
 		cluster.Run(12 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
-		require.GreaterOrEqual(t, running, 36, "all report to rig-%d", receiver)
+		require.GreaterOrEqual(t, running, 36, "all workers send heartbeats to rig-%d", receiver)
 		cluster.PeersPartitioned = map[int]bool{}
 		cluster.Run(120 * time.Second)
-		require.Empty(t, cluster.Unfinished(), "all report to rig-%d", receiver)
+		require.Empty(t, cluster.Unfinished(), "all workers send heartbeats to rig-%d", receiver)
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestConcurrentPlacementsInDifferentZones guards the condition on the first pages of all
-// zones: two controllers that know of different machines, since none receives the others'
-// messages, place the same task in different zones while the state store is slow.
+// TestConcurrentPlacementsInDifferentZones guards against two controllers that place the same
+// task in different zones. While the state store is slow and no peer messages arrive, the
+// controllers know of different machines. The condition on the first placement pages of all
+// zones must make one of the two transactions conflict.
 func TestConcurrentPlacementsInDifferentZones(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newCluster(seed, 3)
@@ -173,10 +176,10 @@
 	}
 }
 
-// TestProvisionerWithoutWorkersKeepsMachines guards against a provisioner that is
-// partitioned from the workers, and takes healthy machines for unresponsive or unreachable.
-// It once terminated hundreds of them before it knew that it was itself isolated. Another
-// becomes provisioner meanwhile, and replicas of what then really dies are replaced.
+// TestProvisionerWithoutWorkersKeepsMachines guards against a provisioner that is partitioned
+// from the workers and therefore considers healthy machines unresponsive or unreachable. It
+// could terminate hundreds of them before it detects its own isolation. Another controller must
+// become the provisioner, and replicas on a machine that dies meanwhile must be replaced.
 func TestProvisionerWithoutWorkersKeepsMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -198,7 +201,7 @@
 		for _, machine := range cluster.machines[:24] {
 			require.False(t, machine.terminated, "seed %d: %s was terminated though it is healthy", seed, machine.id)
 		}
-		require.NotEqual(t, isolated, cluster.provisioner(), "seed %d: who is isolated still provisions", seed)
+		require.NotEqual(t, isolated, cluster.provisioner(), "seed %d: the isolated controller is still the provisioner", seed)
 		for _, machine := range cluster.machines {
 			if !machine.terminated && len(machine.tasks) > 0 {
 				machine.terminate()
--- a/internal/simulation/scheduling_test.go
+++ b/internal/simulation/scheduling_test.go
@@ -11,16 +11,16 @@
 	"lilacrill/wire"
 )
 
-// TestPreemptionOnlyForUsableCapacity guards against preempting work for capacity that is
-// not used. The machine that has cached a service's image also has a replica of it, and the
-// default rule keeps the next one off; once room was made there for that one all the same,
-// pass after pass, and it never started.
+// TestPreemptionOnlyForUsableCapacity guards against evicting tasks for capacity that is then
+// not used. The machine that has cached a service's image also runs a replica of the service,
+// and the default rule keeps further replicas off it. If tasks are evicted there for the next
+// replica all the same, this repeats in every scheduling pass and the replica never starts.
 func TestPreemptionOnlyForUsableCapacity(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 2)
 		cluster.Capacity = 0
 		cluster.machineTypes = slices.Clone(cluster.machineTypes)
-		cluster.machineTypes[0].PullGBPerS, cluster.machineTypes[1].PullGBPerS = 0.1, 0.1 // images are slow to come
+		cluster.machineTypes[0].PullGBPerS, cluster.machineTypes[1].PullGBPerS = 0.1, 0.1 // image pulls are slow
 		service, _ := testJob(1, 1)
 		service.Tasks = 1
 		cluster.At(2*time.Second, func() { cluster.Submit(service, 0) })
@@ -42,16 +42,16 @@
 				running++
 			}
 		})
-		require.Equal(t, 2, running, "replicas")
-		require.Less(t, launches, 40, "launches")
+		require.Equal(t, 2, running, "running replicas")
+		require.Less(t, launches, 40, "too many tasks were launched")
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestHighPriorityGangBeyondGuaranteeStarts guards gangs beyond their team's guarantee:
-// work of lower priority within a guarantee comes before them, and once took the machines
-// with accelerators over and over although it needs none, so that a quarter of these never
-// had a gang while dozens waited.
+// TestHighPriorityGangBeyondGuaranteeStarts guards against gangs beyond their team's guarantee
+// that never start. Jobs of lower priority within a guarantee are placed before them. If these
+// take the machines with accelerators over and over although they need none, a quarter of
+// these machines never runs a gang while dozens of gangs wait.
 func TestHighPriorityGangBeyondGuaranteeStarts(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
@@ -74,7 +74,7 @@
 		cluster.At(20*time.Second, func() { cluster.Submit(gang, 20*time.Second) })
 		cluster.Run(65 * time.Second)
 		startDelay, ok := cluster.StartDelay(gang.ID)
-		require.True(t, ok, "seed %d: the gang has not begun", seed)
+		require.True(t, ok, "seed %d: the gang has not started", seed)
 		require.Less(t, startDelay, 40*time.Second, "seed %d", seed)
 		cluster.Run(150 * time.Second)
 		require.Empty(t, cluster.Violations)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestGangWaitsForSlowImagePulls guards gangs on machines of which some have cached the
-// image and others pull it for longer than a waiting task waits: the attempt was stopped
-// with the pulls in it, and the next, and the next.
+// TestGangWaitsForSlowImagePulls guards against gangs that never start on machines of which
+// some have cached the image and others pull it for longer than a task waits for the rest of
+// its gang. Each attempt would time out and abort its image pulls, and so would the next.
 func TestGangWaitsForSlowImagePulls(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 2)
@@ -110,12 +110,12 @@
 	}
 }
 
-// TestLargeJobsAreNotStarved guards against deferring the largest jobs without end. A
-// stream of small jobs takes more than there is, all of them could be in time, and the
-// objectives make it look best to leave the large ones for later.
+// TestLargeJobsAreNotStarved guards against deferring the largest jobs indefinitely. A stream
+// of small jobs needs more capacity than there is, each of them could meet the objectives, and
+// so the objectives favor deferring the large jobs.
 func TestLargeJobsAreNotStarved(t *testing.T) {
 	cluster := newCluster(5, 2)
-	cluster.Capacity = 0 // nothing to provision
+	cluster.Capacity = 0 // no machines can be provisioned
 	clusterSettings := &cluster.Settings.Cluster
 	clusterSettings.Teams = []config.Team{{Name: "blue", CPUs: 4, CPUsMax: 100}, {Name: "red", CPUs: 4, CPUsMax: 100}}
 	clusterSettings.Objectives = append(clusterSettings.Objectives, config.Objective{Kind: "finished", Class: "batch", WithinS: 60, Share: 0.9})
@@ -135,14 +135,15 @@
 	cluster.Run(200*1500*time.Millisecond + 4*time.Minute)
 	for _, id := range large {
 		startDelay, started := cluster.StartDelay(id)
-		require.True(t, started, "%s never began", id)
-		require.LessOrEqual(t, startDelay, 4*time.Minute, "%s began late", id)
+		require.True(t, started, "%s never started", id)
+		require.LessOrEqual(t, startDelay, 4*time.Minute, "%s started late", id)
 	}
 	require.Empty(t, cluster.Violations)
 }
 
-// TestQuotaCountsCheckpointingTasks guards the team's limit against counting only the tasks
-// that are to go on: tasks that are checkpointed before they stop still use what they use.
+// TestQuotaCountsCheckpointingTasks guards against teams that exceed their limit because only
+// the tasks that are to continue are counted. Tasks that are being checkpointed before they stop
+// still use their resources.
 func TestQuotaCountsCheckpointingTasks(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 2)
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestTeamWithoutQuotaIsServed guards teams that are listed with neither a guarantee nor a
-// limit: a limit of 0 is none. Once all that they submitted was rejected for ever.
+// TestTeamWithoutQuotaIsServed guards against rejecting all jobs of a team that is listed with
+// neither a guarantee nor a limit. A limit of 0 means that there is no limit.
 func TestTeamWithoutQuotaIsServed(t *testing.T) {
 	for seed := range uint64(3) {
 		settings := testSettings()
@@ -189,11 +190,11 @@
 	}
 }
 
-// TestConcurrentCompletionsAreAllRecorded guards against lost completions: tasks of one job
-// complete at the same time in different zones and are recorded by different controllers.
-// Once each wrote the job's completion without a condition on it, and overwrote the other.
-// It also guards against launches that nobody sends: the recorded launcher lives but does
-// not reach the worker, which sends its heartbeats to another controller.
+// TestConcurrentCompletionsAreAllRecorded guards against lost completions. Tasks of one job
+// complete at the same time in different zones and are recorded by different controllers. If
+// these wrote the job's completion without a condition on it, they would overwrite each other.
+// The test also guards against launches that are never sent, because the recorded launcher is
+// alive but does not reach the worker, which sends its heartbeats to another controller.
 func TestConcurrentCompletionsAreAllRecorded(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -205,7 +206,8 @@
 			spec.Tasks = 4
 			cluster.At(time.Duration(2+n)*time.Second, func() { cluster.Submit(spec, 3*time.Second) })
 		}
-		// The owner probes nobody, so whoever receives a heartbeat records completions.
+		// The owner's probes do not arrive, so the controllers that receive heartbeats record the
+		// completions.
 		cluster.At(time.Second, func() { cluster.DropDirectCalls = true })
 		cluster.Run(200 * time.Second)
 		require.Empty(t, cluster.Violations)
