--- a/cmd/lilacrill/load_shards_test.go
+++ b/cmd/lilacrill/load_shards_test.go
@@ -132,7 +132,7 @@
 	close(stop)
 	s.awaitStableShards()
 	s.finishAndCheck(t)
-	require.Empty(t, s.history.CheckOnce())
+	require.Empty(t, s.history.CheckExactlyOnce())
 	epochs := 0
 	for _, e := range s.state.Entries(record.ShardPrefix) {
 		var now record.Shard
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -132,7 +132,7 @@
 // period.
 func (u *upgradedCluster) takeUserLatency(from time.Time) userLatency {
 	starts := &latencyHistogram{}
-	for _, d := range u.history.StartTimes(from, time.Now()) {
+	for _, d := range u.history.StartDelays(from, time.Now()) {
 		starts.record(d)
 	}
 	return userLatency{submissions: u.submissionLatency.take(), polls: u.pollLatency.take(), starts: starts.take(),
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -14,8 +14,8 @@
 	cloudDelay = 100 * time.Millisecond
 	// recentListings is from how many of its latest machine lists the cloud answers.
 	recentListings = 5
-	// terminatedListed is how long a terminated machine stays in the cloud's list.
-	terminatedListed = 30 * time.Second
+	// terminatedListingTime is how long a terminated machine stays in the cloud's list.
+	terminatedListingTime = 30 * time.Second
 	// maxProvisioningDelay is the longest random time until a worker joins, in seconds.
 	maxProvisioningDelay = 8
 )
@@ -73,7 +73,7 @@
 		}
 		machine := c.AddMachine(c.machineTypes[i], request.Zone, request.Spot, delay)
 		names = append(names, machine.id)
-		c.countIfShardMoves(machineProvisionedInMovingShard, machine.id)
+		c.countIfShardMoving(machineProvisionedInMovingShard, machine.id)
 	}
 	c.provisioned[request.Name] = names
 	return controller.ProvisionResult{Machines: names}
@@ -118,7 +118,7 @@
 func (c *Cluster) terminateMachines(ids []wire.MachineID) controller.TerminateResult {
 	for _, id := range ids {
 		if machine := c.machinesByID[id]; machine != nil {
-			c.countIfShardMoves(machineTerminatedInMovingShard, id)
+			c.countIfShardMoving(machineTerminatedInMovingShard, id)
 			machine.terminate()
 			machine.up = false
 		}
@@ -144,7 +144,7 @@
 func (c *Cluster) listMachines() []wire.CloudMachine {
 	var list []wire.CloudMachine
 	for _, machine := range c.machines {
-		if machine.terminated && (!machine.up || c.now-machine.terminatedAt > controller.Time(terminatedListed)) {
+		if machine.terminated && (!machine.up || c.now-machine.terminatedAt > controller.Time(terminatedListingTime)) {
 			continue
 		}
 		listed := wire.CloudMachine{ID: machine.id, Addr: string(machine.id), Type: machine.machineType.Name, Zone: machine.zone, Spot: machine.spot,
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -51,7 +51,7 @@
 	Violations []string
 
 	now          controller.Time
-	events       events
+	events       eventQueue
 	eventCount   int
 	rng          *rand.Rand
 	store        *Store
@@ -116,14 +116,14 @@
 		c.checkTasksAndQuotas()
 	})
 	c.every(listingInterval, func() {
-		c.checkNeglect()
+		c.checkStarvation()
 		c.recordListing()
 	})
 	return c
 }
 
-// Log sends the controllers' log somewhere.
-func (c *Cluster) Log(log *slog.Logger) { c.log = log }
+// SetLogger sends the controllers' log somewhere.
+func (c *Cluster) SetLogger(log *slog.Logger) { c.log = log }
 
 // Now is the time on the cluster's clock.
 func (c *Cluster) Now() time.Duration { return time.Duration(c.now) }
@@ -157,8 +157,8 @@
 	c.after(0, loop)
 }
 
-// violation records a breach of a rule.
-func (c *Cluster) violation(format string, args ...any) {
+// reportViolation records a breach of a rule.
+func (c *Cluster) reportViolation(format string, args ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("%v: ", c.Now())+fmt.Sprintf(format, args...))
 }
 
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -48,7 +48,7 @@
 func (c *Cluster) Start(i int) {
 	process := c.controllers[i]
 	c.Stop(i)
-	settings := c.settingsOf(i)
+	settings := c.controllerSettings(i)
 	process.controller = controller.New(&settings, c.log.With("node", settings.Label, "gen", process.generation), c.rng.Uint64())
 	process.startedAt, process.formats = c.now, settings.Features.Rollout.Formats()
 	process.replyHandlers = map[controller.RequestID]func(controller.Reply){}
@@ -57,8 +57,8 @@
 	c.replayHeartbeats(process)
 }
 
-// settingsOf is the cluster's settings as a controller is started with them.
-func (c *Cluster) settingsOf(i int) config.Settings {
+// controllerSettings is the cluster's settings as a controller is started with them.
+func (c *Cluster) controllerSettings(i int) config.Settings {
 	settings := c.Settings
 	settings.Label = controllerLabel(i)
 	settings.Siblings = nil
@@ -129,7 +129,7 @@
 }
 
 // deliverRequest gives a controller a request with the next ID, and its reply to then.
-func (c *Cluster) deliverRequest(process *controllerProcess, newInput inputFor, then func(controller.Reply)) {
+func (c *Cluster) deliverRequest(process *controllerProcess, newInput inputFactory, then func(controller.Reply)) {
 	process.lastRequest++
 	if then != nil {
 		process.replyHandlers[process.lastRequest] = then
@@ -137,8 +137,8 @@
 	c.step(process, newInput(process.lastRequest))
 }
 
-// inputFor makes the input for a request, given the ID that its reply will have.
-type inputFor func(controller.RequestID) controller.Input
+// inputFactory makes the input for a request, given the ID that its reply will have.
+type inputFactory func(controller.RequestID) controller.Input
 
 // pendingCall is a call of a controller's process that awaits its result.
 type pendingCall struct {
@@ -151,13 +151,13 @@
 	return pendingCall{process: process, generation: process.generation, id: id}
 }
 
-// isOver reports whether the process that made the call has ended.
-func (p pendingCall) isOver() bool { return p.process.generation != p.generation }
+// callerEnded reports whether the process that made the call has ended.
+func (p pendingCall) callerEnded() bool { return p.process.generation != p.generation }
 
 // completeCall hands a call's result back after d, if the process is still there.
 func (c *Cluster) completeCall(call pendingCall, d time.Duration, result controller.Result) {
 	c.after(d, func() {
-		if !call.isOver() {
+		if !call.callerEnded() {
 			c.step(call.process, controller.CallCompleted{Call: call.id, Result: result})
 		}
 	})
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -10,20 +10,20 @@
 	run   func()
 }
 
-// events is a heap of events, the next one first.
-type events []event
+// eventQueue is a heap of eventQueue, the next one first.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
+func (e eventQueue) Len() int { return len(e) }
 
-func (e events) Less(i, k int) bool {
+func (e eventQueue) Less(i, k int) bool {
 	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].order < e[k].order
 }
 
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e eventQueue) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
 
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -44,7 +44,7 @@
 	for i := range job.spec.Tasks {
 		job.completed[i] = true
 	}
-	c.taskCompleted(job)
+	c.handleTaskCompletion(job)
 	for _, placed := range tasks {
 		placed.task.exit(wire.CauseDone)
 		if !placed.machine.hung {
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -90,9 +90,9 @@
 	return n
 }
 
-// StartTimes are the times from the acceptance of jobs until their first task started, of
+// StartDelays are the times from the acceptance of jobs until their first task started, of
 // the jobs that were accepted from a moment on and before another.
-func (h *History) StartTimes(from, to time.Time) []time.Duration {
+func (h *History) StartDelays(from, to time.Time) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	accepted, started := map[wire.JobID]time.Time{}, map[wire.JobID]bool{}
--- a/internal/simulation/history_check.go
+++ b/internal/simulation/history_check.go
@@ -24,7 +24,7 @@
 	}
 	for id, last := range c.reported {
 		if !last.Status.IsTerminal() {
-			c.violation("%s was accepted and is %s in the end", id, last.Status)
+			c.reportViolation("%s was accepted and is %s in the end", id, last.Status)
 		}
 	}
 	for task, start := range c.running {
@@ -43,7 +43,7 @@
 	completed  map[wire.JobID]map[int]bool
 	reported   map[wire.JobID]HistoryEvent // the last answers, or the first terminal ones
 	cancelled  map[wire.JobID]bool
-	cores      map[string]float64              // that each team uses
+	usedCores  map[string]float64              // that each team uses
 	placements map[wire.MachineID]HistoryEvent // the last placements
 	violations []string
 }
@@ -57,12 +57,12 @@
 		completed:     map[wire.JobID]map[int]bool{},
 		reported:      map[wire.JobID]HistoryEvent{},
 		cancelled:     map[wire.JobID]bool{},
-		cores:         map[string]float64{},
+		usedCores:     map[string]float64{},
 		placements:    map[wire.MachineID]HistoryEvent{},
 	}
 }
 
-func (c *historyCheck) violation(format string, args ...any) {
+func (c *historyCheck) reportViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
@@ -95,9 +95,9 @@
 	before := c.placements[event.Machine]
 	switch {
 	case event.Epoch < before.Epoch:
-		c.violation("%v placed on %s under epoch %d, after one under epoch %d", event.Task, event.Machine, event.Epoch, before.Epoch)
+		c.reportViolation("%v placed on %s under epoch %d, after one under epoch %d", event.Task, event.Machine, event.Epoch, before.Epoch)
 	case event.Epoch == before.Epoch && event.Launcher != before.Launcher:
-		c.violation("%v placed on %s by two processes, %d and %d, under epoch %d", event.Task, event.Machine, before.Launcher, event.Launcher, event.Epoch)
+		c.reportViolation("%v placed on %s by two processes, %d and %d, under epoch %d", event.Task, event.Machine, before.Launcher, event.Launcher, event.Epoch)
 	}
 	c.placements[event.Machine] = event
 }
@@ -105,26 +105,26 @@
 func (c *historyCheck) checkStart(event HistoryEvent) {
 	spec, known := c.specs[event.Task.Job]
 	if !known {
-		c.violation("%v started on %s, and nobody submitted it", event.Task, event.Machine)
+		c.reportViolation("%v started on %s, and nobody submitted it", event.Task, event.Machine)
 		return
 	}
 	if other, twice := c.running[event.Task]; twice {
-		c.violation("%v started on %s while on %s", event.Task, event.Machine, other.Machine)
+		c.reportViolation("%v started on %s while on %s", event.Task, event.Machine, other.Machine)
 	}
 	if spec.Zone != "" && spec.Zone != event.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, event.Type) {
-		c.violation("%v started on %s, a %s in %s", event.Task, event.Machine, event.Type, event.Zone)
+		c.reportViolation("%v started on %s, a %s in %s", event.Task, event.Machine, event.Type, event.Zone)
 	}
 	c.checkCancelled(event.Task, event.Machine, c.reported[event.Task.Job], event.At)
 	c.running[event.Task] = event
-	c.cores[spec.Team] += spec.Cores
+	c.usedCores[spec.Team] += spec.Cores
 	c.checkLimit(spec.Team, event.Task)
 }
 
 // checkLimit checks a team's cores against its limit as a task of its starts.
 func (c *historyCheck) checkLimit(team string, task wire.TaskID) {
 	for i := range c.teams {
-		if limit, _ := c.teams[i].Limits(); c.teams[i].Name == team && c.cores[team] > limit+quotaTolerance {
-			c.violation("%s uses %v cores of %v as %v starts", team, c.cores[team], limit, task)
+		if limit, _ := c.teams[i].Limits(); c.teams[i].Name == team && c.usedCores[team] > limit+quotaTolerance {
+			c.reportViolation("%s uses %v cores of %v as %v starts", team, c.usedCores[team], limit, task)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	}
 	delete(c.running, event.Task)
 	id := event.Task.Job
-	c.cores[c.specs[id].Team] -= c.specs[id].Cores
+	c.usedCores[c.specs[id].Team] -= c.specs[id].Cores
 	c.checkCancelled(event.Task, event.Machine, c.reported[id], event.At)
 	if event.Kind == TaskCompleted {
 		if c.completed[id] == nil {
@@ -150,7 +150,7 @@
 // was told last.
 func (c *historyCheck) checkCancelled(task wire.TaskID, machine wire.MachineID, reported HistoryEvent, at time.Time) {
 	if since := at.Sub(reported.At); reported.Status == wire.StatusCancelled && since > c.cancelTimeout {
-		c.violation("%v is on %s %v after its user was told that it is cancelled", task, machine, since)
+		c.reportViolation("%v is on %s %v after its user was told that it is cancelled", task, machine, since)
 	}
 }
 
@@ -159,13 +159,13 @@
 	switch {
 	case before.Status.IsTerminal():
 		if event.Status != before.Status && (event.RequestedAt.IsZero() || event.RequestedAt.After(before.At)) {
-			c.violation("%s was called %s, and then %s", event.Job, before.Status, event.Status)
+			c.reportViolation("%s was called %s, and then %s", event.Job, before.Status, event.Status)
 		}
 		return
 	case event.Status == wire.StatusCancelled && !c.cancelled[event.Job]:
-		c.violation("%s was called cancelled, and nobody asked for that", event.Job)
+		c.reportViolation("%s was called cancelled, and nobody asked for that", event.Job)
 	case event.Status == wire.StatusDone && !c.isComplete(event.Job):
-		c.violation("%s was called done with %d tasks of %d done", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
+		c.reportViolation("%s was called done with %d tasks of %d done", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
 	}
 	c.reported[event.Job] = event
 }
--- a/internal/simulation/history_check_once.go
+++ b/internal/simulation/history_check_once.go
@@ -11,15 +11,15 @@
 	machine wire.MachineID
 }
 
-// CheckOnce lists the violations of the rule that every task runs exactly once, which
+// CheckExactlyOnce lists the violations of the rule that every task runs exactly once, which
 // must hold where no machine fails and nothing is preempted: a task of a job that nobody
 // cancelled that started or was placed twice, was stopped, or never completed, and a
 // start without a placement. Tasks that were placed on a machine that was terminated may
 // run again elsewhere, and must complete all the same.
-func (h *History) CheckOnce() []string {
+func (h *History) CheckExactlyOnce() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := onceCheck{
+	c := exactlyOnceCheck{
 		historyCheck: newHistoryCheck(h.specs, nil, 0),
 		terminated:   map[wire.MachineID]bool{},
 		lost:         map[wire.TaskID]bool{},
@@ -43,8 +43,8 @@
 	return c.sortedViolations()
 }
 
-// onceCheck counts what happened to each task of a history.
-type onceCheck struct {
+// exactlyOnceCheck counts what happened to each task of a history.
+type exactlyOnceCheck struct {
 	*historyCheck
 	terminated map[wire.MachineID]bool // at any time
 	lost       map[wire.TaskID]bool    // placed on a machine that was terminated
@@ -65,7 +65,7 @@
 }
 
 // prepare takes what bears on events before it too.
-func (c *onceCheck) prepare(event HistoryEvent) {
+func (c *exactlyOnceCheck) prepare(event HistoryEvent) {
 	switch event.Kind {
 	case CancelRequested:
 		c.cancelled[event.Job] = true
@@ -74,14 +74,14 @@
 	}
 }
 
-func (c *onceCheck) count(event HistoryEvent) {
+func (c *exactlyOnceCheck) count(event HistoryEvent) {
 	attempt := machineAttempt{event.Task, event.Attempt, event.Machine}
 	if event.Kind == TaskPlaced {
 		c.placed[attempt] = true
 		c.lost[event.Task] = c.lost[event.Task] || c.terminated[event.Machine]
 	}
 	if event.Kind == TaskStarted && !c.placed[attempt] {
-		c.violation("%v started on %s without a placement there", event.Task, event.Machine)
+		c.reportViolation("%v started on %s without a placement there", event.Task, event.Machine)
 	}
 	if c.counts[event.Kind] == nil {
 		c.counts[event.Kind] = map[wire.TaskID]int{}
@@ -89,16 +89,16 @@
 	c.counts[event.Kind][event.Task]++
 }
 
-func (c *onceCheck) checkCounts(task wire.TaskID) {
+func (c *exactlyOnceCheck) checkCounts(task wire.TaskID) {
 	if c.lost[task] {
 		if c.counts[TaskCompleted][task] == 0 {
-			c.violation("%v never completed after a machine of its was terminated", task)
+			c.reportViolation("%v never completed after a machine of its was terminated", task)
 		}
 		return
 	}
 	for _, expected := range expectedCounts {
 		if count := c.counts[expected.kind][task]; count != expected.count {
-			c.violation("%v %s %d times, not %d", task, expected.name, count, expected.count)
+			c.reportViolation("%v %s %d times, not %d", task, expected.name, count, expected.count)
 		}
 	}
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -75,7 +75,7 @@
 			good = append(good, on(kind, index, 1, "m-1"))
 		}
 	}
-	require.Empty(t, historyOf(good).CheckOnce())
+	require.Empty(t, historyOf(good).CheckExactlyOnce())
 	for broken, more := range map[string][]HistoryEvent{
 		"wk-1/0 placed 2 times":              {on(TaskPlaced, 0, 2, "m-2")},
 		"wk-1/1 started 2 times":             {on(TaskStarted, 1, 1, "m-1")},
@@ -83,15 +83,15 @@
 		"wk-1/2 completed 2 times":           {on(TaskCompleted, 2, 1, "m-1")},
 		"started on m-2 without a placement": {on(TaskStarted, 0, 1, "m-2")},
 	} {
-		require.Contains(t, strings.Join(historyOf(append(more, good...)).CheckOnce(), "; "), broken)
+		require.Contains(t, strings.Join(historyOf(append(more, good...)).CheckExactlyOnce(), "; "), broken)
 	}
-	require.Contains(t, strings.Join(historyOf(good[:6]).CheckOnce(), "; "), "wk-1/2 placed 0 times")
+	require.Contains(t, strings.Join(historyOf(good[:6]).CheckExactlyOnce(), "; "), "wk-1/2 placed 0 times")
 	again := []HistoryEvent{on(TaskPlaced, 0, 9, "m-9"), on(TaskStarted, 0, 9, "m-9"), on(TaskStopped, 0, 9, "m-9"), {Kind: MachineTerminated, Machine: "m-9"}}
-	require.Empty(t, historyOf(append(again, good...)).CheckOnce())
-	require.NotEmpty(t, historyOf(append(again[:3], good...)).CheckOnce())
-	require.Contains(t, strings.Join(historyOf(append(again, good[3:]...)).CheckOnce(), "; "), "wk-1/0 never completed")
+	require.Empty(t, historyOf(append(again, good...)).CheckExactlyOnce())
+	require.NotEmpty(t, historyOf(append(again[:3], good...)).CheckExactlyOnce())
+	require.Contains(t, strings.Join(historyOf(append(again, good[3:]...)).CheckExactlyOnce(), "; "), "wk-1/0 never completed")
 	called := HistoryEvent{Kind: CancelRequested, Job: "wk-1"}
-	require.Empty(t, historyOf(append(good[:5], called)).CheckOnce())
+	require.Empty(t, historyOf(append(good[:5], called)).CheckExactlyOnce())
 }
 
 func historyOf(events []HistoryEvent) *History {
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -25,10 +25,10 @@
 	lastStatus wire.Status
 	terminalAt controller.Time
 
-	startedAt      controller.Time // when its first task started
-	completed      map[int]bool    // the tasks that have completed, by index
-	launches       int             // launch commands of its tasks that workers executed
-	neglectedSince controller.Time // since when it waits beside room; 0 if it does not
+	startedAt    controller.Time // when its first task started
+	completed    map[int]bool    // the tasks that have completed, by index
+	launches     int             // launch commands of its tasks that workers executed
+	starvedSince controller.Time // since when it waits beside room; 0 if it does not
 	// placements are its tasks on machines; those that have ended go when it is read next.
 	placements []placement
 }
--- a/internal/simulation/loopback_workers.go
+++ b/internal/simulation/loopback_workers.go
@@ -72,14 +72,14 @@
 func (w *LoopbackWorkers) newWorker(i int) *loopbackWorker {
 	types, zones := w.settings.Types, w.settings.Zones
 	return &loopbackWorker{
-		fleet:       w,
-		id:          wire.MachineID(fmt.Sprintf("m-%06d", i+1)),
-		addr:        fmt.Sprintf("127.1.%d.%d:%d", i/200, i%200+1, w.port),
-		machineType: types[i%len(types)].Name,
-		zone:        zones[i/len(types)%len(zones)],
-		controller:  i % len(w.settings.Controllers),
-		changed:     make(chan struct{}, 1),
-		tasks:       map[taskKey]*wire.TaskStatus{},
+		fleet:        w,
+		id:           wire.MachineID(fmt.Sprintf("m-%06d", i+1)),
+		addr:         fmt.Sprintf("127.1.%d.%d:%d", i/200, i%200+1, w.port),
+		machineType:  types[i%len(types)].Name,
+		zone:         zones[i/len(types)%len(zones)],
+		controller:   i % len(w.settings.Controllers),
+		heartbeatDue: make(chan struct{}, 1),
+		tasks:        map[taskKey]*wire.TaskStatus{},
 	}
 }
 
@@ -149,7 +149,7 @@
 	addr              string
 	machineType, zone string
 	controller        int
-	changed           chan struct{} // holds an element if a heartbeat is due at once
+	heartbeatDue      chan struct{} // holds an element if a heartbeat is due at once
 
 	mu          sync.Mutex
 	partitioned bool // for good if terminated
@@ -227,7 +227,7 @@
 			client.Close()
 			return
 		case <-timer.C:
-		case <-w.changed:
+		case <-w.heartbeatDue:
 		}
 		pause := time.Duration(every * (0.75 + rand.Float64()/2))
 		if !w.isPartitioned() && !w.sendHeartbeat(client) {
@@ -313,7 +313,7 @@
 		return
 	}
 	select {
-	case w.changed <- struct{}{}:
+	case w.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -12,9 +12,9 @@
 
 const (
 	// heartbeatTimeout is when a worker gives up a heartbeat and goes to the next
-	// controller, and refusedTimeout when it does if no connection comes about.
-	heartbeatTimeout = 4 * time.Second
-	refusedTimeout   = 500 * time.Millisecond
+	// controller, and connectionTimeout when it does if no connection comes about.
+	heartbeatTimeout  = 4 * time.Second
+	connectionTimeout = 500 * time.Millisecond
 )
 
 // fakeMachine is a machine of the cloud with its worker.
@@ -149,10 +149,10 @@
 	m.heartbeatsSent++
 	sent := m.heartbeatsSent
 	if m.outboundPartitioned {
-		m.cluster.after(refusedTimeout, func() {
+		m.cluster.after(connectionTimeout, func() {
 			if m.heartbeatsSent == sent && m.heartbeatInFlight {
 				m.heartbeatInFlight = false
-				m.deliver(m.nextController)
+				m.deliver(m.switchController)
 			}
 		})
 		return
@@ -176,7 +176,7 @@
 			handle()
 		})
 	}
-	c.after(heartbeatTimeout, func() { finish(m.nextController) })
+	c.after(heartbeatTimeout, func() { finish(m.switchController) })
 	heartbeat := m.heartbeat()
 	newInput := func(id controller.RequestID) controller.Input {
 		return controller.HeartbeatReceived{Request: id, Heartbeat: heartbeat}
@@ -193,7 +193,7 @@
 func (m *fakeMachine) handleResponse(reply controller.Reply, sentAt controller.Time, agentEpoch wire.AgentEpoch) {
 	response, ok := reply.Body.(wire.HeartbeatResponse)
 	if !ok || reply.Status != http.StatusOK {
-		m.nextController()
+		m.switchController()
 		return
 	}
 	if response.Token < m.token || m.agentEpoch != agentEpoch {
@@ -204,7 +204,7 @@
 	m.execute(response.Commands)
 }
 
-func (m *fakeMachine) nextController() {
+func (m *fakeMachine) switchController() {
 	m.controller = (m.controller + 1) % len(m.cluster.controllers)
 }
 
@@ -243,7 +243,7 @@
 // another copy of the launch may be under way, and would start the task again.
 func (m *fakeMachine) clear(task *fakeTask) {
 	if m.token <= task.token {
-		m.cluster.violation("unfenced clear of %v", task.id)
+		m.cluster.reportViolation("unfenced clear of %v", task.id)
 	}
 	delete(m.tasks, task.key())
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -24,9 +24,9 @@
 	minCopyDelay     = 2 * time.Second
 	maxPeerCopyDelay = time.Minute
 
-	// replays is how often recorded heartbeats are replayed to a controller that has
+	// replayCount is how often recorded heartbeats are replayed to a controller that has
 	// started, replayInterval apart: while it loads its state and begins to act.
-	replays        = 8
+	replayCount    = 8
 	replayInterval = 250 * time.Millisecond
 )
 
@@ -74,7 +74,7 @@
 			return
 		}
 		open = false
-		if !call.isOver() {
+		if !call.callerEnded() {
 			process.directCalls--
 		}
 		c.completeCall(call, d, response)
@@ -143,7 +143,7 @@
 
 // sendToController sends a request to a controller, and its reply to then. It may be
 // lost or delayed; a worker's heartbeat may also be duplicated, or recorded for a replay.
-func (c *Cluster) sendToController(process *controllerProcess, newInput inputFor, then func(controller.Reply)) {
+func (c *Cluster) sendToController(process *controllerProcess, newInput inputFactory, then func(controller.Reply)) {
 	heartbeat, fromWorker := newInput(0).(controller.HeartbeatReceived)
 	if fromWorker {
 		c.copyHeartbeat(process, heartbeat.Heartbeat, newInput)
@@ -168,7 +168,7 @@
 
 // copyHeartbeat records a copy of some heartbeats for a replay, and delivers a copy of
 // some late.
-func (c *Cluster) copyHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, newInput inputFor) {
+func (c *Cluster) copyHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, newInput inputFactory) {
 	if c.rng.Float64() < c.ReplayedHeartbeats {
 		c.recordedHeartbeats = append(c.recordedHeartbeats, heartbeat)
 	}
@@ -188,7 +188,7 @@
 	recorded := c.recordedHeartbeats
 	c.recordedHeartbeats = nil
 	generation := started.generation
-	for i := range replays {
+	for i := range replayCount {
 		c.after(time.Duration(i)*replayInterval, func() {
 			for _, process := range c.controllers {
 				for _, heartbeat := range recorded {
--- a/internal/simulation/placement_log.go
+++ b/internal/simulation/placement_log.go
@@ -22,8 +22,8 @@
 	return &placementLog{history: h, attempts: map[wire.Attempt]bool{}, epochs: map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch{}}
 }
 
-// committed takes a transaction that the store has committed.
-func (l *placementLog) committed(s *Store, txn wire.Transaction) {
+// recordTransaction takes a transaction that the store has recordTransaction.
+func (l *placementLog) recordTransaction(s *Store, txn wire.Transaction) {
 	var policy record.ShardPolicy
 	if value, _, ok := s.Get(record.ShardPolicyKey); ok && json.Unmarshal(value, &policy) != nil {
 		return
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -28,17 +28,17 @@
 func (c *Cluster) checkTransaction(txn wire.Transaction) {
 	limits := c.Settings.Cluster.State
 	if len(txn.Then) > limits.TxnOps || len(txn.If) > maxConditionsPerChange*limits.TxnOps {
-		c.violation("transaction with %d changes and %d conditions", len(txn.Then), len(txn.If))
+		c.reportViolation("transaction with %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	for _, change := range txn.Then {
 		c.Observed[valuesWritten]++
 		c.Observed[bytesWritten] += len(change.Value)
 		c.checkCondition(txn, change.Put)
 		if format := c.ActiveFormat(); format < record.FormatCompressed && isCompressed(change.Value) {
-			c.violation("%s written in a later format than %d, which is in force", change.Put, format)
+			c.reportViolation("%s written in a later format than %d, which is in force", change.Put, format)
 		}
 		if float64(len(change.Value)) > limits.ValueKB*1024 {
-			c.violation("value of %d bytes under %s", len(change.Value), change.Put)
+			c.reportViolation("value of %d bytes under %s", len(change.Value), change.Put)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 func (c *Cluster) checkCondition(txn wire.Transaction, key string) {
 	for _, prefix := range conditionalPrefixes {
 		if strings.HasPrefix(key, prefix) && !slices.ContainsFunc(txn.If, func(condition wire.Condition) bool { return condition.Key == key }) {
-			c.violation("%s written without a condition on it", key)
+			c.reportViolation("%s written without a condition on it", key)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (c *Cluster) checkLivenessFormat(txn wire.Transaction, formats record.FormatRange) {
 	for _, change := range txn.Then {
 		if strings.HasPrefix(change.Put, record.LivenessPrefix) && !formats.Contains(c.ActiveFormat()) {
-			c.violation("%s written by a process that does not read format %d", change.Put, c.ActiveFormat())
+			c.reportViolation("%s written by a process that does not read format %d", change.Put, c.ActiveFormat())
 		}
 	}
 }
@@ -77,10 +77,10 @@
 // checkPeerMessage checks that a message has no later format than the one in force.
 func (c *Cluster) checkPeerMessage(message *wire.PeerMessage) {
 	if format := c.ActiveFormat(); message.Format > format {
-		c.violation("peer message from %s in format %d while %d is in force", message.From, message.Format, format)
+		c.reportViolation("peer message from %s in format %d while %d is in force", message.From, message.Format, format)
 	}
 	if (message.Capacity != nil || message.ForwardedJobs != nil) && message.Format < record.FormatSharding {
-		c.violation("peer message from %s with a capacity offer or forwarded jobs in format %d", message.From, message.Format)
+		c.reportViolation("peer message from %s with a capacity offer or forwarded jobs in format %d", message.From, message.Format)
 	}
 }
 
@@ -137,9 +137,9 @@
 	return attempts
 }
 
-// newPlacements are the machines of the attempts that a transaction adds to a team's
+// newlyPlacedMachines are the machines of the attempts that a transaction adds to a team's
 // pages, which had the attempts of before.
-func newPlacements(txn wire.Transaction, before map[placedAttemptKey]bool) []wire.MachineID {
+func newlyPlacedMachines(txn wire.Transaction, before map[placedAttemptKey]bool) []wire.MachineID {
 	var machines []wire.MachineID
 	for _, change := range txn.Then {
 		if !strings.HasPrefix(change.Put, record.PlacementPrefix) {
@@ -156,7 +156,7 @@
 
 // addsPlacements reports whether a transaction would add attempts now.
 func (c *Cluster) addsPlacements(txn wire.Transaction) bool {
-	return len(newPlacements(txn, c.teamAttempts(txn))) > 0
+	return len(newlyPlacedMachines(txn, c.teamAttempts(txn))) > 0
 }
 
 // checkPlacedJobs checks that the attempts that a transaction added are of open jobs.
@@ -167,7 +167,7 @@
 		}
 		for _, key := range pageAttempts(change.Value) {
 			if !c.isJobOpen(key.job) && !before[key] {
-				c.violation("placed without its job: %s", key)
+				c.reportViolation("placed without its job: %s", key)
 			}
 		}
 	}
--- a/internal/simulation/setup_test.go
+++ b/internal/simulation/setup_test.go
@@ -65,7 +65,7 @@
 	}
 	cluster := NewCluster(s.settings, s.types, s.controllers, s.seed)
 	if os.Getenv("WORLD_LOG") != "" {
-		cluster.Log(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
+		cluster.SetLogger(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}
 	for i := range s.machines {
 		cluster.AddMachine(s.types[s.pattern[i%len(s.pattern)]], zones[i%len(zones)], false, 0)
--- a/internal/simulation/shard_checks.go
+++ b/internal/simulation/shard_checks.go
@@ -50,9 +50,9 @@
 // with a termination.
 func (c *Cluster) checkPlacementOwners(process *controllerProcess, txn wire.Transaction, before map[placedAttemptKey]bool) {
 	policy, terminations := c.shardPolicy(), c.terminations()
-	for _, id := range newPlacements(txn, before) {
+	for _, id := range newlyPlacedMachines(txn, before) {
 		if terminations[id] {
-			c.violation("placed on %s, which is to be terminated", id)
+			c.reportViolation("placed on %s, which is to be terminated", id)
 		}
 		if !policy.Enabled {
 			continue
@@ -60,7 +60,7 @@
 		c.Observed[placedInShard]++
 		state := c.Shard(shard.Of(id))
 		if state.Owner.Label != controllerLabel(process.index) || state.Move != nil {
-			c.violation("%s placed on %s of shard %d: %+v", controllerLabel(process.index), id, shard.Of(id), state)
+			c.reportViolation("%s placed on %s of shard %d: %+v", controllerLabel(process.index), id, shard.Of(id), state)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // epoch, and only if its owner released it to that one or has ended.
 func (c *Cluster) checkShardChanges(txn wire.Transaction, before map[string]record.Shard) {
 	if c.ActiveFormat() < record.FormatSharding && slices.ContainsFunc(txn.Then, isShardRecord) {
-		c.violation("record of shards written in format %d", c.ActiveFormat())
+		c.reportViolation("record of shards written in format %d", c.ActiveFormat())
 	}
 	for key, old := range before {
 		var state record.Shard
@@ -91,7 +91,7 @@
 		if state.Owner != old.Owner {
 			c.checkNewOwner(key, old, state)
 		} else if state.Epoch != old.Epoch {
-			c.violation("%s has a new epoch without a new owner", key)
+			c.reportViolation("%s has a new epoch without a new owner", key)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // checkNewOwner checks that a shard went to another owner as it should.
 func (c *Cluster) checkNewOwner(key string, old, state record.Shard) {
 	if state.Epoch != old.Epoch+1 {
-		c.violation("%s goes from epoch %d to %d", key, old.Epoch, state.Epoch)
+		c.reportViolation("%s goes from epoch %d to %d", key, old.Epoch, state.Epoch)
 	}
 	released := old.Move != nil && old.Move.Phase == record.MoveReleased && old.Move.To == state.Owner
 	switch {
@@ -111,23 +111,23 @@
 		c.Observed[shardAdopted]++
 	case old.Epoch == 0: // it had no owner
 	case c.isLive(old.Owner):
-		c.violation("%s taken from %s, which lives, by %s", key, old.Owner.Label, state.Owner.Label)
+		c.reportViolation("%s taken from %s, which lives, by %s", key, old.Owner.Label, state.Owner.Label)
 	default:
 		c.Observed[shardFailedOver]++
 	}
 }
 
-// countIfShardMoves counts what happens to a machine if its shard is on the move.
-func (c *Cluster) countIfShardMoves(what Observation, id wire.MachineID) {
+// countIfShardMoving counts what happens to a machine if its shard is on the move.
+func (c *Cluster) countIfShardMoving(what Observation, id wire.MachineID) {
 	if c.Shard(shard.Of(id)).Move != nil {
 		c.Observed[what]++
 	}
 }
 
-// countRejectedPlacement counts placements that conflicted on a record of a shard, among
+// countConflictingPlacement counts placements that conflicted on a record of a shard, among
 // others perhaps, or on the list of terminations and nothing else.
-func (c *Cluster) countRejectedPlacement(txn wire.Transaction, before map[placedAttemptKey]bool, failed []string) {
-	if len(newPlacements(txn, before)) == 0 {
+func (c *Cluster) countConflictingPlacement(txn wire.Transaction, before map[placedAttemptKey]bool, failed []string) {
+	if len(newlyPlacedMachines(txn, before)) == 0 {
 		return
 	}
 	if slices.ContainsFunc(failed, func(key string) bool { return strings.HasPrefix(key, record.ShardPrefix) }) {
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -180,7 +180,7 @@
 				cluster.eachBusyMachine(2, func(machine *fakeMachine) {
 					if !machine.hung {
 						machine.hung = true
-						cluster.countIfShardMoves(machineHungInMovingShard, machine.id)
+						cluster.countIfShardMoving(machineHungInMovingShard, machine.id)
 						cluster.At(time.Duration(1+n%2*15)*time.Second, machine.resume)
 					}
 				})
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -32,8 +32,8 @@
 }
 
 type lease struct {
-	ttl  controller.Time
-	ends controller.Time
+	ttl       controller.Time
+	expiresAt controller.Time
 }
 
 // NewStore makes an empty store.
@@ -79,8 +79,8 @@
 // Compact drops the changes so far: whoever has not read them has to load the keys again.
 func (s *Store) Compact() { s.log, s.compactedRevision = nil, s.revision }
 
-// Compacted reports whether changes after a revision were dropped.
-func (s *Store) Compacted(after wire.Revision) bool { return after < s.compactedRevision }
+// IsCompacted reports whether changes after a revision were dropped.
+func (s *Store) IsCompacted(after wire.Revision) bool { return after < s.compactedRevision }
 
 // Commit commits a transaction if its conditions hold and its leases exist.
 func (s *Store) Commit(txn wire.Transaction) controller.CommitResult {
@@ -132,7 +132,7 @@
 func (s *Store) Renew(now controller.Time, id wire.LeaseID) bool {
 	renewed := s.leases[id]
 	if renewed != nil {
-		renewed.ends = now + renewed.ttl
+		renewed.expiresAt = now + renewed.ttl
 	}
 	return renewed != nil
 }
@@ -147,7 +147,7 @@
 // Expire ends the leases that were not renewed in time, and deletes their keys.
 func (s *Store) Expire(now controller.Time) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if now < s.leases[id].ends {
+		if now < s.leases[id].expiresAt {
 			continue
 		}
 		delete(s.leases, id)
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -109,7 +109,7 @@
 		c.checkLivenessFormat(txn, formats)
 	case controller.Conflict:
 		c.Observed[conflictingCommit]++
-		c.countRejectedPlacement(txn, attempts, result.Failed)
+		c.countConflictingPlacement(txn, attempts, result.Failed)
 	}
 	return result
 }
@@ -120,7 +120,7 @@
 	var loadNext func(i int)
 	loadNext = func(i int) {
 		switch {
-		case call.isOver():
+		case call.callerEnded():
 		case c.storeRejects(call.process) || c.rng.Float64() < c.MessageLoss:
 			c.completeCall(call, callTimeout, controller.LoadResult{Outcome: controller.NotExecuted})
 		case i == len(prefixes):
@@ -159,7 +159,7 @@
 
 // changesSince is the changes that a watch asks for.
 func (c *Cluster) changesSince(watch controller.Watch) controller.WatchResult {
-	if c.store.Compacted(watch.After) {
+	if c.store.IsCompacted(watch.After) {
 		return controller.WatchResult{Outcome: controller.Compacted}
 	}
 	return controller.WatchResult{Response: c.store.Changes(watch.Prefix, watch.After)}
@@ -178,7 +178,7 @@
 		return
 	}
 	switch {
-	case open.call.isOver():
+	case open.call.callerEnded():
 	case !c.storeRejects(open.call.process):
 		result := c.changesSince(open.watch)
 		if result.Outcome == controller.Succeeded && len(result.Response.Events) == 0 && !timeout {
--- a/internal/simulation/store_server.go
+++ b/internal/simulation/store_server.go
@@ -109,7 +109,7 @@
 	switch result := s.store.Commit(txn); result.Outcome {
 	case controller.Succeeded:
 		if s.placements != nil {
-			s.placements.committed(s.store, txn)
+			s.placements.recordTransaction(s.store, txn)
 		}
 		writeJSON(w, http.StatusOK, wire.TransactionResponse{Revision: result.Revision})
 	case controller.Conflict:
--- a/internal/simulation/task_checks.go
+++ b/internal/simulation/task_checks.go
@@ -14,8 +14,8 @@
 	// maxUnanswered is how long users' requests about a job may go without an answer once
 	// all faults are over.
 	maxUnanswered = 75 * time.Second
-	// maxNeglect is how long a job may wait beside room that it could have then.
-	maxNeglect = 90 * time.Second
+	// maxStarvation is how long a job may wait beside room that it could have then.
+	maxStarvation = 90 * time.Second
 	// quotaTolerance is for the rounding of sums of cores.
 	quotaTolerance = 1e-6
 )
@@ -41,17 +41,17 @@
 		job.startedAt = c.now
 	}
 	if !job.submitted {
-		c.violation("invented: start of %v before its submission", task.id)
+		c.reportViolation("invented: start of %v before its submission", task.id)
 	}
 	c.checkSpread(machine, task, job)
 	spec := &job.spec
 	if !allowsMachine(spec, machine) {
-		c.violation("wrong_place: %v on %s (%s, %s, spot %v)", task.id, machine.id, machine.machineType.Name, machine.zone, machine.spot)
+		c.reportViolation("wrong_place: %v on %s (%s, %s, spot %v)", task.id, machine.id, machine.machineType.Name, machine.zone, machine.spot)
 	}
 	if job.lastStatus == wire.StatusCancelled {
 		c.Observed[startAfterCancellation]++
 		if c.now.Sub(job.terminalAt) > c.CancelTimeout {
-			c.violation("ran_cancelled: start of %v", task.id)
+			c.reportViolation("ran_cancelled: start of %v", task.id)
 		}
 	}
 }
@@ -66,17 +66,17 @@
 			continue
 		}
 		if placed.task.id == task.id && placed.machine != machine {
-			c.violation("ran_twice: %v on %s and %s", task.id, placed.machine.id, machine.id)
+			c.reportViolation("ran_twice: %v on %s and %s", task.id, placed.machine.id, machine.id)
 		}
 		if spec.SingleZone && placed.machine.zone != machine.zone {
-			c.violation("wrong_place: %v in %s, another in %s", task.id, machine.zone, placed.machine.zone)
+			c.reportViolation("wrong_place: %v in %s, another in %s", task.id, machine.zone, placed.machine.zone)
 		}
 		if placed.machine.zone == machine.zone {
 			sameZone++
 		}
 	}
 	if spec.SpreadZones && sameZone > (spec.Tasks+1)/2 {
-		c.violation("wrong_place: %d tasks of %s in %s", sameZone, spec.ID, machine.zone)
+		c.reportViolation("wrong_place: %d tasks of %s in %s", sameZone, spec.ID, machine.zone)
 	}
 }
 
@@ -94,13 +94,13 @@
 		job := c.jobs[task.id.Job]
 		used[job.spec.Team] = used[job.spec.Team].plus(resourcesOf(&job.spec))
 		if job.lastStatus == wire.StatusCancelled && c.now.Sub(job.terminalAt) > c.CancelTimeout {
-			c.violation("ran_cancelled: %v on %s", task.id, machine.id)
+			c.reportViolation("ran_cancelled: %v on %s", task.id, machine.id)
 		}
 	})
 	for i := range c.Settings.Cluster.Teams {
 		team := &c.Settings.Cluster.Teams[i]
 		if usage := used[team.Name]; exceedsQuota(team, usage) {
-			c.violation("quota: %s uses %v cores, %v accelerators", team.Name, usage.cores, usage.accelerators)
+			c.reportViolation("quota: %s uses %v cores, %v accelerators", team.Name, usage.cores, usage.accelerators)
 		}
 	}
 	if c.FaultsOverAt > 0 {
@@ -118,7 +118,7 @@
 	for id, job := range c.jobs {
 		since := max(job.answeredAt, controller.Time(c.FaultsOverAt))
 		if job.accepted && c.now.Sub(since) > maxUnanswered {
-			c.violation("forgotten: no request about %s was answered for %v", id, c.now.Sub(since))
+			c.reportViolation("forgotten: no request about %s was answered for %v", id, c.now.Sub(since))
 			job.answeredAt = c.now
 		}
 	}
@@ -127,39 +127,39 @@
 // checkStatus checks a status that a user is told: a terminal one is final, and true.
 func (c *Cluster) checkStatus(job *submittedJob, sentAt controller.Time, status wire.Status) {
 	if !job.isOpen() && status != job.lastStatus && sentAt > job.terminalAt {
-		c.violation("went_back: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
+		c.reportViolation("went_back: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
 	}
 	if status == wire.StatusCancelled && !job.cancelRequested {
-		c.violation("went_back: %s cancelled, but nobody asked", job.spec.ID)
+		c.reportViolation("went_back: %s cancelled, but nobody asked", job.spec.ID)
 	}
 	if status == wire.StatusDone && !job.isComplete() {
-		c.violation("not_done: %s reported done with %d of %d", job.spec.ID, len(job.completed), job.spec.Tasks)
+		c.reportViolation("not_done: %s reported done with %d of %d", job.spec.ID, len(job.completed), job.spec.Tasks)
 	}
 }
 
-// checkNeglect looks for jobs that wait beside a machine that fits them and has room,
+// checkStarvation looks for jobs that wait beside a machine that fits them and has room,
 // while their team is under its limit.
-func (c *Cluster) checkNeglect() {
+func (c *Cluster) checkStarvation() {
 	if c.FaultsOverAt == 0 {
 		return
 	}
-	used, free := c.usedAndFree()
+	used, free := c.usedAndFreeResources()
 	for id, job := range c.jobs {
 		switch {
-		case !job.fitsOneMachine() || !c.hasRoomBeside(job, used, free):
-			job.neglectedSince = 0
-		case job.neglectedSince == 0:
-			job.neglectedSince = c.now
-		case c.now.Sub(job.neglectedSince) > maxNeglect:
-			c.violation("neglected: %s waits beside room", id)
-			job.neglectedSince = 0
+		case !job.waitsForOneMachine() || !c.hasRoomFor(job, used, free):
+			job.starvedSince = 0
+		case job.starvedSince == 0:
+			job.starvedSince = c.now
+		case c.now.Sub(job.starvedSince) > maxStarvation:
+			c.reportViolation("neglected: %s waits beside room", id)
+			job.starvedSince = 0
 		}
 	}
 }
 
-// usedAndFree are what the teams use on machines without a fault, and what these have
+// usedAndFreeResources are what the teams use on machines without a fault, and what these have
 // left.
-func (c *Cluster) usedAndFree() (used map[string]resources, free map[*fakeMachine]resources) {
+func (c *Cluster) usedAndFreeResources() (used map[string]resources, free map[*fakeMachine]resources) {
 	used, free = map[string]resources{}, map[*fakeMachine]resources{}
 	for _, machine := range c.machines {
 		if !machine.up || machine.terminated || machine.hung || machine.faulty || machine.preemptionAt != 0 {
@@ -178,17 +178,17 @@
 	return used, free
 }
 
-// fitsOneMachine reports whether the job waits, and one machine with room is enough for
+// waitsForOneMachine reports whether the job waits, and one machine with room is enough for
 // its next task. Of jobs whose tasks have to be in one zone or spread over several, a
 // single machine does not tell.
-func (j *submittedJob) fitsOneMachine() bool {
+func (j *submittedJob) waitsForOneMachine() bool {
 	waits := j.accepted && j.isOpen() && !j.cancelRequested && !j.alwaysFails && !j.isComplete() && len(j.active()) == 0
 	return waits && (j.spec.Tasks == 1 || j.spec.Shape == wire.ShapeArray && !j.spec.SingleZone && !j.spec.SpreadZones)
 }
 
-// hasRoomBeside reports whether a task of a job is within its team's quota, and some
+// hasRoomFor reports whether a task of a job is within its team's quota, and some
 // machine has room for it.
-func (c *Cluster) hasRoomBeside(job *submittedJob, used map[string]resources, free map[*fakeMachine]resources) bool {
+func (c *Cluster) hasRoomFor(job *submittedJob, used map[string]resources, free map[*fakeMachine]resources) bool {
 	needed := resourcesOf(&job.spec)
 	i := slices.IndexFunc(c.Settings.Cluster.Teams, func(team config.Team) bool { return team.Name == job.spec.Team })
 	if i < 0 || exceedsQuota(&c.Settings.Cluster.Teams[i], used[job.spec.Team].plus(needed)) {
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -45,11 +45,11 @@
 	m.tasks[task.key()] = task
 	job := c.jobs[command.Task.Job]
 	if job == nil {
-		c.violation("invented: launch of %v, which nobody submitted", command.Task)
+		c.reportViolation("invented: launch of %v, which nobody submitted", command.Task)
 		return
 	}
 	job.launches++
-	if cause := m.rejects(task, &job.spec); cause != "" {
+	if cause := m.rejectionCause(task, &job.spec); cause != "" {
 		task.exit(cause)
 		return
 	}
@@ -67,9 +67,9 @@
 	})
 }
 
-// rejects is the cause for which the machine cannot run a task that was launched, if any:
+// rejectionCause is the cause for which the machine cannot run a task that was launched, if any:
 // another attempt at it is there, or there is no room.
-func (m *fakeMachine) rejects(task *fakeTask, spec *wire.JobSpec) wire.Cause {
+func (m *fakeMachine) rejectionCause(task *fakeTask, spec *wire.JobSpec) wire.Cause {
 	var used resources
 	for _, other := range m.tasks {
 		if other == task || other.state == wire.TaskExited {
@@ -174,7 +174,7 @@
 	job := m.cluster.jobs[task.id.Job]
 	if cause == wire.CauseDone {
 		job.completed[task.id.Index] = true
-		m.cluster.taskCompleted(job)
+		m.cluster.handleTaskCompletion(job)
 	} else if job.spec.Shape == wire.ShapeGang && wasRunning {
 		m.cluster.failGang(job, task.attempt)
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -17,8 +17,8 @@
 	minRetryDelay = time.Second
 	// pollInterval is the time between two polls of a job.
 	pollInterval = 3 * time.Second
-	// stormInterval is that time in a poll storm.
-	stormInterval = 300 * time.Millisecond
+	// pollStormInterval is that time in a poll storm.
+	pollStormInterval = 300 * time.Millisecond
 )
 
 // Submit has a user submit a job, repeat that until it is accepted, and poll it from then
@@ -50,7 +50,7 @@
 func (c *Cluster) submit(job *submittedJob) {
 	job.submitted = true
 	sentAt := c.now
-	c.askAny(submission(&job.spec), func(reply controller.Reply, answered bool) {
+	c.sendToAnyController(submissionInput(&job.spec), func(reply controller.Reply, answered bool) {
 		status, isStatus := reply.Body.(wire.JobStatus)
 		switch {
 		case answered && isStatus && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated):
@@ -58,7 +58,7 @@
 			c.poll(job)
 		case answered && reply.Status == http.StatusUnprocessableEntity:
 			if job.accepted {
-				c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+				c.reportViolation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
 			}
 		default:
 			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.submit(job) })
@@ -69,12 +69,12 @@
 // SubmitUnschedulable has a user submit a job that can never run: it must be rejected for
 // good, and never be accepted.
 func (c *Cluster) SubmitUnschedulable(spec wire.JobSpec) {
-	c.askAny(submission(&spec), func(reply controller.Reply, answered bool) {
+	c.sendToAnyController(submissionInput(&spec), func(reply controller.Reply, answered bool) {
 		switch {
 		case answered && reply.Status == http.StatusUnprocessableEntity:
 			c.Observed[unschedulableJobRejected]++
 		case answered && reply.Status < http.StatusMultipleChoices:
-			c.violation("accepted though it can never run: %s", spec.ID)
+			c.reportViolation("accepted though it can never run: %s", spec.ID)
 		default:
 			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.SubmitUnschedulable(spec) })
 		}
@@ -101,24 +101,24 @@
 // statuses mean that the job was forgotten.
 func (c *Cluster) repeatSubmission(process *controllerProcess, job *submittedJob, forgotten func(status int) bool) {
 	sentAt := c.now
-	c.ask(process, submission(&job.spec), func(reply controller.Reply, answered bool) {
+	c.sendUserRequest(process, submissionInput(&job.spec), func(reply controller.Reply, answered bool) {
 		if status, isStatus := reply.Body.(wire.JobStatus); answered && isStatus {
 			c.recordStatus(job, sentAt, status.Status)
 		} else if answered && forgotten(reply.Status) {
-			c.violation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+			c.reportViolation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
 		}
 	})
 }
 
-// taskCompleted has the user of a job whose last task has just completed cancel it,
+// handleTaskCompletion has the user of a job whose last task has just completed cancel it,
 // perhaps.
-func (c *Cluster) taskCompleted(job *submittedJob) {
+func (c *Cluster) handleTaskCompletion(job *submittedJob) {
 	if !job.isComplete() || !job.isOpen() || c.rng.Float64() >= c.CancelOnCompletion {
 		return
 	}
 	c.Observed[cancelledOnCompletion]++
 	c.CancelJob(job.spec.ID)
-	c.burstOfRequests(job)
+	c.sendRequestBurst(job)
 }
 
 // burstTimes are when the requests of a burst are sent.
@@ -127,9 +127,9 @@
 	12 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond, 200 * time.Millisecond,
 }
 
-// burstOfRequests has users poll a job at all controllers within milliseconds, repeat its
+// sendRequestBurst has users poll a job at all controllers within milliseconds, repeat its
 // submission, and cancel some at once.
-func (c *Cluster) burstOfRequests(job *submittedJob) {
+func (c *Cluster) sendRequestBurst(job *submittedJob) {
 	if !c.RequestBursts {
 		return
 	}
@@ -167,9 +167,9 @@
 		if status == wire.StatusCancelled {
 			c.Observed[jobCancelled]++
 		}
-		c.burstOfRequests(job)
+		c.sendRequestBurst(job)
 	case job.lastStatus == "":
-		c.burstOfRequests(job)
+		c.sendRequestBurst(job)
 	}
 	job.lastStatus = status
 }
@@ -183,21 +183,21 @@
 // pollAt polls a job once.
 func (c *Cluster) pollAt(process *controllerProcess, job *submittedJob) {
 	sentAt := c.now
-	c.ask(process, pollOf(job.spec.ID), func(reply controller.Reply, answered bool) {
+	c.sendUserRequest(process, pollInput(job.spec.ID), func(reply controller.Reply, answered bool) {
 		switch {
 		case answered && reply.Status == http.StatusOK:
 			c.recordStatus(job, sentAt, reply.Body.(wire.JobStatus).Status)
 		case answered && reply.Status == http.StatusNotFound:
-			c.violation("forgotten: poll of %s got %d", job.spec.ID, reply.Status)
+			c.reportViolation("forgotten: poll of %s got %d", job.spec.ID, reply.Status)
 		}
 	})
 }
 
 // PollUnknown polls a job that nobody submitted.
 func (c *Cluster) PollUnknown(id wire.JobID) {
-	c.askAny(pollOf(id), func(reply controller.Reply, answered bool) {
+	c.sendToAnyController(pollInput(id), func(reply controller.Reply, answered bool) {
 		if answered && reply.Status == http.StatusOK {
-			c.violation("invented: %s", id)
+			c.reportViolation("invented: %s", id)
 		}
 	})
 }
@@ -212,7 +212,7 @@
 		}
 	}
 	if c.now < end {
-		c.after(stormInterval, func() { c.pollAllUntil(end) })
+		c.after(pollStormInterval, func() { c.pollAllUntil(end) })
 	}
 }
 
@@ -235,7 +235,7 @@
 	}
 	job.cancelRequested = true
 	sentAt := c.now
-	c.askAny(cancellationOf(job.spec.ID), func(reply controller.Reply, answered bool) {
+	c.sendToAnyController(cancellationInput(job.spec.ID), func(reply controller.Reply, answered bool) {
 		if status, isStatus := reply.Body.(wire.JobStatus); answered && isStatus && status.Status.IsTerminal() {
 			c.recordStatus(job, sentAt, status.Status)
 			return
@@ -252,20 +252,20 @@
 	}
 }
 
-// submission makes the input that submits a job.
-func submission(spec *wire.JobSpec) inputFor {
+// submissionInput makes the input that submits a job.
+func submissionInput(spec *wire.JobSpec) inputFactory {
 	return func(id controller.RequestID) controller.Input {
 		return controller.JobSubmitted{Request: id, Spec: *spec}
 	}
 }
 
-// pollOf makes the input that polls a job.
-func pollOf(job wire.JobID) inputFor {
+// pollInput makes the input that polls a job.
+func pollInput(job wire.JobID) inputFactory {
 	return func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: job} }
 }
 
-// cancellationOf makes the input that cancels a job.
-func cancellationOf(job wire.JobID) inputFor {
+// cancellationInput makes the input that cancels a job.
+func cancellationInput(job wire.JobID) inputFactory {
 	return func(id controller.RequestID) controller.Input {
 		return controller.CancelRequested{Request: id, Job: job}
 	}
@@ -275,14 +275,14 @@
 	return c.controllers[c.rng.IntN(len(c.controllers))]
 }
 
-// askAny sends a user's request to a random controller.
-func (c *Cluster) askAny(newInput inputFor, then func(reply controller.Reply, answered bool)) {
-	c.ask(c.randomController(), newInput, then)
+// sendToAnyController sends a user's request to a random controller.
+func (c *Cluster) sendToAnyController(newInput inputFactory, then func(reply controller.Reply, answered bool)) {
+	c.sendUserRequest(c.randomController(), newInput, then)
 }
 
-// ask sends a user's request to a controller; then gets its reply, or that none came in
+// sendUserRequest sends a user's request to a controller; then gets its reply, or that none came in
 // time.
-func (c *Cluster) ask(process *controllerProcess, newInput inputFor, then func(reply controller.Reply, answered bool)) {
+func (c *Cluster) sendUserRequest(process *controllerProcess, newInput inputFactory, then func(reply controller.Reply, answered bool)) {
 	open := true
 	finish := func(reply controller.Reply, answered bool) {
 		if open {
