--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,8 +1,8 @@
-// Package simulation simulates what lilacrill runs among, written from its protocol: a
-// state store, a cloud, workers and users. A Cluster has them and several controllers live
-// on one virtual clock, injects faults, and checks the protocol's rules itself. StoreServer,
-// CloudServer and LoopbackWorkers are fakes of the same on the real clock; History checks
-// what happened there. The package serves tests only.
+// Package simulation provides fakes of the state store, the cloud, the workers and the
+// users, written from the protocol. A Cluster runs them together with several controllers
+// on one virtual clock, injects faults, and checks the rules of the protocol. StoreServer,
+// CloudServer and LoopbackWorkers are fakes on the real clock, and a History checks the
+// events that took place there. The package serves tests only.
 package simulation
 
 import (
@@ -18,27 +18,30 @@
 	"lilacrill/wire"
 )
 
-// Cluster is a simulated deployment on a virtual clock. One seed gives one course of
-// events: all chance is drawn from one generator, in the order of the events.
+// Cluster is a simulated deployment on a virtual clock. Its seed determines the course of
+// a run: all random numbers come from one generator, in the order of the events.
 type Cluster struct {
-	// Settings are what the controllers are started with.
+	// Settings are the settings with which the controllers are started.
 	Settings config.Settings
-	// Features replace DefaultFeatures, by the number of the controller.
+	// Features replaces config.DefaultFeatures for some controllers, by their index.
 	Features map[int]config.Features
 
-	// What follows is taken from the settings; a test that changes one changes the other.
+	// The durations below are copied from Settings. A test that changes one of them has to
+	// change the setting too.
 
-	// Lease is how long a worker keeps its tasks without an answer to a heartbeat.
+	// Lease is the time for which a worker keeps its tasks without a response to a heartbeat.
 	Lease             time.Duration
 	HeartbeatInterval time.Duration
-	// GangWaitTimeout is how long a gang's task waits for the others to start.
+	// GangWaitTimeout is the time for which a task of a gang waits for the others to start.
 	GangWaitTimeout time.Duration
-	// GangPeerTimeout is within what time a gang's tasks notice that one has failed.
+	// GangPeerTimeout bounds the time until the tasks of a gang notice that one has failed.
 	GangPeerTimeout time.Duration
-	// CancelTimeout is how long a task may run after its cancellation was reported.
+	// CancelTimeout is the longest time that a task may run after its job was reported
+	// cancelled.
 	CancelTimeout time.Duration
 
-	// Capacity is how many machines of one type, zone and price model the cloud has.
+	// Capacity is the number of machines that the cloud has of each type, zone and price
+	// model.
 	Capacity int
 
 	Faults
@@ -47,7 +50,7 @@
 	Observed map[Observation]int
 	// Shutdowns are the processes that shut down by themselves.
 	Shutdowns []ShutdownEvent
-	// Violations are the breaches of the rules, with their times.
+	// Violations lists the breaches of the rules, each with its time.
 	Violations []string
 
 	now          controller.Time
@@ -60,10 +63,10 @@
 	machines     []*fakeMachine
 	machinesByID map[wire.MachineID]*fakeMachine
 	machineTypes []wire.MachineType
-	// provisioned are the results of the provisioning requests, by their names: a request
-	// that is repeated gets the same machines.
+	// provisioned holds the machines of each provisioning request by the name of the
+	// request. A repeated request returns the same machines.
 	provisioned map[string][]wire.MachineID
-	// machineListings are the cloud's latest machine lists, one for each second.
+	// machineListings holds the latest machine lists of the cloud, one for each second.
 	machineListings    [][]wire.CloudMachine
 	jobs               map[wire.JobID]*submittedJob
 	recordedHeartbeats []*wire.Heartbeat
@@ -73,17 +76,17 @@
 const (
 	// defaultCapacity is the Capacity of a new cluster.
 	defaultCapacity = 3
-	// checkInterval is the time between two checks of what runs on the machines.
+	// checkInterval is the time between two checks of the active tasks and the quotas.
 	checkInterval = 100 * time.Millisecond
 	// listingInterval is the time between two machine lists of the cloud.
 	listingInterval = time.Second
-	// maxListings is how many of them are kept.
+	// maxListings is the number of machine lists that are kept.
 	maxListings = 15
-	// rngStream sets the generator of a cluster apart from others with its seed.
+	// rngStream distinguishes the generator of a cluster from others with the same seed.
 	rngStream = 7
 )
 
-// NewCluster makes a cluster of so many controllers, none of them started.
+// NewCluster returns a cluster with the given number of controllers, none of them started.
 func NewCluster(settings config.Settings, types []wire.MachineType, controllers int, seed uint64) *Cluster {
 	workers := settings.Cluster.Workers
 	c := &Cluster{
@@ -122,16 +125,16 @@
 	return c
 }
 
-// SetLogger sends the controllers' log somewhere.
+// SetLogger sets the logger of the controllers that are started from now on.
 func (c *Cluster) SetLogger(log *slog.Logger) { c.log = log }
 
-// Now is the time on the cluster's clock.
+// Now returns the time on the cluster's clock.
 func (c *Cluster) Now() time.Duration { return time.Duration(c.now) }
 
-// At runs f when d has passed.
+// At schedules f to run after d.
 func (c *Cluster) At(d time.Duration, f func()) { c.after(d, f) }
 
-// Run lets time pass.
+// Run advances the clock by d and runs the events that fall due.
 func (c *Cluster) Run(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.events) > 0 && c.events[0].at <= end {
@@ -147,7 +150,7 @@
 	heap.Push(&c.events, event{c.now.Add(max(d, 0)), c.eventCount, run})
 }
 
-// every runs f now and then again and again, d apart.
+// every schedules f to run at the current time and then at intervals of d.
 func (c *Cluster) every(d time.Duration, f func()) {
 	var loop func()
 	loop = func() {
@@ -157,12 +160,12 @@
 	c.after(0, loop)
 }
 
-// reportViolation records a breach of a rule.
+// reportViolation adds a breach of a rule to Violations, with the current time.
 func (c *Cluster) reportViolation(format string, args ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("%v: ", c.Now())+fmt.Sprintf(format, args...))
 }
 
-// randomDelay is a time below a limit, in whole milliseconds.
+// randomDelay returns a random time below limit, in whole milliseconds.
 func (c *Cluster) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(c.rng.IntN(int(limit.Milliseconds()))) * time.Millisecond
 }
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// wallClockStart is the wall clock at the cluster's start, in Unix milliseconds.
+	// wallClockStart is the wall-clock time at the start of the cluster, in Unix
+	// milliseconds.
 	wallClockStart = 1_700_000_000_000
-	// wallClockSkew is by how much the wall clock of each controller is ahead of that of
-	// the one before, in milliseconds.
+	// wallClockSkew is the time by which the wall clock of each controller is ahead of that
+	// of the controller with the previous index, in milliseconds.
 	wallClockSkew = 20
 )
 
-// controllerProcess is a controller with its process, if it runs.
+// controllerProcess is a controller with its process, if one is running.
 type controllerProcess struct {
 	index int
 	// controller is nil while no process runs.
 	controller *controller.Controller
-	// generation numbers the processes: what was under way for an earlier one is dropped.
+	// generation is the number of the process. Events and call results for an earlier
+	// process are dropped.
 	generation     int
 	startedAt      controller.Time
-	formats        record.FormatRange // what the process reads
+	formats        record.FormatRange // formats that the process reads
 	lastRequest    controller.RequestID
 	replyHandlers  map[controller.RequestID]func(controller.Reply)
-	directCalls    int // calls to workers under way
-	maxDirectCalls int // the most of them at once so far
+	directCalls    int // direct calls to workers in progress
+	maxDirectCalls int // largest number of directCalls so far
 	stalled        bool
-	bufferedInputs []controller.Input // what arrived while it was stalled
+	bufferedInputs []controller.Input // inputs that arrived while it was stalled
 }
 
-// ShutdownEvent is the end of a process that shut down by itself, since it could not
-// read the format in force.
+// ShutdownEvent records that a process shut down by itself because it could not read the
+// format in force.
 type ShutdownEvent struct {
 	Controller int
 	Cause      error
 }
 
-// controllerLabel is the label of a controller.
+// controllerLabel returns the label of the controller with index i.
 func controllerLabel(i int) string { return fmt.Sprintf("rig-%d", i) }
 
-// Start starts a controller, or restarts it.
+// Start starts the controller with index i, or restarts it if it is running.
 func (c *Cluster) Start(i int) {
 	process := c.controllers[i]
 	c.Stop(i)
@@ -57,7 +59,8 @@
 	c.replayHeartbeats(process)
 }
 
-// controllerSettings is the cluster's settings as a controller is started with them.
+// controllerSettings returns the settings with which the controller with index i is
+// started.
 func (c *Cluster) controllerSettings(i int) config.Settings {
 	settings := c.Settings
 	settings.Label = controllerLabel(i)
@@ -75,7 +78,7 @@
 	return settings
 }
 
-// tick gives a process its ticks until it ends.
+// tick passes a tick to a process now and at every TickInterval until the process ends.
 func (c *Cluster) tick(process *controllerProcess, generation int) {
 	if process.generation != generation {
 		return
@@ -84,14 +87,14 @@
 	c.after(controller.TickInterval, func() { c.tick(process, generation) })
 }
 
-// Stop ends a controller's process.
+// Stop ends the process of the controller with index i.
 func (c *Cluster) Stop(i int) {
 	c.controllers[i].generation++
 	c.controllers[i].controller = nil
 }
 
-// Stall has a controller's process do nothing for a while, its clocks running on. What
-// arrives meanwhile waits in its buffers, and is handled first when it resumes.
+// Stall suspends a controller's process for d, while its clocks run on. Inputs that arrive
+// meanwhile are buffered and handled first when the process resumes; ticks are skipped.
 func (c *Cluster) Stall(i int, d time.Duration) {
 	process := c.controllers[i]
 	if process.controller == nil || process.stalled {
@@ -114,7 +117,7 @@
 	}
 }
 
-// step gives a controller an input and executes what it puts out.
+// step passes an input to a controller and executes the outputs.
 func (c *Cluster) step(p *controllerProcess, input controller.Input) {
 	if p.stalled {
 		if _, tick := input.(controller.Tick); !tick {
@@ -128,7 +131,8 @@
 	}
 }
 
-// deliverRequest gives a controller a request with the next ID, and its reply to then.
+// deliverRequest passes a request with the next ID to a controller. Unless then is nil, it
+// is called with the reply.
 func (c *Cluster) deliverRequest(process *controllerProcess, newInput inputFactory, then func(controller.Reply)) {
 	process.lastRequest++
 	if then != nil {
@@ -137,7 +141,7 @@
 	c.step(process, newInput(process.lastRequest))
 }
 
-// inputFactory makes the input for a request, given the ID that its reply will have.
+// inputFactory returns the input for a request, given the ID of the request.
 type inputFactory func(controller.RequestID) controller.Input
 
 // pendingCall is a call of a controller's process that awaits its result.
@@ -154,7 +158,8 @@
 // callerEnded reports whether the process that made the call has ended.
 func (p pendingCall) callerEnded() bool { return p.process.generation != p.generation }
 
-// completeCall hands a call's result back after d, if the process is still there.
+// completeCall passes the result of a call to its process after d, unless the process has
+// ended.
 func (c *Cluster) completeCall(call pendingCall, d time.Duration, result controller.Result) {
 	c.after(d, func() {
 		if !call.callerEnded() {
@@ -163,7 +168,7 @@
 	})
 }
 
-// execute carries out what a controller put out.
+// execute executes an output of a controller.
 func (c *Cluster) execute(process *controllerProcess, output controller.Output) {
 	switch o := output.(type) {
 	case controller.Reply:
@@ -186,9 +191,9 @@
 		c.Observed[Observation(o.Kind)]++
 	case controller.Shutdown:
 		c.shutDown(process, o.Cause)
-	case controller.SetRateFraction: // the fakes of the store and the cloud limit no rates
+	case controller.SetRateFraction: // the fakes of the store and the cloud do not limit rates
 	default:
-		panic(fmt.Sprintf("output %T", output))
+		panic(fmt.Sprintf("unexpected controller output %T", output))
 	}
 }
 
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,15 +2,15 @@
 
 import "lilacrill/internal/controller"
 
-// event is something that happens at a time; order sets apart events of one time, so that
-// a seed gives one course of events.
+// event is a function that runs at a time of the virtual clock. Events at the same time run
+// by their order, so that the seed determines the course of a run.
 type event struct {
 	at    controller.Time
 	order int
 	run   func()
 }
 
-// eventQueue is a heap of eventQueue, the next one first.
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -7,7 +7,7 @@
 	"lilacrill/wire"
 )
 
-// gangTasks are a gang's tasks of one attempt that are on machines.
+// gangTasks returns the active tasks of one attempt of a gang.
 func gangTasks(job *submittedJob, attempt wire.Attempt) []placement {
 	var tasks []placement
 	for _, placed := range job.active() {
@@ -18,13 +18,13 @@
 	return tasks
 }
 
-// isWholeGang reports whether all tasks of a gang are there, in one state.
+// isWholeGang reports whether tasks contains all tasks of a gang, each in the given state.
 func isWholeGang(job *submittedJob, tasks []placement, state wire.TaskState) bool {
 	return len(tasks) >= job.spec.Tasks &&
 		!slices.ContainsFunc(tasks, func(placed placement) bool { return placed.task.state != state })
 }
 
-// startGangIfReady starts a gang once all its tasks wait.
+// startGangIfReady runs the tasks of a gang if all of them are waiting.
 func (c *Cluster) startGangIfReady(job *submittedJob, attempt wire.Attempt) {
 	tasks := gangTasks(job, attempt)
 	if !isWholeGang(job, tasks, wire.TaskWaiting) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// completeGang has all tasks of a gang complete together.
+// completeGang completes all tasks of a gang together if all of them are running.
 func (c *Cluster) completeGang(job *submittedJob, attempt wire.Attempt) {
 	tasks := gangTasks(job, attempt)
 	if !isWholeGang(job, tasks, wire.TaskRunning) {
@@ -53,7 +53,8 @@
 	}
 }
 
-// failGang has the rest of a gang fail, some time after one of its tasks did.
+// failGang makes the running tasks of a gang fail, within GangPeerTimeout after the failure
+// of one of them.
 func (c *Cluster) failGang(job *submittedJob, attempt wire.Attempt) {
 	c.after(time.Duration(c.rng.Int64N(int64(c.GangPeerTimeout))), func() {
 		for _, placed := range gangTasks(job, attempt) {
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// heartbeatTimeout is when a worker gives up a heartbeat and goes to the next
-	// controller, and connectionTimeout when it does if no connection comes about.
+	// heartbeatTimeout is the time after which a worker gives up a heartbeat and switches
+	// to the next controller. connectionTimeout is that time if no connection is made.
 	heartbeatTimeout  = 4 * time.Second
 	connectionTimeout = 500 * time.Millisecond
 )
 
-// fakeMachine is a machine of the cloud with its worker.
+// fakeMachine is a machine of the cloud together with its worker.
 type fakeMachine struct {
 	cluster       *Cluster
 	id            wire.MachineID
@@ -25,15 +25,15 @@
 	zone          string
 	spot          bool
 	provisionedAt controller.Time
-	up            bool // its worker has joined
-	terminated    bool // or died
+	up            bool // the worker has joined, and the cloud has not terminated the machine
+	terminated    bool // by the cloud, or because it died
 	terminatedAt  controller.Time
 	preemptionAt  controller.Time // 0 without a preemption notice
 
-	// Its faults. While it hangs, what arrives waits in deferred.
+	// Injected faults. While the machine hangs, deliveries to it wait in deferred.
 	hung                bool
 	deferred            []func()
-	inboundPartitioned  bool // its heartbeats arrive, and no answer or command reaches it
+	inboundPartitioned  bool // its heartbeats arrive, but no response or command reaches it
 	outboundPartitioned bool // its heartbeats do not arrive, but commands reach it
 	faulty              bool // every task on it fails
 
@@ -42,14 +42,14 @@
 	token             wire.FencingToken
 	tasks             map[taskKey]*fakeTask
 	images            map[string]bool
-	launches          int             // launch commands that it executed
-	controller        int             // where it sends heartbeats
+	launches          int             // number of launch commands that it executed
+	controller        int             // index of the controller to which it sends heartbeats
 	leaseRenewedAt    controller.Time // when the last answered heartbeat was sent
 	heartbeatInFlight bool
 	heartbeatsSent    int
 }
 
-// heartbeat is the worker's next heartbeat.
+// heartbeat returns the worker's next heartbeat.
 func (m *fakeMachine) heartbeat() *wire.Heartbeat {
 	m.sequence++
 	heartbeat := &wire.Heartbeat{Machine: m.id, Addr: string(m.id), Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
@@ -64,7 +64,8 @@
 	return heartbeat
 }
 
-// sortedTasks are the tasks in a fixed order, so that a seed gives one course of events.
+// sortedTasks returns the tasks in a fixed order, so that the seed determines the course
+// of a run.
 func (m *fakeMachine) sortedTasks() []*fakeTask {
 	tasks := make([]*fakeTask, 0, len(m.tasks))
 	for _, task := range m.tasks {
@@ -76,7 +77,8 @@
 	return tasks
 }
 
-// deliver runs f at the machine now, or when it no longer hangs.
+// deliver runs f on the machine now or, if the machine hangs, once it resumes. A terminated
+// machine drops f.
 func (m *fakeMachine) deliver(f func()) {
 	switch {
 	case m.terminated:
@@ -88,7 +90,7 @@
 	}
 }
 
-// resume ends the machine's hanging.
+// resume ends the hang of the machine and runs the deferred deliveries.
 func (m *fakeMachine) resume() {
 	m.hung = false
 	m.expireLease()
@@ -99,13 +101,13 @@
 	}
 }
 
-// hangFor has the machine hang for a while.
+// hangFor makes the machine hang for d.
 func (m *fakeMachine) hangFor(d time.Duration) {
 	m.hung = true
 	m.cluster.At(d, m.resume)
 }
 
-// expireLease ends all tasks and begins a new agent epoch if the lease has run out.
+// expireLease ends all tasks and begins a new agent epoch if the lease has expired.
 func (m *fakeMachine) expireLease() {
 	if m.cluster.now-m.leaseRenewedAt <= controller.Time(m.cluster.Lease) {
 		return
@@ -118,7 +120,7 @@
 	m.leaseRenewedAt = m.cluster.now
 }
 
-// terminate ends the machine and everything on it.
+// terminate ends the machine and its tasks.
 func (m *fakeMachine) terminate() {
 	m.terminated, m.terminatedAt = true, m.cluster.now
 	for _, task := range m.sortedTasks() {
@@ -130,7 +132,8 @@
 	}
 }
 
-// heartbeatLoop sends heartbeats about one interval apart until the machine ends.
+// heartbeatLoop sends heartbeats about one HeartbeatInterval apart until the machine is
+// terminated.
 func (m *fakeMachine) heartbeatLoop() {
 	if m.terminated {
 		return
@@ -140,7 +143,7 @@
 	c.after(time.Duration(float64(c.HeartbeatInterval)*(0.75+0.5*c.rng.Float64())), m.heartbeatLoop)
 }
 
-// sendHeartbeat sends a heartbeat unless one is under way.
+// sendHeartbeat sends a heartbeat unless one is in flight.
 func (m *fakeMachine) sendHeartbeat() {
 	if m.heartbeatInFlight {
 		return
@@ -160,8 +163,8 @@
 	m.callController(sent)
 }
 
-// callController sends the heartbeat with this number; what comes first, its response or
-// its timeout, is handled.
+// callController sends the heartbeat with the given number. Its response and its timeout
+// are alternatives: only the first of them is handled.
 func (m *fakeMachine) callController(sent int) {
 	c, sentAt, agentEpoch := m.cluster, m.cluster.now, m.agentEpoch
 	process := c.controllers[m.controller]
@@ -188,8 +191,8 @@
 	})
 }
 
-// handleResponse handles the response to a heartbeat that was sent in an agent epoch. The
-// lease counts from when it was sent, not from when it was answered.
+// handleResponse handles the response to a heartbeat that was sent at sentAt in the given
+// agent epoch. The lease counts from the sending of the heartbeat, not from the response.
 func (m *fakeMachine) handleResponse(reply controller.Reply, sentAt controller.Time, agentEpoch wire.AgentEpoch) {
 	response, ok := reply.Body.(wire.HeartbeatResponse)
 	if !ok || reply.Status != http.StatusOK {
@@ -208,8 +211,9 @@
 	m.controller = (m.controller + 1) % len(m.cluster.controllers)
 }
 
-// handleCommands handles a direct call with commands. It is rejected if it has an earlier
-// fencing token than one before, or is for another agent epoch.
+// handleCommands handles a direct call with commands. The call is rejected if its fencing
+// token is lower than that of an earlier call or response, or if it is for another agent
+// epoch.
 func (m *fakeMachine) handleCommands(request wire.CommandRequest) controller.WorkerResponse {
 	if request.Token < m.token || request.AgentEpoch != m.agentEpoch {
 		return controller.WorkerResponse{Outcome: controller.NotExecuted, Heartbeat: m.heartbeat()}
@@ -239,11 +243,12 @@
 	}
 }
 
-// clear cleans up an exited task. The fencing token must have grown since its launch:
-// another copy of the launch may be under way, and would start the task again.
+// clear removes an exited task. The fencing token must have increased since the launch of
+// the task. Otherwise a copy of the launch command that is still under way would start the
+// task again.
 func (m *fakeMachine) clear(task *fakeTask) {
 	if m.token <= task.token {
-		m.cluster.reportViolation("unfenced clear of %v", task.id)
+		m.cluster.reportViolation("%v cleared without a higher fencing token", task.id)
 	}
 	delete(m.tasks, task.key())
 }
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// maxPullTime bounds the random time for which a machine pulls an image.
+	// maxPullTime bounds the random time that a machine takes to pull an image.
 	maxPullTime = 2 * time.Second
-	// failureDelay is when tasks fail, of jobs that always do or on faulty machines.
+	// failureDelay is the time after which a task fails if its job always fails or its
+	// machine is faulty.
 	failureDelay = time.Second
 )
 
-// fakeTask is one attempt at a task on a machine.
+// fakeTask is a task attempt on a machine.
 type fakeTask struct {
 	id           wire.TaskID
 	attempt      wire.Attempt
 	state        wire.TaskState
 	cause        wire.Cause
 	checkpointed bool
-	active       bool              // has its image and has not exited: counts for the rules
-	token        wire.FencingToken // under which it was launched
+	active       bool              // has its image and has not exited; the rules apply to active tasks only
+	token        wire.FencingToken // fencing token of its launch
 }
 
-// taskKey names an attempt at a task on its machine.
+// taskKey identifies a task attempt on its machine.
 type taskKey struct {
 	id      wire.TaskID
 	attempt wire.Attempt
@@ -32,12 +33,12 @@
 
 func (t *fakeTask) key() taskKey { return taskKey{t.id, t.attempt} }
 
-// exit ends the task's run with a cause.
+// exit marks the task as exited with a cause.
 func (t *fakeTask) exit(cause wire.Cause) {
 	t.state, t.cause, t.active = wire.TaskExited, cause, false
 }
 
-// launch executes a launch command: the task starts once its image is pulled.
+// launch executes a launch command. The task starts once its image is pulled.
 func (m *fakeMachine) launch(command wire.Command) {
 	c := m.cluster
 	m.launches++
@@ -45,7 +46,7 @@
 	m.tasks[task.key()] = task
 	job := c.jobs[command.Task.Job]
 	if job == nil {
-		c.reportViolation("invented: launch of %v, which nobody submitted", command.Task)
+		c.reportViolation("unknown job: launch of %v, which nobody submitted", command.Task)
 		return
 	}
 	job.launches++
@@ -67,8 +68,9 @@
 	})
 }
 
-// rejectionCause is the cause for which the machine cannot run a task that was launched, if any:
-// another attempt at it is there, or there is no room.
+// rejectionCause returns the cause for which the machine cannot run a launched task: another
+// attempt at the task is on the machine, or there is no room. It returns "" if the machine
+// can run the task.
 func (m *fakeMachine) rejectionCause(task *fakeTask, spec *wire.JobSpec) wire.Cause {
 	var used resources
 	for _, other := range m.tasks {
@@ -86,7 +88,7 @@
 	return ""
 }
 
-// start starts a task whose image is there; a gang's tasks wait for the others.
+// start starts a task whose image is pulled. A task of a gang then waits for the others.
 func (m *fakeMachine) start(task *fakeTask, job *submittedJob) {
 	c := m.cluster
 	task.active = true
@@ -110,7 +112,7 @@
 	c.startGangIfReady(job, task.attempt)
 }
 
-// run has a task run until it completes, fails or is stopped.
+// run runs a task until it completes, fails or is stopped.
 func (m *fakeMachine) run(task *fakeTask, job *submittedJob) {
 	task.state = wire.TaskRunning
 	switch {
@@ -138,8 +140,9 @@
 	}
 }
 
-// stop stops a task, after a checkpoint if it makes them and the grace period is long
-// enough. A task that is being checkpointed is stopped at once without a grace period.
+// stop stops a task. A running task that makes checkpoints is checkpointed first if the
+// grace period is long enough. If the task is already being checkpointed, a stop without a
+// grace period ends it at once, and any other stop lets the checkpoint finish.
 func (m *fakeMachine) stop(task *fakeTask, gracePeriodS float64) {
 	spec := &m.cluster.jobs[task.id.Job].spec
 	switch {
@@ -151,7 +154,7 @@
 	}
 }
 
-// checkpoint saves a task's checkpoint and then stops it.
+// checkpoint saves a task's checkpoint, which takes saveTime, and then stops the task.
 func (m *fakeMachine) checkpoint(task *fakeTask, saveTime time.Duration) {
 	task.state = wire.TaskCheckpointing
 	m.cluster.after(saveTime, func() {
@@ -164,7 +167,8 @@
 	})
 }
 
-// exit has a task exit, and the worker report that at once.
+// exit ends a task with a cause and sends a heartbeat at once. If the task was a running
+// task of a gang and did not complete, the rest of the gang fails.
 func (m *fakeMachine) exit(task *fakeTask, cause wire.Cause) {
 	if task.state == wire.TaskExited || m.tasks[task.key()] != task {
 		return
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// requestTimeout is when users give up a request.
+	// requestTimeout is the time after which users give up a request.
 	requestTimeout = 5 * time.Second
-	// minRetryDelay is the least time until they repeat one.
+	// minRetryDelay is the shortest time until users repeat a request.
 	minRetryDelay = time.Second
 	// pollInterval is the time between two polls of a job.
 	pollInterval = 3 * time.Second
-	// pollStormInterval is that time in a poll storm.
+	// pollStormInterval is the time between two polls of a job in a poll storm.
 	pollStormInterval = 300 * time.Millisecond
 )
 
-// Submit has a user submit a job, repeat that until it is accepted, and poll it from then
-// on. Its tasks run for runtime.
+// Submit makes a user submit a job, repeat the submission until the job is accepted, and
+// poll it from then on. Its tasks run for runtime.
 func (c *Cluster) Submit(spec wire.JobSpec, runtime time.Duration) {
 	if c.jobs[spec.ID] == nil {
 		c.addJob(&submittedJob{spec: spec, runtime: runtime})
@@ -30,12 +30,12 @@
 	c.submit(c.jobs[spec.ID])
 }
 
-// SubmitWithRuntimes is Submit for a job whose tasks run for different times.
+// SubmitWithRuntimes is like Submit for a job whose tasks run for different times.
 func (c *Cluster) SubmitWithRuntimes(spec wire.JobSpec, runtime func(index int) time.Duration) {
 	c.submit(c.addJob(&submittedJob{spec: spec, runtimeOf: runtime}))
 }
 
-// SubmitFailing is Submit for a job whose tasks fail on every machine.
+// SubmitFailing is like Submit for a job whose tasks fail on every machine.
 func (c *Cluster) SubmitFailing(spec wire.JobSpec) {
 	c.submit(c.addJob(&submittedJob{spec: spec, alwaysFails: true}))
 }
@@ -46,7 +46,7 @@
 	return job
 }
 
-// submit submits a job until it is accepted, or rejected for good.
+// submit submits a job, again and again until it is accepted or permanently rejected.
 func (c *Cluster) submit(job *submittedJob) {
 	job.submitted = true
 	sentAt := c.now
@@ -58,7 +58,7 @@
 			c.poll(job)
 		case answered && reply.Status == http.StatusUnprocessableEntity:
 			if job.accepted {
-				c.reportViolation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+				c.reportViolation("lost job: repeated submission of %s got status %d", job.spec.ID, reply.Status)
 			}
 		default:
 			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.submit(job) })
@@ -66,23 +66,23 @@
 	})
 }
 
-// SubmitUnschedulable has a user submit a job that can never run: it must be rejected for
-// good, and never be accepted.
+// SubmitUnschedulable makes a user submit a job that can never run. Such a job must be
+// permanently rejected and never be accepted.
 func (c *Cluster) SubmitUnschedulable(spec wire.JobSpec) {
 	c.sendToAnyController(submissionInput(&spec), func(reply controller.Reply, answered bool) {
 		switch {
 		case answered && reply.Status == http.StatusUnprocessableEntity:
 			c.Observed[unschedulableJobRejected]++
 		case answered && reply.Status < http.StatusMultipleChoices:
-			c.reportViolation("accepted though it can never run: %s", spec.ID)
+			c.reportViolation("unschedulable job accepted: %s", spec.ID)
 		default:
 			c.after(max(minRetryDelay, reply.RetryAfter), func() { c.SubmitUnschedulable(spec) })
 		}
 	})
 }
 
-// repeatRequests has users cancel jobs that are done, and repeat submissions of jobs that
-// are not.
+// repeatRequests makes users cancel jobs that are done, and repeat the submissions of
+// accepted jobs that are not over.
 func (c *Cluster) repeatRequests() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		job := c.jobs[id]
@@ -97,21 +97,21 @@
 	}
 }
 
-// repeatSubmission repeats the submission of an accepted job at a controller; some
-// statuses mean that the job was forgotten.
-func (c *Cluster) repeatSubmission(process *controllerProcess, job *submittedJob, forgotten func(status int) bool) {
+// repeatSubmission repeats the submission of an accepted job at a controller. The function
+// meansLost reports whether an answer with an HTTP status means that the job was lost.
+func (c *Cluster) repeatSubmission(process *controllerProcess, job *submittedJob, meansLost func(status int) bool) {
 	sentAt := c.now
 	c.sendUserRequest(process, submissionInput(&job.spec), func(reply controller.Reply, answered bool) {
 		if status, isStatus := reply.Body.(wire.JobStatus); answered && isStatus {
 			c.recordStatus(job, sentAt, status.Status)
-		} else if answered && forgotten(reply.Status) {
-			c.reportViolation("forgotten: repeat of %s got %d", job.spec.ID, reply.Status)
+		} else if answered && meansLost(reply.Status) {
+			c.reportViolation("lost job: repeated submission of %s got status %d", job.spec.ID, reply.Status)
 		}
 	})
 }
 
-// handleTaskCompletion has the user of a job whose last task has just completed cancel it,
-// perhaps.
+// handleTaskCompletion makes the users of some jobs cancel them at the moment at which the
+// last task completes.
 func (c *Cluster) handleTaskCompletion(job *submittedJob) {
 	if !job.isComplete() || !job.isOpen() || c.rng.Float64() >= c.CancelOnCompletion {
 		return
@@ -121,19 +121,19 @@
 	c.sendRequestBurst(job)
 }
 
-// burstTimes are when the requests of a burst are sent.
+// burstTimes are the delays after which the requests of a burst are sent.
 var burstTimes = []time.Duration{
 	1 * time.Millisecond, 2 * time.Millisecond, 4 * time.Millisecond, 7 * time.Millisecond,
 	12 * time.Millisecond, 30 * time.Millisecond, 80 * time.Millisecond, 200 * time.Millisecond,
 }
 
-// sendRequestBurst has users poll a job at all controllers within milliseconds, repeat its
-// submission, and cancel some at once.
+// sendRequestBurst makes users poll a job at all controllers within milliseconds and repeat
+// its submission, if RequestBursts is set. Some of the jobs are cancelled at the same time.
 func (c *Cluster) sendRequestBurst(job *submittedJob) {
 	if !c.RequestBursts {
 		return
 	}
-	forgotten := func(status int) bool {
+	meansLost := func(status int) bool {
 		return status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
 	}
 	for i, d := range burstTimes {
@@ -141,7 +141,7 @@
 			for _, process := range c.controllers {
 				c.Observed[requestBurst]++
 				if (i+process.index)%3 == 0 {
-					c.repeatSubmission(process, job, forgotten)
+					c.repeatSubmission(process, job, meansLost)
 				} else {
 					c.pollAt(process, job)
 				}
@@ -153,9 +153,9 @@
 	}
 }
 
-// recordStatus records a status that was reported for a job, and checks it against the
-// ones before and against its tasks. The answer to a request that was sent before the
-// user knew of a terminal status may be older than that.
+// recordStatus records a reported status of a job, and checks it against the earlier ones
+// and against the job's tasks. The answer to a request that was sent before a terminal
+// status was reported may carry an older status.
 func (c *Cluster) recordStatus(job *submittedJob, sentAt controller.Time, status wire.Status) {
 	job.accepted, job.answeredAt = true, c.now
 	c.checkStatus(job, sentAt, status)
@@ -174,13 +174,13 @@
 	job.lastStatus = status
 }
 
-// poll polls a job at random controllers from now on.
+// poll polls a job at random controllers, every pollInterval from now on.
 func (c *Cluster) poll(job *submittedJob) {
 	c.pollAt(c.randomController(), job)
 	c.after(pollInterval, func() { c.poll(job) })
 }
 
-// pollAt polls a job once.
+// pollAt polls a job once at a controller.
 func (c *Cluster) pollAt(process *controllerProcess, job *submittedJob) {
 	sentAt := c.now
 	c.sendUserRequest(process, pollInput(job.spec.ID), func(reply controller.Reply, answered bool) {
@@ -188,21 +188,21 @@
 		case answered && reply.Status == http.StatusOK:
 			c.recordStatus(job, sentAt, reply.Body.(wire.JobStatus).Status)
 		case answered && reply.Status == http.StatusNotFound:
-			c.reportViolation("forgotten: poll of %s got %d", job.spec.ID, reply.Status)
+			c.reportViolation("lost job: poll of %s got status %d", job.spec.ID, reply.Status)
 		}
 	})
 }
 
-// PollUnknown polls a job that nobody submitted.
+// PollUnknown polls a job that nobody submitted. It must not be found.
 func (c *Cluster) PollUnknown(id wire.JobID) {
 	c.sendToAnyController(pollInput(id), func(reply controller.Reply, answered bool) {
 		if answered && reply.Status == http.StatusOK {
-			c.reportViolation("invented: %s", id)
+			c.reportViolation("unknown job: poll of %s succeeded, but nobody submitted it", id)
 		}
 	})
 }
 
-// PollStorm has users poll all jobs many times as often for a while.
+// PollStorm makes users poll all accepted jobs many times as often for d.
 func (c *Cluster) PollStorm(d time.Duration) { c.pollAllUntil(c.now.Add(d)) }
 
 func (c *Cluster) pollAllUntil(end controller.Time) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// CancelJob has a user cancel a job, once it is accepted, and repeat that until the job
-// is reported to be over.
+// CancelJob makes a user cancel a job once it is accepted, and repeat the request until a
+// terminal status is reported.
 func (c *Cluster) CancelJob(id wire.JobID) {
 	if job := c.jobs[id]; job != nil {
 		c.cancel(job)
@@ -244,7 +244,7 @@
 	})
 }
 
-// hangMachineOf has the machine of a job's first task hang.
+// hangMachineOf makes the machine of a job's first active task hang.
 func (c *Cluster) hangMachineOf(job *submittedJob) {
 	if active := job.active(); len(active) > 0 && !active[0].machine.hung {
 		c.Observed[machineHungOnCancellation]++
@@ -252,19 +252,19 @@
 	}
 }
 
-// submissionInput makes the input that submits a job.
+// submissionInput returns a factory for the input that submits a job.
 func submissionInput(spec *wire.JobSpec) inputFactory {
 	return func(id controller.RequestID) controller.Input {
 		return controller.JobSubmitted{Request: id, Spec: *spec}
 	}
 }
 
-// pollInput makes the input that polls a job.
+// pollInput returns a factory for the input that polls a job.
 func pollInput(job wire.JobID) inputFactory {
 	return func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: job} }
 }
 
-// cancellationInput makes the input that cancels a job.
+// cancellationInput returns a factory for the input that cancels a job.
 func cancellationInput(job wire.JobID) inputFactory {
 	return func(id controller.RequestID) controller.Input {
 		return controller.CancelRequested{Request: id, Job: job}
@@ -280,8 +280,8 @@
 	c.sendUserRequest(c.randomController(), newInput, then)
 }
 
-// sendUserRequest sends a user's request to a controller; then gets its reply, or that none came in
-// time.
+// sendUserRequest sends a user's request to a controller. It calls then with the reply, or
+// with answered false if none arrives within requestTimeout.
 func (c *Cluster) sendUserRequest(process *controllerProcess, newInput inputFactory, then func(reply controller.Reply, answered bool)) {
 	open := true
 	finish := func(reply controller.Reply, answered bool) {
