--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,15 +12,18 @@
 const (
 	// cloudDelay is added to every call to the cloud.
 	cloudDelay = 100 * time.Millisecond
-	// recentListings is from how many of its latest machine lists the cloud answers.
+	// recentListings is the number of the latest machine lists from which the cloud chooses
+	// its answers.
 	recentListings = 5
-	// terminatedListingTime is how long a terminated machine stays in the cloud's list.
+	// terminatedListingTime is the time for which a machine that died stays in the cloud's
+	// list. A machine that the cloud itself terminated leaves the list at once.
 	terminatedListingTime = 30 * time.Second
-	// maxProvisioningDelay is the longest random time until a worker joins, in seconds.
+	// maxProvisioningDelay is the longest random time from the provisioning of a machine
+	// until its worker joins, in seconds.
 	maxProvisioningDelay = 8
 )
 
-// executeOnCloud carries out a call to the cloud.
+// executeOnCloud executes a call to the cloud.
 func (c *Cluster) executeOnCloud(process *controllerProcess, output controller.Output) {
 	switch o := output.(type) {
 	case controller.ReadCatalogue:
@@ -42,8 +45,8 @@
 	}
 }
 
-// callCloud executes a call at the cloud; failed is its result in an outage, or if no
-// answer comes.
+// callCloud executes a call at the cloud. The argument failed is the result during an outage
+// or if no answer arrives.
 func (c *Cluster) callCloud(call pendingCall, failed controller.Result, execute func() controller.Result) {
 	c.after(cloudDelay, func() {
 		c.callRemote(call, failed, func() controller.Result {
@@ -55,7 +58,8 @@
 	})
 }
 
-// provision provisions as many of the requested machines as there is capacity for.
+// provision provisions as many of the requested machines as the capacity allows. A repeated
+// request returns the same machines.
 func (c *Cluster) provision(request wire.ProvisionRequest) controller.ProvisionResult {
 	if names, repeated := c.provisioned[request.Name]; repeated {
 		return controller.ProvisionResult{Machines: names}
@@ -79,7 +83,8 @@
 	return controller.ProvisionResult{Machines: names}
 }
 
-// machinesInUse counts the machines of the kind that a request asks for.
+// machinesInUse returns the number of machines of the type, zone and price model of a
+// request.
 func (c *Cluster) machinesInUse(request wire.ProvisionRequest) int {
 	inUse := 0
 	for _, machine := range c.machines {
@@ -126,7 +131,7 @@
 	return controller.TerminateResult{}
 }
 
-// recordListing keeps the present machine list for later answers.
+// recordListing records the current machine list for later answers.
 func (c *Cluster) recordListing() {
 	c.machineListings = append(c.machineListings, c.listMachines())
 	if len(c.machineListings) > maxListings {
@@ -134,13 +139,14 @@
 	}
 }
 
-// randomListing is one of the latest machine lists: those of a cloud lag behind.
+// randomListing returns one of the latest machine lists, since the lists of a cloud lag
+// behind its machines.
 func (c *Cluster) randomListing() []wire.CloudMachine {
 	recent := min(len(c.machineListings), recentListings)
 	return c.machineListings[c.rng.IntN(recent)+len(c.machineListings)-recent]
 }
 
-// listMachines is the cloud's machine list as it should be now.
+// listMachines returns the current machine list of the cloud, without lag.
 func (c *Cluster) listMachines() []wire.CloudMachine {
 	var list []wire.CloudMachine
 	for _, machine := range c.machines {
--- a/internal/simulation/cloud_server.go
+++ b/internal/simulation/cloud_server.go
@@ -10,10 +10,10 @@
 	"lilacrill/wire"
 )
 
-// CloudServer is a fake of the cloud over HTTP, with a catalogue and no capacity.
+// CloudServer is a fake of the cloud over HTTP. It has a catalogue but no capacity.
 type CloudServer struct {
 	Types []wire.MachineType
-	// Machines, unless nil, lists the machines that were provisioned before, in any order.
+	// Machines, unless nil, returns the machines that were provisioned before, in any order.
 	Machines func() []wire.CloudMachine
 	// Terminate, unless nil, ends machines and everything on them.
 	Terminate func([]wire.MachineID)
@@ -37,7 +37,7 @@
 	}
 }
 
-// machinePage is the part of the machine list that a request asks for.
+// machinePage returns the part of the machine list that a request selects.
 func (s CloudServer) machinePage(r *http.Request) wire.MachineList {
 	list := wire.MachineList{Machines: []wire.CloudMachine{}}
 	if s.Machines == nil {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -4,41 +4,42 @@
 	"time"
 )
 
-// Faults are the faults that a cluster injects, until a test sets them back. Rates are
-// parts of all such messages, from 0 to 1. Maps have the numbers of controllers.
+// Faults are the faults that a cluster injects until a test resets them. A rate is the
+// fraction, from 0 to 1, of the messages, transactions or jobs that a fault affects. The
+// keys of maps are the indexes of controllers.
 type Faults struct {
-	// MessageLoss is the rate of the messages that are lost, or whose answer is lost, or
-	// that are delayed and executed late.
+	// MessageLoss is the rate of the messages that are lost, whose answer is lost, or that
+	// are delayed and handled late.
 	MessageLoss float64
 
-	// StoreUnavailable and CloudUnavailable are outages.
+	// StoreUnavailable and CloudUnavailable are outages of the state store and the cloud.
 	StoreUnavailable, CloudUnavailable bool
-	// StorePartitioned are controllers that the state store rejects.
+	// StorePartitioned has the controllers whose calls the state store rejects.
 	StorePartitioned map[int]bool
-	// WorkersPartitioned are controllers that exchange nothing with workers.
+	// WorkersPartitioned has the controllers that cannot exchange messages with workers.
 	WorkersPartitioned map[int]bool
-	// PeersPartitioned are controllers that exchange nothing with their peers.
+	// PeersPartitioned has the controllers that cannot exchange messages with their peers.
 	PeersPartitioned map[int]bool
-	// PartitionedZone is partitioned from everything but the controller in it,
-	// ControllerInZone.
+	// PartitionedZone is a zone whose machines are partitioned from all controllers except
+	// ControllerInZone, the one in the zone, which is partitioned from all other machines.
 	PartitionedZone  string
 	ControllerInZone int
 
 	// DelayedCommits is the rate of the transactions that get no answer and are committed
 	// 2 to 12 s later, after newer ones.
 	DelayedCommits float64
-	// DelayCommitsOf are controllers all of whose transactions are delayed like that.
+	// DelayCommitsOf has the controllers of which all transactions are delayed in this way.
 	DelayCommitsOf map[int]bool
-	// DelayPlacements has all transactions that add placements delayed like that.
+	// DelayPlacements delays all transactions that add placements in this way.
 	DelayPlacements bool
-	// LoseAnswersOnly has transactions that would be delayed committed at once; only their
-	// answers are lost.
+	// LoseAnswersOnly makes the state store commit the transactions that would be delayed
+	// at once, so that only their answers are lost.
 	LoseAnswersOnly bool
 	// StoreDelay is added to every call to the state store.
 	StoreDelay time.Duration
 
-	// DuplicatedHeartbeats is the rate of the heartbeats of which a copy arrives late,
-	// from seconds to three leases after the first.
+	// DuplicatedHeartbeats is the rate of the heartbeats of which a copy arrives late, from
+	// seconds to three leases after it was sent.
 	DuplicatedHeartbeats float64
 	// ReplayedHeartbeats is the rate of the heartbeats of which a copy is replayed to all
 	// controllers when the next controller starts.
@@ -46,31 +47,33 @@
 	// DropDirectCalls drops all calls of controllers to workers.
 	DropDirectCalls bool
 
-	// PeerMessageLoss is the rate of the messages between controllers that are lost, if
-	// that is more than MessageLoss.
+	// PeerMessageLoss is the rate of the messages between controllers that are lost, if it
+	// is higher than MessageLoss.
 	PeerMessageLoss float64
 	// DuplicatedPeerMessages is the rate of the messages between controllers of which a
-	// copy arrives seconds to a minute late, at whatever process has the label then.
+	// copy arrives seconds to a minute late, at the process that runs under the label of
+	// the receiver by then.
 	DuplicatedPeerMessages float64
 
-	// CancelOnCompletion is the rate of the jobs whose users cancel them at the moment at
+	// CancelOnCompletion is the rate of the jobs that their users cancel at the moment at
 	// which the last task completes.
 	CancelOnCompletion float64
-	// HangOnCancel is how long a machine of a job hangs when the job is cancelled.
+	// HangOnCancel is the time for which a machine of a job hangs when the job is cancelled.
 	HangOnCancel time.Duration
-	// RequestBursts has users poll a job at all controllers within milliseconds, and
-	// repeat its submission, once it was accepted or reported terminal.
+	// RequestBursts makes users poll a job at all controllers within milliseconds and repeat
+	// its submission, when the job has been accepted or a terminal status was reported.
 	RequestBursts bool
 
-	// ImagePullTime, if not 0, is how long a machine pulls an image that it has not
-	// cached; else it is random. The pull is given up when the task that needs it ends.
+	// ImagePullTime, if not 0, is the time that a machine takes to pull an image that it has
+	// not cached. Otherwise the time is random. The pull is given up when the task that
+	// needs the image ends.
 	ImagePullTime time.Duration
-	// ProvisioningDelay, if set, is how long a machine takes from its provisioning until
-	// its worker joins; else it is random.
+	// ProvisioningDelay, if set, returns the time from the provisioning of a machine until
+	// its worker joins. Otherwise the time is random.
 	ProvisioningDelay func(machineType, zone string) time.Duration
 
-	// FaultsOverAt is when the last fault was over; 0 while some may still come. Rules on
-	// how long something may take hold from then on.
+	// FaultsOverAt is the time at which the last fault ended, or 0 while more faults may
+	// follow. Rules that limit how long something may take apply from then on.
 	FaultsOverAt time.Duration
 }
 
@@ -83,7 +86,7 @@
 	}
 }
 
-// PartitionZone partitions a zone and the controller in it from everything for a while.
+// PartitionZone partitions a zone and the controller in it from everything else for d.
 func (c *Cluster) PartitionZone(zone string, inside int, d time.Duration) {
 	c.PartitionedZone, c.ControllerInZone = zone, inside
 	c.StorePartitioned[inside], c.PeersPartitioned[inside] = true, true
@@ -94,14 +97,13 @@
 	})
 }
 
-// isPartitioned reports whether a partition lies between a zone's machines and a
+// isPartitioned reports whether the zone partition separates the machines of a zone from a
 // controller.
 func (c *Cluster) isPartitioned(zone string, process *controllerProcess) bool {
 	return c.PartitionedZone != "" && (zone == c.PartitionedZone) != (process.index == c.ControllerInZone)
 }
 
-// storeRejects reports whether the state store answers a controller's calls with a
-// rejection.
+// storeRejects reports whether the state store rejects the calls of a controller.
 func (c *Cluster) storeRejects(process *controllerProcess) bool {
 	return c.StoreUnavailable || c.StorePartitioned[process.index]
 }
--- a/internal/simulation/loopback_workers.go
+++ b/internal/simulation/loopback_workers.go
@@ -15,14 +15,14 @@
 	"lilacrill/wire"
 )
 
-// LoopbackWorkers are fakes of workers on the real clock: each has a loopback address of
-// its own, sends heartbeats to one controller over one connection, and executes commands.
-// All share one listener, which tells them apart by the address that was called.
+// LoopbackWorkers are fakes of workers on the real clock. Each has a loopback address of its
+// own, sends heartbeats to one controller over one connection, and executes commands. All
+// share one listener, which distinguishes them by the address that was called.
 type LoopbackWorkers struct {
 	settings LoopbackSettings
 	port     int
 	runtimes sync.Map                   // wire.JobID to time.Duration; 0 for a service
-	workers  map[string]*loopbackWorker // by address; not changed once they run
+	workers  map[string]*loopbackWorker // by address; read-only once they run
 }
 
 // LoopbackSettings are the settings of all workers.
@@ -31,16 +31,16 @@
 	HeartbeatInterval time.Duration
 	Zones             []string
 	Types             []wire.MachineType
-	// History, if set, records what the workers' tasks do.
+	// History, if set, records the events of the workers' tasks.
 	History *History
 }
 
 const (
-	// loopbackPullTime is how long a worker takes to pull an image.
+	// loopbackPullTime is the time that a worker takes to pull an image.
 	loopbackPullTime = 200 * time.Millisecond
-	// minHeartbeatPause is the least time between two heartbeats of a worker.
+	// minHeartbeatPause is the shortest time between two heartbeats of a worker.
 	minHeartbeatPause = 500 * time.Millisecond
-	// failoverPause is the time from a heartbeat that failed to the next, which goes to
+	// failoverPause is the time from a failed heartbeat to the next one, which goes to
 	// another controller.
 	failoverPause = time.Second
 )
@@ -60,7 +60,7 @@
 	go func() { _ = server.Serve(listener) }()
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // nobody waits for what is under way
+		_ = server.Close() // calls in progress are dropped
 	}()
 	for _, worker := range w.workers {
 		go worker.heartbeatLoop(ctx)
@@ -68,7 +68,8 @@
 	return w, nil
 }
 
-// newWorker makes the worker with a number: types, zones and controllers take turns.
+// newWorker returns the worker with number i. Types, zones and controllers are assigned in
+// turn.
 func (w *LoopbackWorkers) newWorker(i int) *loopbackWorker {
 	types, zones := w.settings.Types, w.settings.Zones
 	return &loopbackWorker{
@@ -83,12 +84,13 @@
 	}
 }
 
-// SetRuntime sets how long a task of a job runs; 0 is until it is stopped.
+// SetRuntime sets the time for which the tasks of a job run. With 0 they run until they are
+// stopped.
 func (w *LoopbackWorkers) SetRuntime(id wire.JobID, runtime time.Duration) {
 	w.runtimes.Store(id, runtime)
 }
 
-// CloudMachines is the workers' machines as a cloud lists them.
+// CloudMachines returns the machines of the workers as a cloud lists them.
 func (w *LoopbackWorkers) CloudMachines() []wire.CloudMachine {
 	var list []wire.CloudMachine
 	for _, worker := range w.workers {
@@ -100,7 +102,7 @@
 	return list
 }
 
-// Terminate ends workers and all their tasks, as a cloud does that terminates machines.
+// Terminate ends workers and all their tasks, as a cloud does when it terminates machines.
 func (w *LoopbackWorkers) Terminate(names []wire.MachineID) {
 	for _, worker := range w.workers {
 		if slices.Contains(names, worker.id) {
@@ -109,7 +111,8 @@
 	}
 }
 
-// PartitionZone partitions the workers of a zone from all controllers, or ends that.
+// PartitionZone partitions the workers of a zone from all controllers, or ends the
+// partition.
 func (w *LoopbackWorkers) PartitionZone(zone string, partitioned bool) {
 	for _, worker := range w.workers {
 		if worker.zone == zone {
@@ -152,7 +155,7 @@
 	heartbeatDue      chan struct{} // holds an element if a heartbeat is due at once
 
 	mu          sync.Mutex
-	partitioned bool // for good if terminated
+	partitioned bool // permanently if terminated
 	terminated  bool
 	sequence    wire.Sequence
 	token       wire.FencingToken
@@ -172,7 +175,7 @@
 	return w.terminated
 }
 
-// terminate ends the worker and its tasks for good.
+// terminate permanently ends the worker and its tasks.
 func (w *loopbackWorker) terminate() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,7 +205,8 @@
 	return heartbeat
 }
 
-// handleCommands executes a direct call's commands unless its fencing token is too low.
+// handleCommands executes the commands of a direct call and returns true. It rejects the
+// call if the worker is terminated or the fencing token is too low.
 func (w *loopbackWorker) handleCommands(body wire.CommandRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -214,11 +218,11 @@
 	return true
 }
 
-// heartbeatLoop sends heartbeats until ctx ends; after one that failed it goes to the next
-// controller.
+// heartbeatLoop sends heartbeats until ctx ends. After a failed heartbeat it switches to the
+// next controller.
 func (w *loopbackWorker) heartbeatLoop(ctx context.Context) {
-	every := float64(w.fleet.settings.HeartbeatInterval)
-	timer := time.NewTimer(time.Duration(rand.Float64() * every))
+	interval := float64(w.fleet.settings.HeartbeatInterval)
+	timer := time.NewTimer(time.Duration(rand.Float64() * interval))
 	defer timer.Stop()
 	client := w.client()
 	for {
@@ -229,7 +233,7 @@
 		case <-timer.C:
 		case <-w.heartbeatDue:
 		}
-		pause := time.Duration(every * (0.75 + rand.Float64()/2))
+		pause := time.Duration(interval * (0.75 + rand.Float64()/2))
 		if !w.isPartitioned() && !w.sendHeartbeat(client) {
 			client.Close()
 			w.controller = (w.controller + 1) % len(w.fleet.settings.Controllers)
@@ -260,7 +264,7 @@
 	return true
 }
 
-// execute executes commands. It is called with the lock held.
+// execute executes commands. The lock must be held.
 func (w *loopbackWorker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		key := taskKey{command.Task, command.Attempt}
@@ -287,15 +291,16 @@
 	}
 }
 
-// record records what a task does in the history. It is called with the lock held, so
-// that the events of a machine are in their order.
+// record records an event of a task in the history. The lock must be held, so that the
+// events of a machine are recorded in their order.
 func (w *loopbackWorker) record(kind HistoryKind, key taskKey) {
 	if h := w.fleet.settings.History; h != nil {
 		h.Record(HistoryEvent{Kind: kind, Job: key.id.Job, Machine: w.id, Type: w.machineType, Zone: w.zone, Task: key.id, Attempt: key.attempt})
 	}
 }
 
-// transition takes a task from one state to another, and has a heartbeat sent at once.
+// transition moves a task from one state to another, unless it is in a different state, and
+// makes a heartbeat due at once.
 func (w *loopbackWorker) transition(key taskKey, from, to wire.TaskState, cause wire.Cause) {
 	w.mu.Lock()
 	status := w.tasks[key]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,29 +8,34 @@
 )
 
 const (
-	// callTimeout is when a controller gives up a call to the store or the cloud.
+	// callTimeout is the time after which a controller gives up a call to the store or the
+	// cloud.
 	callTimeout = 1500 * time.Millisecond
-	// commandTimeout and probeTimeout are when it gives up calls to workers.
+	// commandTimeout and probeTimeout are the times after which a controller gives up
+	// commands to workers and probes of them.
 	commandTimeout = 2 * time.Second
 	probeTimeout   = 800 * time.Millisecond
 
-	// maxRequestDelay bounds the delay of calls and requests that arrive late, or copies
-	// of which do; maxLostCallDelay that of calls that were given up before.
+	// maxRequestDelay bounds the delay of calls and requests that arrive late, and of late
+	// copies of them. maxLostCallDelay bounds the delay of calls to the store or the cloud
+	// that get no answer and are executed late.
 	maxRequestDelay  = 30 * time.Second
 	maxLostCallDelay = 40 * time.Second
 
-	// minCopyDelay is the least delay of copies of heartbeats and peer messages, and
-	// maxPeerCopyDelay bounds what comes on top for the latter.
+	// minCopyDelay is the shortest delay of copies of heartbeats and peer messages.
+	// maxPeerCopyDelay bounds the random delay that is added for peer messages.
 	minCopyDelay     = 2 * time.Second
 	maxPeerCopyDelay = time.Minute
 
-	// replayCount is how often recorded heartbeats are replayed to a controller that has
-	// started, replayInterval apart: while it loads its state and begins to act.
+	// replayCount is the number of times that recorded heartbeats are replayed after a
+	// controller has started, replayInterval apart. The replays cover the time in which the
+	// controller loads its state and begins to act.
 	replayCount    = 8
 	replayInterval = 250 * time.Millisecond
 )
 
-// latency is how long one message takes: most take milliseconds, few up to 0.3 s more.
+// latency returns the random latency of one message. Most messages take milliseconds, a few
+// take up to 0.3 s more.
 func (c *Cluster) latency() time.Duration {
 	d := time.Duration(500+c.rng.IntN(2500)) * time.Microsecond
 	if c.rng.IntN(200) == 0 {
@@ -39,9 +44,9 @@
 	return d
 }
 
-// callRemote executes a call at the store or the cloud; lost is its result if no answer
-// comes. A lost call is executed all the same, or late, or not at all, and others are
-// executed a second time late, as by a network that duplicates.
+// callRemote executes a call at the store or the cloud. The argument lost is the result if no
+// answer arrives. A call without an answer is executed in time, late, or not at all. Some of
+// the answered calls are executed a second time late, as if the network had duplicated them.
 func (c *Cluster) callRemote(call pendingCall, lost controller.Result, execute func() controller.Result) {
 	if c.rng.Float64() < c.MessageLoss {
 		c.completeCall(call, callTimeout, lost)
@@ -62,8 +67,8 @@
 	})
 }
 
-// callWorker executes a call at a worker; one that hangs executes it when it resumes. The
-// caller gives up after the timeout, and executions after that are not answered.
+// callWorker executes a direct call at a worker, or once the worker resumes if it hangs. The
+// caller gives up after the timeout, and later executions are not answered.
 func (c *Cluster) callWorker(process *controllerProcess, id controller.CallID, addr string, timeout time.Duration, execute func(*fakeMachine) controller.WorkerResponse) {
 	call := newCall(process, id)
 	open := true
@@ -96,7 +101,8 @@
 	}
 }
 
-// reachesWorker reports whether a direct call of a controller arrives at a machine.
+// reachesWorker reports whether a direct call of a controller reaches the worker of a
+// machine.
 func (c *Cluster) reachesWorker(process *controllerProcess, machine *fakeMachine) bool {
 	return !machine.terminated && !machine.inboundPartitioned && !c.DropDirectCalls &&
 		!c.WorkersPartitioned[process.index] && !c.isPartitioned(machine.zone, process)
@@ -125,7 +131,7 @@
 	c.duplicatePeerMessage(receiver, message)
 }
 
-// duplicatePeerMessage delivers a copy of some messages late.
+// duplicatePeerMessage delivers late copies of some peer messages.
 func (c *Cluster) duplicatePeerMessage(receiver *controllerProcess, message wire.PeerMessage) {
 	if c.DuplicatedPeerMessages == 0 || c.rng.Float64() >= c.DuplicatedPeerMessages {
 		return
@@ -141,8 +147,9 @@
 	})
 }
 
-// sendToController sends a request to a controller, and its reply to then. It may be
-// lost or delayed; a worker's heartbeat may also be duplicated, or recorded for a replay.
+// sendToController sends a request to a controller and calls then with the reply. The
+// request may be lost or delayed. If it is a worker's heartbeat, it may also be duplicated,
+// or recorded for a replay.
 func (c *Cluster) sendToController(process *controllerProcess, newInput inputFactory, then func(controller.Reply)) {
 	heartbeat, fromWorker := newInput(0).(controller.HeartbeatReceived)
 	if fromWorker {
@@ -166,8 +173,7 @@
 	})
 }
 
-// copyHeartbeat records a copy of some heartbeats for a replay, and delivers a copy of
-// some late.
+// copyHeartbeat records some heartbeats for a replay, and delivers late copies of some.
 func (c *Cluster) copyHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, newInput inputFactory) {
 	if c.rng.Float64() < c.ReplayedHeartbeats {
 		c.recordedHeartbeats = append(c.recordedHeartbeats, heartbeat)
@@ -182,8 +188,8 @@
 	})
 }
 
-// replayHeartbeats replays the recorded heartbeats to all controllers, again and again
-// while a controller that has just started loads its state and begins to act.
+// replayHeartbeats replays the recorded heartbeats to all controllers several times, while
+// a controller that has just started loads its state and begins to act.
 func (c *Cluster) replayHeartbeats(started *controllerProcess) {
 	recorded := c.recordedHeartbeats
 	c.recordedHeartbeats = nil
@@ -201,10 +207,10 @@
 	}
 }
 
-// replayHeartbeat replays a heartbeat to a controller, perhaps the one that has just
-// started.
-func (c *Cluster) replayHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, hasStarted bool) {
-	if hasStarted && process.controller.Healthy() {
+// replayHeartbeat replays a heartbeat to a controller. The flag justStarted marks the
+// controller whose start led to the replay.
+func (c *Cluster) replayHeartbeat(process *controllerProcess, heartbeat *wire.Heartbeat, justStarted bool) {
+	if justStarted && process.controller.Healthy() {
 		c.Observed[replayToNewController]++
 		if machine := c.machinesByID[heartbeat.Machine]; machine != nil && heartbeat.AgentEpoch < machine.agentEpoch {
 			c.Observed[replayOfEarlierEpoch]++
--- a/internal/simulation/resources.go
+++ b/internal/simulation/resources.go
@@ -2,7 +2,7 @@
 
 import "lilacrill/wire"
 
-// resources are what a task needs or a machine has.
+// resources are the resources that a task needs or that a machine has.
 type resources struct {
 	cores, accelerators, memoryGB float64
 }
@@ -23,7 +23,7 @@
 	return resources{r.cores - other.cores, r.accelerators - other.accelerators, r.memoryGB - other.memoryGB}
 }
 
-// fitIn reports whether there is enough of each resource.
+// fitIn reports whether available has enough of each resource.
 func (r resources) fitIn(available resources) bool {
 	return r.cores <= available.cores && r.accelerators <= available.accelerators && r.memoryGB <= available.memoryGB
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -12,14 +12,14 @@
 )
 
 // Store is a fake of the state store: a key-value store with revisions, leases and
-// watches. Its clock is the caller's.
+// watches. Its methods take the current time from the caller.
 type Store struct {
 	revision wire.Revision
 	values   map[string]storedValue
 	log      []wire.ChangeEvent
 	leases   map[wire.LeaseID]*lease
 	leaseID  wire.LeaseID
-	// compactedRevision is the revision up to which the log was dropped.
+	// compactedRevision is the revision up to which the log has been dropped.
 	compactedRevision wire.Revision
 	// OnChange, if set, is called after every change.
 	OnChange func()
@@ -28,7 +28,7 @@
 type storedValue struct {
 	value   json.RawMessage
 	version wire.Revision
-	leaseID wire.LeaseID // deletes the key when it ends; 0 if none does
+	leaseID wire.LeaseID // the key is deleted when this lease ends; 0 if there is none
 }
 
 type lease struct {
@@ -36,21 +36,21 @@
 	expiresAt controller.Time
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{values: map[string]storedValue{}, leases: map[wire.LeaseID]*lease{}}
 }
 
-// Revision is the present revision.
+// Revision returns the current revision.
 func (s *Store) Revision() wire.Revision { return s.revision }
 
-// Get reads one key, with its version.
+// Get returns the value and the version of a key, and whether the key exists.
 func (s *Store) Get(key string) (json.RawMessage, wire.Revision, bool) {
 	stored, ok := s.values[key]
 	return stored.value, stored.version, ok
 }
 
-// List reads all keys with a prefix, in order.
+// List returns the entries of all keys with a prefix, in the order of the keys.
 func (s *Store) List(prefix string) []wire.Entry {
 	var entries []wire.Entry
 	for key, stored := range s.values {
@@ -62,7 +62,7 @@
 	return entries
 }
 
-// Changes are all changes under a prefix after a revision, as a watch gets them.
+// Changes returns all changes under a prefix after a revision, as a watch receives them.
 func (s *Store) Changes(prefix string, after wire.Revision) wire.WatchResponse {
 	changes := wire.WatchResponse{Revision: s.revision}
 	first, _ := slices.BinarySearchFunc(s.log, after+1, func(logged wire.ChangeEvent, revision wire.Revision) int {
@@ -76,10 +76,11 @@
 	return changes
 }
 
-// Compact drops the changes so far: whoever has not read them has to load the keys again.
+// Compact drops all recorded changes. A client that has not read them has to load the keys
+// again.
 func (s *Store) Compact() { s.log, s.compactedRevision = nil, s.revision }
 
-// IsCompacted reports whether changes after a revision were dropped.
+// IsCompacted reports whether changes after a revision have been dropped.
 func (s *Store) IsCompacted(after wire.Revision) bool { return after < s.compactedRevision }
 
 // Commit commits a transaction if its conditions hold and its leases exist.
@@ -104,7 +105,7 @@
 	return controller.CommitResult{Outcome: controller.Succeeded, Revision: s.revision}
 }
 
-// apply makes changes at the next revision.
+// apply applies changes at the next revision.
 func (s *Store) apply(changes []wire.Change) {
 	s.revision++
 	for _, change := range changes {
@@ -121,14 +122,14 @@
 	}
 }
 
-// Grant makes a lease.
+// Grant grants a lease and returns its ID.
 func (s *Store) Grant(now, ttl controller.Time) wire.LeaseID {
 	s.leaseID++
 	s.leases[s.leaseID] = &lease{ttl, now + ttl}
 	return s.leaseID
 }
 
-// Renew gives a lease its full time again, and reports whether it still existed.
+// Renew extends a lease to its full TTL from now, and reports whether it still existed.
 func (s *Store) Renew(now controller.Time, id wire.LeaseID) bool {
 	renewed := s.leases[id]
 	if renewed != nil {
@@ -137,7 +138,7 @@
 	return renewed != nil
 }
 
-// RenewAll gives every lease its full time again, as after an outage.
+// RenewAll extends every lease to its full TTL from now, as after an outage.
 func (s *Store) RenewAll(now controller.Time) {
 	for id := range s.leases {
 		s.Renew(now, id)
@@ -157,7 +158,7 @@
 	}
 }
 
-// deletionsOf are the changes that delete the keys of a lease, in order.
+// deletionsOf returns the changes that delete the keys of a lease, in the order of the keys.
 func (s *Store) deletionsOf(id wire.LeaseID) []wire.Change {
 	var deletions []wire.Change
 	for key, stored := range s.values {
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// minCommitDelay is the least delay of delayed transactions, and maxCommitDelay bounds
-	// what comes on top.
+	// minCommitDelay is the shortest delay of delayed transactions. maxCommitDelay bounds
+	// the random delay that is added.
 	minCommitDelay = 2 * time.Second
 	maxCommitDelay = 10 * time.Second
 )
 
-// executeOnStore carries out a call to the state store.
+// executeOnStore executes a call to the state store.
 func (c *Cluster) executeOnStore(process *controllerProcess, output controller.Output) {
 	switch o := output.(type) {
 	case controller.LoadKeys:
@@ -39,8 +39,8 @@
 	}
 }
 
-// callStore executes a call at the state store; rejected is its result while the store
-// rejects the caller, and lost if no answer comes.
+// callStore executes a call at the state store. The argument rejected is the result while
+// the store rejects calls of the caller, and lost is the result if no answer arrives.
 func (c *Cluster) callStore(call pendingCall, rejected, lost controller.Result, execute func() controller.Result) {
 	c.after(c.StoreDelay, func() {
 		c.callRemote(call, lost, func() controller.Result {
@@ -67,7 +67,8 @@
 	return controller.LeaseResult{LeaseID: id}
 }
 
-// commit executes a transaction, or delays it while its caller gives it up.
+// commit executes a transaction. If the transaction is delayed, the caller gives it up after
+// callTimeout and gets no answer.
 func (c *Cluster) commit(call pendingCall, txn wire.Transaction) {
 	c.checkTransaction(txn)
 	formats := call.process.formats
@@ -89,15 +90,15 @@
 	})
 }
 
-// delaysCommit draws whether a transaction is delayed; the store rejects it sooner if it
-// does.
+// delaysCommit decides, partly at random, whether a transaction is delayed. A transaction
+// that the store rejects is never delayed.
 func (c *Cluster) delaysCommit(process *controllerProcess, txn wire.Transaction) bool {
 	delayed := c.rng.Float64() < c.DelayedCommits || c.DelayCommitsOf[process.index] || c.DelayPlacements && c.addsPlacements(txn)
 	return delayed && !c.storeRejects(process)
 }
 
-// commitChecked commits a transaction of a process that reads these formats, and checks
-// what it changes.
+// commitChecked commits a transaction of a process that reads the given formats, and checks
+// the changes.
 func (c *Cluster) commitChecked(process *controllerProcess, formats record.FormatRange, txn wire.Transaction) controller.CommitResult {
 	attempts, shards := c.teamAttempts(txn), c.shardsWritten(txn)
 	result := c.store.Commit(txn)
@@ -114,7 +115,7 @@
 	return result
 }
 
-// loadKeys reads the keys under one prefix after another, each at its own revision.
+// loadKeys reads the keys under each prefix in turn, each prefix at its own revision.
 func (c *Cluster) loadKeys(call pendingCall, prefixes []string) {
 	var result controller.LoadResult
 	var loadNext func(i int)
@@ -137,14 +138,14 @@
 	c.after(c.latency(), func() { loadNext(0) })
 }
 
-// openWatch is a watch that waits for a change.
+// openWatch is a blocking watch that has not been answered.
 type openWatch struct {
 	call     pendingCall
 	watch    controller.Watch
 	answered bool
 }
 
-// watch answers a watch, at once if it does not block.
+// watch executes a watch. A watch that does not block is answered with the changes so far.
 func (c *Cluster) watch(call pendingCall, watch controller.Watch) {
 	if watch.Block == 0 {
 		c.callStore(call, controller.WatchResult{Outcome: controller.NotExecuted}, controller.WatchResult{Outcome: controller.Unknown},
@@ -157,7 +158,8 @@
 	c.after(watch.Block, func() { c.serveWatch(open, true) })
 }
 
-// changesSince is the changes that a watch asks for.
+// changesSince returns the changes for a watch, or the outcome Compacted if some of them have
+// been dropped.
 func (c *Cluster) changesSince(watch controller.Watch) controller.WatchResult {
 	if c.store.IsCompacted(watch.After) {
 		return controller.WatchResult{Outcome: controller.Compacted}
@@ -165,14 +167,14 @@
 	return controller.WatchResult{Response: c.store.Changes(watch.Prefix, watch.After)}
 }
 
-// notifyWatches serves the open watches after a change.
+// notifyWatches serves all open watches after a change.
 func (c *Cluster) notifyWatches() {
 	for _, open := range c.openWatches {
 		c.after(c.latency(), func() { c.serveWatch(open, false) })
 	}
 }
 
-// serveWatch answers an open watch if there are changes for it, or its time is over.
+// serveWatch answers an open watch if there are changes for it or it has timed out.
 func (c *Cluster) serveWatch(open *openWatch, timeout bool) {
 	if open.answered {
 		return
@@ -188,7 +190,7 @@
 	case timeout:
 		c.completeCall(open.call, c.latency(), controller.WatchResult{Outcome: controller.Unknown})
 	default:
-		return // it waits for the store to accept calls again
+		return // the watch stays open until the store accepts calls again
 	}
 	open.answered = true
 	c.openWatches = slices.DeleteFunc(c.openWatches, func(watch *openWatch) bool { return watch.answered })
--- a/internal/simulation/store_server.go
+++ b/internal/simulation/store_server.go
@@ -19,17 +19,17 @@
 
 // StoreServer serves a Store over HTTP on the real clock.
 type StoreServer struct {
-	// Unavailable has every call answered with 503, as in an outage.
+	// Unavailable makes the server answer every call with status 503, as in an outage.
 	Unavailable atomic.Bool
 
 	mu         sync.Mutex
 	store      *Store
 	changed    chan struct{} // closed at the next change
 	start      time.Time
-	placements *placementLog // nil if none is kept
+	placements *placementLog // nil if placements are not recorded
 }
 
-// NewStoreServer makes a server with an empty store.
+// NewStoreServer returns a server with an empty store.
 func NewStoreServer() *StoreServer {
 	s := &StoreServer{store: NewStore(), changed: make(chan struct{}), start: time.Now()}
 	s.store.OnChange = func() {
@@ -39,10 +39,10 @@
 	return s
 }
 
-// RecordPlacements has a history record which process places what from now on.
+// RecordPlacements records in h from now on which process places which tasks.
 func (s *StoreServer) RecordPlacements(h *History) { s.placements = newPlacementLog(h) }
 
-// Entries are the entries under a prefix.
+// Entries returns the entries under a prefix.
 func (s *StoreServer) Entries(prefix string) []wire.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// page is the part of the keys under a prefix that a request asks for.
+// page returns the part of the entries under a prefix that a query selects.
 func (s *StoreServer) page(query url.Values) wire.EntryList {
 	list := wire.EntryList{Entries: s.store.List(query.Get("under")), Revision: s.store.Revision()}
 	for len(list.Entries) > 0 && list.Entries[0].Key <= query.Get("after") {
@@ -140,8 +140,8 @@
 	writeLease(w, wire.LeaseID(id))
 }
 
-// serveWatch waits until there are changes for a watch or its time is over. It is called,
-// and returns, with the lock held, but waits without it.
+// serveWatch waits until there are changes for a watch or the watch times out. The lock is
+// held when serveWatch is called and when it returns, but not while it waits.
 func (s *StoreServer) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -175,9 +175,9 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the bodies are the fakes' own
+		panic(err) // the fakes encode only bodies that they made themselves
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // the client may be gone, which a fake need not know
+	_, _ = w.Write(encoded) // an error means that the client has disconnected
 }
