--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -7,8 +7,9 @@
 	"lilacrill/wire"
 )
 
-// History is what happened on workers of the real clock and what users were told, in
-// order. It checks what must hold of it whatever the controllers went through.
+// History records, in order, the events on workers on the real clock and the statuses that
+// were reported to users. It checks rules that must hold whatever faults the controllers
+// have been exposed to.
 type History struct {
 	mu     sync.Mutex
 	events []HistoryEvent
@@ -21,45 +22,47 @@
 	Kind HistoryKind
 	Job  wire.JobID
 
-	// Of tasks:
+	// Fields of task events.
 	Machine    wire.MachineID
 	Type, Zone string
 	Task       wire.TaskID
 	Attempt    wire.Attempt
 
-	// Of placements: the incarnation of the process that placed, and the epoch of the
-	// machine's shard that it placed under; 0 while shards are not in use.
+	// Fields of placements: the incarnation of the process that placed the task, and the
+	// epoch of the machine's shard under which it did; 0 while sharding is not enabled.
 	Launcher wire.FencingToken
 	Epoch    wire.ShardEpoch
 
-	// Of answers to users; RequestedAt is when the request was sent, if that is known. The
-	// answer to one that was sent before a terminal status was reported may be older.
+	// Fields of reported statuses. RequestedAt is the time at which the user's request was
+	// sent, if it is known. The answer to a request that was sent before a terminal status
+	// was reported may carry an older status.
 	Status      wire.Status
 	RequestedAt time.Time
 }
 
-// HistoryKind is what an event is.
+// HistoryKind is the kind of a HistoryEvent.
 type HistoryKind int
 
 // The kinds of events.
 const (
-	// TaskStarted: a task runs on a machine from now on.
+	// TaskStarted is the start of a task on a machine.
 	TaskStarted HistoryKind = iota
-	// TaskCompleted: it has completed.
+	// TaskCompleted is the completion of a task.
 	TaskCompleted
-	// TaskStopped: it has ended without completing.
+	// TaskStopped is the end of a task that has not completed.
 	TaskStopped
-	// StatusReported: a user was told a job's status; the first says that it is accepted.
+	// StatusReported is the report of a job's status to its user. The first report means
+	// that the job is accepted.
 	StatusReported
-	// CancelRequested: a user asked for a cancellation.
+	// CancelRequested is a user's request to cancel a job.
 	CancelRequested
-	// TaskPlaced: a controller has committed that a task is to run on a machine.
+	// TaskPlaced is the commit of a placement of a task on a machine by a controller.
 	TaskPlaced
-	// MachineTerminated: a machine was terminated, and its tasks with it.
+	// MachineTerminated is the termination of a machine together with its tasks.
 	MachineTerminated
 )
 
-// NewHistory makes an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{specs: map[wire.JobID]wire.JobSpec{}} }
 
 // RecordSubmission records a job that a user is about to submit.
@@ -77,7 +80,7 @@
 	h.events = append(h.events, event)
 }
 
-// Count is how many events of a kind there are.
+// Count returns the number of events of a kind.
 func (h *History) Count(kind HistoryKind) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,24 +93,25 @@
 	return n
 }
 
-// StartDelays are the times from the acceptance of jobs until their first task started, of
-// the jobs that were accepted from a moment on and before another.
+// StartDelays returns, for the jobs that were accepted at or after from and before to, the
+// times from the acceptance until the start of the first task. Jobs without a start are
+// left out.
 func (h *History) StartDelays(from, to time.Time) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	accepted, started := map[wire.JobID]time.Time{}, map[wire.JobID]bool{}
-	var waits []time.Duration
+	var delays []time.Duration
 	for _, event := range h.events {
 		_, known := accepted[event.Job]
 		switch {
 		case event.Kind == StatusReported && !known && !started[event.Job] && !event.At.Before(from) && event.At.Before(to):
 			accepted[event.Job] = event.At
 		case event.Kind == TaskStarted && known && !started[event.Job]:
-			waits = append(waits, event.At.Sub(accepted[event.Job]))
+			delays = append(delays, event.At.Sub(accepted[event.Job]))
 		}
 		if event.Kind == TaskStarted {
 			started[event.Job] = true
 		}
 	}
-	return waits
+	return delays
 }
--- a/internal/simulation/history_check.go
+++ b/internal/simulation/history_check.go
@@ -9,12 +9,15 @@
 	"lilacrill/wire"
 )
 
-// Check lists the violations of these rules. A task runs on one machine at a time, and
-// where its job allows it. A team stays within its limit. No task of a job runs for
-// longer than cancelTimeout after its user was told that it is cancelled. A terminal
-// status is final, and true: a job is done when its tasks are, and cancelled only if
-// somebody asked. Every accepted job ends. No two processes place on a machine under one
-// epoch of its shard, and none under an earlier epoch after a later one.
+// Check returns the violations of these rules:
+//   - A task runs on one machine at a time, and only where its job allows it.
+//   - A team stays within its quota limit.
+//   - No task runs for longer than cancelTimeout after its job was reported cancelled.
+//   - A terminal status is final. A job is reported done only if all its tasks have
+//     completed, and cancelled only if a user has requested it.
+//   - Every accepted job ends.
+//   - No two processes place tasks on a machine under the same epoch of its shard, and none
+//     does so under an earlier epoch after a later one.
 func (h *History) Check(teams []config.Team, cancelTimeout time.Duration) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,18 +36,18 @@
 	return c.sortedViolations()
 }
 
-// historyCheck goes through a history.
+// historyCheck checks the events of a history one after another.
 type historyCheck struct {
 	specs         map[wire.JobID]wire.JobSpec
 	teams         []config.Team
 	cancelTimeout time.Duration
 
-	running    map[wire.TaskID]HistoryEvent // the tasks on machines, with their starts
+	running    map[wire.TaskID]HistoryEvent // running tasks with their starts
 	completed  map[wire.JobID]map[int]bool
-	reported   map[wire.JobID]HistoryEvent // the last answers, or the first terminal ones
+	reported   map[wire.JobID]HistoryEvent // latest reported statuses, or the first terminal ones
 	cancelled  map[wire.JobID]bool
-	usedCores  map[string]float64              // that each team uses
-	placements map[wire.MachineID]HistoryEvent // the last placements
+	usedCores  map[string]float64              // in use, by team
+	placements map[wire.MachineID]HistoryEvent // latest placements
 	violations []string
 }
 
@@ -83,11 +86,12 @@
 		c.checkStatus(event)
 	case TaskPlaced:
 		c.checkPlacement(event)
-	case MachineTerminated: // its tasks' ends are events of their own
+	case MachineTerminated: // the ends of its tasks are separate events
 	}
 }
 
-// checkPlacement checks a placement under an epoch against the one before on its machine.
+// checkPlacement checks a placement under a shard epoch against the previous placement on
+// the same machine.
 func (c *historyCheck) checkPlacement(event HistoryEvent) {
 	if event.Epoch == 0 {
 		return
@@ -105,14 +109,14 @@
 func (c *historyCheck) checkStart(event HistoryEvent) {
 	spec, known := c.specs[event.Task.Job]
 	if !known {
-		c.reportViolation("%v started on %s, and nobody submitted it", event.Task, event.Machine)
+		c.reportViolation("%v started on %s, but nobody submitted its job", event.Task, event.Machine)
 		return
 	}
 	if other, twice := c.running[event.Task]; twice {
 		c.reportViolation("%v started on %s while on %s", event.Task, event.Machine, other.Machine)
 	}
 	if spec.Zone != "" && spec.Zone != event.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, event.Type) {
-		c.reportViolation("%v started on %s, a %s in %s", event.Task, event.Machine, event.Type, event.Zone)
+		c.reportViolation("%v started on %s, a %s in %s, which its job does not allow", event.Task, event.Machine, event.Type, event.Zone)
 	}
 	c.checkCancelled(event.Task, event.Machine, c.reported[event.Task.Job], event.At)
 	c.running[event.Task] = event
@@ -120,7 +124,7 @@
 	c.checkLimit(spec.Team, event.Task)
 }
 
-// checkLimit checks a team's cores against its limit as a task of its starts.
+// checkLimit checks a team's cores against its quota limit at the start of one of its tasks.
 func (c *historyCheck) checkLimit(team string, task wire.TaskID) {
 	for i := range c.teams {
 		if limit, _ := c.teams[i].Limits(); c.teams[i].Name == team && c.usedCores[team] > limit+quotaTolerance {
@@ -146,11 +150,11 @@
 	}
 }
 
-// checkCancelled checks a task that is on a machine at some moment against what its user
-// was told last.
+// checkCancelled checks that a task that is on a machine at a time does not run for longer
+// than cancelTimeout after its job was reported cancelled.
 func (c *historyCheck) checkCancelled(task wire.TaskID, machine wire.MachineID, reported HistoryEvent, at time.Time) {
 	if since := at.Sub(reported.At); reported.Status == wire.StatusCancelled && since > c.cancelTimeout {
-		c.reportViolation("%v is on %s %v after its user was told that it is cancelled", task, machine, since)
+		c.reportViolation("%v is on %s %v after its user was notified of the cancellation", task, machine, since)
 	}
 }
 
@@ -159,18 +163,19 @@
 	switch {
 	case before.Status.IsTerminal():
 		if event.Status != before.Status && (event.RequestedAt.IsZero() || event.RequestedAt.After(before.At)) {
-			c.reportViolation("%s was called %s, and then %s", event.Job, before.Status, event.Status)
+			c.reportViolation("%s was reported %s, and then %s", event.Job, before.Status, event.Status)
 		}
 		return
 	case event.Status == wire.StatusCancelled && !c.cancelled[event.Job]:
-		c.reportViolation("%s was called cancelled, and nobody asked for that", event.Job)
+		c.reportViolation("%s was reported cancelled, but nobody asked for it", event.Job)
 	case event.Status == wire.StatusDone && !c.isComplete(event.Job):
-		c.reportViolation("%s was called done with %d tasks of %d done", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
+		c.reportViolation("%s was reported done with %d of %d tasks completed", event.Job, len(c.completed[event.Job]), c.specs[event.Job].Tasks)
 	}
 	c.reported[event.Job] = event
 }
 
-// isComplete reports whether all tasks of a job have completed; a gang's do together.
+// isComplete reports whether all tasks of a job have completed. The tasks of a gang complete
+// together, so one of them is enough.
 func (c *historyCheck) isComplete(id wire.JobID) bool {
 	spec, completed := c.specs[id], len(c.completed[id])
 	return completed == spec.Tasks || spec.Shape == wire.ShapeGang && completed > 0
--- a/internal/simulation/history_check_once.go
+++ b/internal/simulation/history_check_once.go
@@ -4,18 +4,18 @@
 	"lilacrill/wire"
 )
 
-// machineAttempt is an attempt at a task on a machine.
+// machineAttempt identifies a task attempt on a machine.
 type machineAttempt struct {
 	task    wire.TaskID
 	attempt wire.Attempt
 	machine wire.MachineID
 }
 
-// CheckExactlyOnce lists the violations of the rule that every task runs exactly once, which
-// must hold where no machine fails and nothing is preempted: a task of a job that nobody
-// cancelled that started or was placed twice, was stopped, or never completed, and a
-// start without a placement. Tasks that were placed on a machine that was terminated may
-// run again elsewhere, and must complete all the same.
+// CheckExactlyOnce returns the violations of the rule that every task of a job that was not
+// cancelled runs exactly once. The rule must hold if no machine fails and no task is
+// preempted. It is violated by a task that is placed or started twice, is stopped, or never
+// completes, and by a start without a placement. A task that was placed on a machine that
+// was terminated may run again elsewhere, but it must complete.
 func (h *History) CheckExactlyOnce() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,7 +43,7 @@
 	return c.sortedViolations()
 }
 
-// exactlyOnceCheck counts what happened to each task of a history.
+// exactlyOnceCheck counts the events of each task of a history.
 type exactlyOnceCheck struct {
 	*historyCheck
 	terminated map[wire.MachineID]bool // at any time
@@ -52,7 +52,7 @@
 	counts     map[HistoryKind]map[wire.TaskID]int
 }
 
-// expectedCounts is how often each event of a task must have happened.
+// expectedCounts lists how often each kind of event must have occurred for a task.
 var expectedCounts = []struct {
 	kind  HistoryKind
 	count int
@@ -64,7 +64,7 @@
 	{TaskStopped, 0, "stopped"},
 }
 
-// prepare takes what bears on events before it too.
+// prepare records cancellations and terminations, which also concern the events before them.
 func (c *exactlyOnceCheck) prepare(event HistoryEvent) {
 	switch event.Kind {
 	case CancelRequested:
@@ -92,7 +92,7 @@
 func (c *exactlyOnceCheck) checkCounts(task wire.TaskID) {
 	if c.lost[task] {
 		if c.counts[TaskCompleted][task] == 0 {
-			c.reportViolation("%v never completed after a machine of its was terminated", task)
+			c.reportViolation("%v never completed after one of its machines was terminated", task)
 		}
 		return
 	}
--- a/internal/simulation/observations.go
+++ b/internal/simulation/observations.go
@@ -2,29 +2,30 @@
 
 import "fmt"
 
-// Observation names something that the cluster counts, so that a test can show that
-// what it is about took place.
+// Observation is a kind of event that the cluster counts. With the counts a test shows that
+// the events that it covers took place.
 type Observation string
 
-// What transactions and records are counted as.
+// Observations of transactions and records.
 const (
-	// unansweredCommit: a transaction was committed and its answer lost.
+	// unansweredCommit counts transactions that were committed and whose answer was lost.
 	unansweredCommit Observation = "commit without an answer"
-	// conflictingCommit: a condition of a transaction did not hold.
+	// conflictingCommit counts transactions of which a condition did not hold.
 	conflictingCommit Observation = "commit conflicted"
 	valuesWritten     Observation = "values written"
 	bytesWritten      Observation = "bytes written"
-	// storeCompacted: changes were dropped, so that a controller has to load all keys.
+	// storeCompacted counts compactions, after which controllers have to load all keys.
 	storeCompacted Observation = "store compacted"
 
-	// placementConflictedOnShard: a placement conflicted on a shard's record, among
-	// others perhaps.
+	// placementConflictedOnShard counts placements that conflicted on the record of a shard,
+	// and possibly on other records.
 	placementConflictedOnShard Observation = "placement conflicted on its shard"
-	// placementConflictedOnTermination: it conflicted on the list of terminations alone.
+	// placementConflictedOnTermination counts placements that conflicted on the list of
+	// terminations only.
 	placementConflictedOnTermination Observation = "placement conflicted on a termination"
 )
 
-// What users' requests are counted as.
+// Observations of users' requests.
 const (
 	jobCancelled              Observation = "job reported cancelled"
 	startAfterCancellation    Observation = "task started after its cancellation was reported"
@@ -36,7 +37,7 @@
 	machineHungOnCancellation Observation = "machine hung on a cancellation"
 )
 
-// What happens to controllers and machines is counted as.
+// Observations of controllers and machines.
 const (
 	controllerRestarted        Observation = "controller restarted"
 	provisionerPartitioned     Observation = "provisioner partitioned"
@@ -49,7 +50,7 @@
 	machineInNewEpoch          Observation = "machine in a new agent epoch"
 )
 
-// What happens to shards is counted as.
+// Observations of shards.
 const (
 	placedInShard                   Observation = "placed in a shard"
 	shardAdopted                    Observation = "shard adopted"
@@ -59,7 +60,8 @@
 	machineHungInMovingShard        Observation = "machine hung in a moving shard"
 )
 
-// delayedDirectCall: a controller's call to a worker was delayed by up to half a minute.
+// delayedDirectCall returns the observation that a direct call of a controller to a worker
+// was delayed by up to half a minute.
 func delayedDirectCall(controller int) Observation {
 	return Observation(fmt.Sprint("direct call delayed, ", controllerLabel(controller)))
 }
--- a/internal/simulation/placement_log.go
+++ b/internal/simulation/placement_log.go
@@ -9,12 +9,13 @@
 	"lilacrill/wire"
 )
 
-// placementLog records in a history which process places what, by the transactions that a
-// store has committed.
+// placementLog records in a history which process places which tasks. It takes this from the
+// transactions that a store has committed.
 type placementLog struct {
 	history  *History
 	attempts map[wire.Attempt]bool
-	// epochs are those in which each process last owned a shard, by its incarnation.
+	// epochs holds, by shard and by the incarnation of a process, the epoch in which the
+	// process last owned the shard.
 	epochs map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch
 }
 
@@ -22,7 +23,8 @@
 	return &placementLog{history: h, attempts: map[wire.Attempt]bool{}, epochs: map[wire.ShardID]map[wire.FencingToken]wire.ShardEpoch{}}
 }
 
-// recordTransaction takes a transaction that the store has recordTransaction.
+// recordTransaction records the shard owners and the new placements of a transaction that
+// the store has committed.
 func (l *placementLog) recordTransaction(s *Store, txn wire.Transaction) {
 	var policy record.ShardPolicy
 	if value, _, ok := s.Get(record.ShardPolicyKey); ok && json.Unmarshal(value, &policy) != nil {
@@ -47,7 +49,7 @@
 	}
 }
 
-// recordOwner records the owner of a shard, with its epoch.
+// recordOwner records the owner of a shard and its epoch.
 func (l *placementLog) recordOwner(change wire.Change) {
 	var state record.Shard
 	if json.Unmarshal(change.Value, &state) != nil {
@@ -64,7 +66,7 @@
 	}
 }
 
-// recordPlacements records the tasks of a group.
+// recordPlacements records the placements of the tasks of an allocation group.
 func (l *placementLog) recordPlacements(s *Store, group *record.AllocationGroup, sharded bool) {
 	for i, machine := range group.Machines {
 		var epoch wire.ShardEpoch
@@ -78,14 +80,15 @@
 	}
 }
 
-// epochOf is the epoch in which a process last owned a shard: the present one may be
-// another's, which it need not know of. It is the present one if it never owned it.
+// epochOf returns the epoch in which a process last owned a shard. The current epoch may
+// belong to another owner, of which the process need not know yet. If the process never
+// owned the shard, epochOf returns the current epoch.
 func (l *placementLog) epochOf(s *Store, id wire.ShardID, launcher wire.FencingToken) wire.ShardEpoch {
 	if epoch, owned := l.epochs[id][launcher]; owned {
 		return epoch
 	}
 	var state record.Shard
 	value, _, _ := s.Get(record.ShardKey(id))
-	_ = json.Unmarshal(value, &state) // no record is no epoch
+	_ = json.Unmarshal(value, &state) // without a record the epoch is 0
 	return state.Epoch
 }
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -10,25 +10,26 @@
 	"lilacrill/wire"
 )
 
-// maxRecordSize is more than any record of a cluster takes, decompressed, in bytes.
+// maxRecordSize is a bound on the decompressed size of records, in bytes. Every record of a
+// cluster is smaller.
 const maxRecordSize = 1 << 20
 
-// maxConditionsPerChange is how many conditions a transaction may have for each of the
-// changes that the store's limit allows.
+// maxConditionsPerChange is the number of conditions that a transaction may have for each
+// change that the limit of the state store allows.
 const maxConditionsPerChange = 4
 
-// conditionalPrefixes are those of the records that are written only on the condition
-// that they are as they were read.
+// conditionalPrefixes are the key prefixes of the records that may only be written on the
+// condition that they have not changed since they were read.
 var conditionalPrefixes = []string{record.PlacementPrefix, "l/j/", "l/f/", record.TerminationsKey}
 
 // checkTransaction checks a transaction against the limits of the state store, and its
-// records against the format in force. Every record must be written on the condition that
-// it is as it was read: once completions of one job that two controllers recorded
-// overwrote one another.
+// records against the format in force. It also checks that records are written on the
+// condition that they have not changed since they were read. Without that condition, the
+// completions of one job that two controllers record overwrite one another.
 func (c *Cluster) checkTransaction(txn wire.Transaction) {
 	limits := c.Settings.Cluster.State
 	if len(txn.Then) > limits.TxnOps || len(txn.If) > maxConditionsPerChange*limits.TxnOps {
-		c.reportViolation("transaction with %d changes and %d conditions", len(txn.Then), len(txn.If))
+		c.reportViolation("transaction with %d changes and %d conditions, more than the limits allow", len(txn.Then), len(txn.If))
 	}
 	for _, change := range txn.Then {
 		c.Observed[valuesWritten]++
@@ -38,7 +39,7 @@
 			c.reportViolation("%s written in a later format than %d, which is in force", change.Put, format)
 		}
 		if float64(len(change.Value)) > limits.ValueKB*1024 {
-			c.reportViolation("value of %d bytes under %s", len(change.Value), change.Put)
+			c.reportViolation("value of %d bytes under %s, more than the limit", len(change.Value), change.Put)
 		}
 	}
 }
@@ -51,10 +52,12 @@
 	}
 }
 
-// isCompressed reports whether a record is compressed: it is a string then, not an object.
+// isCompressed reports whether a record is compressed. A compressed record is a JSON string,
+// any other an object.
 func isCompressed(value json.RawMessage) bool { return strings.HasPrefix(string(value), `"`) }
 
-// ActiveFormat is the format in force, by the state store.
+// ActiveFormat returns the format in force according to the state store, or 0 if the record
+// of the rollout is corrupted.
 func (c *Cluster) ActiveFormat() wire.Format {
 	value, _, ok := c.store.Get(record.RolloutKey)
 	rollout := record.Rollout{Format: record.FormatPlain}
@@ -74,7 +77,8 @@
 	}
 }
 
-// checkPeerMessage checks that a message has no later format than the one in force.
+// checkPeerMessage checks that a message has no later format than the one in force, and that
+// capacity offers and forwarded jobs are only sent in a format with sharding.
 func (c *Cluster) checkPeerMessage(message *wire.PeerMessage) {
 	if format := c.ActiveFormat(); message.Format > format {
 		c.reportViolation("peer message from %s in format %d while %d is in force", message.From, message.Format, format)
@@ -84,15 +88,15 @@
 	}
 }
 
-// readRecord reads a record of the state store; one that is not there, or that a test has
-// corrupted, leaves into as it was.
+// readRecord decodes a record of the state store into a value. It leaves the value as it was
+// if the record does not exist, or if a test has corrupted it.
 func (c *Cluster) readRecord(key string, into any) {
 	if value, _, ok := c.store.Get(key); ok {
 		_ = json.Unmarshal(value, into)
 	}
 }
 
-// decodePage decodes a placement page. One that a test has corrupted counts as empty.
+// decodePage decodes a placement page. A page that a test has corrupted counts as empty.
 func decodePage(value json.RawMessage) record.PlacementPage {
 	var page record.PlacementPage
 	if err := record.Decode(value, maxRecordSize, &page); err != nil {
@@ -101,7 +105,7 @@
 	return page
 }
 
-// placedAttemptKey names an attempt of a job in placement pages.
+// placedAttemptKey identifies an attempt of a job in placement pages.
 type placedAttemptKey struct {
 	job     wire.JobID
 	attempt wire.Attempt
@@ -109,8 +113,8 @@
 
 func (k placedAttemptKey) String() string { return fmt.Sprint(k.job, " ", k.attempt) }
 
-// teamAttempts are the attempts on all pages of the teams whose pages a transaction
-// writes, before it does.
+// teamAttempts returns the attempts on all placement pages of the teams whose pages a
+// transaction writes. It is called before the transaction is committed.
 func (c *Cluster) teamAttempts(txn wire.Transaction) map[placedAttemptKey]bool {
 	attempts := map[placedAttemptKey]bool{}
 	for _, change := range txn.Then {
@@ -128,7 +132,7 @@
 	return attempts
 }
 
-// pageAttempts are the attempts on a placement page.
+// pageAttempts returns the attempts on a placement page.
 func pageAttempts(value json.RawMessage) []placedAttemptKey {
 	var attempts []placedAttemptKey
 	for _, group := range decodePage(value).Groups {
@@ -137,8 +141,8 @@
 	return attempts
 }
 
-// newlyPlacedMachines are the machines of the attempts that a transaction adds to a team's
-// pages, which had the attempts of before.
+// newlyPlacedMachines returns the machines of the attempts that a transaction adds to the
+// pages of teams, given the attempts on these pages before the transaction.
 func newlyPlacedMachines(txn wire.Transaction, before map[placedAttemptKey]bool) []wire.MachineID {
 	var machines []wire.MachineID
 	for _, change := range txn.Then {
@@ -154,12 +158,12 @@
 	return machines
 }
 
-// addsPlacements reports whether a transaction would add attempts now.
+// addsPlacements reports whether a transaction would add attempts if it were committed now.
 func (c *Cluster) addsPlacements(txn wire.Transaction) bool {
 	return len(newlyPlacedMachines(txn, c.teamAttempts(txn))) > 0
 }
 
-// checkPlacedJobs checks that the attempts that a transaction added are of open jobs.
+// checkPlacedJobs checks that the attempts that a transaction added belong to open jobs.
 func (c *Cluster) checkPlacedJobs(txn wire.Transaction, before map[placedAttemptKey]bool) {
 	for _, change := range txn.Then {
 		if !strings.HasPrefix(change.Put, record.PlacementPrefix) {
@@ -167,7 +171,7 @@
 		}
 		for _, key := range pageAttempts(change.Value) {
 			if !c.isJobOpen(key.job) && !before[key] {
-				c.reportViolation("placed without its job: %s", key)
+				c.reportViolation("placed without an open job: %s", key)
 			}
 		}
 	}
--- a/internal/simulation/shard_checks.go
+++ b/internal/simulation/shard_checks.go
@@ -9,7 +9,7 @@
 	"lilacrill/wire"
 )
 
-// Shard is the record of a shard.
+// Shard returns the record of a shard.
 func (c *Cluster) Shard(id wire.ShardID) record.Shard {
 	var state record.Shard
 	c.readRecord(record.ShardKey(id), &state)
@@ -22,7 +22,7 @@
 	return policy
 }
 
-// terminations are the machines with a pending or confirmed termination.
+// terminations returns the machines with a pending or confirmed termination.
 func (c *Cluster) terminations() map[wire.MachineID]bool {
 	var listed record.Terminations
 	c.readRecord(record.TerminationsKey, &listed)
@@ -38,21 +38,21 @@
 	return machines
 }
 
-// isLive reports whether the liveness record of a shard's owner stands.
+// isLive reports whether the owner of a shard has a liveness record of its incarnation.
 func (c *Cluster) isLive(owner record.ShardOwner) bool {
 	var liveness record.Liveness
 	c.readRecord(record.LivenessKey(owner.Label), &liveness)
 	return liveness.Incarnation == owner.Incarnation
 }
 
-// checkPlacementOwners checks that a transaction placed tasks only on machines of shards
-// that the placing controller owned at that moment, with no move under way, and on none
-// with a termination.
+// checkPlacementOwners checks the machines on which a transaction placed tasks. None of them
+// may have a termination. With sharding enabled, each must be in a shard that the placing
+// controller owns at that time and that is not being moved.
 func (c *Cluster) checkPlacementOwners(process *controllerProcess, txn wire.Transaction, before map[placedAttemptKey]bool) {
 	policy, terminations := c.shardPolicy(), c.terminations()
 	for _, id := range newlyPlacedMachines(txn, before) {
 		if terminations[id] {
-			c.reportViolation("placed on %s, which is to be terminated", id)
+			c.reportViolation("tasks placed on %s, which has a pending or confirmed termination", id)
 		}
 		if !policy.Enabled {
 			continue
@@ -60,12 +60,13 @@
 		c.Observed[placedInShard]++
 		state := c.Shard(shard.Of(id))
 		if state.Owner.Label != controllerLabel(process.index) || state.Move != nil {
-			c.reportViolation("%s placed on %s of shard %d: %+v", controllerLabel(process.index), id, shard.Of(id), state)
+			c.reportViolation("%s placed tasks on %s of shard %d, which it does not own or which is being moved: %+v", controllerLabel(process.index), id, shard.Of(id), state)
 		}
 	}
 }
 
-// shardsWritten are the records of the shards that a transaction writes, before it does.
+// shardsWritten returns the records of the shards that a transaction writes, by their keys.
+// It is called before the transaction is committed.
 func (c *Cluster) shardsWritten(txn wire.Transaction) map[string]record.Shard {
 	states := map[string]record.Shard{}
 	for _, change := range txn.Then {
@@ -78,12 +79,13 @@
 	return states
 }
 
-// checkShardChanges checks what a transaction made of the shards' records, which were as
-// in before: their format is in force, and a shard goes to another owner in the next
-// epoch, and only if its owner released it to that one or has ended.
+// checkShardChanges checks the changes of a committed transaction to the records of shards,
+// given these records before the transaction. The format in force must have sharding. A
+// shard may only go to another owner in the next epoch, and only if the previous owner has
+// released the shard to the new one or is no longer live.
 func (c *Cluster) checkShardChanges(txn wire.Transaction, before map[string]record.Shard) {
 	if c.ActiveFormat() < record.FormatSharding && slices.ContainsFunc(txn.Then, isShardRecord) {
-		c.reportViolation("record of shards written in format %d", c.ActiveFormat())
+		c.reportViolation("shard record written while format %d is in force", c.ActiveFormat())
 	}
 	for key, old := range before {
 		var state record.Shard
@@ -100,7 +102,8 @@
 	return change.Put == record.ShardPolicyKey || strings.HasPrefix(change.Put, record.ShardPrefix)
 }
 
-// checkNewOwner checks that a shard went to another owner as it should.
+// checkNewOwner checks the change of the owner of a shard. The epoch must increase by 1, and
+// the previous owner must have released the shard to the new one or must no longer be live.
 func (c *Cluster) checkNewOwner(key string, old, state record.Shard) {
 	if state.Epoch != old.Epoch+1 {
 		c.reportViolation("%s goes from epoch %d to %d", key, old.Epoch, state.Epoch)
@@ -109,23 +112,24 @@
 	switch {
 	case released:
 		c.Observed[shardAdopted]++
-	case old.Epoch == 0: // it had no owner
+	case old.Epoch == 0: // the shard had no owner
 	case c.isLive(old.Owner):
-		c.reportViolation("%s taken from %s, which lives, by %s", key, old.Owner.Label, state.Owner.Label)
+		c.reportViolation("%s taken over from %s, which is live, by %s", key, old.Owner.Label, state.Owner.Label)
 	default:
 		c.Observed[shardFailedOver]++
 	}
 }
 
-// countIfShardMoving counts what happens to a machine if its shard is on the move.
-func (c *Cluster) countIfShardMoving(what Observation, id wire.MachineID) {
+// countIfShardMoving counts an observation of a machine if the machine's shard is being moved.
+func (c *Cluster) countIfShardMoving(observation Observation, id wire.MachineID) {
 	if c.Shard(shard.Of(id)).Move != nil {
-		c.Observed[what]++
+		c.Observed[observation]++
 	}
 }
 
-// countConflictingPlacement counts placements that conflicted on a record of a shard, among
-// others perhaps, or on the list of terminations and nothing else.
+// countConflictingPlacement counts a transaction that would have added placements if it
+// conflicted on the record of a shard, and possibly on other records, or on the list of
+// terminations only.
 func (c *Cluster) countConflictingPlacement(txn wire.Transaction, before map[placedAttemptKey]bool, failed []string) {
 	if len(newlyPlacedMachines(txn, before)) == 0 {
 		return
--- a/internal/simulation/task_checks.go
+++ b/internal/simulation/task_checks.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxUnanswered is how long users' requests about a job may go without an answer once
-	// all faults are over.
+	// maxUnanswered is the longest time without an answer to any of the users' requests
+	// about a job, once all faults are over.
 	maxUnanswered = 75 * time.Second
-	// maxStarvation is how long a job may wait beside room that it could have then.
+	// maxStarvation is the longest time that a job may wait although a machine has room for
+	// it, once all faults are over.
 	maxStarvation = 90 * time.Second
-	// quotaTolerance is for the rounding of sums of cores.
+	// quotaTolerance allows for rounding errors in sums of cores or accelerators.
 	quotaTolerance = 1e-6
 )
 
-// eachActiveTask calls f for every task that is on a machine.
+// eachActiveTask calls f for every active task.
 func (c *Cluster) eachActiveTask(f func(*fakeMachine, *fakeTask)) {
 	for _, machine := range c.machines {
 		if machine.terminated {
@@ -34,30 +35,32 @@
 	}
 }
 
-// checkStart checks the start of a task: it runs nowhere else, is where its job allows
-// it, and its job is submitted and not long cancelled.
+// checkStart checks the start of a task. The task must not run elsewhere, its job must allow
+// the machine and be submitted, and the job must not have been reported cancelled more than
+// CancelTimeout ago.
 func (c *Cluster) checkStart(machine *fakeMachine, task *fakeTask, job *submittedJob) {
 	if job.startedAt == 0 {
 		job.startedAt = c.now
 	}
 	if !job.submitted {
-		c.reportViolation("invented: start of %v before its submission", task.id)
+		c.reportViolation("unknown job: start of %v before its submission", task.id)
 	}
 	c.checkSpread(machine, task, job)
 	spec := &job.spec
 	if !allowsMachine(spec, machine) {
-		c.reportViolation("wrong_place: %v on %s (%s, %s, spot %v)", task.id, machine.id, machine.machineType.Name, machine.zone, machine.spot)
+		c.reportViolation("machine not allowed: %v on %s (%s, %s, spot %v)", task.id, machine.id, machine.machineType.Name, machine.zone, machine.spot)
 	}
 	if job.lastStatus == wire.StatusCancelled {
 		c.Observed[startAfterCancellation]++
 		if c.now.Sub(job.terminalAt) > c.CancelTimeout {
-			c.reportViolation("ran_cancelled: start of %v", task.id)
+			c.reportViolation("cancelled job: late start of %v", task.id)
 		}
 	}
 }
 
-// checkSpread checks a task that starts against its job's other tasks: at most half of
-// them, rounded up, may be in one zone if they are to be spread, and all must be if not.
+// checkSpread checks a starting task against the other tasks of its job. No other attempt at
+// the task may be on another machine. All tasks of a single-zone job must be in one zone. If
+// a job is to be spread, at most half of its tasks, rounded up, may be in one zone.
 func (c *Cluster) checkSpread(machine *fakeMachine, task *fakeTask, job *submittedJob) {
 	spec := &job.spec
 	sameZone := 1
@@ -66,41 +69,42 @@
 			continue
 		}
 		if placed.task.id == task.id && placed.machine != machine {
-			c.reportViolation("ran_twice: %v on %s and %s", task.id, placed.machine.id, machine.id)
+			c.reportViolation("task on two machines: %v on %s and %s", task.id, placed.machine.id, machine.id)
 		}
 		if spec.SingleZone && placed.machine.zone != machine.zone {
-			c.reportViolation("wrong_place: %v in %s, another in %s", task.id, machine.zone, placed.machine.zone)
+			c.reportViolation("zone not allowed: %v in %s, another task in %s", task.id, machine.zone, placed.machine.zone)
 		}
 		if placed.machine.zone == machine.zone {
 			sameZone++
 		}
 	}
 	if spec.SpreadZones && sameZone > (spec.Tasks+1)/2 {
-		c.reportViolation("wrong_place: %d tasks of %s in %s", sameZone, spec.ID, machine.zone)
+		c.reportViolation("zone not allowed: %d tasks of %s in %s", sameZone, spec.ID, machine.zone)
 	}
 }
 
-// allowsMachine reports whether a job may run on a machine, by its zone, type and price
-// model.
+// allowsMachine reports whether a job may run on a machine according to the zone, type and
+// price model of the machine.
 func allowsMachine(spec *wire.JobSpec, machine *fakeMachine) bool {
 	return (spec.Zone == "" || spec.Zone == machine.zone) && (!machine.spot || spec.Spot) &&
 		(len(spec.Types) == 0 || slices.Contains(spec.Types, machine.machineType.Name))
 }
 
-// checkTasksAndQuotas checks what is on the machines, and that users are answered.
+// checkTasksAndQuotas checks the active tasks against the cancellations and the quota limits
+// of teams and, once all faults are over, that users get answers.
 func (c *Cluster) checkTasksAndQuotas() {
 	used := map[string]resources{}
 	c.eachActiveTask(func(machine *fakeMachine, task *fakeTask) {
 		job := c.jobs[task.id.Job]
 		used[job.spec.Team] = used[job.spec.Team].plus(resourcesOf(&job.spec))
 		if job.lastStatus == wire.StatusCancelled && c.now.Sub(job.terminalAt) > c.CancelTimeout {
-			c.reportViolation("ran_cancelled: %v on %s", task.id, machine.id)
+			c.reportViolation("cancelled job: %v still on %s", task.id, machine.id)
 		}
 	})
 	for i := range c.Settings.Cluster.Teams {
 		team := &c.Settings.Cluster.Teams[i]
 		if usage := used[team.Name]; exceedsQuota(team, usage) {
-			c.reportViolation("quota: %s uses %v cores, %v accelerators", team.Name, usage.cores, usage.accelerators)
+			c.reportViolation("quota limit exceeded: %s uses %v cores, %v accelerators", team.Name, usage.cores, usage.accelerators)
 		}
 	}
 	if c.FaultsOverAt > 0 {
@@ -118,27 +122,28 @@
 	for id, job := range c.jobs {
 		since := max(job.answeredAt, controller.Time(c.FaultsOverAt))
 		if job.accepted && c.now.Sub(since) > maxUnanswered {
-			c.reportViolation("forgotten: no request about %s was answered for %v", id, c.now.Sub(since))
+			c.reportViolation("lost job: no request about %s was answered for %v", id, c.now.Sub(since))
 			job.answeredAt = c.now
 		}
 	}
 }
 
-// checkStatus checks a status that a user is told: a terminal one is final, and true.
+// checkStatus checks a status that is reported to a user. A terminal status is final, a job
+// is cancelled only on request, and done only if all its tasks have completed.
 func (c *Cluster) checkStatus(job *submittedJob, sentAt controller.Time, status wire.Status) {
 	if !job.isOpen() && status != job.lastStatus && sentAt > job.terminalAt {
-		c.reportViolation("went_back: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
+		c.reportViolation("terminal status changed: %s was %s and is now %s", job.spec.ID, job.lastStatus, status)
 	}
 	if status == wire.StatusCancelled && !job.cancelRequested {
-		c.reportViolation("went_back: %s cancelled, but nobody asked", job.spec.ID)
+		c.reportViolation("cancellation not requested: %s reported cancelled, but nobody asked for it", job.spec.ID)
 	}
 	if status == wire.StatusDone && !job.isComplete() {
-		c.reportViolation("not_done: %s reported done with %d of %d", job.spec.ID, len(job.completed), job.spec.Tasks)
+		c.reportViolation("job not complete: %s reported done with %d of %d tasks", job.spec.ID, len(job.completed), job.spec.Tasks)
 	}
 }
 
-// checkStarvation looks for jobs that wait beside a machine that fits them and has room,
-// while their team is under its limit.
+// checkStarvation checks that no job waits for longer than maxStarvation although a machine
+// that fits it has room and its team is under its quota limit.
 func (c *Cluster) checkStarvation() {
 	if c.FaultsOverAt == 0 {
 		return
@@ -151,14 +156,14 @@
 		case job.starvedSince == 0:
 			job.starvedSince = c.now
 		case c.now.Sub(job.starvedSince) > maxStarvation:
-			c.reportViolation("neglected: %s waits beside room", id)
+			c.reportViolation("starved: %s waits although a machine has room", id)
 			job.starvedSince = 0
 		}
 	}
 }
 
-// usedAndFreeResources are what the teams use on machines without a fault, and what these have
-// left.
+// usedAndFreeResources returns the resources that each team uses on machines without a
+// fault, and the free resources of these machines.
 func (c *Cluster) usedAndFreeResources() (used map[string]resources, free map[*fakeMachine]resources) {
 	used, free = map[string]resources{}, map[*fakeMachine]resources{}
 	for _, machine := range c.machines {
@@ -179,14 +184,14 @@
 }
 
 // waitsForOneMachine reports whether the job waits, and one machine with room is enough for
-// its next task. Of jobs whose tasks have to be in one zone or spread over several, a
-// single machine does not tell.
+// its next task. If the tasks of a job must be in one zone or spread over several, the room
+// on one machine does not decide whether the job can start.
 func (j *submittedJob) waitsForOneMachine() bool {
 	waits := j.accepted && j.isOpen() && !j.cancelRequested && !j.alwaysFails && !j.isComplete() && len(j.active()) == 0
 	return waits && (j.spec.Tasks == 1 || j.spec.Shape == wire.ShapeArray && !j.spec.SingleZone && !j.spec.SpreadZones)
 }
 
-// hasRoomFor reports whether a task of a job is within its team's quota, and some
+// hasRoomFor reports whether a task of a job is within its team's quota limit and some
 // machine has room for it.
 func (c *Cluster) hasRoomFor(job *submittedJob, used map[string]resources, free map[*fakeMachine]resources) bool {
 	needed := resourcesOf(&job.spec)
@@ -202,7 +207,7 @@
 	return false
 }
 
-// provisioner is the controller that provisions machines, or -1.
+// provisioner returns the index of the controller that is the provisioner, or -1.
 func (c *Cluster) provisioner() int {
 	var incarnation wire.FencingToken
 	c.readRecord(record.ProvisionerKey, &incarnation)
