--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -61,7 +61,7 @@
 // provision provisions as many of the requested machines as the capacity allows. A repeated
 // request returns the same machines.
 func (c *Cluster) provision(request wire.ProvisionRequest) controller.ProvisionResult {
-	if names, repeated := c.provisioned[request.Name]; repeated {
+	if names, repeated := c.provisionedByRequest[request.Name]; repeated {
 		return controller.ProvisionResult{Machines: names}
 	}
 	i := slices.IndexFunc(c.machineTypes, func(t wire.MachineType) bool { return t.Name == request.Type })
@@ -79,7 +79,7 @@
 		names = append(names, machine.id)
 		c.countIfShardMoving(machineProvisionedInMovingShard, machine.id)
 	}
-	c.provisioned[request.Name] = names
+	c.provisionedByRequest[request.Name] = names
 	return controller.ProvisionResult{Machines: names}
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -63,9 +63,9 @@
 	machines     []*fakeMachine
 	machinesByID map[wire.MachineID]*fakeMachine
 	machineTypes []wire.MachineType
-	// provisioned holds the machines of each provisioning request by the name of the
-	// request. A repeated request returns the same machines.
-	provisioned map[string][]wire.MachineID
+	// provisionedByRequest holds the machines of each provisioning request by the name of
+	// the request. A repeated request returns the same machines.
+	provisionedByRequest map[string][]wire.MachineID
 	// machineListings holds the latest machine lists of the cloud, one for each second.
 	machineListings    [][]wire.CloudMachine
 	jobs               map[wire.JobID]*submittedJob
@@ -90,35 +90,35 @@
 func NewCluster(settings config.Settings, types []wire.MachineType, controllers int, seed uint64) *Cluster {
 	workers := settings.Cluster.Workers
 	c := &Cluster{
-		Settings:          settings,
-		Features:          map[int]config.Features{},
-		Lease:             config.Seconds(workers.LeaseS),
-		HeartbeatInterval: config.Seconds(workers.ReportS),
-		GangWaitTimeout:   config.Seconds(workers.GangWaitS),
-		GangPeerTimeout:   config.Seconds(workers.GangPeerS),
-		CancelTimeout:     config.Seconds(workers.CancelS),
-		Capacity:          defaultCapacity,
-		Faults:            newFaults(),
-		Observed:          map[Observation]int{},
-		rng:               rand.New(rand.NewPCG(seed, rngStream)),
-		store:             NewStore(),
-		machinesByID:      map[wire.MachineID]*fakeMachine{},
-		machineTypes:      types,
-		provisioned:       map[string][]wire.MachineID{},
-		jobs:              map[wire.JobID]*submittedJob{},
-		log:               slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Settings:             settings,
+		Features:             map[int]config.Features{},
+		Lease:                config.Seconds(workers.LeaseS),
+		HeartbeatInterval:    config.Seconds(workers.ReportS),
+		GangWaitTimeout:      config.Seconds(workers.GangWaitS),
+		GangPeerTimeout:      config.Seconds(workers.GangPeerS),
+		CancelTimeout:        config.Seconds(workers.CancelS),
+		Capacity:             defaultCapacity,
+		Faults:               newFaults(),
+		Observed:             map[Observation]int{},
+		rng:                  rand.New(rand.NewPCG(seed, rngStream)),
+		store:                NewStore(),
+		machinesByID:         map[wire.MachineID]*fakeMachine{},
+		machineTypes:         types,
+		provisionedByRequest: map[string][]wire.MachineID{},
+		jobs:                 map[wire.JobID]*submittedJob{},
+		log:                  slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 	c.store.OnChange = c.notifyWatches
 	for i := range controllers {
 		c.controllers = append(c.controllers, &controllerProcess{index: i})
 	}
-	c.every(checkInterval, func() {
+	c.runEvery(checkInterval, func() {
 		if !c.StoreUnavailable {
 			c.store.Expire(c.now)
 		}
 		c.checkTasksAndQuotas()
 	})
-	c.every(listingInterval, func() {
+	c.runEvery(listingInterval, func() {
 		c.checkStarvation()
 		c.recordListing()
 	})
@@ -150,8 +150,8 @@
 	heap.Push(&c.events, event{c.now.Add(max(d, 0)), c.eventCount, run})
 }
 
-// every schedules f to run at the current time and then at intervals of d.
-func (c *Cluster) every(d time.Duration, f func()) {
+// runEvery schedules f to run at the current time and then at intervals of d.
+func (c *Cluster) runEvery(d time.Duration, f func()) {
 	var loop func()
 	loop = func() {
 		f()
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -201,7 +201,7 @@
 	then := process.replyHandlers[reply.Request]
 	delete(process.replyHandlers, reply.Request)
 	if then != nil && c.rng.Float64() >= c.MessageLoss {
-		c.after(c.latency(), func() { then(reply) })
+		c.after(c.randomLatency(), func() { then(reply) })
 	}
 }
 
--- a/internal/simulation/history_check_once.go
+++ b/internal/simulation/history_check_once.go
@@ -27,10 +27,10 @@
 		counts:       map[HistoryKind]map[wire.TaskID]int{},
 	}
 	for _, event := range h.events {
-		c.prepare(event)
+		c.collectExemptions(event)
 	}
 	for _, event := range h.events {
-		c.count(event)
+		c.countEvent(event)
 	}
 	for id, spec := range h.specs {
 		if c.cancelled[id] {
@@ -64,8 +64,9 @@
 	{TaskStopped, 0, "stopped"},
 }
 
-// prepare records cancellations and terminations, which also concern the events before them.
-func (c *exactlyOnceCheck) prepare(event HistoryEvent) {
+// collectExemptions records the cancelled jobs and the terminated machines. They are collected
+// in advance because they also concern earlier events.
+func (c *exactlyOnceCheck) collectExemptions(event HistoryEvent) {
 	switch event.Kind {
 	case CancelRequested:
 		c.cancelled[event.Job] = true
@@ -74,7 +75,7 @@
 	}
 }
 
-func (c *exactlyOnceCheck) count(event HistoryEvent) {
+func (c *exactlyOnceCheck) countEvent(event HistoryEvent) {
 	attempt := machineAttempt{event.Task, event.Attempt, event.Machine}
 	if event.Kind == TaskPlaced {
 		c.placed[attempt] = true
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -34,9 +34,9 @@
 	replayInterval = 250 * time.Millisecond
 )
 
-// latency returns the random latency of one message. Most messages take milliseconds, a few
-// take up to 0.3 s more.
-func (c *Cluster) latency() time.Duration {
+// randomLatency returns the random latency of one message. Most messages take milliseconds,
+// a few take up to 0.3 s more.
+func (c *Cluster) randomLatency() time.Duration {
 	d := time.Duration(500+c.rng.IntN(2500)) * time.Microsecond
 	if c.rng.IntN(200) == 0 {
 		d += time.Duration(c.rng.IntN(300)) * time.Millisecond
@@ -52,15 +52,15 @@
 		c.completeCall(call, callTimeout, lost)
 		switch c.rng.IntN(3) {
 		case 0: // only the answer is lost
-			c.after(c.latency(), func() { execute() })
+			c.after(c.randomLatency(), func() { execute() })
 		case 1:
 			c.after(c.randomDelay(maxLostCallDelay), func() { execute() })
 		}
 		return
 	}
-	c.after(c.latency(), func() {
+	c.after(c.randomLatency(), func() {
 		result := execute()
-		c.completeCall(call, c.latency(), result)
+		c.completeCall(call, c.randomLatency(), result)
 		if c.rng.Float64() < c.MessageLoss/2 {
 			c.after(c.randomDelay(maxRequestDelay), func() { execute() })
 		}
@@ -89,8 +89,8 @@
 	if machine == nil || !c.reachesWorker(process, machine) {
 		return
 	}
-	deliver := func() { machine.deliver(func() { finish(c.latency(), execute(machine)) }) }
-	d := c.latency()
+	deliver := func() { machine.deliver(func() { finish(c.randomLatency(), execute(machine)) }) }
+	d := c.randomLatency()
 	if c.rng.Float64() < c.MessageLoss {
 		d = c.randomDelay(maxRequestDelay)
 		c.Observed[delayedDirectCall(process.index)]++
@@ -123,7 +123,7 @@
 
 func (c *Cluster) sendPeerMessage(receiver *controllerProcess, message wire.PeerMessage) {
 	generation := receiver.generation
-	c.after(c.latency(), func() {
+	c.after(c.randomLatency(), func() {
 		if receiver.generation == generation {
 			c.step(receiver, controller.PeerMessageReceived{Message: &message})
 		}
@@ -158,7 +158,7 @@
 			return
 		}
 	}
-	d := c.latency()
+	d := c.randomLatency()
 	if c.rng.Float64() < c.MessageLoss {
 		if c.rng.IntN(2) == 0 {
 			return
--- a/internal/simulation/resources.go
+++ b/internal/simulation/resources.go
@@ -23,7 +23,7 @@
 	return resources{r.cores - other.cores, r.accelerators - other.accelerators, r.memoryGB - other.memoryGB}
 }
 
-// fitIn reports whether available has enough of each resource.
-func (r resources) fitIn(available resources) bool {
+// fitsIn reports whether available has enough of each resource.
+func (r resources) fitsIn(available resources) bool {
 	return r.cores <= available.cores && r.accelerators <= available.accelerators && r.memoryGB <= available.memoryGB
 }
--- a/internal/simulation/store_calls.go
+++ b/internal/simulation/store_calls.go
@@ -72,14 +72,14 @@
 func (c *Cluster) commit(call pendingCall, txn wire.Transaction) {
 	c.checkTransaction(txn)
 	formats := call.process.formats
-	execute := func() controller.CommitResult { return c.commitChecked(call.process, formats, txn) }
+	execute := func() controller.CommitResult { return c.commitAndCheck(call.process, formats, txn) }
 	if !c.delaysCommit(call.process, txn) {
 		c.callStore(call, controller.CommitResult{Outcome: controller.NotExecuted}, controller.CommitResult{Outcome: controller.Unknown},
 			func() controller.Result { return execute() })
 		return
 	}
 	c.completeCall(call, callTimeout, controller.CommitResult{Outcome: controller.Unknown})
-	d := c.latency()
+	d := c.randomLatency()
 	if !c.LoseAnswersOnly {
 		d = minCommitDelay + time.Duration(c.rng.Int64N(int64(maxCommitDelay)))
 	}
@@ -97,9 +97,9 @@
 	return delayed && !c.storeRejects(process)
 }
 
-// commitChecked commits a transaction of a process that reads the given formats, and checks
+// commitAndCheck commits a transaction of a process that reads the given formats, and checks
 // the changes.
-func (c *Cluster) commitChecked(process *controllerProcess, formats record.FormatRange, txn wire.Transaction) controller.CommitResult {
+func (c *Cluster) commitAndCheck(process *controllerProcess, formats record.FormatRange, txn wire.Transaction) controller.CommitResult {
 	attempts, shards := c.teamAttempts(txn), c.shardsWritten(txn)
 	result := c.store.Commit(txn)
 	switch result.Outcome {
@@ -125,17 +125,17 @@
 		case c.storeRejects(call.process) || c.rng.Float64() < c.MessageLoss:
 			c.completeCall(call, callTimeout, controller.LoadResult{Outcome: controller.NotExecuted})
 		case i == len(prefixes):
-			c.completeCall(call, c.latency(), result)
+			c.completeCall(call, c.randomLatency(), result)
 		default:
 			if i == 0 {
 				result.First = c.store.Revision()
 			}
 			result.Last = c.store.Revision()
 			result.Entries = append(result.Entries, c.store.List(prefixes[i])...)
-			c.after(c.latency(), func() { loadNext(i + 1) })
+			c.after(c.randomLatency(), func() { loadNext(i + 1) })
 		}
 	}
-	c.after(c.latency(), func() { loadNext(0) })
+	c.after(c.randomLatency(), func() { loadNext(0) })
 }
 
 // openWatch is a blocking watch that has not been answered.
@@ -154,7 +154,7 @@
 	}
 	open := &openWatch{call: call, watch: watch}
 	c.openWatches = append(c.openWatches, open)
-	c.after(c.latency(), func() { c.serveWatch(open, false) })
+	c.after(c.randomLatency(), func() { c.serveWatch(open, false) })
 	c.after(watch.Block, func() { c.serveWatch(open, true) })
 }
 
@@ -170,7 +170,7 @@
 // notifyWatches serves all open watches after a change.
 func (c *Cluster) notifyWatches() {
 	for _, open := range c.openWatches {
-		c.after(c.latency(), func() { c.serveWatch(open, false) })
+		c.after(c.randomLatency(), func() { c.serveWatch(open, false) })
 	}
 }
 
@@ -186,9 +186,9 @@
 		if result.Outcome == controller.Succeeded && len(result.Response.Events) == 0 && !timeout {
 			return
 		}
-		c.completeCall(open.call, c.latency(), result)
+		c.completeCall(open.call, c.randomLatency(), result)
 	case timeout:
-		c.completeCall(open.call, c.latency(), controller.WatchResult{Outcome: controller.Unknown})
+		c.completeCall(open.call, c.randomLatency(), controller.WatchResult{Outcome: controller.Unknown})
 	default:
 		return // the watch stays open until the store accepts calls again
 	}
--- a/internal/simulation/task_checks.go
+++ b/internal/simulation/task_checks.go
@@ -200,7 +200,7 @@
 		return false
 	}
 	for machine, left := range free {
-		if needed.fitIn(left) && allowsMachine(&job.spec, machine) {
+		if needed.fitsIn(left) && allowsMachine(&job.spec, machine) {
 			return true
 		}
 	}
--- a/internal/simulation/tasks.go
+++ b/internal/simulation/tasks.go
@@ -82,7 +82,7 @@
 		}
 		used = used.plus(resourcesOf(&m.cluster.jobs[other.id.Job].spec))
 	}
-	if !used.plus(resourcesOf(spec)).fitIn(machineResources(m.machineType)) {
+	if !used.plus(resourcesOf(spec)).fitsIn(machineResources(m.machineType)) {
 		return wire.CauseNoRoom
 	}
 	return ""
