--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -23,7 +23,7 @@
 var errorStatuses = []int{http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
 	http.StatusConflict, http.StatusServiceUnavailable}
 
-// NewClient makes a client for the controller at addr.
+// NewClient returns a client for the controller at addr.
 func NewClient(addr, token string) *Client {
 	return &Client{httpcall.New(addr, 1, callTimeout), token}
 }
@@ -33,14 +33,14 @@
 	return c.call(http.MethodGet, v, nil)
 }
 
-// ChangeSettings stores settings, on condition that the stored version is still the one that they
-// were made from.
+// ChangeSettings stores settings, on the condition that the stored version is still the one on which
+// they are based.
 func (c *Client) ChangeSettings(s wire.AdminSettings) (json.RawMessage, error) {
 	return c.call(http.MethodPatch, wire.ViewSettings, s)
 }
 
-// ChangeRollout changes the rollout of a format, on condition that the stored version is still the
-// one that the change was made from.
+// ChangeRollout changes the rollout of a format, on the condition that the stored version is still
+// the one on which the change is based.
 func (c *Client) ChangeRollout(change wire.AdminRolloutChange) (json.RawMessage, error) {
 	return c.call(http.MethodPatch, wire.ViewRollout, change)
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -30,7 +30,7 @@
 
 const (
 	callTimeout = 4 * time.Second
-	// tokenTimeout is how long a call waits for a token of the rate limit before it is given up.
+	// tokenTimeout is how long a call waits for a token of the rate limit before it fails.
 	tokenTimeout = 2 * time.Second
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 30 * time.Second
@@ -40,7 +40,7 @@
 	rateLimitFraction = 0.7
 )
 
-// New makes a client.
+// New returns a client.
 func New(settings *config.Settings, log *slog.Logger) *Client {
 	limit := settings.Cluster.Cloud.RPS * rateLimitFraction
 	return &Client{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -35,8 +35,8 @@
 	// Affinity applies if preferred rules cannot be met.
 	Affinity Affinity `json:"affinity"`
 	// HeadroomFraction and MinHeadroom determine the headroom for critical jobs of classes
-	// that have an objective for their waiting time: the fraction of their uncompleted tasks
-	// plus MinHeadroom, in tasks.
+	// that have an objective for their waiting time. For each class and image, the headroom is
+	// MinHeadroom tasks plus this fraction of the tasks that are not completed.
 	HeadroomFraction float64 `json:"spare_share"`
 	MinHeadroom      int     `json:"spare_least"`
 	// UnresponsiveS is how long a machine may be unresponsive before it is terminated.
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -5,8 +5,8 @@
 // Values below which Warnings returns a warning.
 const (
 	recommendedSlackS = 10   // of cancel_s over lease_s, in seconds
-	recommendedCores  = 0.04 // what some 500 machines need
-	recommendedMB     = 80   // what some 500 machines need
+	recommendedCores  = 0.04 // needed for some 500 machines
+	recommendedMB     = 80   // needed for some 500 machines
 )
 
 // Warnings returns a warning for each setting that is valid but degrades the service for users. A
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// New makes a mesh. Messages are sent only while Send runs, and received only while Serve runs.
+// New returns a mesh. Messages are sent only while Send runs, and received only while Serve runs.
 func New(settings *config.Settings, log *slog.Logger) *Mesh {
 	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / queueMemoryDivisor),
 		inbound: make(chan struct{}, max(1, sockets.NewBudget(settings).Peers))}
@@ -111,8 +111,8 @@
 	<-ctx.Done()
 }
 
-// maintainConnection connects to the peer and sends messages, again after each failure, until ctx
-// ends.
+// maintainConnection connects to the peer and sends messages until ctx ends. It reconnects after each
+// failure.
 func (l *link) maintainConnection(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", l.addr, dialTimeout)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -29,8 +29,8 @@
 	// registration of a controller's latest process.
 	RolloutKey         = "l/rollout"
 	RegistrationPrefix = "l/r/"
-	// ShardPolicyKey is the key of the setting whether sharding is enabled. ShardPrefix + number is
-	// the key of the record of a shard.
+	// ShardPolicyKey is the key of the record that states whether sharding is enabled. ShardPrefix +
+	// number is the key of the record of a shard.
 	ShardPolicyKey = "l/shares"
 	ShardPrefix    = "l/share/"
 )
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -46,8 +46,9 @@
 // Terminations is the record of the machine terminations that are under way. Pending holds the
 // machines to be terminated, by reason. Confirmed holds machines whose termination the cloud has
 // confirmed while they still have allocations. To every controller that reads the record, this
-// confirms the exit of the tasks on these machines. A machine that leaves Pending without being
-// added to Confirmed has not been terminated.
+// confirms the exit of the tasks on these machines. A terminated machine without allocations is
+// dropped from both lists. A machine with allocations that leaves Pending without being added to
+// Confirmed has not been terminated.
 //
 // A single record takes one write however many machines are terminated at once, and gives placement
 // transactions a single version to use as a condition.
@@ -76,7 +77,8 @@
 	// Launcher is the incarnation of the only controller that may send the launch.
 	Launcher wire.FencingToken `json:"l"`
 	// Fence, if not 0, is a fencing token. The machine must have received it before the launch may
-	// be sent or, in an eviction, before a heartbeat without a task confirms the exit of this task.
+	// be sent or, in an eviction, before a heartbeat that lacks a task confirms the exit of that
+	// task.
 	Fence    wire.FencingToken `json:"f,omitempty"`
 	Eviction Eviction          `json:"s,omitempty"`
 
@@ -99,9 +101,9 @@
 	Tasks       []TaskSet         `json:"k"`
 }
 
-// PlacementPage is a placement record. It holds a part of the allocations of a team in a zone. Tasks
-// that succeeded move from their allocation to Completed in the transaction that removes them, and
-// stay there until the job is completed. The completion of a task thus needs no write of its own.
+// PlacementPage is a placement record. It holds a part of the allocations of a team in a zone. The
+// transaction that removes tasks that succeeded from their allocation also adds them to Completed,
+// where they stay until the job is completed. The completion of a task thus needs no write of its own.
 type PlacementPage struct {
 	Groups    []AllocationGroup      `json:"e"`
 	Completed map[wire.JobID]TaskSet `json:"d,omitempty"`
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -21,14 +21,14 @@
 type Tracker struct {
 	label   string
 	labels  []string           // of all controllers in the settings, sorted
-	formats record.FormatRange // that this process reads
+	formats record.FormatRange // formats that this process reads
 	release string
 
 	state         record.Rollout
 	stateVersion  wire.Revision
 	unreadable    error                   // set if the record of the format in force cannot be decoded
 	registrations map[string]registration // by label
-	live          map[string]liveness     // of the live controllers, by label
+	live          map[string]liveness     // liveness records of the live controllers, by label
 
 	candidate  wire.Format // newest format that no controller blocks, or 0
 	readySince Time        // since when no controller has blocked the candidate
@@ -47,9 +47,9 @@
 }
 
 // New returns a tracker for the controller with the given label, in a cluster of this controller and
-// its siblings. The tracker has no records yet.
-func New(label string, siblings []string, formats record.FormatRange, release string) *Tracker {
-	labels := append([]string{label}, siblings...)
+// its peers. The tracker has no records yet.
+func New(label string, peers []string, formats record.FormatRange, release string) *Tracker {
+	labels := append([]string{label}, peers...)
 	slices.Sort(labels)
 	t := &Tracker{label: label, labels: labels, formats: formats, release: release}
 	t.Reset()
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -175,8 +175,8 @@
 
 // TestLiveProcessesReadFormatInForce checks that every live process reads the format in force. It
 // runs generated histories of process starts, expired leases, stale trackers, activations and
-// exclusions, in which transactions may be committed late or more than once. Only a process without
-// a liveness record, which may have been excluded while it runs, is not checked.
+// exclusions, in which transactions may be committed late or more than once. A process without a
+// liveness record counts as down and is not checked, because it may have been excluded while it runs.
 func TestLiveProcessesReadFormatInForce(t *testing.T) {
 	activations, blocked := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -213,13 +213,13 @@
 func (h *history) start(label string) {
 	h.lastIncarnation++
 	reads := rapid.SampledFrom([]record.FormatRange{{Oldest: 1, Newest: 1}, formats1To2, formats1To2, formats1To2, formats1To2, formats1To2}).Draw(h.t, "reads")
-	var siblings []string
+	var peers []string
 	for _, other := range labels {
 		if other != label {
-			siblings = append(siblings, other)
+			peers = append(peers, other)
 		}
 	}
-	started := &process{tracker: New(label, siblings, reads, ""), label: label, formats: reads, incarnation: h.lastIncarnation}
+	started := &process{tracker: New(label, peers, reads, ""), label: label, formats: reads, incarnation: h.lastIncarnation}
 	h.processes[label] = started
 	h.formats[fmt.Sprint(label, h.lastIncarnation)] = reads
 	started.reload(h.store)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -57,7 +57,7 @@
 	socketsPerUserRequest = 4
 )
 
-// New makes a server. If adminToken is empty, the administration API is off.
+// New returns a server. If adminToken is empty, the administration API is off.
 func New(settings *config.Settings, backend Backend, adminToken string, log *slog.Logger) *Server {
 	s := &Server{
 		backend:         backend,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -106,9 +106,9 @@
 }
 func (fullBackend) Healthy() bool { return true }
 
-// TestBadInputIsRejectedUnderOverload checks that while the backend's queue is full, an invalid
-// request is rejected for good, so that its sender does not repeat it, and the sender of a valid
-// one is told when to retry.
+// TestBadInputIsRejectedUnderOverload checks the responses while the backend's queue is full. An
+// invalid request gets its final response at once, so that its sender does not repeat it. The sender
+// of a valid request is told when to retry.
 func TestBadInputIsRejectedUnderOverload(t *testing.T) {
 	var settings config.Settings
 	settings.Cluster.Quota.Sockets = 64
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -22,24 +22,24 @@
 	CloseAfterReplyAbove, RefuseUsersAbove int
 	// Workers is for calls to workers.
 	Workers int
-	// Peers is for connections from siblings.
+	// Peers is for connections from peers.
 	Peers int
 	// State and Cloud are for calls to the state store and to the cloud.
 	State, Cloud int
 }
 
 const (
-	workerCallsDivisor      = 8  // 1 socket of this many is for calls to workers
-	stateDivisor            = 64 // 1 socket of this many is for the state store, within minStateSockets and maxStateSockets
+	workerCallsDivisor      = 8  // calls to workers get 1/workerCallsDivisor of the sockets
+	stateDivisor            = 64 // the state store gets 1/stateDivisor of the sockets, from minStateSockets to maxStateSockets
 	minWorkerSockets        = 4
 	minInboundSockets       = 8
 	cloudSockets            = 4
 	minStateSockets         = 8
 	maxStateSockets         = 28
-	connectionsPerPeer      = 3 // a sibling that restarts may leave stale connections open
-	reservedSockets         = 4 // for the listeners and the runtime
-	closeAfterReplyFraction = 0.6
-	refuseUsersFraction     = 0.85
+	connectionsPerPeer      = 3    // a peer that restarts may leave stale connections open
+	reservedSockets         = 4    // for the listeners and the runtime
+	closeAfterReplyFraction = 0.6  // of Budget.Inbound
+	refuseUsersFraction     = 0.85 // of Budget.Inbound
 )
 
 // NewBudget divides the sockets in a controller's quota.
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -57,7 +57,7 @@
 	queue    *queue
 }
 
-// New makes a client. It makes calls only while Serve runs.
+// New returns a client. It makes calls only while Serve runs.
 func New(settings *config.Settings, log *slog.Logger) *Client {
 	connections := sockets.NewBudget(settings).State
 	limits := &settings.Cluster.State
@@ -194,8 +194,8 @@
 	outcome controller.Outcome
 }
 
-// list reads one page of the keys under a prefix and waits for the result. The page starts after
-// the key after, or with the first key if after is empty.
+// list reads one page of the keys under a prefix and waits for the result. The page holds the keys
+// that sort after the given one, or starts with the first key if after is empty.
 func (c *Client) list(prefix, after string) listPage {
 	query := url.Values{"under": {prefix}, "page": {strconv.Itoa(listPageSize)}}
 	if after != "" {
--- a/internal/statestore/queue.go
+++ b/internal/statestore/queue.go
@@ -41,7 +41,7 @@
 	expire   func()
 }
 
-// newQueue makes a queue. The limits are in requests and in writes per second.
+// newQueue returns a queue. The limits are in requests and in writes per second.
 func newQueue(requests, writes float64) *queue {
 	q := &queue{
 		requests: rate.NewLimiter(1, 1),
@@ -92,7 +92,8 @@
 }
 
 // startCalls starts the calls that there are tokens for, expires those whose deadline has passed,
-// and returns how long to wait before it is to be called again. 0 means until a call is added.
+// and returns how long to wait before it is to be called again. A result of 0 means to wait until a
+// call is added.
 func (q *queue) startCalls(now time.Time) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -43,7 +43,7 @@
 	inFlight int // calls in progress
 }
 
-// New makes a client that holds about maxConnections connections at most. The controller bounds how
+// New returns a client that holds about maxConnections connections at most. The controller bounds how
 // many calls are in progress. The remaining connections may be idle, and of the idle ones the least
 // recently used are closed first.
 func New(log *slog.Logger, maxConnections int) *Client {
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -38,9 +38,10 @@
 	Provisioner    bool         `json:"buyer"`
 	Self           bool         `json:"self"`
 	StoreReachable bool         `json:"state_fresh"`
-	// InboundOK says that the answering controller recently received a message from this
-	// controller, OutboundOK that this controller recently acknowledged a message of the
-	// answering one, and Isolated that this controller reports that it reaches no workers.
+	// InboundOK is set if the answering controller recently received a message from this
+	// controller. OutboundOK is set if this controller has acknowledged a message that the
+	// answering one sent recently. Isolated is set if this controller reaches no workers, according
+	// to its liveness record or, for the answering controller, its own state.
 	InboundOK  bool         `json:"heard"`
 	OutboundOK bool         `json:"hears"`
 	Isolated   bool         `json:"deaf,omitempty"`
@@ -48,13 +49,13 @@
 	Token      FencingToken `json:"baton,omitempty"`
 	// The following fields are set only for the answering controller. StoreLagS is the time
 	// since its cache was last current. CancellationLagS is the age of its knowledge of
-	// cancellations, which comes from the state store or from its siblings' watermarks.
-	// RenewsLeases says whether that knowledge is recent enough to renew workers' leases.
+	// cancellations, which comes from the state store or from its peers' watermarks.
+	// RenewsLeases is set if that knowledge is recent enough to renew workers' leases.
 	StoreLagS        float64 `json:"in_step_s,omitempty"`
 	CancellationLagS float64 `json:"withdrawals_known_s,omitempty"`
 	RenewsLeases     bool    `json:"answers_workers,omitempty"`
 	// TimerLagS is how late the controller's timers fire. Timers are late if the process
-	// gets too little processor time, or stalled.
+	// gets too little processor time or was stalled.
 	TimerLagS float64 `json:"late_s,omitempty"`
 }
 
@@ -102,21 +103,21 @@
 	Placed   int      `json:"placed"`
 	Waiting  int      `json:"waiting"`
 	Reason   string   `json:"reason,omitempty"`
-	// FailedOn is the number of machines on which tasks of the job failed since one last
-	// succeeded. BackoffS is the time until tasks of the job are started again.
+	// FailedOn is the number of machines on which tasks of the job failed since a task of the
+	// job last succeeded. BackoffS is the time until tasks of the job are started again.
 	FailedOn int     `json:"failed_on,omitempty"`
 	BackoffS float64 `json:"paused_s,omitempty"`
 }
 
-// AdminSettings is the content of ViewSettings, and the body of a change: the operator settings with their
-// version.
+// AdminSettings is the content of ViewSettings, and the body of a change: the operator settings with
+// their version.
 type AdminSettings struct {
 	Version  Revision        `json:"version"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// AdminMetrics is the content of ViewMetrics: counters since the controller started, and distributions of
-// latencies in milliseconds.
+// AdminMetrics is the content of ViewMetrics: counters since the controller started, and
+// distributions of latencies in milliseconds.
 type AdminMetrics struct {
 	Counts map[string]uint64       `json:"counts"`
 	Times  map[string]AdminLatency `json:"times_ms"`
@@ -138,8 +139,8 @@
 	// Oldest and Newest are the formats that the answering controller reads.
 	Oldest Format `json:"oldest"`
 	Newest Format `json:"newest"`
-	// Next is the format that can be activated next, or 0 if there is none. Ready says
-	// that no controller blocks the next format.
+	// Next is the format that is to be activated next, or 0 if there is none. Ready is set if no
+	// controller blocks its activation.
 	Next        Format                   `json:"next,omitempty"`
 	Ready       bool                     `json:"ready"`
 	Controllers []AdminRolloutController `json:"controllers"`
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -107,12 +107,12 @@
 
 			strict := json.NewDecoder(bytes.NewReader(text))
 			strict.DisallowUnknownFields()
-			back := m.newValue()
-			require.NoError(t, strict.Decode(back))
-			require.Equal(t, filled, back)
-			back = m.newValue()
-			require.NoError(t, fastjson.Unmarshal(text, back))
-			require.Equal(t, filled, back)
+			decoded := m.newValue()
+			require.NoError(t, strict.Decode(decoded))
+			require.Equal(t, filled, decoded)
+			decoded = m.newValue()
+			require.NoError(t, fastjson.Unmarshal(text, decoded))
+			require.Equal(t, filled, decoded)
 
 			empty, err := json.Marshal(m.newValue())
 			require.NoError(t, err)
--- a/wire/services.go
+++ b/wire/services.go
@@ -131,7 +131,7 @@
 	From string `json:"from"`
 	// Format is the format of the message. Messages of the first format omit it.
 	Format Format `json:"format,omitempty"`
-	// StoreReachable says that the state store has recently answered the sender.
+	// StoreReachable is set if the state store has recently answered the sender.
 	StoreReachable bool `json:"state_fresh,omitempty"`
 	// Watermark, if set, bounds which cancellations the receiver may not know.
 	Watermark *CancellationWatermark `json:"vouch,omitempty"`
@@ -159,8 +159,8 @@
 	// Revision is the revision up to which the sender knows all changes of the state store.
 	Revision Revision `json:"l"`
 	Since    Revision `json:"f"`
-	// Acks is the newest watermark that the sender received from each sibling, by label. The
-	// sibling knows when it sent that watermark, and so can bound the age of this one by its
+	// Acks is the newest watermark that the sender received from each of its peers, by label.
+	// The peer knows when it sent that watermark, and so can bound the age of this one by its
 	// own clock.
 	Acks          map[string]WatermarkAck `json:"h,omitempty"`
 	Cancellations []Cancellation          `json:"w,omitempty"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -111,9 +111,9 @@
 		}
 		b, err := json.Marshal(&r)
 		require.NoError(t, err)
-		back, err := ParseHeartbeat(b)
+		decoded, err := ParseHeartbeat(b)
 		require.NoError(t, err)
-		require.Equal(t, &r, back)
+		require.Equal(t, &r, decoded)
 	})
 }
 
