--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// teamsAlike is so many teams like the one given.
-func teamsAlike(count int, team config.Team) []config.Team {
+// identicalTeams is so many teams like the one given.
+func identicalTeams(count int, team config.Team) []config.Team {
 	var teams []config.Team
 	for i := range count {
 		team.Name = teamName(i)
@@ -32,9 +32,9 @@
 
 func teamName(n int) string { return fmt.Sprint("desk-", n) }
 
-// mixedTypes is small, middling and accelerator machines, and mixedPattern how many of
+// mixedMachineTypes is small, middling and accelerator machines, and mixedPattern how many of
 // each there are.
-func mixedTypes() []wire.MachineType {
+func mixedMachineTypes() []wire.MachineType {
 	return []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.31, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: zones},
 		{Name: "c16", Cores: 16, MemGB: 64, OnDemandPrice: 1.1, SpotPrice: 0.4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
@@ -42,7 +42,7 @@
 	}
 }
 
-var mixedPattern = []int{0, 2, 1, 0, 2, 2}
+var mixedTypePattern = []int{0, 2, 1, 0, 2, 2}
 
 // mixedJob is the nth job of a mix: a service, a gang on accelerator machines, or an
 // array of so many tasks.
@@ -73,7 +73,7 @@
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.3, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "g32", Cores: 32, Accelerators: 4, MemGB: 256, OnDemandPrice: 11, SpotPrice: 4, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 3, machines: 30, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: types, typePattern: []int{0, 1}, controllers: 3, machines: 30, seed: 1}.start()
 	cluster.Capacity = 3
 	for n := range 60 {
 		spec, run := testJob(n, []int{0, 3, 0, 1}[n%4])
@@ -88,18 +88,18 @@
 // BenchmarkLargeCluster is half a minute of five controllers with some 1,500 machines,
 // 400 services and an array a second: where work that grows with the fleet
 // shows. Profile it with -cpuprofile, focused on internal/controller.
-func BenchmarkLargeCluster(b *testing.B) { benchmarkCluster(b, 30*time.Second, grownCluster) }
+func BenchmarkLargeCluster(b *testing.B) { benchmarkCluster(b, 30*time.Second, largeCluster) }
 
-func grownCluster() *Cluster {
+func largeCluster() *Cluster {
 	settings := testSettings()
-	settings.Cluster.Teams = teamsAlike(8, config.Team{CPUs: 1000, CPUsMax: 1800})
+	settings.Cluster.Teams = identicalTeams(8, config.Team{CPUs: 1000, CPUsMax: 1800})
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones},
 		{Name: "c8", Cores: 8, MemGB: 32, OnDemandPrice: 0.36, SpotPrice: 0.1, StartupS: 30, PullGBPerS: 0.2, Zones: zones},
 	}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0, 1}, controllers: 5, machines: 1500, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: types, typePattern: []int{0, 1}, controllers: 5, machines: 1500, seed: 1}.start()
 	cluster.Capacity = 400
 	for n := range 430 {
 		spec, run := testJob(n, 1)
@@ -120,15 +120,15 @@
 // services, gangs of up to 16 and arrays of up to 1,200 tasks, half as large
 // again as the largest site that was scored. Meanwhile a zone is partitioned,
 // 150 machines hang, and a controller stalls.
-func BenchmarkLargestFleet(b *testing.B) { benchmarkCluster(b, time.Minute, mixedFleetCluster) }
+func BenchmarkLargestFleet(b *testing.B) { benchmarkCluster(b, time.Minute, largestFleetCluster) }
 
-func mixedFleetCluster() *Cluster {
+func largestFleetCluster() *Cluster {
 	settings := testSettings()
-	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 9000, CPUsMax: 150000, GPUs: 900, GPUsMax: 2500})
+	settings.Cluster.Teams = identicalTeams(4, config.Team{CPUs: 9000, CPUsMax: 150000, GPUs: 900, GPUsMax: 2500})
 	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: 0.3, MemMB: 320, Sockets: 2600}
-	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: 3, machines: 1860, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: mixedMachineTypes(), typePattern: mixedTypePattern, controllers: 3, machines: 1860, seed: 1}.start()
 	cluster.Capacity = 250
 	for n := range 420 {
 		spec, run := mixedJob(n, []int{1, 1, 1, 1, 2, 0, 3}[n%7], 150+n*2, 150*time.Second)
@@ -148,15 +148,15 @@
 // BenchmarkSmallJobFlood is half a minute of five controllers with 1,500 full machines and
 // fifty jobs of one task a second: what is done for each waiting job in every pass
 // shows here.
-func BenchmarkSmallJobFlood(b *testing.B) { benchmarkCluster(b, 40*time.Second, floodCluster) }
+func BenchmarkSmallJobFlood(b *testing.B) { benchmarkCluster(b, 40*time.Second, smallJobFloodCluster) }
 
-func floodCluster() *Cluster {
+func smallJobFloodCluster() *Cluster {
 	settings := testSettings()
 	settings.Cluster.Teams = []config.Team{{Name: "desk", CPUs: 8000, CPUsMax: 9000}, {Name: "guest"}}
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 200, WriteRPS: 50, ValueKB: 8, TxnOps: 12}
 	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
-	cluster := clusterSetup{settings: settings, types: types, pattern: []int{0}, controllers: 5, machines: 1500, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: types, typePattern: []int{0}, controllers: 5, machines: 1500, seed: 1}.start()
 	cluster.Capacity = 0
 	for n := range 1500 {
 		spec, _ := testJob(n, 0)
@@ -170,16 +170,16 @@
 // 720 machines, 60 services, and gangs and arrays that come all the time: an ordinary
 // minute of a small core share. Profile it with -cpuprofile, focused on internal/controller.
 func BenchmarkSmallCoreShare(b *testing.B) {
-	benchmarkCluster(b, time.Minute, func() *Cluster { return smallShareCluster(720, 3, 0.054) })
+	benchmarkCluster(b, time.Minute, func() *Cluster { return smallCoreShareCluster(720, 3, 0.054) })
 }
 
-func smallShareCluster(machines, controllers int, share float64) *Cluster {
+func smallCoreShareCluster(machines, controllers int, share float64) *Cluster {
 	settings := testSettings()
-	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 1500, CPUsMax: 6000, GPUs: 150, GPUsMax: 600})
+	settings.Cluster.Teams = identicalTeams(4, config.Team{CPUs: 1500, CPUsMax: 6000, GPUs: 150, GPUsMax: 600})
 	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 8, CancelS: 51.5}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: share, MemMB: 114, Sockets: 1500}
-	cluster := clusterSetup{settings: settings, types: mixedTypes(), pattern: mixedPattern, controllers: controllers, machines: machines, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: mixedMachineTypes(), typePattern: mixedTypePattern, controllers: controllers, machines: machines, seed: 1}.start()
 	cluster.Capacity = 100
 	for n := range 160 {
 		spec, run := mixedJob(n, []int{1, 1, 2, 0, 3, 0, 2}[n%7], 20+n, 50*time.Second)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -39,8 +39,8 @@
 }
 
 const (
-	// crashTime is how long a controller that crashed is away.
-	crashTime = 3 * time.Second
+	// crashDowntime is how long a controller that crashed is away.
+	crashDowntime = 3 * time.Second
 	// preemptionNotice is how long before its end a machine has a preemption notice.
 	preemptionNotice = 8 * time.Second
 )
@@ -57,7 +57,7 @@
 // inject brings the fault about now, whatever its time.
 func (f fault) inject(c *Cluster) {
 	if machineFault := f.machineFault(c); machineFault != nil {
-		if machine := f.machine(c); machine != nil {
+		if machine := f.targetMachine(c); machine != nil {
 			machineFault(machine)
 		}
 		return
@@ -66,11 +66,11 @@
 	switch f.kind {
 	case faultCrash:
 		c.Stop(i)
-		c.At(crashTime, func() { c.Start(i) })
+		c.At(crashDowntime, func() { c.Start(i) })
 	case faultCrashAll:
 		for i := range c.controllers {
 			c.Stop(i)
-			c.At(crashTime+time.Duration(i)*200*time.Millisecond, func() { c.Start(i) })
+			c.At(crashDowntime+time.Duration(i)*200*time.Millisecond, func() { c.Start(i) })
 		}
 	case faultDoubleRestart:
 		c.Start(i)
@@ -94,12 +94,12 @@
 		c.ProvisioningDelay = func(string, string) time.Duration { return delay }
 		c.At(2*f.duration, func() { c.ProvisioningDelay = nil })
 	default:
-		f.injectPartition(c, i)
+		f.injectPartitionOrOutage(c, i)
 	}
 }
 
-// injectPartition brings about partitions of a controller, and outages.
-func (f fault) injectPartition(c *Cluster, i int) {
+// injectPartitionOrOutage brings about partitions of a controller, and outages.
+func (f fault) injectPartitionOrOutage(c *Cluster, i int) {
 	switch f.kind {
 	case faultIsolation:
 		c.StorePartitioned[i], c.PeersPartitioned[i] = true, true
@@ -110,7 +110,7 @@
 		c.WorkersPartitioned[i] = true
 		c.At(f.duration, func() { delete(c.WorkersPartitioned, i) })
 	case faultStoreUnavailable:
-		c.storeOutage(f.duration)
+		c.injectStoreOutage(f.duration)
 	case faultCloudUnavailable:
 		c.CloudUnavailable = true
 		c.At(f.duration, func() { c.CloudUnavailable = false })
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// machine is the machine that a fault strikes: the first from the target on that is well.
-func (f fault) machine(c *Cluster) *fakeMachine {
+// targetMachine is the targetMachine that a fault strikes: the first from the target on that is well.
+func (f fault) targetMachine(c *Cluster) *fakeMachine {
 	for i := range c.machines {
 		if machine := c.machines[(i+f.target)%len(c.machines)]; machine.up && !machine.terminated && !machine.hung {
 			return machine
@@ -170,9 +170,9 @@
 // restartProvisioner restarts the controller that provisions, or another if there is none.
 func (c *Cluster) restartProvisioner(after time.Duration) { c.restart(max(0, c.provisioner()), after) }
 
-// storeOutage has the state store unavailable for a while. Every lease has its full time
+// injectStoreOutage has the state store unavailable for a while. Every lease has its full time
 // when it is back.
-func (c *Cluster) storeOutage(d time.Duration) {
+func (c *Cluster) injectStoreOutage(d time.Duration) {
 	c.StoreUnavailable = true
 	c.At(d, func() { c.StoreUnavailable = false; c.store.RenewAll(c.now) })
 }
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -171,7 +171,7 @@
 		for i := range 10 {
 			cluster.At(time.Duration(10+8*i)*time.Second, func() { cluster.restartProvisioner(time.Duration(200+700*(i%4)) * time.Millisecond) })
 		}
-		cluster.At(40*time.Second, func() { cluster.storeOutage(25 * time.Second) })
+		cluster.At(40*time.Second, func() { cluster.injectStoreOutage(25 * time.Second) })
 	}},
 	{name: "zone partitioned with a controller", minObserved: map[Observation]int{jobCancelled: 20}, inject: func(cluster *Cluster) {
 		submitMixedJobs(cluster, 60, 3)
@@ -202,7 +202,7 @@
 			cluster.StoreDelay = 0
 			cluster.partitionFromStore(max(0, cluster.provisioner()), 20*time.Second)
 		})
-		cluster.At(25200*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 8*time.Second) })
+		cluster.At(25200*time.Millisecond, func() { cluster.injectStoreOutage(cluster.CancelTimeout + 8*time.Second) })
 	}},
 	{name: "jobs of one zone lose machines", minObserved: map[Observation]int{machineDied: 8}, inject: func(cluster *Cluster) {
 		for n := range 24 {
@@ -239,7 +239,7 @@
 	{name: "machines hang on cancellations in an outage", minObserved: map[Observation]int{machineHungOnCancellation: 8}, inject: func(cluster *Cluster) {
 		cluster.HangOnCancel = 60 * time.Second
 		submitLongJobs(cluster, 10, 19500*time.Millisecond)
-		cluster.At(20600*time.Millisecond, func() { cluster.storeOutage(cluster.CancelTimeout + 5*time.Second) })
+		cluster.At(20600*time.Millisecond, func() { cluster.injectStoreOutage(cluster.CancelTimeout + 5*time.Second) })
 		cluster.At(40*time.Second, func() { cluster.HangOnCancel = 0 })
 	}},
 	{name: "all restart while machines hang with cancelled work", minObserved: map[Observation]int{machineHungOnCancellation: 8, controllerRestarted: 12, jobCancelled: 8}, inject: func(cluster *Cluster) {
@@ -254,7 +254,7 @@
 			for i := range cluster.controllers {
 				cluster.restart(i, 3*time.Second)
 			}
-			cluster.storeOutage(22 * time.Second)
+			cluster.injectStoreOutage(22 * time.Second)
 		})
 	}},
 	{name: "repeated and unschedulable requests while the provisioner changes", minObserved: map[Observation]int{unschedulableJobRejected: 20, submissionRepeated: 100, cancelledAfterCompletion: 100, controllerRestarted: 8}, inject: func(cluster *Cluster) {
--- a/internal/simulation/format_bench_test.go
+++ b/internal/simulation/format_bench_test.go
@@ -29,11 +29,11 @@
 
 func benchmarkFormat(b *testing.B, machines int, format wire.Format) {
 	settings := testSettings()
-	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: float64(machines), CPUsMax: 100000})
+	settings.Cluster.Teams = identicalTeams(4, config.Team{CPUs: float64(machines), CPUsMax: 100000})
 	settings.Cluster.Workers = config.Workers{ReportS: 5, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 70, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
-	cluster := clusterSetup{settings: settings, types: mixedTypes()[:2], pattern: []int{0, 1}, controllers: 3, machines: machines, seed: 1}.start()
+	cluster := clusterSetup{settings: settings, types: mixedMachineTypes()[:2], typePattern: []int{0, 1}, controllers: 3, machines: machines, seed: 1}.start()
 	cluster.Capacity = 0
 	cluster.Run(5 * time.Second)
 	if format > record.FormatPlain {
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -10,8 +10,8 @@
 	"lilacrill/wire"
 )
 
-// largeFleet is more machines than any installation runs.
-const largeFleet = 4200
+// largeFleetSize is more machines than any installation runs.
+const largeFleetSize = 4200
 
 // TestLargeFleet guards against bounds that a fleet of 4,200 machines meets: it is
 // provisioned, sends its heartbeats, gets its tasks, survives all controllers restarting,
@@ -25,27 +25,27 @@
 func TestLargeFleetWithShards(t *testing.T) {
 	t.Parallel()
 	cluster := runLargeFleet(t, (*Cluster).startWithShards)
-	require.Greater(t, cluster.Observed[placedInShard], largeFleet/2)
+	require.Greater(t, cluster.Observed[placedInShard], largeFleetSize/2)
 	require.Zero(t, cluster.unownedShards())
 }
 
 func runLargeFleet(t *testing.T, start func(cluster *Cluster, i int)) *Cluster {
 	t.Helper()
 	settings := testSettings()
-	settings.Cluster.Teams = teamsAlike(4, config.Team{CPUs: 4000, CPUsMax: 9000})
+	settings.Cluster.Teams = identicalTeams(4, config.Team{CPUs: 4000, CPUsMax: 9000})
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
 	settings.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // no time to wait for others' ends
 	kinds := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
 	cluster := NewCluster(settings, kinds, 3, 1)
-	cluster.Capacity = largeFleet
+	cluster.Capacity = largeFleetSize
 	for i := range cluster.controllers {
 		start(cluster, i)
 	}
 	for n := range 4 {
 		spec, _ := testJob(n, 0)
-		spec.Team, spec.Tasks, spec.Cores, spec.MemGB, spec.RuntimeS, spec.Spot = teamName(n), largeFleet/4, 4, 16, 500, false
+		spec.Team, spec.Tasks, spec.Cores, spec.MemGB, spec.RuntimeS, spec.Spot = teamName(n), largeFleetSize/4, 4, 16, 500, false
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, 500*time.Second) })
 	}
 	up := func() int {
@@ -70,16 +70,16 @@
 		}
 		t.Logf("%s after %v", what, cluster.Now()-from)
 	}
-	until("all tasks run, one to a machine", 6*time.Minute, func() bool { return running() == largeFleet })
+	until("all tasks run, one to a machine", 6*time.Minute, func() bool { return running() == largeFleetSize })
 	before := len(cluster.machines)
 	for i := range cluster.controllers {
 		cluster.restart(i, 3*time.Second)
 	}
 	cluster.Run(30 * time.Second)
-	require.Equal(t, largeFleet, running(), "all controllers restarted")
-	require.Less(t, len(cluster.machines)-before, largeFleet/50, "healthy machines were given up and provisioned anew")
+	require.Equal(t, largeFleetSize, running(), "all controllers restarted")
+	require.Less(t, len(cluster.machines)-before, largeFleetSize/50, "healthy machines were given up and provisioned anew")
 	until("all jobs are done", 12*time.Minute, func() bool { return len(cluster.Unfinished()) == 0 })
-	until("nearly all are terminated", 5*time.Minute, func() bool { return up() < largeFleet/20 })
+	until("nearly all are terminated", 5*time.Minute, func() bool { return up() < largeFleetSize/20 })
 	require.Empty(t, cluster.Violations)
 	return cluster
 }
--- a/internal/simulation/mixed_versions_test.go
+++ b/internal/simulation/mixed_versions_test.go
@@ -16,9 +16,9 @@
 // TestCorruptRecordsAreIsolated: a job record and a placement record that cannot be understood are
 // left alone, with what they speak of, and take nothing else down.
 func TestCorruptRecordsAreIsolated(t *testing.T) {
-	cluster := newLargeValueCluster(11, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(11, 3, (*Cluster).startNewerRelease)
 	cluster.Run(5 * time.Second)
-	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusOK)
 	submitBusyLoad(cluster)
 	spec, _ := testJob(2000, 0) // of the team whose records stay whole
 	spec.Tasks, spec.Team = 2, "red"
@@ -75,9 +75,9 @@
 func TestUnknownSettingsSurviveOlderController(t *testing.T) {
 	cluster := newLargeValueCluster(12, 3, func(cluster *Cluster, i int) {
 		if i == 1 {
-			cluster.startOlder(i)
+			cluster.startOlderRelease(i)
 		} else {
-			cluster.startNewer(i)
+			cluster.startNewerRelease(i)
 		}
 	})
 	cluster.Run(6 * time.Second)
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -50,7 +50,7 @@
 		spec.Tasks = 48
 		cluster.At(13*time.Second, func() { cluster.Submit(spec, 0) })
 		cluster.Run(30 * time.Second)
-		cluster.storeOutage(20 * time.Second)
+		cluster.injectStoreOutage(20 * time.Second)
 		cluster.At(17*time.Second, func() {
 			for i := range cluster.controllers {
 				cluster.restart(i, 4*time.Second)
--- a/internal/simulation/rollout_helpers_test.go
+++ b/internal/simulation/rollout_helpers_test.go
@@ -21,14 +21,14 @@
 	return features
 }
 
-// startOlder starts a controller that reads the first format only, or restarts it so.
-func (c *Cluster) startOlder(i int) {
+// startOlderRelease starts a controller that reads the first format only, or restarts it so.
+func (c *Cluster) startOlderRelease(i int) {
 	c.Features[i] = plainFormatFeatures()
 	c.Start(i)
 }
 
-// startNewer starts a controller that reads all formats.
-func (c *Cluster) startNewer(i int) {
+// startNewerRelease starts a controller that reads all formats.
+func (c *Cluster) startNewerRelease(i int) {
 	delete(c.Features, i)
 	c.Start(i)
 }
@@ -43,9 +43,9 @@
 	return reply
 }
 
-// activateCompressed is the change that activates the compressed format, made from the
+// compressedActivation is the change that activates the compressed format, made from the
 // version that stands in the state store.
-func (c *Cluster) activateCompressed() wire.AdminRolloutChange {
+func (c *Cluster) compressedActivation() wire.AdminRolloutChange {
 	format := record.FormatCompressed
 	return wire.AdminRolloutChange{Version: c.rolloutVersion(), Activate: &format}
 }
@@ -55,8 +55,8 @@
 	return version
 }
 
-// mustChange makes a change and requires a status.
-func (c *Cluster) mustChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
+// requireRolloutChange makes a change and requires a status.
+func (c *Cluster) requireRolloutChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
 	t.Helper()
 	reply := c.changeRollout(i, change)
 	c.Run(2 * time.Second)
@@ -66,8 +66,8 @@
 	return string(body)
 }
 
-// compressedRecords counts the records in the state store that are compressed.
-func (c *Cluster) compressedRecords() int {
+// countCompressedRecords counts the records in the state store that are compressed.
+func (c *Cluster) countCompressedRecords() int {
 	n := 0
 	for _, entry := range c.store.List(record.RootPrefix) {
 		if strings.HasPrefix(string(entry.Value), `"`) {
--- a/internal/simulation/rollout_schedule_test.go
+++ b/internal/simulation/rollout_schedule_test.go
@@ -14,14 +14,14 @@
 // rolloutSteps are what may happen in a rollout besides other faults.
 var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "freeze", "state cut", "state down", "stop", "activate", "activate", "exclude"}
 
-// rolloutStep takes one of them on a controller.
-func (c *Cluster) rolloutStep(kind string, who int, last time.Duration) {
+// applyRolloutStep takes one of them on a controller.
+func (c *Cluster) applyRolloutStep(kind string, who int, last time.Duration) {
 	i := who % len(c.controllers)
 	switch kind {
 	case "upgrade":
-		c.startNewer(i)
+		c.startNewerRelease(i)
 	case "roll back":
-		c.startOlder(i)
+		c.startOlderRelease(i)
 	case "restart":
 		c.restart(i, last/10)
 	case "freeze":
@@ -29,11 +29,11 @@
 	case "state cut":
 		c.partitionFromStore(i, last)
 	case "state down":
-		c.storeOutage(last / 2)
+		c.injectStoreOutage(last / 2)
 	case "stop":
 		c.Stop(i)
 	case "activate":
-		c.changeRollout(i, c.activateCompressed())
+		c.changeRollout(i, c.compressedActivation())
 	case "exclude":
 		c.changeRollout(i, wire.AdminRolloutChange{Version: c.rolloutVersion(), Exclude: "rig-0", Reason: "drawn"})
 	}
@@ -48,9 +48,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newLargeValueCluster(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "controllers"), func(cluster *Cluster, i int) {
 			if rapid.IntRange(0, 2).Draw(t, "older") == 0 {
-				cluster.startOlder(i)
+				cluster.startOlderRelease(i)
 			} else {
-				cluster.startNewer(i)
+				cluster.startNewerRelease(i)
 			}
 		})
 		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
@@ -61,7 +61,7 @@
 			kind := rapid.SampledFrom(rolloutSteps).Draw(t, "step")
 			who := rapid.IntRange(0, 3).Draw(t, "who")
 			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * time.Second
-			cluster.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "when"))*time.Second, func() { cluster.rolloutStep(kind, who, last) })
+			cluster.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "when"))*time.Second, func() { cluster.applyRolloutStep(kind, who, last) })
 		}
 		cluster.Run(75 * time.Second)
 		cluster.MessageLoss, cluster.DelayedCommits, cluster.DuplicatedPeerMessages = 0, 0, 0
@@ -72,11 +72,11 @@
 			seen["in force on the way"]++
 		}
 		for i := range cluster.controllers {
-			cluster.startNewer(i)
+			cluster.startNewerRelease(i)
 		}
 		cluster.Run(15 * time.Second)
 		if cluster.ActiveFormat() == record.FormatPlain {
-			reply := cluster.changeRollout(0, cluster.activateCompressed())
+			reply := cluster.changeRollout(0, cluster.compressedActivation())
 			cluster.Run(2 * time.Second)
 			require.Equal(t, 200, reply.Status, "%v", reply.Body)
 		}
--- a/internal/simulation/rollout_test.go
+++ b/internal/simulation/rollout_test.go
@@ -18,27 +18,27 @@
 // of the controller that is down, until an operator excludes this controller. When it is
 // started again with the older release, it must shut down instead of serving.
 func TestRolloutControllerDown(t *testing.T) {
-	cluster := newLargeValueCluster(1, 3, (*Cluster).startOlder)
+	cluster := newLargeValueCluster(1, 3, (*Cluster).startOlderRelease)
 	submitBusyLoad(cluster)
 	cluster.Run(8 * time.Second)
 	cluster.Stop(2)
 	cluster.Run(8 * time.Second)
-	cluster.startNewer(0)
-	cluster.startNewer(1)
+	cluster.startNewerRelease(0)
+	cluster.startNewerRelease(1)
 	cluster.Run(5 * time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 is down")
-	cluster.mustChange(t, 1, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "its host burnt"}, http.StatusOK)
-	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-2 is down")
+	cluster.requireRolloutChange(t, 1, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "its host burnt"}, http.StatusOK)
+	cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusOK)
 	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
 	cluster.Run(10 * time.Second)
-	require.Positive(t, cluster.compressedRecords(), "no records are compressed after the activation")
+	require.Positive(t, cluster.countCompressedRecords(), "no records are compressed after the activation")
 
-	cluster.startOlder(2)
+	cluster.startOlderRelease(2)
 	cluster.Run(10 * time.Second)
 	require.Len(t, cluster.Shutdowns, 1)
 	require.Equal(t, 2, cluster.Shutdowns[0].Controller)
 	require.ErrorContains(t, cluster.Shutdowns[0].Cause, "format 2 is in force")
-	cluster.startNewer(2)
+	cluster.startNewerRelease(2)
 	cluster.Run(10 * time.Second)
 	require.True(t, cluster.controllers[2].controller.Healthy())
 	requireAllFinished(t, cluster)
@@ -47,18 +47,18 @@
 // TestRollbackOfHalfUpgradedCluster checks that no records of the later format are written
 // while only half of the controllers are upgraded, and that these can be rolled back.
 func TestRollbackOfHalfUpgradedCluster(t *testing.T) {
-	cluster := newLargeValueCluster(2, 4, (*Cluster).startOlder)
+	cluster := newLargeValueCluster(2, 4, (*Cluster).startOlderRelease)
 	submitBusyLoad(cluster)
 	for i := range 2 {
-		cluster.At(time.Duration(15+8*i)*time.Second, func() { cluster.startNewer(i) })
+		cluster.At(time.Duration(15+8*i)*time.Second, func() { cluster.startNewerRelease(i) })
 	}
 	cluster.Run(35 * time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-3 reads formats 1 to 1 only")
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-3 reads formats 1 to 1 only")
 	for i := range 2 {
-		cluster.At(time.Duration(5+8*i)*time.Second, func() { cluster.startOlder(i) })
+		cluster.At(time.Duration(5+8*i)*time.Second, func() { cluster.startOlderRelease(i) })
 	}
 	cluster.Run(60 * time.Second)
-	require.Zero(t, cluster.compressedRecords())
+	require.Zero(t, cluster.countCompressedRecords())
 	require.Empty(t, cluster.Shutdowns)
 	for i := range cluster.controllers {
 		require.True(t, cluster.controllers[i].controller.Healthy())
@@ -75,9 +75,9 @@
 	for seed := range uint64(8) {
 		cluster := newLargeValueCluster(30+seed, 3, func(cluster *Cluster, i int) {
 			if i == 2 {
-				cluster.startOlder(i)
+				cluster.startOlderRelease(i)
 			} else {
-				cluster.startNewer(i)
+				cluster.startNewerRelease(i)
 			}
 		})
 		submitBusyLoad(cluster)
@@ -87,13 +87,13 @@
 		cluster.Stall(2, 25*time.Second)
 		cluster.DelayedCommits, cluster.MessageLoss = 0, 0
 		cluster.Run(9 * time.Second) // until its lease has expired
-		cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "hangs"}, http.StatusOK)
-		cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+		cluster.requireRolloutChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "hangs"}, http.StatusOK)
+		cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusOK)
 		cluster.Run(20 * time.Second)
 		require.Len(t, cluster.Shutdowns, 1, "seed %d", seed)
 		unanswered += cluster.Observed[unansweredCommit]
 		delayed += cluster.Observed[delayedDirectCall(2)]
-		cluster.startNewer(2)
+		cluster.startNewerRelease(2)
 		requireAllFinished(t, cluster)
 	}
 	require.Greater(t, unanswered, 8, "too few commits were executed late")
@@ -105,14 +105,14 @@
 func TestControllerStartRacesActivation(t *testing.T) {
 	rejected, activated := 0, 0
 	for step := range 40 {
-		cluster := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewer)
+		cluster := newLargeValueCluster(uint64(100+step), 3, (*Cluster).startNewerRelease)
 		cluster.Run(5 * time.Second)
 		cluster.Stop(2)
 		cluster.Run(7 * time.Second)
-		cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "for long"}, http.StatusOK)
-		cluster.startOlder(2)
+		cluster.requireRolloutChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "for long"}, http.StatusOK)
+		cluster.startOlderRelease(2)
 		var reply *controller.Reply
-		cluster.At(time.Duration(step)*5*time.Millisecond, func() { reply = cluster.changeRollout(0, cluster.activateCompressed()) })
+		cluster.At(time.Duration(step)*5*time.Millisecond, func() { reply = cluster.changeRollout(0, cluster.compressedActivation()) })
 		cluster.Run(15 * time.Second)
 		if cluster.ActiveFormat() == record.FormatCompressed {
 			require.Equal(t, http.StatusOK, reply.Status)
@@ -133,9 +133,9 @@
 // The reply leaves open whether the change was made, and a new request is rejected because the
 // format is in force.
 func TestActivationAnswerLost(t *testing.T) {
-	cluster := newLargeValueCluster(4, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(4, 3, (*Cluster).startNewerRelease)
 	cluster.Run(10 * time.Second)
-	change := cluster.activateCompressed()
+	change := cluster.compressedActivation()
 	cluster.DelayedCommits, cluster.LoseAnswersOnly = 1, true
 	reply := cluster.changeRollout(0, change)
 	cluster.Run(3 * time.Second)
@@ -143,11 +143,11 @@
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
 	require.Positive(t, reply.RetryAfter)
 	require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
-	require.Contains(t, cluster.mustChange(t, 1, change, http.StatusConflict), "stale")
-	require.Contains(t, cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusConflict), "in force already")
+	require.Contains(t, cluster.requireRolloutChange(t, 1, change, http.StatusConflict), "stale")
+	require.Contains(t, cluster.requireRolloutChange(t, 1, cluster.compressedActivation(), http.StatusConflict), "in force already")
 	submitBusyLoad(cluster)
 	cluster.Run(30 * time.Second)
-	require.Positive(t, cluster.compressedRecords())
+	require.Positive(t, cluster.countCompressedRecords())
 	requireAllFinished(t, cluster)
 }
 
@@ -155,22 +155,22 @@
 // store is unavailable, and that the activation is rejected while a controller has been
 // partitioned from the store for longer than a lease.
 func TestActivationDuringStoreOutage(t *testing.T) {
-	cluster := newLargeValueCluster(5, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(5, 3, (*Cluster).startNewerRelease)
 	submitBusyLoad(cluster)
 	cluster.Run(10 * time.Second)
-	cluster.storeOutage(10 * time.Second)
+	cluster.injectStoreOutage(10 * time.Second)
 	cluster.Run(4 * time.Second)
-	reply := cluster.changeRollout(0, cluster.activateCompressed())
+	reply := cluster.changeRollout(0, cluster.compressedActivation())
 	cluster.Run(2 * time.Second)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
 	require.Positive(t, reply.RetryAfter)
 	cluster.Run(10 * time.Second)
 	cluster.partitionFromStore(1, 20*time.Second)
 	cluster.Run(8 * time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-1 is down")
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-1 is down")
 	require.Equal(t, record.FormatPlain, cluster.ActiveFormat())
 	cluster.Run(20 * time.Second)
-	cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusOK)
+	cluster.requireRolloutChange(t, 1, cluster.compressedActivation(), http.StatusOK)
 	requireAllFinished(t, cluster)
 }
 
@@ -178,21 +178,21 @@
 // controller only. If the controller returns with a release that does not read the format,
 // the activation is rejected again.
 func TestExcludedControllerReturns(t *testing.T) {
-	cluster := newLargeValueCluster(6, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(6, 3, (*Cluster).startNewerRelease)
 	cluster.Run(5 * time.Second)
-	cluster.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "alive"}, http.StatusConflict)
+	cluster.requireRolloutChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "alive"}, http.StatusConflict)
 	cluster.Stop(2)
 	cluster.Run(7 * time.Second)
-	cluster.mustChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "being repaired"}, http.StatusOK)
-	cluster.startOlder(2)
+	cluster.requireRolloutChange(t, 0, wire.AdminRolloutChange{Exclude: "rig-2", Reason: "being repaired"}, http.StatusOK)
+	cluster.startOlderRelease(2)
 	cluster.Run(5 * time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 reads formats 1 to 1 only")
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-2 reads formats 1 to 1 only")
 	cluster.Stop(2)
 	cluster.Run(7 * time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 is down")
-	cluster.startNewer(2)
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-2 is down")
+	cluster.startNewerRelease(2)
 	cluster.Run(5 * time.Second)
-	cluster.mustChange(t, 2, cluster.activateCompressed(), http.StatusOK)
+	cluster.requireRolloutChange(t, 2, cluster.compressedActivation(), http.StatusOK)
 	submitBusyLoad(cluster)
 	requireAllFinished(t, cluster)
 }
@@ -201,9 +201,9 @@
 // on the same version one succeeds and the other is rejected.
 func TestConcurrentActivationsOneSucceeds(t *testing.T) {
 	for seed := range uint64(10) {
-		cluster := newLargeValueCluster(200+seed, 3, (*Cluster).startNewer)
+		cluster := newLargeValueCluster(200+seed, 3, (*Cluster).startNewerRelease)
 		cluster.Run(6 * time.Second)
-		firstReply, secondReply := cluster.changeRollout(0, cluster.activateCompressed()), cluster.changeRollout(1, cluster.activateCompressed())
+		firstReply, secondReply := cluster.changeRollout(0, cluster.compressedActivation()), cluster.changeRollout(1, cluster.compressedActivation())
 		cluster.Run(3 * time.Second)
 		require.ElementsMatch(t, []int{http.StatusOK, http.StatusConflict}, []int{firstReply.Status, secondReply.Status})
 		require.Equal(t, record.FormatCompressed, cluster.ActiveFormat())
@@ -214,7 +214,7 @@
 // TestRestartIntoMixedVersions restarts all controllers, half of them with the older release,
 // before and after the activation. After it, the older processes must shut down.
 func TestRestartIntoMixedVersions(t *testing.T) {
-	cluster := newLargeValueCluster(7, 4, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(7, 4, (*Cluster).startNewerRelease)
 	submitBusyLoad(cluster)
 	cluster.Run(12 * time.Second)
 	restartMixed := func() {
@@ -224,20 +224,20 @@
 		cluster.Run(3 * time.Second)
 		for i := range cluster.controllers {
 			if i%2 == 0 {
-				cluster.startNewer(i)
+				cluster.startNewerRelease(i)
 			} else {
-				cluster.startOlder(i)
+				cluster.startOlderRelease(i)
 			}
 		}
 		cluster.Run(10 * time.Second)
 	}
 	restartMixed()
 	require.Empty(t, cluster.Shutdowns)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-1 reads")
-	cluster.startNewer(1)
-	cluster.startNewer(3)
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-1 reads")
+	cluster.startNewerRelease(1)
+	cluster.startNewerRelease(3)
 	cluster.Run(8 * time.Second)
-	cluster.mustChange(t, 1, cluster.activateCompressed(), http.StatusOK)
+	cluster.requireRolloutChange(t, 1, cluster.compressedActivation(), http.StatusOK)
 	cluster.Run(5 * time.Second)
 	restartMixed()
 	require.Len(t, cluster.Shutdowns, 2)
@@ -248,11 +248,11 @@
 // TestPeerMessagesOfEarlierFormat checks that copies of peer messages that were sent before
 // the activation, or by earlier processes, are harmless when they arrive long after it.
 func TestPeerMessagesOfEarlierFormat(t *testing.T) {
-	cluster := newLargeValueCluster(8, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(8, 3, (*Cluster).startNewerRelease)
 	cluster.DuplicatedPeerMessages = 0.2
 	submitBusyLoad(cluster)
 	cluster.Run(30 * time.Second)
-	cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusOK)
+	cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusOK)
 	cluster.At(5*time.Second, func() { cluster.restart(1, 2*time.Second) })
 	cluster.Run(70 * time.Second)
 	cluster.DuplicatedPeerMessages = 0
@@ -265,7 +265,7 @@
 // that it reads. The registration that a newer process of the same controller has left must
 // not count for this build.
 func TestUnregisteredBuild(t *testing.T) {
-	cluster := newLargeValueCluster(9, 3, (*Cluster).startNewer)
+	cluster := newLargeValueCluster(9, 3, (*Cluster).startNewerRelease)
 	cluster.Run(6 * time.Second)
 	cluster.Stop(2)
 	cluster.Run(7 * time.Second)
@@ -273,8 +273,8 @@
 	livenessChange := wire.Change{Put: record.LivenessKey("rig-2"), Value: json.RawMessage(`{"boot":9}`), LeaseID: lease}
 	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{livenessChange}}).Outcome)
 	cluster.Run(time.Second)
-	require.Contains(t, cluster.mustChange(t, 0, cluster.activateCompressed(), http.StatusConflict), "rig-2 runs a build that does not register")
-	cluster.mustChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
+	require.Contains(t, cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusConflict), "rig-2 runs a build that does not register")
+	cluster.requireRolloutChange(t, 0, wire.AdminRolloutChange{Version: cluster.rolloutVersion(), Exclude: "rig-2", Reason: "old"}, http.StatusConflict)
 	require.Equal(t, record.FormatPlain, cluster.ActiveFormat())
 }
 
--- a/internal/simulation/setup_test.go
+++ b/internal/simulation/setup_test.go
@@ -44,7 +44,7 @@
 type clusterSetup struct {
 	settings    config.Settings
 	types       []wire.MachineType // machineTypes if nil
-	pattern     []int              // the types of the machines, by number, over and over; the first if nil
+	typePattern []int              // the types of the machines, by number, over and over; the first if nil
 	machines    int                // in all zones in turn
 	controllers int
 	seed        uint64
@@ -57,8 +57,8 @@
 	if s.types == nil {
 		s.types = machineTypes
 	}
-	if s.pattern == nil {
-		s.pattern = []int{0}
+	if s.typePattern == nil {
+		s.typePattern = []int{0}
 	}
 	if s.startController == nil {
 		s.startController = (*Cluster).Start
@@ -68,7 +68,7 @@
 		cluster.SetLogger(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	}
 	for i := range s.machines {
-		cluster.AddMachine(s.types[s.pattern[i%len(s.pattern)]], zones[i%len(zones)], false, 0)
+		cluster.AddMachine(s.types[s.typePattern[i%len(s.typePattern)]], zones[i%len(zones)], false, 0)
 	}
 	for i := range s.controllers {
 		s.startController(cluster, i)
--- a/internal/simulation/shard_move_test.go
+++ b/internal/simulation/shard_move_test.go
@@ -234,7 +234,7 @@
 		cluster.Run(8 * time.Second)
 		_, target := cluster.moveShardUntil(t, 9, phase)
 		before := cluster.Observed[shardFailedOver]
-		cluster.storeOutage(9 * time.Second)
+		cluster.injectStoreOutage(9 * time.Second)
 		cluster.Run(15 * time.Second)
 		require.Equal(t, controllerLabel(target), cluster.Shard(9).Owner.Label)
 		require.Equal(t, before, cluster.Observed[shardFailedOver])
--- a/internal/simulation/shard_schedule_test.go
+++ b/internal/simulation/shard_schedule_test.go
@@ -15,8 +15,8 @@
 var shardSteps = []faultKind{"move", "move", "move", "drain", "end drain", "restart", "stop", "stall", faultStorePartition,
 	"store outage", faultWorkerPartition, faultIsolation, faultMachineHangs, faultMachineDies, faultPreemption, "provision"}
 
-// shardStep takes one of them; last is how long what passes lasts.
-func (c *Cluster) shardStep(kind faultKind, who int, last time.Duration) {
+// applyShardStep takes one of them; last is how long what passes lasts.
+func (c *Cluster) applyShardStep(kind faultKind, who int, last time.Duration) {
 	i := who % len(c.controllers)
 	switch kind {
 	case "move":
@@ -34,7 +34,7 @@
 	case "provision":
 		c.AddMachine(machineTypes[who%2], zones[who%len(zones)], false, last/10)
 	case "store outage":
-		c.storeOutage(last / 2)
+		c.injectStoreOutage(last / 2)
 	default:
 		fault{kind, 0, last, who}.inject(c)
 	}
@@ -58,7 +58,7 @@
 			kind := rapid.SampledFrom(shardSteps).Draw(t, "step")
 			who := rapid.IntRange(0, 1000).Draw(t, "who")
 			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * time.Second
-			cluster.At(time.Duration(rapid.IntRange(1, 50).Draw(t, "when"))*time.Second, func() { cluster.shardStep(kind, who, last) })
+			cluster.At(time.Duration(rapid.IntRange(1, 50).Draw(t, "when"))*time.Second, func() { cluster.applyShardStep(kind, who, last) })
 		}
 		cluster.Run(75 * time.Second)
 		cluster.MessageLoss, cluster.DelayedCommits, cluster.DuplicatedPeerMessages = 0, 0, 0
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -152,7 +152,7 @@
 	require.Equal(t, 409, reply.Status)
 	require.Contains(t, reply.Body.(wire.ErrorResponse).Error, "dormant")
 
-	cluster.startNewer(2) // reads all formats but does not enable shards
+	cluster.startNewerRelease(2) // reads all formats but does not enable shards
 	cluster.Run(15 * time.Second)
 	require.Equal(t, record.FormatSharding, cluster.ActiveFormat())
 	require.False(t, cluster.shardPolicy().Enabled)
@@ -160,7 +160,7 @@
 	cluster.startWithShards(2)
 	cluster.Run(15 * time.Second)
 	require.True(t, cluster.shardPolicy().Enabled)
-	cluster.startNewer(0)
+	cluster.startNewerRelease(0)
 	cluster.Run(10 * time.Second)
 	require.False(t, cluster.shardPolicy().Enabled)
 	requireAllFinished(t, cluster)
