--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// faultKind says what a fault is.
+// faultKind is the kind of a fault.
 type faultKind string
 
-// The kinds of faults.
+// Kinds of faults.
 const (
 	faultCrash             faultKind = "controller crashes"
 	faultCrashAll          faultKind = "all controllers crash"
@@ -31,7 +31,8 @@
 	faultOutboundPartition faultKind = "outbound partition of a machine"
 )
 
-// faultKinds are all kinds. Their order stands in rapid's failure files.
+// faultKinds lists all kinds of faults. Rapid's stored failure files refer to them by index, so
+// their order must not change.
 var faultKinds = []faultKind{
 	faultCrash, faultCrashAll, faultDoubleRestart, faultStoreUnavailable, faultStorePartition, faultWorkerPartition, faultCloudUnavailable,
 	faultMachineHangs, faultMachineDies, faultPreemption, faultSlowStore, faultFaultyMachine, faultInboundPartition, faultIsolation,
@@ -39,22 +40,21 @@
 }
 
 const (
-	// crashDowntime is how long a controller that crashed is away.
+	// crashDowntime is the time from a controller's crash to its restart.
 	crashDowntime = 3 * time.Second
-	// preemptionNotice is how long before its end a machine has a preemption notice.
+	// preemptionNotice is the time from a machine's preemption notice to its termination.
 	preemptionNotice = 8 * time.Second
 )
 
-// fault is one fault at a time, for a duration if it passes. The target is a number that
-// chooses the controller, the machine or the zone.
+// fault is a fault that a test injects into a cluster.
 type fault struct {
 	kind     faultKind
-	at       time.Duration
-	duration time.Duration
-	target   int
+	at       time.Duration // when the schedule injects it
+	duration time.Duration // some kinds last twice as long, others ignore it
+	target   int           // selects the controller, machine or zone, modulo their number
 }
 
-// inject brings the fault about now, whatever its time.
+// inject injects the fault immediately. It ignores the field at.
 func (f fault) inject(c *Cluster) {
 	if machineFault := f.machineFault(c); machineFault != nil {
 		if machine := f.targetMachine(c); machine != nil {
@@ -76,8 +76,8 @@
 		c.Start(i)
 		c.At(300*time.Millisecond, func() { c.Start(i) })
 	case faultDoubleRestartAll:
-		// All are back within a fraction of a second, and some again while the
-		// others still elect owners, the provisioner and launchers.
+		// All controllers restart at once, and again 150 ms apart, so that some restart
+		// while the others still elect shard owners, the provisioner and launchers.
 		for i := range c.controllers {
 			c.Start(i)
 			c.At(time.Duration(200+150*i)*time.Millisecond, func() { c.Start(i) })
@@ -89,7 +89,7 @@
 	case faultPollStorm:
 		c.PollStorm(2 * f.duration)
 	case faultProvisioningDelay:
-		// Workers join late, never, or within a moment.
+		// Workers join late, never, or almost at once.
 		delay := []time.Duration{25 * time.Second, time.Hour, 100 * time.Millisecond}[f.target%3]
 		c.ProvisioningDelay = func(string, string) time.Duration { return delay }
 		c.At(2*f.duration, func() { c.ProvisioningDelay = nil })
@@ -98,7 +98,8 @@
 	}
 }
 
-// injectPartitionOrOutage brings about partitions of a controller, and outages.
+// injectPartitionOrOutage injects a partition of controller i, or an outage or slowdown of a
+// service.
 func (f fault) injectPartitionOrOutage(c *Cluster, i int) {
 	switch f.kind {
 	case faultIsolation:
@@ -122,7 +123,8 @@
 	}
 }
 
-// machineFault is what a fault of a machine does to it; nil for other faults.
+// machineFault returns a function that applies the fault to a machine, or nil if the fault is
+// not one of a machine.
 func (f fault) machineFault(c *Cluster) func(*fakeMachine) {
 	switch f.kind {
 	case faultMachineHangs:
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// targetMachine is the targetMachine that a fault strikes: the first from the target on that is well.
+// targetMachine returns the first machine, counted from the target on, that is up and neither
+// terminated nor hung. It returns nil if there is none.
 func (f fault) targetMachine(c *Cluster) *fakeMachine {
 	for i := range c.machines {
 		if machine := c.machines[(i+f.target)%len(c.machines)]; machine.up && !machine.terminated && !machine.hung {
@@ -160,30 +163,31 @@
 	return nil
 }
 
-// restart stops a controller and starts it again after a while.
+// restart stops a controller and starts it again after the given time.
 func (c *Cluster) restart(i int, after time.Duration) {
 	c.Observed[controllerRestarted]++
 	c.Stop(i)
 	c.At(after, func() { c.Start(i) })
 }
 
-// restartProvisioner restarts the controller that provisions, or another if there is none.
+// restartProvisioner restarts the provisioner, or controller 0 if there is no provisioner.
 func (c *Cluster) restartProvisioner(after time.Duration) { c.restart(max(0, c.provisioner()), after) }
 
-// injectStoreOutage has the state store unavailable for a while. Every lease has its full time
-// when it is back.
+// injectStoreOutage makes the state store unavailable for the given time. Afterwards every lease
+// is renewed for its full time.
 func (c *Cluster) injectStoreOutage(d time.Duration) {
 	c.StoreUnavailable = true
 	c.At(d, func() { c.StoreUnavailable = false; c.store.RenewAll(c.now) })
 }
 
-// partitionFromStore partitions a controller from the state store for a while.
+// partitionFromStore partitions a controller from the state store for the given time.
 func (c *Cluster) partitionFromStore(i int, d time.Duration) {
 	c.StorePartitioned[i] = true
 	c.At(d, func() { delete(c.StorePartitioned, i) })
 }
 
-// eachBusyMachine calls f for the machines with tasks whose number is a multiple of every.
+// eachBusyMachine calls f for the machines that have tasks and whose index is a multiple of
+// every.
 func (c *Cluster) eachBusyMachine(every int, f func(*fakeMachine)) {
 	for i, machine := range c.machines {
 		if len(machine.tasks) > 0 && !machine.terminated && i%every == 0 {
@@ -192,7 +196,7 @@
 	}
 }
 
-// everyOtherBusyMachine calls f for every other machine with tasks.
+// everyOtherBusyMachine calls f for every other machine among those that have tasks.
 func (c *Cluster) everyOtherBusyMachine(f func(*fakeMachine)) {
 	n := 0
 	for _, machine := range c.machines {
--- a/internal/simulation/load_test.go
+++ b/internal/simulation/load_test.go
@@ -6,8 +6,9 @@
 	"lilacrill/wire"
 )
 
-// submitMixedJobs submits arrays, gangs and services, one job each half second, some of
-// them cancelled after a while.
+// submitMixedJobs schedules the submission of arrays, gangs and services, one job every half
+// second. Services and, if cancelEvery is positive, every cancelEvery-th job are cancelled 3 to
+// 11 s later.
 func submitMixedJobs(cluster *Cluster, jobs int, cancelEvery int) {
 	for n := range jobs {
 		spec, run := testJob(n, n%8)
@@ -19,8 +20,8 @@
 	}
 }
 
-// submitSmallJobs submits jobs of one task each, four a second, a quarter of them
-// cancelled.
+// submitSmallJobs schedules the submission of jobs of one task, four per second. A quarter of them
+// are cancelled.
 func submitSmallJobs(cluster *Cluster, jobs int) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
@@ -33,8 +34,8 @@
 	}
 }
 
-// submitLongJobs submits jobs of long tasks that fill what their teams may use, and cancels
-// every other at the given moment.
+// submitLongJobs schedules the submission of jobs with long tasks that use up the quota limits of
+// their teams. Every other job is cancelled from the given time on, 100 ms apart.
 func submitLongJobs(cluster *Cluster, jobs int, cancelAt time.Duration) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
@@ -46,8 +47,8 @@
 	}
 }
 
-// submitBusyLoad submits arrays, gangs and services for a minute and a half, some of them
-// cancelled.
+// submitBusyLoad schedules the submission of arrays, gangs and services over about a minute. Some
+// of them are cancelled.
 func submitBusyLoad(cluster *Cluster) {
 	submitMixedJobs(cluster, 120, 7)
 	for n := range 4 {
--- a/internal/simulation/rollout_helpers_test.go
+++ b/internal/simulation/rollout_helpers_test.go
@@ -14,26 +14,27 @@
 	"lilacrill/wire"
 )
 
-// plainFormatFeatures is the features of a controller that reads the first format only.
+// plainFormatFeatures returns the features of a controller that reads only the first format.
 func plainFormatFeatures() config.Features {
 	features := config.DefaultFeatures()
 	features.Rollout.NewestFormat = record.FormatPlain
 	return features
 }
 
-// startOlderRelease starts a controller that reads the first format only, or restarts it so.
+// startOlderRelease starts or restarts a controller that reads only the first format.
 func (c *Cluster) startOlderRelease(i int) {
 	c.Features[i] = plainFormatFeatures()
 	c.Start(i)
 }
 
-// startNewerRelease starts a controller that reads all formats.
+// startNewerRelease starts or restarts a controller that reads all formats.
 func (c *Cluster) startNewerRelease(i int) {
 	delete(c.Features, i)
 	c.Start(i)
 }
 
-// changeRollout requests a change from a controller; the reply is there some time later.
+// changeRollout requests a change from a controller. The returned reply is filled in when the
+// controller answers.
 func (c *Cluster) changeRollout(i int, change wire.AdminRolloutChange) *controller.Reply {
 	reply := &controller.Reply{}
 	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
@@ -43,19 +44,21 @@
 	return reply
 }
 
-// compressedActivation is the change that activates the compressed format, made from the
-// version that stands in the state store.
+// compressedActivation returns the change that activates the compressed format, based on the
+// current version of the rollout record.
 func (c *Cluster) compressedActivation() wire.AdminRolloutChange {
 	format := record.FormatCompressed
 	return wire.AdminRolloutChange{Version: c.rolloutVersion(), Activate: &format}
 }
 
+// rolloutVersion returns the version of the rollout record in the state store.
 func (c *Cluster) rolloutVersion() wire.Revision {
 	_, version, _ := c.store.Get(record.RolloutKey)
 	return version
 }
 
-// requireRolloutChange makes a change and requires a status.
+// requireRolloutChange requests a change from a controller, requires that the reply has the given
+// status, and returns the reply's body.
 func (c *Cluster) requireRolloutChange(t *testing.T, i int, change wire.AdminRolloutChange, status int) string {
 	t.Helper()
 	reply := c.changeRollout(i, change)
@@ -66,7 +69,7 @@
 	return string(body)
 }
 
-// countCompressedRecords counts the records in the state store that are compressed.
+// countCompressedRecords returns the number of compressed records in the state store.
 func (c *Cluster) countCompressedRecords() int {
 	n := 0
 	for _, entry := range c.store.List(record.RootPrefix) {
@@ -77,7 +80,7 @@
 	return n
 }
 
-// newLargeValueCluster is a running cluster whose store takes values large enough to be
+// newLargeValueCluster starts a cluster whose state store accepts values large enough to be
 // compressed.
 func newLargeValueCluster(seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
 	settings := testSettings()
--- a/internal/simulation/setup_test.go
+++ b/internal/simulation/setup_test.go
@@ -14,16 +14,16 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// zones are those of the test clusters.
+// zones lists the zones of the test clusters.
 var zones = []string{"east", "north", "west"}
 
-// machineTypes are those that the cloud offers the test clusters.
+// machineTypes lists the machine types that the cloud offers to the test clusters.
 var machineTypes = []wire.MachineType{
 	{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.08, StartupS: 4, Zones: zones},
 	{Name: "g8", Cores: 8, Accelerators: 2, MemGB: 64, OnDemandPrice: 2, SpotPrice: 0.7, StartupS: 5, Zones: zones},
 }
 
-// testSettings are the settings that tests begin with.
+// testSettings returns the settings that tests start from.
 func testSettings() config.Settings {
 	return config.Settings{Cluster: config.Cluster{
 		Zones: zones,
@@ -39,20 +39,21 @@
 	}}
 }
 
-// clusterSetup is what a test's cluster starts with: first its machines are added, then its
+// clusterSetup describes the cluster with which a test starts. Its machines are added before its
 // controllers are started.
 type clusterSetup struct {
 	settings    config.Settings
 	types       []wire.MachineType // machineTypes if nil
-	typePattern []int              // the types of the machines, by number, over and over; the first if nil
-	machines    int                // in all zones in turn
+	typePattern []int              // indexes into types, repeated over the machines; always 0 if nil
+	machines    int                // their number; they are added to the zones in turn
 	controllers int
 	seed        uint64
-	// startController starts each controller; (*Cluster).Start if nil.
+	// startController starts controller i. If nil, (*Cluster).Start is used.
 	startController func(cluster *Cluster, i int)
 }
 
-// start makes the cluster, with everything running.
+// start creates the cluster and starts its machines and controllers. With WORLD_LOG set in the
+// environment, the controllers log to standard error.
 func (s clusterSetup) start() *Cluster {
 	if s.types == nil {
 		s.types = machineTypes
@@ -76,23 +77,23 @@
 	return cluster
 }
 
-// newCluster is a running cluster of four machines, with the settings of testSettings.
+// newCluster starts a cluster of four machines with the settings of testSettings.
 func newCluster(seed uint64, controllers int) *Cluster {
 	return newClusterWith(testSettings(), seed, controllers)
 }
 
-// newClusterWith is a running cluster of four machines.
+// newClusterWith starts a cluster of four machines with the given settings.
 func newClusterWith(settings config.Settings, seed uint64, controllers int) *Cluster {
 	return newClusterStartedBy(settings, seed, controllers, (*Cluster).Start)
 }
 
-// newClusterStartedBy is newClusterWith for controllers that are started by a function.
+// newClusterStartedBy is like newClusterWith, but starts the controllers with the given function.
 func newClusterStartedBy(settings config.Settings, seed uint64, controllers int, start func(cluster *Cluster, i int)) *Cluster {
 	return clusterSetup{settings: settings, machines: 4, controllers: controllers, seed: seed, startController: start}.start()
 }
 
-// testJob is a job of one of the kinds 0 to 7, with a size by its number, and the time for
-// which its tasks run.
+// testJob returns the job with number n and the time for which its tasks run. The number
+// determines its team and size, and the kind, from 0 to 7, its shape, priority and constraints.
 func testJob(n, kind int) (wire.JobSpec, time.Duration) {
 	s := wire.JobSpec{ID: wire.JobID(fmt.Sprintf("wk-%06d", n)), Class: "batch", Team: []string{"blue", "red"}[n%2],
 		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1 + n%7, Cores: 1, MemGB: 2, Image: "img", ImageGB: 1,
