--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -9,7 +9,8 @@
 	"lilacrill/wire"
 )
 
-// benchmarkCluster runs a cluster for so long, again and again; no rule may be violated.
+// benchmarkCluster measures running a new cluster for the given simulated time. It fails if the
+// cluster violates a rule.
 func benchmarkCluster(b *testing.B, length time.Duration, start func() *Cluster) {
 	for b.Loop() {
 		cluster := start()
@@ -20,7 +21,7 @@
 	}
 }
 
-// identicalTeams is so many teams like the one given.
+// identicalTeams returns count copies of a team that differ only in their names.
 func identicalTeams(count int, team config.Team) []config.Team {
 	var teams []config.Team
 	for i := range count {
@@ -32,8 +33,7 @@
 
 func teamName(n int) string { return fmt.Sprint("desk-", n) }
 
-// mixedMachineTypes is small, middling and accelerator machines, and mixedPattern how many of
-// each there are.
+// mixedMachineTypes returns a small, a medium and an accelerator machine type.
 func mixedMachineTypes() []wire.MachineType {
 	return []wire.MachineType{
 		{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.31, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.8, Zones: zones},
@@ -42,10 +42,12 @@
 	}
 }
 
+// mixedTypePattern distributes the machines of a cluster over the mixedMachineTypes, by index.
 var mixedTypePattern = []int{0, 2, 1, 0, 2, 2}
 
-// mixedJob is the nth job of a mix: a service, a gang on accelerator machines, or an
-// array of so many tasks.
+// mixedJob returns the nth job of a mix and the time for which its tasks run. Depending on its
+// kind, it is a service, a gang on accelerator machines whose tasks run for gangRun, or an array
+// of arrayTasks tasks.
 func mixedJob(n, kind, arrayTasks int, gangRun time.Duration) (wire.JobSpec, time.Duration) {
 	spec, run := testJob(n, kind)
 	spec.Team = teamName(n % 4)
@@ -61,8 +63,8 @@
 	return spec, run
 }
 
-// BenchmarkBurst is half a minute of three controllers with a full fleet and
-// far more work than it takes, where planning costs most.
+// BenchmarkBurst measures 30 s of three controllers with a full fleet and far more pending work
+// than fits, where scheduling passes cost most.
 func BenchmarkBurst(b *testing.B) { benchmarkCluster(b, 30*time.Second, burstCluster) }
 
 func burstCluster() *Cluster {
@@ -85,9 +87,9 @@
 	return cluster
 }
 
-// BenchmarkLargeCluster is half a minute of five controllers with some 1,500 machines,
-// 400 services and an array a second: where work that grows with the fleet
-// shows. Profile it with -cpuprofile, focused on internal/controller.
+// BenchmarkLargeCluster measures 30 s of five controllers with some 1,500 machines, 400 services
+// and one new array per second. It shows the costs that grow with the size of the fleet. Profile
+// it with -cpuprofile, focused on internal/controller.
 func BenchmarkLargeCluster(b *testing.B) { benchmarkCluster(b, 30*time.Second, largeCluster) }
 
 func largeCluster() *Cluster {
@@ -116,10 +118,10 @@
 	return cluster
 }
 
-// BenchmarkLargestFleet is a minute of three controllers with some 1,900 machines, 240
-// services, gangs of up to 16 and arrays of up to 1,200 tasks, half as large
-// again as the largest site that was scored. Meanwhile a zone is partitioned,
-// 150 machines hang, and a controller stalls.
+// BenchmarkLargestFleet measures a minute of three controllers with some 1,900 machines, 240
+// services, gangs of up to 16 and arrays of up to 988 tasks, half as large again as the largest
+// known installation. Meanwhile a zone is partitioned, 150 machines hang, and a controller
+// stalls.
 func BenchmarkLargestFleet(b *testing.B) { benchmarkCluster(b, time.Minute, largestFleetCluster) }
 
 func largestFleetCluster() *Cluster {
@@ -145,9 +147,9 @@
 	return cluster
 }
 
-// BenchmarkSmallJobFlood is half a minute of five controllers with 1,500 full machines and
-// fifty jobs of one task a second: what is done for each waiting job in every pass
-// shows here.
+// BenchmarkSmallJobFlood measures 40 s of five controllers with 1,500 machines to which fifty
+// jobs of one task are submitted per second. It shows the cost of each pending job per scheduling
+// pass.
 func BenchmarkSmallJobFlood(b *testing.B) { benchmarkCluster(b, 40*time.Second, smallJobFloodCluster) }
 
 func smallJobFloodCluster() *Cluster {
@@ -166,9 +168,9 @@
 	return cluster
 }
 
-// BenchmarkSmallCoreShare is a minute of three controllers with a twentieth of a core each,
-// 720 machines, 60 services, and gangs and arrays that come all the time: an ordinary
-// minute of a small core share. Profile it with -cpuprofile, focused on internal/controller.
+// BenchmarkSmallCoreShare measures an ordinary minute of three controllers with about a twentieth
+// of a core each, 720 machines, 46 services, and gangs and arrays that are submitted all the
+// time. Profile it with -cpuprofile, focused on internal/controller.
 func BenchmarkSmallCoreShare(b *testing.B) {
 	benchmarkCluster(b, time.Minute, func() *Cluster { return smallCoreShareCluster(720, 3, 0.054) })
 }
--- a/internal/simulation/format_bench_test.go
+++ b/internal/simulation/format_bench_test.go
@@ -12,9 +12,9 @@
 	"lilacrill/wire"
 )
 
-// BenchmarkFormats is a minute of three controllers with so many machines, full of
-// services and arrays, in each format: how much is written, how large the pages are,
-// and what it costs.
+// BenchmarkFormats measures a minute of three controllers in each format, with several numbers of
+// machines filled by services and arrays. It reports the bytes and values written per second and
+// the entries per placement page.
 func BenchmarkFormats(b *testing.B) {
 	for _, machines := range []int{720, 2260, 4000} {
 		for format := record.OldestFormat; format <= record.NewestFormat; format++ {
