--- a/internal/simulation/rollout_schedule_test.go
+++ b/internal/simulation/rollout_schedule_test.go
@@ -11,25 +11,26 @@
 	"lilacrill/wire"
 )
 
-// rolloutSteps are what may happen in a rollout besides other faults.
-var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "freeze", "state cut", "state down", "stop", "activate", "activate", "exclude"}
+// rolloutSteps lists the steps of generated rollouts. A step listed twice is drawn twice as often.
+var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "stall", "store partition", "store outage", "stop", "activate", "activate", "exclude"}
 
-// applyRolloutStep takes one of them on a controller.
-func (c *Cluster) applyRolloutStep(kind string, who int, last time.Duration) {
-	i := who % len(c.controllers)
+// applyRolloutStep applies one of the rolloutSteps to the controller that the target selects. The
+// duration is that of a stall, partition, outage or restart.
+func (c *Cluster) applyRolloutStep(kind string, target int, duration time.Duration) {
+	i := target % len(c.controllers)
 	switch kind {
 	case "upgrade":
 		c.startNewerRelease(i)
 	case "roll back":
 		c.startOlderRelease(i)
 	case "restart":
-		c.restart(i, last/10)
-	case "freeze":
-		c.Stall(i, last)
-	case "state cut":
-		c.partitionFromStore(i, last)
-	case "state down":
-		c.injectStoreOutage(last / 2)
+		c.restart(i, duration/10)
+	case "stall":
+		c.Stall(i, duration)
+	case "store partition":
+		c.partitionFromStore(i, duration)
+	case "store outage":
+		c.injectStoreOutage(duration / 2)
 	case "stop":
 		c.Stop(i)
 	case "activate":
@@ -39,10 +40,10 @@
 	}
 }
 
-// TestInvariantsHoldDuringRollouts upgrades, rolls back, stops and stalls controllers in
-// generated orders while jobs run, with activations requested throughout, until all are
-// newer. The cluster's rules hold, nothing of a later format is written before it is in
-// force, and every job ends.
+// TestInvariantsHoldDuringRollouts upgrades, rolls back, stops and stalls controllers in generated
+// orders while jobs run and activations are requested, until all controllers run the newer
+// release. It checks that the cluster's rules hold, that nothing is written in a later format
+// before that format is in force, and that every job ends.
 func TestInvariantsHoldDuringRollouts(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,23 +54,23 @@
 				cluster.startNewerRelease(i)
 			}
 		})
-		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
-		cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "late writes")
-		cluster.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late lines")
+		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "message loss")
+		cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "delayed commits")
+		cluster.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicated peer messages")
 		submitMixedJobs(cluster, 50, 6)
 		for range rapid.IntRange(3, 16).Draw(t, "steps") {
 			kind := rapid.SampledFrom(rolloutSteps).Draw(t, "step")
-			who := rapid.IntRange(0, 3).Draw(t, "who")
-			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * time.Second
-			cluster.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "when"))*time.Second, func() { cluster.applyRolloutStep(kind, who, last) })
+			target := rapid.IntRange(0, 3).Draw(t, "target")
+			duration := time.Duration(rapid.IntRange(1, 20).Draw(t, "duration")) * time.Second
+			cluster.At(time.Duration(rapid.IntRange(5, 70).Draw(t, "applied at"))*time.Second, func() { cluster.applyRolloutStep(kind, target, duration) })
 		}
 		cluster.Run(75 * time.Second)
 		cluster.MessageLoss, cluster.DelayedCommits, cluster.DuplicatedPeerMessages = 0, 0, 0
 		if len(cluster.Shutdowns) > 0 {
-			seen["an older process ended"]++
+			seen["older process shut down"]++
 		}
 		if cluster.ActiveFormat() == record.FormatCompressed {
-			seen["in force on the way"]++
+			seen["compressed format in force early"]++
 		}
 		for i := range cluster.controllers {
 			cluster.startNewerRelease(i)
@@ -80,12 +81,12 @@
 			cluster.Run(2 * time.Second)
 			require.Equal(t, 200, reply.Status, "%v", reply.Body)
 		}
-		cluster.Run(45 * time.Second) // the last late copies
+		cluster.Run(45 * time.Second) // until the last delayed copy
 		cluster.FaultsOverAt = cluster.Now()
 		cluster.Run(150 * time.Second)
 		require.Empty(t, cluster.Violations)
 		require.Empty(t, cluster.Unfinished())
 	})
-	require.Greater(t, seen["in force on the way"], 10)
-	require.Greater(t, seen["an older process ended"], 3)
+	require.Greater(t, seen["compressed format in force early"], 10)
+	require.Greater(t, seen["older process shut down"], 3)
 }
--- a/internal/simulation/shard_schedule_test.go
+++ b/internal/simulation/shard_schedule_test.go
@@ -11,58 +11,60 @@
 	"lilacrill/wire"
 )
 
-// shardSteps are what may happen while shards move, some of them faults.
+// shardSteps lists the steps of generated schedules in which shards move. Some are kinds of
+// faults. A step listed several times is drawn more often.
 var shardSteps = []faultKind{"move", "move", "move", "drain", "end drain", "restart", "stop", "stall", faultStorePartition,
 	"store outage", faultWorkerPartition, faultIsolation, faultMachineHangs, faultMachineDies, faultPreemption, "provision"}
 
-// applyShardStep takes one of them; last is how long what passes lasts.
-func (c *Cluster) applyShardStep(kind faultKind, who int, last time.Duration) {
-	i := who % len(c.controllers)
+// applyShardStep applies one of the shardSteps to the controllers, shard or machine that the
+// number n selects. The duration is that of a drain, stop, stall, outage or other temporary step.
+func (c *Cluster) applyShardStep(kind faultKind, n int, duration time.Duration) {
+	i := n % len(c.controllers)
 	switch kind {
 	case "move":
-		c.changeShards(i, c.shardMove(wire.ShardID(who%shard.Count), who/7%len(c.controllers)))
+		c.changeShards(i, c.shardMove(wire.ShardID(n%shard.Count), n/7%len(c.controllers)))
 	case "drain":
-		c.changeShards(who/3%len(c.controllers), wire.AdminShardChange{Drain: controllerLabel(i), Reason: "drawn"})
-		c.At(last, func() { c.changeShards(who/3%len(c.controllers), wire.AdminShardChange{EndDrain: controllerLabel(i)}) })
-	case "end drain": // nothing: a drain ends by itself, above
+		c.changeShards(n/3%len(c.controllers), wire.AdminShardChange{Drain: controllerLabel(i), Reason: "drawn"})
+		c.At(duration, func() { c.changeShards(n/3%len(c.controllers), wire.AdminShardChange{EndDrain: controllerLabel(i)}) })
+	case "end drain": // no action: the step that starts a drain also schedules its end
 	case "restart":
-		c.restart(i, last/10)
+		c.restart(i, duration/10)
 	case "stop":
-		c.restart(i, last)
+		c.restart(i, duration)
 	case "stall":
-		c.Stall(i, last)
+		c.Stall(i, duration)
 	case "provision":
-		c.AddMachine(machineTypes[who%2], zones[who%len(zones)], false, last/10)
+		c.AddMachine(machineTypes[n%2], zones[n%len(zones)], false, duration/10)
 	case "store outage":
-		c.injectStoreOutage(last / 2)
+		c.injectStoreOutage(duration / 2)
 	default:
-		fault{kind, 0, last, who}.inject(c)
+		fault{kind, 0, duration, n}.inject(c)
 	}
 }
 
-// TestInvariantsHoldWhileShardsMove moves shards on operators' requests, drains, stops, stalls
-// and partitions controllers in generated orders while jobs run. The cluster's rules hold,
-// nothing is placed on a machine but by the owner of its shard, every job ends, and every
-// shard has an owner in the end.
+// TestInvariantsHoldWhileShardsMove moves shards on operators' requests, and drains, stops, stalls
+// and partitions controllers, in generated orders while jobs run. It checks that the cluster's
+// rules hold, that only the owner of a machine's shard places tasks on it, that every job ends,
+// and that every shard has an owner in the end.
 func TestInvariantsHoldWhileShardsMove(t *testing.T) {
 	t.Parallel()
 	seen := map[Observation]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newShardedCluster(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "controllers"))
-		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "loss")
-		cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "late writes")
-		cluster.LoseAnswersOnly = rapid.Bool().Draw(t, "at once")
-		cluster.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late lines")
+		cluster.MessageLoss = rapid.SampledFrom([]float64{0, 0, 0.03}).Draw(t, "message loss")
+		cluster.DelayedCommits = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "delayed commits")
+		cluster.LoseAnswersOnly = rapid.Bool().Draw(t, "lose answers only")
+		cluster.DuplicatedPeerMessages = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicated peer messages")
 		submitMixedJobs(cluster, 50, 6)
 		for range rapid.IntRange(5, 30).Draw(t, "steps") {
 			kind := rapid.SampledFrom(shardSteps).Draw(t, "step")
-			who := rapid.IntRange(0, 1000).Draw(t, "who")
-			last := time.Duration(rapid.IntRange(1, 20).Draw(t, "last")) * time.Second
-			cluster.At(time.Duration(rapid.IntRange(1, 50).Draw(t, "when"))*time.Second, func() { cluster.applyShardStep(kind, who, last) })
+			n := rapid.IntRange(0, 1000).Draw(t, "target")
+			duration := time.Duration(rapid.IntRange(1, 20).Draw(t, "duration")) * time.Second
+			cluster.At(time.Duration(rapid.IntRange(1, 50).Draw(t, "applied at"))*time.Second, func() { cluster.applyShardStep(kind, n, duration) })
 		}
 		cluster.Run(75 * time.Second)
 		cluster.MessageLoss, cluster.DelayedCommits, cluster.DuplicatedPeerMessages = 0, 0, 0
-		cluster.Run(60 * time.Second) // the last late copies
+		cluster.Run(60 * time.Second) // until the last delayed copy
 		cluster.FaultsOverAt = cluster.Now()
 		cluster.Run(150 * time.Second)
 		require.Empty(t, cluster.Violations)
