--- a/internal/simulation/direct_calls_test.go
+++ b/internal/simulation/direct_calls_test.go
@@ -11,12 +11,13 @@
 	"lilacrill/wire"
 )
 
-// TestDirectCallsAreBounded guards against calls that pile up, with a socket each, when
-// many machines hang at once and each leaves its commands and probes unanswered for
-// seconds. Replicas are still replaced soon, and all work ends.
+// TestDirectCallsAreBounded guards against calls that accumulate, with a socket each, when many
+// machines hang at once and each leaves its commands and probes unanswered for seconds. Replicas
+// must still be replaced soon, and all jobs must end.
 //
-// It also guards against probing in the order of names: the first few that hang were probed
-// over and over, and one with replicas that came later was found unresponsive late.
+// It also guards against probing machines in the order of their names. The first few hung
+// machines would be probed over and over, and a later one with replicas would be detected as
+// unresponsive late.
 func TestDirectCallsAreBounded(t *testing.T) {
 	for seed := range uint64(12) {
 		checkDirectCallsBounded(t, seed)
@@ -55,20 +56,20 @@
 			running++
 		}
 	})
-	require.Equal(t, 8, running, "seed %d: replicas on machines that answer", seed)
+	require.Equal(t, 8, running, "seed %d: running replicas on responsive machines", seed)
 	cluster.Run(150 * time.Second)
 	for _, n := range cluster.controllers {
 		require.LessOrEqual(t, n.maxDirectCalls, sockets.NewBudget(&settings).Workers, fmt.Sprint("rig-", n.index))
-		require.Greater(t, n.maxDirectCalls, 4, "the test does not come near the bound")
+		require.Greater(t, n.maxDirectCalls, 4, "too few concurrent direct calls to test the bound")
 	}
 	require.Empty(t, cluster.Violations)
 	require.Empty(t, cluster.Unfinished())
 }
 
-// TestReplicasReplacedFirstWhenManyMachinesHang guards replicas on machines that hang along
-// with many others: these were unresponsive first, and once used up the bound on how many
-// machines are terminated at a time, so that the replicas were missing for as long as it
-// lasted.
+// TestReplicasReplacedFirstWhenManyMachinesHang guards against replacing replicas late when their
+// machines hang shortly after many idle ones. If the idle machines, which are unresponsive first,
+// use up the bound on how many machines are terminated at a time, the replicas are missing for as
+// long as the fault lasts.
 func TestReplicasReplacedFirstWhenManyMachinesHang(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
@@ -101,7 +102,7 @@
 				running++
 			}
 		})
-		require.GreaterOrEqual(t, running, 25, "seed %d", seed)
+		require.GreaterOrEqual(t, running, 25, "running replicas, seed %d", seed)
 		require.Empty(t, cluster.Violations)
 	}
 }
--- a/internal/simulation/failing_jobs_test.go
+++ b/internal/simulation/failing_jobs_test.go
@@ -11,10 +11,9 @@
 	"lilacrill/wire"
 )
 
-// TestAlwaysFailingJobsBackOff guards everybody else against jobs that fail on every
-// machine until they are cancelled: they are retried seldom and with few canary tasks, no
-// machine is quarantined for them, also once they were cancelled, and healthy jobs are
-// served.
+// TestAlwaysFailingJobsBackOff guards against jobs that fail on every machine harming other jobs
+// until they are cancelled. They must be retried rarely and with few canary tasks, no machine may
+// be quarantined because of them, even after their cancellation, and healthy jobs must finish.
 func TestAlwaysFailingJobsBackOff(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -45,9 +44,9 @@
 		for n, id := range failing {
 			job := cluster.jobs[id]
 			require.True(t, job.accepted)
-			// A first wave, then trials with growing pauses.
-			require.Less(t, job.launches, job.spec.Tasks+30, "seed %d: %s", seed, id)
-			require.Greater(t, job.launches, 5, "seed %d: %s was given up", seed, id)
+			// At most one launch per task, then canary tasks after growing pauses.
+			require.Less(t, job.launches, job.spec.Tasks+30, "seed %d: %s was launched too often", seed, id)
+			require.Greater(t, job.launches, 5, "seed %d: %s was not retried", seed, id)
 			if n > 0 {
 				require.Less(t, cluster.now.Sub(job.answeredAt), 20*time.Second)
 			}
@@ -68,8 +67,9 @@
 	}
 }
 
-// TestFaultyMachineIsQuarantined checks that what fails while others run the same jobs well
-// is the machine, also beside jobs that fail everywhere.
+// TestFaultyMachineIsQuarantined checks that a machine is quarantined if tasks fail on it while
+// other machines run the same jobs without failures, and that a job that fails on all machines
+// quarantines no other machine.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	cluster := newCluster(5, 2)
 	cluster.Capacity = 0
--- a/internal/simulation/heartbeat_test.go
+++ b/internal/simulation/heartbeat_test.go
@@ -10,9 +10,9 @@
 	"lilacrill/wire"
 )
 
-// TestDuplicatedHeartbeatsAreIgnored guards against taking an old heartbeat for a new one:
-// copies arrive up to three leases late, across new agent epochs, terminated machines and
-// controllers that have forgotten which heartbeat was the last.
+// TestDuplicatedHeartbeatsAreIgnored guards against treating an old heartbeat as a new one. Copies
+// arrive up to three leases late, also after the agent epoch changed, the machine was terminated,
+// or the controllers restarted and lost track of the latest heartbeat.
 func TestDuplicatedHeartbeatsAreIgnored(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 3)
@@ -25,7 +25,7 @@
 			}
 		}
 		for _, planned := range []fault{
-			{faultMachineHangs, 15 * time.Second, 20 * time.Second, 1}, // well over a lease: a new session
+			{faultMachineHangs, 15 * time.Second, 20 * time.Second, 1}, // longer than a lease, so a new agent epoch begins
 			{faultMachineDies, 20 * time.Second, 0, 2},
 			{faultCrashAll, 28 * time.Second, 0, 0},
 			{faultMachineHangs, 45 * time.Second, 20 * time.Second, 0},
@@ -43,14 +43,14 @@
 	}
 }
 
-// TestDuplicatedHeartbeatsOfDeadMachine guards against keeping a dead machine alive: copies
-// of its heartbeats go on arriving, and its replicas must run elsewhere all the same.
+// TestDuplicatedHeartbeatsOfDeadMachine guards against considering a dead machine alive because
+// copies of its heartbeats keep arriving. Its replicas must be replaced on other machines.
 func TestDuplicatedHeartbeatsOfDeadMachine(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 2)
 		cluster.DuplicatedHeartbeats = 1
 		for n := range 4 {
-			cluster.AddMachine(machineTypes[0], zones[n%3], false, 0) // room to go to
+			cluster.AddMachine(machineTypes[0], zones[n%3], false, 0) // room for the replacements
 		}
 		spec, _ := testJob(1, 1)
 		spec.Tasks = 3
@@ -61,21 +61,22 @@
 		require.NotNil(t, dead)
 		dead.terminate()
 		if seed%2 == 1 {
-			cluster.Start(0) // it no longer knows which report was the last
+			cluster.Start(0) // no longer knows which heartbeat was the latest
 			cluster.Start(1)
 			cluster.Run(10 * time.Second)
 		}
 		cluster.Run(13 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(*fakeMachine, *fakeTask) { running++ })
-		require.Equal(t, 3, running, "replicas, seed %d", seed)
+		require.Equal(t, 3, running, "running replicas, seed %d", seed)
 		require.Empty(t, cluster.Violations)
 	}
 }
 
 // TestDeadMachineDetectedWithLongHeartbeatInterval guards against counting machines as
-// unresponsive that only have no reason yet to send a heartbeat: where heartbeats are far
-// apart most are, at any time. With one peer partitioned no machine was given up then.
+// unresponsive that are only not due to send a heartbeat yet. With a long heartbeat interval most
+// machines are in that state at any time. Counting them while one peer is partitioned would
+// prevent the termination of any machine.
 func TestDeadMachineDetectedWithLongHeartbeatInterval(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
@@ -96,7 +97,7 @@
 		cluster.Run(15 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
-		require.Equal(t, 10, running, "seed %d", seed)
+		require.Equal(t, 10, running, "running replicas, seed %d", seed)
 		require.Empty(t, cluster.Violations)
 	}
 }
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -10,18 +10,18 @@
 	"lilacrill/wire"
 )
 
-// largeFleetSize is more machines than any installation runs.
+// largeFleetSize is a number of machines larger than that of any installation.
 const largeFleetSize = 4200
 
-// TestLargeFleet guards against bounds that a fleet of 4,200 machines meets: it is
-// provisioned, sends its heartbeats, gets its tasks, survives all controllers restarting,
-// and is terminated.
+// TestLargeFleet guards against bounds that a fleet of 4,200 machines exceeds. It checks that the
+// fleet is provisioned and runs its tasks, that a restart of all controllers leaves tasks and
+// machines running, and that the machines are terminated in the end.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	runLargeFleet(t, (*Cluster).Start)
 }
 
-// TestLargeFleetWithShards is TestLargeFleet with shards in use.
+// TestLargeFleetWithShards is like TestLargeFleet, with shards in use.
 func TestLargeFleetWithShards(t *testing.T) {
 	t.Parallel()
 	cluster := runLargeFleet(t, (*Cluster).startWithShards)
@@ -36,9 +36,9 @@
 	settings.Cluster.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 35, GangPeerS: 6, CancelS: 65}
 	settings.Cluster.State = config.State{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 32}
 	settings.Cluster.Quota = config.Quota{CoreShare: 1, MemMB: 400, Sockets: 6000}
-	settings.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // no time to wait for others' ends
-	kinds := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
-	cluster := NewCluster(settings, kinds, 3, 1)
+	settings.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 600, Share: 0.9}} // too short to wait for machines that other tasks free
+	types := []wire.MachineType{{Name: "c4", Cores: 4, MemGB: 32, OnDemandPrice: 0.2, SpotPrice: 0.1, StartupS: 15, PullGBPerS: 0.5, Zones: zones}}
+	cluster := NewCluster(settings, types, 3, 1)
 	cluster.Capacity = largeFleetSize
 	for i := range cluster.controllers {
 		start(cluster, i)
@@ -62,24 +62,24 @@
 		cluster.eachActiveTask(func(*fakeMachine, *fakeTask) { n++ })
 		return n
 	}
-	until := func(what string, most time.Duration, ok func() bool) {
+	runUntil := func(what string, timeout time.Duration, ok func() bool) {
 		from := cluster.Now()
 		for !ok() {
-			require.Less(t, cluster.Now()-from, most, "%s: %d up, %d running", what, up(), running())
+			require.Less(t, cluster.Now()-from, timeout, "%s: %d up, %d running", what, up(), running())
 			cluster.Run(5 * time.Second)
 		}
 		t.Logf("%s after %v", what, cluster.Now()-from)
 	}
-	until("all tasks run, one to a machine", 6*time.Minute, func() bool { return running() == largeFleetSize })
+	runUntil("all tasks run, one to a machine", 6*time.Minute, func() bool { return running() == largeFleetSize })
 	before := len(cluster.machines)
 	for i := range cluster.controllers {
 		cluster.restart(i, 3*time.Second)
 	}
 	cluster.Run(30 * time.Second)
-	require.Equal(t, largeFleetSize, running(), "all controllers restarted")
-	require.Less(t, len(cluster.machines)-before, largeFleetSize/50, "healthy machines were given up and provisioned anew")
-	until("all jobs are done", 12*time.Minute, func() bool { return len(cluster.Unfinished()) == 0 })
-	until("nearly all are terminated", 5*time.Minute, func() bool { return up() < largeFleetSize/20 })
+	require.Equal(t, largeFleetSize, running(), "tasks lost by the restart of all controllers")
+	require.Less(t, len(cluster.machines)-before, largeFleetSize/50, "healthy machines were terminated and replaced")
+	runUntil("all jobs are done", 12*time.Minute, func() bool { return len(cluster.Unfinished()) == 0 })
+	runUntil("nearly all machines are terminated", 5*time.Minute, func() bool { return up() < largeFleetSize/20 })
 	require.Empty(t, cluster.Violations)
 	return cluster
 }
--- a/internal/simulation/mixed_versions_test.go
+++ b/internal/simulation/mixed_versions_test.go
@@ -13,14 +13,15 @@
 	"lilacrill/wire"
 )
 
-// TestCorruptRecordsAreIsolated: a job record and a placement record that cannot be understood are
-// left alone, with what they speak of, and take nothing else down.
+// TestCorruptRecordsAreIsolated checks that a job record and a placement record that cannot be
+// decoded are left unchanged, that the tasks of that job keep running, and that the jobs of the
+// other team are still started.
 func TestCorruptRecordsAreIsolated(t *testing.T) {
 	cluster := newLargeValueCluster(11, 3, (*Cluster).startNewerRelease)
 	cluster.Run(5 * time.Second)
 	cluster.requireRolloutChange(t, 0, cluster.compressedActivation(), http.StatusOK)
 	submitBusyLoad(cluster)
-	spec, _ := testJob(2000, 0) // of the team whose records stay whole
+	spec, _ := testJob(2000, 0) // of the team whose placement records stay intact
 	spec.Tasks, spec.Team = 2, "red"
 	cluster.At(0, func() { cluster.Submit(spec, 150*time.Second) })
 	cluster.Run(20 * time.Second)
@@ -42,10 +43,10 @@
 		}
 	}
 	require.Len(t, corrupted, 2)
-	lost := cluster.Observed[conflictingCommit]
+	conflictsBefore := cluster.Observed[conflictingCommit]
 	cluster.Run(15 * time.Second)
-	require.Less(t, cluster.Observed[conflictingCommit]-lost, 30, "commits that conflict over and over")
-	for i := range cluster.controllers { // also where nothing is remembered from before
+	require.Less(t, cluster.Observed[conflictingCommit]-conflictsBefore, 30, "conflicting commits are retried over and over")
+	for i := range cluster.controllers { // so that no controller has the intact records cached
 		cluster.restart(i, 2*time.Second)
 	}
 	cluster.Run(25 * time.Second)
@@ -53,14 +54,14 @@
 	cluster.sendToController(cluster.controllers[0], func(id controller.RequestID) controller.Input { return controller.JobPolled{Request: id, Job: spec.ID} }, func(received controller.Reply) { *reply = received })
 	cluster.Run(time.Second)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
-	require.Len(t, cluster.jobs[spec.ID].active(), 2, "its tasks run on")
+	require.Len(t, cluster.jobs[spec.ID].active(), 2, "tasks of the job with a corrupt record must keep running")
 	red := 0
 	for id, job := range cluster.jobs {
 		if job.spec.Team == "red" && id != spec.ID && job.submittedAt > cluster.now.Add(-20*time.Second) && job.startedAt != 0 {
 			red++
 		}
 	}
-	require.Positive(t, red, "the other team's jobs start")
+	require.Positive(t, red, "no recent job of the other team has started")
 
 	for key, value := range corrupted {
 		_, version, _ := cluster.store.Get(key)
@@ -70,8 +71,9 @@
 	requireAllFinished(t, cluster)
 }
 
-// TestUnknownSettingsSurviveOlderController: settings that a later release stored keep its
-// fields when they are changed through an older controller, and apply on all.
+// TestUnknownSettingsSurviveOlderController checks that settings stored by a later release keep
+// their unknown fields when they are changed through an older controller, and that settings which
+// this release cannot read are not overwritten.
 func TestUnknownSettingsSurviveOlderController(t *testing.T) {
 	cluster := newLargeValueCluster(12, 3, func(cluster *Cluster, i int) {
 		if i == 1 {
@@ -97,8 +99,8 @@
 	require.Contains(t, string(value), `"idle_s":50`)
 	require.Contains(t, string(value), `"spare_least":3`)
 
-	strange := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":"for ever"}`)}
-	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{strange}}).Outcome)
+	unreadable := wire.Change{Put: record.SettingsKey, Value: json.RawMessage(`{"idle_s":"for ever"}`)}
+	require.Equal(t, controller.Succeeded, cluster.store.Commit(wire.Transaction{Then: []wire.Change{unreadable}}).Outcome)
 	cluster.Run(2 * time.Second)
 	cluster.sendToController(cluster.controllers[1], func(id controller.RequestID) controller.Input {
 		return controller.SettingsChangeRequested{Request: id, Change: change}
@@ -106,5 +108,5 @@
 	cluster.Run(2 * time.Second)
 	require.Equal(t, http.StatusConflict, reply.Status)
 	value, _, _ = cluster.store.Get(record.SettingsKey)
-	require.Equal(t, string(strange.Value), string(value), "not written over")
+	require.Equal(t, string(unreadable.Value), string(value), "unreadable settings must not be overwritten")
 }
--- a/internal/simulation/overhead_test.go
+++ b/internal/simulation/overhead_test.go
@@ -10,12 +10,12 @@
 	"lilacrill/wire"
 )
 
-// controllerCounts is what the controllers have counted, added up.
+// controllerCounts returns the sums of the counters of all running controllers, by name.
 func (c *Cluster) controllerCounts() map[string]uint64 {
 	sum := map[string]uint64{}
 	for _, process := range c.controllers {
 		if process.controller == nil {
-			continue // it is down
+			continue // the controller is down
 		}
 		process.lastRequest++
 		for _, o := range process.controller.Step(c.now-process.startedAt, 0, controller.ViewRequested{Request: process.lastRequest, View: wire.ViewMetrics}) {
@@ -29,9 +29,8 @@
 	return sum
 }
 
-// TestIdleClusterDoesLittleWork counts the work of half a minute in which nothing but
-// unchanged heartbeats arrives: what made small core shares possible must not be lost
-// unnoticed.
+// TestIdleClusterDoesLittleWork guards against more work in an idle cluster, which small core
+// shares cannot afford. It counts the work of 30 s in which only unchanged heartbeats arrive.
 func TestIdleClusterDoesLittleWork(t *testing.T) {
 	for _, share := range []float64{0.05, 1} {
 		settings := testSettings()
@@ -46,16 +45,16 @@
 		cluster.Run(30 * time.Second)
 		after := cluster.controllerCounts()
 		work := func(name string) int { return int(after[name] - before[name]) }
-		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged heartbeats prove nothing new, share %v", share)
-		// The provisioner looks at unmet demand now and then, more rarely with a small share.
+		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged heartbeats must not trigger a search of the records, share %v", share)
+		// The provisioner checks unmet demand periodically, less often with a small core share.
 		require.Less(t, work("planning_passes"), map[float64]int{0.05: 35, 1: 65}[share], "share %v", share)
 		require.Less(t, work("commits"), 30, "share %v", share)
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestUnchangedHeartbeatAllocations bounds what a worker's heartbeat costs that says
-// nothing new: hundreds arrive every second.
+// TestUnchangedHeartbeatAllocations bounds the allocations for an unchanged heartbeat of a worker,
+// because hundreds of them arrive every second.
 func TestUnchangedHeartbeatAllocations(t *testing.T) {
 	cluster := newCluster(1, 1)
 	spec, _ := testJob(1, 1)
@@ -69,13 +68,13 @@
 			machine = candidate
 		}
 	}
-	reports := make([]*wire.Heartbeat, 300)
-	for i := range reports {
-		reports[i] = machine.heartbeat()
+	heartbeats := make([]*wire.Heartbeat, 300)
+	for i := range heartbeats {
+		heartbeats[i] = machine.heartbeat()
 	}
 	i := 0
-	allocs := testing.AllocsPerRun(len(reports)-2, func() {
-		process.controller.Step(cluster.now-process.startedAt, 0, controller.HeartbeatReceived{Request: controller.RequestID(1_000_000 + i), Heartbeat: reports[i]})
+	allocs := testing.AllocsPerRun(len(heartbeats)-2, func() {
+		process.controller.Step(cluster.now-process.startedAt, 0, controller.HeartbeatReceived{Request: controller.RequestID(1_000_000 + i), Heartbeat: heartbeats[i]})
 		i++
 	})
 	require.Less(t, allocs, 25.0)
--- a/internal/simulation/provisioning_test.go
+++ b/internal/simulation/provisioning_test.go
@@ -10,26 +10,27 @@
 	"lilacrill/internal/config"
 )
 
-// TestSlowProvisioningIsAwaited guards against terminating machines that join late just
-// before they do: where all of them are late, nothing would ever start.
+// TestSlowProvisioningIsAwaited guards against terminating machines shortly before their workers
+// join. If all machines join late, no task would ever start.
 func TestSlowProvisioningIsAwaited(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster := NewCluster(testSettings(), machineTypes, 2, seed)
-		cluster.ProvisioningDelay = func(string, string) time.Duration { return 30 * time.Second } // 4 s as a rule
+		cluster.ProvisioningDelay = func(string, string) time.Duration { return 30 * time.Second } // the machine type states 4 s
 		cluster.Start(0)
 		cluster.Start(1)
 		spec, run := testJob(2, 0)
 		cluster.At(2*time.Second, func() { cluster.Submit(spec, run) })
 		cluster.Run(60 * time.Second)
-		_, began := cluster.StartDelay(spec.ID)
-		require.True(t, began, "seed %d", seed)
+		_, started := cluster.StartDelay(spec.ID)
+		require.True(t, started, "seed %d: the job never started", seed)
 		require.Empty(t, cluster.Unfinished())
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestNeverJoinedMachinesAreReplaced guards work that waits for machines that never join:
-// others are provisioned elsewhere meanwhile, and those that did not join are terminated.
+// TestNeverJoinedMachinesAreReplaced guards against jobs that stay pending because the machines
+// provisioned for them never join. Machines must be provisioned in other zones meanwhile, and
+// those that never joined must be terminated.
 func TestNeverJoinedMachinesAreReplaced(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster := NewCluster(testSettings(), machineTypes, 2, seed)
@@ -37,9 +38,9 @@
 			if zone == zones[0] {
 				return time.Hour
 			}
-			return time.Second / 2 // up before the list has it
+			return time.Second / 2 // up before the cloud lists it
 		}
-		cluster.Settings.Cluster.Objectives[0].Class = "batch" // it has an objective
+		cluster.Settings.Cluster.Objectives[0].Class = "batch" // the class of the submitted jobs
 		cluster.Start(0)
 		cluster.Start(1)
 		for n := range 12 {
@@ -50,18 +51,18 @@
 		require.Empty(t, cluster.Unfinished(), "seed %d", seed)
 		cluster.Run(60 * time.Second)
 		for _, machine := range cluster.machines {
-			require.True(t, machine.up || machine.terminated, "seed %d: %s is still paid for", seed, machine.id)
+			require.True(t, machine.up || machine.terminated, "seed %d: %s never joined and was not terminated", seed, machine.id)
 		}
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestCapacityShortageDoesNotHideOtherOffers guards against a provisioner that asks for the
-// same offer without capacity for every pending job, and never gets to one that is left.
+// TestCapacityShortageDoesNotHideOtherOffers guards against a provisioner that requests the same
+// offer without capacity for every pending job, and never requests an offer that has capacity.
 func TestCapacityShortageDoesNotHideOtherOffers(t *testing.T) {
 	cluster := newCluster(1, 1)
 	cluster.Settings.Cluster.Teams[1].CPUsMax = 400
-	cluster.Settings.Cluster.Objectives[0].Class = "batch" // it has an objective
+	cluster.Settings.Cluster.Objectives[0].Class = "batch" // the class of the submitted jobs
 	for n := range 30 {
 		spec, _ := testJob(2*n+1, 0)
 		spec.Spot, spec.Tasks, spec.RuntimeS = true, 5, 60
@@ -75,9 +76,9 @@
 	require.Positive(t, provisioned["g8 false"], "only %v were provisioned", provisioned)
 }
 
-// TestExpensiveMachinesAreTerminated guards the cost of work in no hurry: as long as all of
-// it can start in time on the cheap machines, though they cannot quite keep up, expensive
-// ones are left alone and terminated.
+// TestExpensiveMachinesAreTerminated guards against paying for expensive machines that work
+// without urgency doesn't need. As long as all of it can start in time on the cheap machines,
+// even if they cannot quite keep up, expensive machines must stay unused and be terminated.
 func TestExpensiveMachinesAreTerminated(t *testing.T) {
 	cluster := newCluster(7, 2)
 	cluster.Capacity = 0
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -9,11 +9,11 @@
 	"lilacrill/internal/config"
 )
 
-// TestStalledControllerDoesNotTrustBufferedAnswers guards against a controller that stalls
-// and, when it resumes, takes what waited in its buffers for news. An answer of the state
-// store from before then made it believe that it reached the store at that moment:
-// partitioned meanwhile with its zone, it went on answering workers for too long, and tasks
-// of a cancelled job outlived their time.
+// TestStalledControllerDoesNotTrustBufferedAnswers guards against a controller that resumes from a
+// stall and treats the messages in its buffers as recent. If it counted a buffered answer of the
+// state store as current contact with the store, although it has been partitioned with its zone
+// meanwhile, it would answer workers for too long, and tasks of a cancelled job would run past
+// the cancellation timeout.
 func TestStalledControllerDoesNotTrustBufferedAnswers(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(seed, 2)
@@ -26,7 +26,7 @@
 		cluster.Run(20 * time.Second)
 		other, run := testJob(2, 0)
 		cluster.Stall(0, 8*time.Second)
-		cluster.At(200*time.Millisecond, func() { cluster.Submit(other, run) }) // news for its open watch
+		cluster.At(200*time.Millisecond, func() { cluster.Submit(other, run) }) // a change for its open watch
 		cluster.At(time.Second, func() {
 			cluster.CloudUnavailable = true
 			cluster.PartitionZone(zones[0], 0, 70*time.Second)
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestControllerRestartKeepsMachines guards against a provisioner that has just started:
-// machines that it knows by the records alone it gave up before it had read the cloud's
-// list, and before their workers, with heartbeats far apart, had reason to send one.
+// TestControllerRestartKeepsMachines guards against a provisioner that has just started and
+// terminates machines that it knows only from the records, before it has read the cloud's list
+// and before their workers, with their long heartbeat interval, are due to send a heartbeat.
 func TestControllerRestartKeepsMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
@@ -55,7 +55,7 @@
 			for i := range cluster.controllers {
 				cluster.restart(i, 4*time.Second)
 			}
-			cluster.CloudUnavailable = true // the list comes late
+			cluster.CloudUnavailable = true // delays the cloud's list
 			cluster.At(14*time.Second, func() { cluster.CloudUnavailable = false })
 		})
 		cluster.Run(60 * time.Second)
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestCompletedJobsAnsweredAfterRestart guards against forgetting what is no longer cached:
-// after every controller restarted, each completed job is still answered, and so is a
-// repeat of its submission.
+// TestCompletedJobsAnsweredAfterRestart guards against losing completed jobs that are no longer
+// cached. After all controllers restart, polls of each completed job and a repeat of its
+// submission must still be answered.
 func TestCompletedJobsAnsweredAfterRestart(t *testing.T) {
 	cluster := newCluster(6, 2)
 	for n := range 10 {
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoreOutageKeepsWorkerLeases guards what an outage that all controllers share costs:
-// where the peers attest for one another, nothing that runs is lost by it, however long.
+// TestStoreOutageKeepsWorkerLeases guards against losing running tasks when the state store is
+// unavailable for all controllers. While the peers attest for one another, no worker may lose its
+// lease, however long the outage lasts.
 func TestStoreOutageKeepsWorkerLeases(t *testing.T) {
 	cluster := newClusterWith(shortCancelSettings(), 1, 3)
 	for i := range 9 {
@@ -26,14 +27,14 @@
 	cluster.eachActiveTask(func(machine *fakeMachine, _ *fakeTask) {
 		require.EqualValues(t, 1, machine.agentEpoch, "%s lost its lease", machine.id)
 	})
-	require.Equal(t, 8, cluster.jobs[spec.ID].launches, "replicas were started anew")
+	require.Equal(t, 8, cluster.jobs[spec.ID].launches, "replicas were relaunched")
 	require.Empty(t, cluster.Violations)
 }
 
-// TestStoreOutageWithoutPeersKeepsWorkerLeases guards the leases of workers when there is
-// nobody to redirect them to: the state store is unavailable for a minute, and at its worst
-// no controller receives another's messages for a third of that. Longer than that cannot be
-// told from isolation while others cancel jobs.
+// TestStoreOutageWithoutPeersKeepsWorkerLeases guards against workers losing their leases when
+// there is no controller to redirect them to. The state store is unavailable for a minute, and
+// during a third of that no controller receives messages from its peers. A controller cannot
+// distinguish a longer loss of both from its own isolation while other controllers cancel jobs.
 func TestStoreOutageWithoutPeersKeepsWorkerLeases(t *testing.T) {
 	cluster := newCluster(4, 3)
 	cluster.Lease = 25 * time.Second
@@ -50,7 +51,7 @@
 	clear(cluster.PeersPartitioned)
 	cluster.Run(40 * time.Second)
 	for _, machine := range cluster.machines {
-		require.EqualValues(t, 1, machine.agentEpoch, "the lease of %s ran out", machine.id)
+		require.EqualValues(t, 1, machine.agentEpoch, "the lease of %s expired", machine.id)
 	}
 	require.Empty(t, cluster.Violations)
 }
--- a/internal/simulation/zone_partition_test.go
+++ b/internal/simulation/zone_partition_test.go
@@ -9,9 +9,9 @@
 	"lilacrill/internal/config"
 )
 
-// TestNoProvisioningInPartitionedZone guards against provisioning, in a partitioned zone,
-// machines that come up unresponsive, are terminated for it, and are provisioned again. It
-// was found in incident inc-449b, where some 500 machines went that way.
+// TestNoProvisioningInPartitionedZone guards against provisioning machines in a partitioned zone.
+// They come up unresponsive, are terminated for it and are provisioned again, which can waste
+// some 500 machines in one partition.
 func TestNoProvisioningInPartitionedZone(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -41,15 +41,15 @@
 				rest++
 			}
 		}
-		require.Positive(t, rest, "nothing was provisioned at all")
+		require.Positive(t, rest, "no machines provisioned in the other zones")
 		require.Zero(t, east, "machines provisioned in the partitioned zone")
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// TestPartitionedAcceleratorMachinesAreKept guards the scarcest machines of a partitioned
-// zone: they leave calls unanswered, which is no reason to terminate them as unreachable
-// ones. Once back, they are there with their images.
+// TestPartitionedAcceleratorMachinesAreKept guards against terminating the accelerator machines,
+// which are the scarcest, of a partitioned zone as unreachable because they leave calls
+// unanswered. They must be available after the partition, with their cached images.
 func TestPartitionedAcceleratorMachinesAreKept(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
@@ -79,11 +79,12 @@
 	}
 }
 
-// TestShortPartitionKeepsReplicas guards replicas in a zone that is partitioned for a
-// while: they run on while their workers' leases last, and are lost only if their machines
-// are terminated. What really dies elsewhere is still replaced soon. Where few machines of
-// the zone have reason to be probed early (seeds 6 and 33 with random numbers as they were
-// once), the first was terminated before the partition was seen.
+// TestShortPartitionKeepsReplicas guards against terminating machines of a zone that is
+// partitioned briefly. Its replicas keep running while their workers' leases last, so they are
+// lost only if their machines are terminated. If few machines of the zone have a reason to be
+// probed early (as with seeds 6 and 33 of an earlier random sequence), the first could be
+// terminated before the partition is detected. A replica on a machine that dies in another zone
+// must still be replaced soon.
 func TestShortPartitionKeepsReplicas(t *testing.T) {
 	for seed := range uint64(40) {
 		settings := testSettings()
@@ -105,9 +106,9 @@
 		cluster.Run(14 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
-		require.Equal(t, 48, running, "seed %d", seed)
+		require.Equal(t, 48, running, "running replicas, seed %d", seed)
 		for _, machine := range cluster.machines {
-			require.False(t, machine.terminated && machine.zone == zones[1] && len(machine.tasks) > 0, "seed %d: %s was terminated", seed, machine.id)
+			require.False(t, machine.terminated && machine.zone == zones[1] && len(machine.tasks) > 0, "seed %d: %s was terminated with replicas on it", seed, machine.id)
 		}
 		cluster.Run(30 * time.Second)
 		require.Empty(t, cluster.Violations)
