--- a/internal/controller/admin_requests.go
+++ b/internal/controller/admin_requests.go
@@ -19,8 +19,8 @@
 type operatorSettings struct {
 	values  config.StoredOperatorSettings
 	version wire.Revision
-	// unreadableCause is the error because of which the stored settings cannot be read. While it
-	// is set, the stored settings are not overwritten.
+	// unreadableCause is the error from parsing the stored settings, or nil. While it is set, the
+	// stored settings are not overwritten.
 	unreadableCause error
 }
 
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -4,8 +4,8 @@
 type callTable struct {
 	pending map[CallID]pendingCall
 	lastID  CallID
-	// currentStartedAt is the time at which the call was made whose result is being handled. The
-	// result shows a state at that time or later.
+	// currentStartedAt is the start time of the call whose result is being handled. The result
+	// shows a state at that time or later.
 	currentStartedAt Time
 }
 
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -7,7 +7,7 @@
 	"lilacrill/wire"
 )
 
-// cleanupInterval is the minimum time between cleanups of a page.
+// cleanupInterval is the minimum time between the cleanups of two pages.
 const cleanupInterval = 2 * time.Second
 
 // cleanup is the state of the cleanup of placement records.
@@ -32,8 +32,8 @@
 }
 
 // pageToCleanUp returns a page without allocations that still lists completed tasks of completed
-// jobs, or nil if there is none. Pages with allocations need no cleanup, because these tasks are
-// dropped whenever a page is written.
+// jobs, or nil if this controller's teams have none. Pages with allocations need no cleanup, because
+// each write of a page drops these tasks.
 func (c *Controller) pageToCleanUp() *page {
 	for _, name := range sortedKeys(c.cache.teams) {
 		team := c.cache.teams[name]
@@ -60,7 +60,7 @@
 	}, func(CommitResult) { c.cleanup.inFlight = false })
 }
 
-// withoutCompletedJobs returns the entries of completed tasks whose jobs are not completed.
+// withoutCompletedJobs returns the entries of completed for the jobs that are not completed.
 func (s *stateCache) withoutCompletedJobs(completed map[wire.JobID]record.TaskSet) map[wire.JobID]record.TaskSet {
 	remaining := map[wire.JobID]record.TaskSet{}
 	for id, tasks := range completed {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -165,9 +165,10 @@
 // isDue reports whether the time t has been reached.
 func (c *Controller) isDue(t Time) bool { return c.now >= t }
 
-// Healthy reports whether this controller can take requests. It cannot while it is starting, and
-// while it appears to be the only one that cannot reach the state store. The latter holds if a peer
-// reports that it reaches the store, or if this controller is connected to too few peers to tell.
+// Healthy reports whether this controller can take requests. It cannot while it is starting. A
+// controller that cannot reach the state store remains healthy only while the store appears to be
+// unreachable for all controllers, that is, while it is connected to enough peers and none of them
+// reports that it reaches the store.
 func (c *Controller) Healthy() bool {
 	return c.membership.ready && (c.storeReachable() || c.peerWithStore() == "" && !c.lostPeerQuorum())
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -34,8 +34,9 @@
 const (
 	// forwardLifetime is how long a job is left to the controller to which it was forwarded.
 	forwardLifetime = 2 * time.Second
-	// forwardBackoff and criticalForwardBackoff are the pauses after all controllers have
-	// tried a job.
+	// forwardBackoff is the pause before a job that all controllers have tried is forwarded again.
+	// criticalForwardBackoff is that pause for critical jobs. It is also the pause after this
+	// controller has forwarded any job, unless the job is forwarded back to it.
 	forwardBackoff         = time.Second
 	criticalForwardBackoff = 300 * time.Millisecond
 	// maxForwardsPerMessage is the maximum number of jobs that one peer message forwards.
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -13,7 +13,7 @@
 
 // The inputs.
 type (
-	// Tick reports that time has passed. It is due every [TickEvery].
+	// Tick reports that time has passed. It is due every [TickInterval].
 	Tick struct{}
 
 	// JobSubmitted is a user's submission of a job whose syntax has been checked.
--- a/internal/controller/outputs.go
+++ b/internal/controller/outputs.go
@@ -6,8 +6,8 @@
 	"lilacrill/wire"
 )
 
-// CallPriority is the order in which calls to the state store that wait for its rate limit are
-// sent, lowest value first.
+// CallPriority orders the calls to the state store that wait for its rate limit. The call with the
+// lowest value is sent first.
 type CallPriority int
 
 // The priorities of calls, most urgent first. PriorityLevels is their number.
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -13,8 +13,7 @@
 // rolloutState is the state of this process in the rollout of formats.
 type rolloutState struct {
 	tracker *rollout.Tracker
-	// shutdownCause is the error because of which this process must not serve requests, or nil if
-	// it may.
+	// shutdownCause, if not nil, states why this process must not serve requests any longer.
 	shutdownCause  error
 	activating     bool // an automatic activation is in flight
 	nextActivation Time // when the next automatic activation is considered
@@ -31,9 +30,11 @@
 	s.tracker = rollout.New(settings.Label, peers, settings.Features.Rollout.Formats(), release.Version)
 }
 
-// applyRollout applies the rollout record, which names the format in force. It is applied before any
-// record of that format. Watch results are in the order of revisions. A load of the cache reads the
-// rollout record first, and the controller acts on no record until it has caught up.
+// applyRollout applies the rollout record, which names the format in force. The controller acts on
+// no record of a format before it has applied the rollout record that brought the format into force.
+// This holds during a watch, because changes are applied in the order of their revisions. It holds
+// during a load of the cache, because the load reads the rollout record first, and the controller
+// acts on no record until the cache has caught up.
 func (c *Controller) applyRollout(value []byte, version wire.Revision) {
 	before := c.rollout.tracker.Format()
 	c.rollout.tracker.ApplyState(value, version)
@@ -53,8 +54,9 @@
 	c.emit(RolloutEvent{Kind: kind, Format: c.rollout.tracker.Format(), Incarnation: c.membership.incarnation, Revision: c.cache.revision})
 }
 
-// emitShutdown replaces the outputs of this step, since they may be based on records that were
-// misread. It refuses the requests that have a reply among them, and requires that the process ends.
+// emitShutdown discards the outputs of this step, since they may be based on records that were
+// misread. Instead it emits a refusal for each reply among them, and the output that ends this
+// process.
 func (c *Controller) emitShutdown() {
 	var refused []Output
 	for _, output := range c.outputs {
@@ -83,8 +85,8 @@
 }
 
 // tickRollout activates a format that all controllers are ready for, if automatic activation is
-// configured. Only the provisioner tries, so that controllers do not cause each other conflicts. The
-// conditions of the transaction decide whether the format may be activated.
+// configured. Only the provisioner tries, so that the transactions of several controllers do not
+// conflict. The conditions of the transaction decide whether the format may be activated.
 func (c *Controller) tickRollout() {
 	settings := &c.settings.Features.Rollout
 	if settings.Activation != config.ActivationAutomatic || c.rollout.activating || !c.isProvisioner() ||
--- a/internal/controller/shard_acquisition.go
+++ b/internal/controller/shard_acquisition.go
@@ -31,7 +31,8 @@
 
 // shardsForJob returns the shards of other controllers whose machines a job needs in addition to
 // those of this controller's shards. If the job needs a single zone, they are in the zone with the
-// most free capacity. It returns none if there is not enough capacity.
+// most free capacity. It returns none if there is not enough capacity, or if this controller's shards
+// have enough.
 func (c *Controller) shardsForJob(job *job) []wire.ShardID {
 	fleet := c.buildHosts(map[string]*placementTransaction{}, false, func(*page, *Allocation, *placement.Host) {})
 	fits := func(host *placement.Host) bool {
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -17,7 +17,7 @@
 type shardState struct {
 	table          *shard.Table
 	planner        *shard.Planner
-	actionInFlight bool // until the action succeeds or, after a failure, the cache is up to date again
+	actionInFlight bool // an action is being committed, or has failed and its read barrier has not ended
 	nextReview     Time
 	// acquireFor is a job that needs the capacity of several controllers at once, or "".
 	// lastAcquiredAt is the time at which shards were last acquired.
@@ -112,8 +112,8 @@
 		c.commitShardAction(action)
 		return
 	}
-	hold := c.shards.lastAcquiredAt != 0 && c.now.Sub(c.shards.lastAcquiredAt) < acquiredHoldPeriod
-	action, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, hold)
+	keepShards := c.shards.lastAcquiredAt != 0 && c.now.Sub(c.shards.lastAcquiredAt) < acquiredHoldPeriod
+	action, due := c.shards.planner.Next(shard.Time(c.now), c.wall, c.hasPlacementIn, keepShards)
 	// All actions but failovers wait while the write budget is overdrawn. Otherwise, after operators
 	// moved all shards at once, the budget would stay overdrawn and block placements for a minute
 	// (TestContinuousShardMoves).
@@ -136,8 +136,8 @@
 	return action, len(action.Txn.If) <= c.maxConditions()
 }
 
-// commitShardAction commits a shard action. If that fails or its outcome is unknown, a read barrier
-// brings the cache up to date before the next action.
+// commitShardAction commits a shard action. If that fails or its outcome is unknown, the next action
+// waits for a read barrier, which brings the cache up to date.
 func (c *Controller) commitShardAction(action shard.Action) {
 	c.shards.actionInFlight = true
 	priority := PriorityBackground
