--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -145,9 +145,9 @@
 
 // evaluateOffer estimates the cost of serving count tasks of a demand with an offer, and reports
 // whether the offer can serve them. If the tasks do not fill the last machine, half of its unused
-// part is included in the cost, since other tasks may use that part but need not. The cost of an
-// offer increases with its fraction of overdue machines, since further machines of it may join
-// late or never.
+// part is included in the cost, since it is not certain that other tasks will use that part. The
+// cost of an offer increases with its fraction of overdue machines, since further machines of it
+// may join late or never.
 func evaluateOffer(demand Demand, count int, offer Offer, taskSlots int) (option, bool) {
 	host := offer.NewHost("", taskSlots)
 	if !(placement.Fleet{host}).Holds(demand.Request.Enforced, demand.Request.Team, host) {
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -183,8 +183,8 @@
 // Rank returns a ranking of the candidates for a request. Consecutive searches with equal
 // requests and options can share it (see Options.Ranking). With hundreds of jobs that have equal
 // requests, scoring every machine again for each job would dominate the cost of a scheduling
-// pass. The candidates are the schedulable machines with room for at least one task that the
-// options allow.
+// pass. The candidates are the schedulable machines that the options allow and that have room for
+// at least one task.
 func (f Fleet) Rank(request *Request, options Options) *Ranking {
 	var hosts []*Host
 	for _, host := range f {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -188,7 +188,7 @@
 
 // TestPreferredRulesRelaxedOnlyForRoom checks that replicas of a service share a machine if
 // relaxing is allowed and no other machine has room. They do not share one if relaxing is not
-// allowed, also when another machine is excluded.
+// allowed, even if the other machine is excluded.
 func TestPreferredRulesRelaxedOnlyForRoom(t *testing.T) {
 	fleet := func() Fleet {
 		var hosts Fleet
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -32,9 +32,10 @@
 	return sum * 0x9e3779b97f4a7c15
 }
 
-// Assign assigns each name to the owner that scores highest for it among those that do not have
-// their equal part of the names, rounded up, yet. The result does not depend on the order of the
-// names.
+// Assign assigns the names to the owners, such that no owner gets more than its equal part of the
+// names, rounded up. It goes through the names in sorted order and assigns each name to the owner
+// that scores highest for it among those that have not reached this limit. The result does not
+// depend on the order in which the names are given.
 func Assign(owners, names []string) map[string]string {
 	assigned := make(map[string]string, len(names))
 	if len(owners) == 0 {
--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -8,8 +8,8 @@
 )
 
 // Each change of shards is one transaction, with the versions of the changed records as its
-// conditions. Of two concurrent changes to the same shard one fails, and so does a change that
-// arrives after another one.
+// conditions. Of two concurrent changes to the same shard one fails. A change that arrives late
+// fails if the shard has changed since.
 
 // addPut adds the write of a shard's record to a transaction, with the condition that the record
 // has not changed.
@@ -47,8 +47,8 @@
 	to string
 }
 
-// propose returns the transaction that asks the owners of shards to hand them over. It has the
-// condition that the targets are alive.
+// propose returns the transaction that records proposed moves of shards, so that their owners release
+// the shards. It has the condition that the targets are alive.
 func (t *Table) propose(proposals []proposal, reason string, wall int64) wire.Transaction {
 	var txn wire.Transaction
 	for _, proposed := range proposals {
--- a/internal/shard/operator.go
+++ b/internal/shard/operator.go
@@ -13,8 +13,8 @@
 // maxReasonLength bounds an operator's reason, in bytes, so that the record stays small.
 const maxReasonLength = 200
 
-// CheckInUse returns an error that states why sharding is not in use, in which case operators
-// cannot change shards, or nil if it is in use.
+// CheckInUse returns nil if sharding is in use. Otherwise operators cannot change shards, and it
+// returns an error that states why sharding is not in use.
 func (t *Table) CheckInUse() error {
 	switch {
 	case t.format < record.FormatSharding:
--- a/internal/shard/policy.go
+++ b/internal/shard/policy.go
@@ -8,13 +8,14 @@
 	"lilacrill/wire"
 )
 
-// SwitchPolicy returns the action, if it is due, that switches sharding on once the current
-// processes of all live controllers enable it, or off once one of them does not. The conditions of
-// its transaction are the liveness records and registrations that the decision relies on.
+// SwitchPolicy returns the action that switches sharding on or off, and whether it is due. Sharding
+// is switched on once the current processes of all live controllers enable it, and off once one of
+// them does not. The transaction has conditions on the policy and on the liveness records and
+// registrations that the decision is based on.
 //
-// The caller must commit it together with a write of a record on which every placement has a
-// condition. Otherwise a placement on any machine that is under way, from a process of any release,
-// could be committed after the switch.
+// The caller must commit the action together with a write of a record on which every placement has
+// a condition. Otherwise a placement that is under way, on any machine and by a process of any
+// release, could be committed after the switch.
 func (t *Table) SwitchPolicy() (Action, bool) {
 	if t.format < record.FormatSharding || len(t.controllers) == 0 {
 		return Action{}, false
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -32,7 +32,7 @@
 func Valid(id wire.ShardID) bool { return id >= 0 && id < Count }
 
 // affinity returns the rendezvous hash of a controller and a shard. It orders controllers for a
-// shard, or shards for a controller, pseudo-randomly but equally in all processes.
+// shard, or shards for a controller, pseudo-randomly but identically in all processes.
 func affinity(label string, id wire.ShardID) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(label) // writing to a digest cannot fail
