--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -80,7 +80,7 @@
 				!(avoidsExpensive && c.abovePriceLimit(c.fleet.machines[host.ID]))
 		}
 	}
-	if schedule := &c.cache.team(job.spec.Team).schedule; j.canStage && schedule.lostPlacements > 0 {
+	if schedule := &c.cache.team(job.spec.Team).schedule; j.canStage && schedule.placementConflicts > 0 {
 		options.SampleSize, options.Excluded, options.Relax = c.operator.values.ProbeMachines, schedule.contendedMachines, false
 	}
 	return options
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -96,7 +96,7 @@
 		return
 	case Conflict:
 		if txn.placesTasks {
-			c.noteLostPlacement(txn, sent)
+			c.notePlacementConflict(txn, sent)
 		}
 	}
 	// The cache must be current before the team's next transaction. A conflict means that another
@@ -121,7 +121,7 @@
 		}
 	}
 	if txn.placesTasks {
-		txn.team.schedule.resetLostPlacements()
+		txn.team.schedule.resetPlacementConflicts()
 	}
 	for _, id := range sortedKeys(txn.notifyMachines) {
 		if machine := c.fleet.machines[id]; machine != nil {
@@ -203,13 +203,13 @@
 		maps.EqualFunc(p.completed, other.completed, record.TaskSet.Equal)
 }
 
-// noteLostPlacement handles a transaction that places tasks and conflicted with another
+// notePlacementConflict handles a transaction that places tasks and conflicted with another
 // controller's. Its machines count as contended, and the next attempts probe other machines at
 // random. After a bounded number of lost transactions, the team's placements are paused.
-func (c *Controller) noteLostPlacement(txn *placementTransaction, sent Time) {
+func (c *Controller) notePlacementConflict(txn *placementTransaction, sent Time) {
 	team := txn.team
-	team.schedule.noteLostPlacement(sent, txn.usedMachines)
-	if team.schedule.lostPlacements >= c.operator.values.ProbeTries {
+	team.schedule.notePlacementConflict(sent, txn.usedMachines)
+	if team.schedule.placementConflicts >= c.operator.values.ProbeTries {
 		c.backOffPlacement(team)
 	} else {
 		c.expirePlacementRetries(team)
@@ -220,31 +220,31 @@
 // free capacity is contended, no further transaction is made whose result could end the retries.
 // Without this time limit the machines would stay contended, and the tasks pending, forever.
 func (c *Controller) expirePlacementRetries(team *team) {
-	if team.schedule.lostPlacements > 0 && c.now.Sub(team.schedule.firstLostAt) > c.operator.values.ProbeDuration() {
+	if team.schedule.placementConflicts > 0 && c.now.Sub(team.schedule.firstConflictSentAt) > c.operator.values.ProbeDuration() {
 		c.backOffPlacement(team)
 	}
 }
 
 // backOffPlacement pauses a team's placements after lost transactions.
 func (c *Controller) backOffPlacement(team *team) {
-	team.schedule.resetLostPlacements()
+	team.schedule.resetPlacementConflicts()
 	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.PlacementRetryS))
 	c.metrics.count(countPlacementBackoffs, 1)
 	c.log.Debug("placement backed off", "team", team.name)
 }
 
-// noteLostPlacement counts a lost transaction, which was sent at the given time, and adds the
+// notePlacementConflict counts a lost transaction, which was sent at the given time, and adds the
 // machines that it used to the contended ones.
-func (s *teamSchedule) noteLostPlacement(sent Time, machines map[wire.MachineID]bool) {
-	if s.lostPlacements == 0 {
-		s.firstLostAt = sent
+func (s *teamSchedule) notePlacementConflict(sent Time, machines map[wire.MachineID]bool) {
+	if s.placementConflicts == 0 {
+		s.firstConflictSentAt = sent
 		s.contendedMachines = map[wire.MachineID]bool{}
 	}
-	s.lostPlacements++
+	s.placementConflicts++
 	for id := range machines {
 		s.contendedMachines[id] = true
 	}
 }
 
-// resetLostPlacements clears the count of lost transactions and the contended machines.
-func (s *teamSchedule) resetLostPlacements() { s.lostPlacements, s.contendedMachines = 0, nil }
+// resetPlacementConflicts clears the count of lost transactions and the contended machines.
+func (s *teamSchedule) resetPlacementConflicts() { s.placementConflicts, s.contendedMachines = 0, nil }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -35,12 +35,12 @@
 	nextTransaction Time // earliest time of the next transaction
 	// nextExitCollection is the time from which this controller may record the task exits of a
 	// team that another controller owns. It is 0 if there are no such exits.
-	nextExitCollection Time
-	lastTurn           Time
-	nextPlacement      Time                    // earliest time of the next placement, after lost writes
-	lostPlacements     int                     // consecutive placement writes that lost a conflict
-	firstLostAt        Time                    // when the first of these writes was sent
-	contendedMachines  map[wire.MachineID]bool // machines of the lost writes
+	nextExitCollection  Time
+	lastTurn            Time
+	nextPlacement       Time                    // earliest time of the next placement, after lost writes
+	placementConflicts  int                     // consecutive placement writes that lost a conflict
+	firstConflictSentAt Time                    // when the first of these writes was sent
+	contendedMachines   map[wire.MachineID]bool // machines of the lost writes
 }
 
 const (
