--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -43,7 +43,7 @@
 // admission holds the state of submissions that are not decided yet.
 type admission struct {
 	inFlight         int  // submissions being written
-	lastAdvisedRetry Time // latest retry time that a user was advised
+	lastAdvisedRetry Time // latest time at which a user was advised to retry
 }
 
 // submit answers a submission. Submissions are idempotent: a repeated submission is answered
--- a/internal/controller/allocation.go
+++ b/internal/controller/allocation.go
@@ -26,8 +26,8 @@
 	return placement.Resources{Cores: a.Cores, Accelerators: a.Accelerators, MemGB: a.MemGB}
 }
 
-// tags returns the tags for placement rules that are known from the allocation alone. They serve
-// for a job that is not in the cache.
+// tags returns the tags for placement rules that are known from the allocation alone. They are used
+// if the job is not in the cache.
 func (a *Allocation) tags() placement.Tags {
 	tags := placement.Tags{placement.TagJob: string(a.Job)}
 	if a.Shape == wire.ShapeService {
@@ -46,8 +46,9 @@
 func (a *Allocation) encodedSize() int { return record.EntrySize(a.Machine, a.AgentEpoch, a.Tasks) }
 
 // encodedSizeAfter returns the number of bytes that an allocation adds to a page on which it
-// follows the given allocations. It may grow slightly as its tasks end one by one. The space for
-// that is the part of the page that new allocations leave free (newAllocationFraction).
+// follows the given allocations. The allocation may grow slightly as its tasks end one by one. The
+// space for this growth is the part of the page that new allocations leave free (see
+// newAllocationFraction).
 func (a *Allocation) encodedSizeAfter(before []Allocation) int {
 	if last := len(before) - 1; last >= 0 && before[last].AllocationHeader == a.AllocationHeader {
 		return a.encodedSize()
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -56,7 +56,7 @@
 	watching        bool // a watch request is open
 	nextWatch       Time
 	stale           bool // the state store was unreachable, so recent changes may be missing
-	catchingUp      bool // a read barrier after which the cache is no longer stale is in flight
+	catchingUp      bool // a read barrier that fetches these changes is in flight
 
 	barrier readBarrier
 }
@@ -131,7 +131,7 @@
 	}
 }
 
-// team returns a team's placement records, and adds the team if it has none yet.
+// team returns the cached state of a team, and adds an empty state if there is none yet.
 func (s *stateCache) team(name string) *team {
 	t := s.teams[name]
 	if t == nil {
@@ -280,7 +280,8 @@
 	return pending
 }
 
-// noteLiftedTerminations records the time for machines whose termination is no longer pending.
+// noteLiftedTerminations sets terminationLiftedAt of the machines whose termination is no longer
+// pending.
 func (c *Controller) noteLiftedTerminations(pending map[wire.MachineID]pendingTermination) {
 	for id := range c.cache.terminating {
 		if machine := c.fleet.machines[id]; machine != nil && pending[id].reason == "" {
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -32,8 +32,8 @@
 
 // TestTokenIsTakenFromTheWatchOnly checks that the cache does not take the fencing token from the
 // controller's own transaction. A command with a raised token must be based on everything that was
-// written before the token was raised. The result of an own transaction shows the token, but not
-// the earlier writes of other controllers.
+// written before the token was raised. The result of the controller's own transaction contains the
+// token, but not the earlier writes of other controllers.
 func TestTokenIsTakenFromTheWatchOnly(t *testing.T) {
 	c := newTestController(&config.Settings{Label: "rig-0", Cluster: config.Cluster{State: config.State{ValueKB: 8, RPS: 100, WriteRPS: 50}}})
 	c.commit(PriorityLease, wire.Transaction{Then: []wire.Change{c.putChange(record.FencingTokenKey, wire.FencingToken(3))}}, func(CommitResult) {})
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// evictFromPreemptedMachines evicts tasks from machines with a preemption notice, as late as they
-// can still save a checkpoint. Replicas of services are evicted at once.
+// evictFromPreemptedMachines evicts tasks from machines with a preemption notice. Tasks that save
+// checkpoints are evicted as late as the time for a last checkpoint allows, replicas of services at
+// once.
 func (c *Controller) evictFromPreemptedMachines(transactions map[string]*placementTransaction) {
 	for _, machine := range c.orderedMachines() {
 		if machine.scaling.preemptionAt == 0 {
--- a/internal/controller/image_pulls.go
+++ b/internal/controller/image_pulls.go
@@ -7,7 +7,7 @@
 	"lilacrill/wire"
 )
 
-// imagePullMargin is the factor by which an image pull may exceed its estimated time.
+// imagePullMargin is the ratio of the time allowed for an image pull to its estimated time.
 const imagePullMargin = 4.0 / 3
 
 // imagePullTime returns the time that a machine may take to pull a job's image. It is 0 if the
--- a/internal/controller/job_placement.go
+++ b/internal/controller/job_placement.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// options returns the options for choosing machines for the job. After lost placement writes, the
-// machines of these writes are excluded and only a few others are tried at random, so that two
-// controllers do not contend for the same machines again.
+// options returns the options for choosing machines for the job. After placement writes that ended
+// in conflicts, the machines that these writes used are excluded and only a few others are tried at
+// random, so that two controllers do not contend for the same machines again.
 func (j *jobPlacement) options() placement.Options {
 	c, p, job := j.pass.c, j.pass, j.pending.job
 	options := placement.Options{
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -204,8 +204,8 @@
 }
 
 // notePlacementConflict handles a transaction that places tasks and conflicted with another
-// controller's. Its machines count as contended, and the next attempts probe other machines at
-// random. After a bounded number of lost transactions, the team's placements are paused.
+// controller's. The machines that it used count as contended, and the next attempts try a few other
+// machines at random. After a bounded number of conflicts, the team's placements are paused.
 func (c *Controller) notePlacementConflict(txn *placementTransaction, sent Time) {
 	team := txn.team
 	team.schedule.notePlacementConflict(sent, txn.usedMachines)
@@ -225,7 +225,7 @@
 	}
 }
 
-// backOffPlacement pauses a team's placements after lost transactions.
+// backOffPlacement pauses a team's placements after conflicts.
 func (c *Controller) backOffPlacement(team *team) {
 	team.schedule.resetPlacementConflicts()
 	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.PlacementRetryS))
@@ -233,8 +233,8 @@
 	c.log.Debug("placement backed off", "team", team.name)
 }
 
-// notePlacementConflict counts a lost transaction, which was sent at the given time, and adds the
-// machines that it used to the contended ones.
+// notePlacementConflict counts a conflict of a transaction that was sent at the given time, and adds
+// the machines that it used to the contended ones.
 func (s *teamSchedule) notePlacementConflict(sent Time, machines map[wire.MachineID]bool) {
 	if s.placementConflicts == 0 {
 		s.firstConflictSentAt = sent
@@ -246,5 +246,5 @@
 	}
 }
 
-// resetPlacementConflicts clears the count of lost transactions and the contended machines.
+// resetPlacementConflicts clears the count of conflicts and the contended machines.
 func (s *teamSchedule) resetPlacementConflicts() { s.placementConflicts, s.contendedMachines = 0, nil }
--- a/internal/controller/placement_page.go
+++ b/internal/controller/placement_page.go
@@ -175,8 +175,9 @@
 }
 
 // teamUnreadable reports whether a placement record of a team cannot be decoded. The team's
-// allocations are then unknown. So none of its tasks is placed or cleaned up, no action is taken on
-// its quota and its gangs, and tasks that run without a record are not stopped as orphans.
+// allocations, and so the use of its quota, are then unknown. Therefore none of its tasks is placed
+// or cleaned up, gangs that seem incomplete are not evicted, and tasks that run without a record are
+// not stopped as orphans.
 func (c *Controller) teamUnreadable(team string) bool {
 	for key := range c.cache.unreadable {
 		if strings.HasPrefix(key, record.PlacementPrefix+team+"/") {
--- a/internal/controller/placement_transaction.go
+++ b/internal/controller/placement_transaction.go
@@ -25,8 +25,8 @@
 //   - If it places tasks, the version of the list of terminations. None of its machines was added
 //     to that list, or confirmed as terminated, in the meantime. Enabling or disabling sharding
 //     rewrites this list as well, so placements of controllers with and without shards never mix.
-//   - The versions of the records of the shards in which it places tasks. A controller that was
-//     replaced as the owner of a shard loses the write, however late it is executed.
+//   - The versions of the records of the shards in which it places tasks. The write of a controller
+//     that was replaced as the owner of a shard fails, however late it is executed.
 //   - The versions of the records of the jobs that it places or completes. None of them was
 //     cancelled or completed in the meantime.
 //   - If it raises the fencing token, the token's version.
@@ -116,10 +116,10 @@
 }
 
 // hasCapacityFor reports whether the transaction can take the given number of further writes. The
-// number of its conditions does not grow with the size of the team. The conditions name the head
-// pages of all zones (those of zones with additions are among the staged pages), the pages that it
-// writes, its jobs, the shards in which it places tasks, the fencing token and the list of
-// terminations.
+// number of its conditions does not grow with the size of the team. There is one condition for the
+// head page of each zone (those of zones with additions are among the staged pages), for each page
+// that it writes, for each of its jobs, for each shard in which it places tasks, for the fencing
+// token and for the list of terminations.
 func (txn *placementTransaction) hasCapacityFor(operations int) bool {
 	limits := &txn.cluster.State
 	heads := len(txn.cluster.Zones) - len(txn.zonesWithAdditions)
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -8,8 +8,10 @@
 // next request. The store may have answered the request in flight before the reader was queued, and
 // the response would not include writes between these two moments.
 type readBarrier struct {
-	inFlight    bool
-	nextRequest Time            // earliest time of the next request, which keeps user requests within the rate limit
+	inFlight bool
+	// nextRequest is the earliest time of the next request. It keeps the barriers that user
+	// requests cause from using up this controller's request rate.
+	nextRequest Time
 	waiting     []func(ok bool) // readers served by the request in flight
 	queued      []func(ok bool) // readers served by the request after it
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -14,7 +14,7 @@
 //
 // There are two kinds of passes. Critical jobs are scheduled as soon as something changes that
 // they may wait for. All other jobs are scheduled at intervals that keep this controller
-// within its share of the state store's writes.
+// within its part of the state store's write rate.
 type scheduler struct {
 	dirty              bool // something changed since the last pass
 	criticalDirty      bool // something changed that a pending critical job may wait for
@@ -37,10 +37,10 @@
 	// team that another controller owns. It is 0 if there are no such exits.
 	nextExitCollection  Time
 	lastTurn            Time
-	nextPlacement       Time                    // earliest time of the next placement, after lost writes
-	placementConflicts  int                     // consecutive placement writes that lost a conflict
+	nextPlacement       Time                    // earliest time of the next placement, after conflicts
+	placementConflicts  int                     // consecutive placement writes that ended in a conflict
 	firstConflictSentAt Time                    // when the first of these writes was sent
-	contendedMachines   map[wire.MachineID]bool // machines of the lost writes
+	contendedMachines   map[wire.MachineID]bool // machines that these writes used
 }
 
 const (
@@ -59,7 +59,7 @@
 	// job places it.
 	acceptorPriorityPeriod = 500 * time.Millisecond
 	// exitCollectionDelay is the time during which only the team's owner records task exits.
-	// A single writer per team avoids lost writes.
+	// A single writer per team avoids conflicts.
 	exitCollectionDelay = time.Second
 	commitRetryDelay    = 200 * time.Millisecond
 	// heartbeatSlack is added to the longest heartbeat interval before a heartbeat counts as
@@ -177,9 +177,9 @@
 
 // startTransactions starts a transaction for the team whose turn it is, and collects the task
 // exits to record in it. A transaction is built only when it can be written at once. If it had
-// to wait for write tokens, it would be based on an outdated state and lose a conflict. Teams
-// therefore take turns, except after machines were lost with the tasks on them, when every team
-// gets a transaction.
+// to wait for write tokens, it would be based on an outdated state and end in a conflict. Teams
+// therefore take turns. Only after machines were lost with the tasks on them does every team get a
+// transaction in the same pass.
 func (c *Controller) startTransactions() map[string]*placementTransaction {
 	transactions := map[string]*placementTransaction{}
 	for _, name := range c.teamsByTurn() {
--- a/internal/controller/scheduling_pass.go
+++ b/internal/controller/scheduling_pass.go
@@ -12,10 +12,13 @@
 // stages its decisions in the teams' placement transactions. Nothing is written before the pass
 // is over.
 //
-// A pass builds the hosts (newSchedulingPass) and then (run) orders the pending jobs, determines
-// which accelerators to reserve, places the critical jobs, reserves headroom, places all other
-// jobs, those that prefer a cached image on machines that have it, and finally places the
-// remaining tasks on any machine.
+// newSchedulingPass builds the hosts. The method run then takes these steps in order:
+//
+//  1. It orders the pending jobs and determines which accelerators to reserve.
+//  2. It places the critical jobs, and then reserves headroom.
+//  3. It places all other jobs. Those that prefer a cached image are placed only on machines that
+//     have the image.
+//  4. It places the remaining tasks of jobs that prefer a cached image on any machine.
 type schedulingPass struct {
 	c            *Controller
 	transactions map[string]*placementTransaction // by team; for a team without one the pass only plans
--- a/internal/controller/wait_tolerance.go
+++ b/internal/controller/wait_tolerance.go
@@ -14,8 +14,8 @@
 	waitToleranceFraction = 0.4
 	deadlineWaitFraction  = 0.15
 	minWaitTolerance      = 15 * time.Second
-	// overdueToleranceFactor times its wait tolerance is the time after which a job has waited
-	// too long.
+	// A job has waited too long once it has been pending for more than overdueToleranceFactor
+	// times its wait tolerance.
 	overdueToleranceFactor = 2
 	// The slack of a job without any objective or deadline is noObjectiveRuntimeFactor times its
 	// run time plus noObjectiveMinS seconds. If it has not started noObjectiveMaxStartWait after
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -123,9 +123,9 @@
 }
 
 // callInterval returns the time between calls that may use a fraction of this controller's request
-// rate to the state store. It is at least the given duration.
-func (c *Controller) callInterval(least time.Duration, part float64) time.Duration {
-	return max(least, config.Seconds(1/(part*c.rateFraction()*c.settings.Cluster.State.RPS)))
+// rate to the state store. It is at least the given minimum.
+func (c *Controller) callInterval(minimum time.Duration, fraction float64) time.Duration {
+	return max(minimum, config.Seconds(1/(fraction*c.rateFraction()*c.settings.Cluster.State.RPS)))
 }
 
 // applyWatchResult applies the changes of a watch to the cache. It reports whether the watch
--- a/internal/controller/write_budget.go
+++ b/internal/controller/write_budget.go
@@ -1,9 +1,10 @@
 package controller
 
 // writeBudget is a token bucket for writes to the state store. It refills continuously at the
-// controller's write rate and holds at most the writes of one second. The rate limiter in the state
-// store's client makes calls wait. This budget is checked before a decision is made, because a
-// transaction that waits for tokens is based on records that change in the meantime, and conflicts.
+// controller's write rate and holds at most the writes of one second. Unlike the rate limiter in the
+// state store's client, which makes calls wait, the budget is checked before a decision is made. A
+// transaction that waits for tokens is based on records that change in the meantime, and ends in a
+// conflict.
 type writeBudget struct {
 	available  float64 // writes that may be made now; negative after a large transaction
 	refilledAt Time
@@ -31,7 +32,7 @@
 	// writes.
 	typicalTransactionWrites = 6
 	// affordableFraction is the fraction of a second's writes that suffices for a transaction if
-	// it is less than typicalTransactionWrites.
+	// the rate is so low that this is fewer writes than typicalTransactionWrites.
 	affordableFraction = 0.6
 )
 
