--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -33,7 +33,7 @@
 // never violate the invariant.
 
 // cancellationWatermark is this controller's side of the protocol by which controllers exchange
-// cancellations without the state store. What peers sent is in peerState.
+// cancellations without the state store. What the peers sent is kept in peerState.
 type cancellationWatermark struct {
 	process        uint64 // distinguishes this process from earlier ones with its label
 	cacheCurrentAt Time   // the cache holds everything that was written before this time
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -104,7 +104,7 @@
 			id := wire.JobID(wire.TaskID{Job: "wk-1", Index: i}.String())
 			c.apply(record.JobKey(id), encodePlain(record.CompletedJob{Completion: record.Completion{Status: wire.StatusCancelled}}), version)
 			all[version] = id
-			if rapid.IntRange(0, 200).Draw(t, "known to a sibling") == 0 {
+			if rapid.IntRange(0, 200).Draw(t, "known to a peer") == 0 {
 				peer := rapid.SampledFrom([]string{"rig-1", "rig-2"}).Draw(t, "by")
 				c.handlePeerMessage(watermarkFrom(c, peer, 7, 1, 5, version))
 			}
--- a/internal/controller/command_calls.go
+++ b/internal/controller/command_calls.go
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// awaitsFencingToken reports whether an allocation on a machine waits until the machine has seen a
-// token that this controller knows. Without a call, the machine would see that token only in
-// the response to its next heartbeat, which may be far off.
+// awaitsFencingToken reports whether an allocation on a machine waits until the machine has
+// seen a token that this controller knows. Without a call, the machine would see that token
+// only in the response to its next heartbeat, which may be far off.
 func (c *Controller) awaitsFencingToken(machine *machine) bool {
 	heartbeat := machine.latestHeartbeat
 	return slices.ContainsFunc(machine.allocations, func(allocation *Allocation) bool {
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -49,9 +49,10 @@
 
 const (
 	// The fractions of the time for a cancellation (cancel_s) after which a machine is
-	// terminated although the termination cannot be recorded. They apply to any controller,
-	// to a controller that does not reach the state store, and to the provisioner if it does
-	// not reach the state store.
+	// terminated although the termination cannot be recorded. The first applies while the
+	// state store is reachable, the second to a controller that does not reach it, and the
+	// third to the provisioner if it does not reach the state store and does not suspect to be
+	// isolated.
 	unrecordedTerminationFraction            = 0.7
 	unrecordedTerminationFractionIsolated    = 0.55
 	unrecordedTerminationFractionProvisioner = 0.3
@@ -59,9 +60,9 @@
 
 // noteCompletedTasksOn records that a machine may hold a task of a completed job. A job that
 // is found completed while the cache is loaded may have been cancelled any time ago, so all
-// of the time for its cancellation counts as spent. If a controller granted the whole time
-// again after a restart, a machine could hold such a task beyond that time by hanging while
-// all controllers are down.
+// of the time for its cancellation counts as spent. Otherwise, if a machine hangs from before
+// all controllers end until after one has restarted, it could hold such a task beyond that
+// time, since the restarted controller would grant the whole time again.
 func (c *Controller) noteCompletedTasksOn(id wire.MachineID) {
 	since := c.cancellationsKnownAt()
 	if c.cache.loadState == cacheLoading {
@@ -175,14 +176,14 @@
 // tasks of completed jobs before it is terminated without a record. While the state store is
 // reachable, the provisioner terminates such a machine with a record well before.
 func (c *Controller) unrecordedTerminationDelay() time.Duration {
-	part := unrecordedTerminationFraction
+	fraction := unrecordedTerminationFraction
 	if !c.storeReachable() {
-		part = unrecordedTerminationFractionIsolated
+		fraction = unrecordedTerminationFractionIsolated
 		if c.isProvisioner() && !c.isolationSuspected() {
-			part = unrecordedTerminationFractionProvisioner
+			fraction = unrecordedTerminationFractionProvisioner
 		}
 	}
-	return config.Seconds(part * c.settings.Cluster.Workers.CancelS)
+	return config.Seconds(fraction * c.settings.Cluster.Workers.CancelS)
 }
 
 // terminateUnrecorded terminates machines although their termination cannot be recorded. This
--- a/internal/controller/crash_loop.go
+++ b/internal/controller/crash_loop.go
@@ -38,8 +38,8 @@
 	// time encounters several faulty machines over time, which must not add up.
 	failureLifetime = 2 * time.Minute
 
-	// faultyMachineThreshold is the number of jobs that run well elsewhere and must have
-	// failed on a machine before the machine is quarantined.
+	// faultyMachineThreshold is the number of jobs that must have failed on a machine, although
+	// they run well elsewhere, before the machine is quarantined.
 	faultyMachineThreshold = 2
 	// unprovenJobWeight is the weight in that number of a job of which no task has succeeded
 	// yet, since the job may be faulty itself.
--- a/internal/controller/failure_detector.go
+++ b/internal/controller/failure_detector.go
@@ -22,8 +22,8 @@
 // is terminated.
 
 const (
-	// heartbeatIntervalFactor is the longest interval between two heartbeats as a multiple of the
-	// configured one. Workers vary the interval by up to a quarter.
+	// heartbeatIntervalFactor is the longest interval between two heartbeats as a multiple of
+	// the configured one (report_s). Workers vary the interval by up to a quarter.
 	heartbeatIntervalFactor = 1.25
 	// heartbeatTimeoutFactor determines how long a worker may send no heartbeat before it
 	// is probed, as a multiple of the configured heartbeat interval.
@@ -35,7 +35,7 @@
 	provisionerProbeDelay = 500 * time.Millisecond
 	// probeInterval is the shortest time between two probes of a machine.
 	probeInterval = 900 * time.Millisecond
-	// unreachableThreshold is the number of consecutive unanswered direct calls from
+	// unreachableThreshold is the number of consecutive unanswered direct calls after
 	// which a machine counts as unreachable.
 	unreachableThreshold = 2
 	// probeCallDivisor reserves one in so many of the concurrent direct calls for probes.
@@ -120,9 +120,10 @@
 // shouldProbe reports whether this controller is responsible for probing a machine from which
 // no heartbeat has come for the given time. One live controller is chosen by the machine's
 // name. The provisioner also probes, a little later, because it terminates silent machines by
-// the results of its own probes. While a peer cannot be heard, the heartbeats that it receives
-// are not gossiped to this controller. Each controller then probes every machine, since it
-// would otherwise come to regard most machines as silent and place nothing on them.
+// the results of its own probes. While no messages of a peer arrive, the heartbeats that the
+// peer receives are not gossiped to this controller. This controller then probes every machine
+// itself, since it would otherwise regard most machines as silent after a while and place no
+// tasks on them.
 func (c *Controller) shouldProbe(machine *machine, quiet time.Duration) bool {
 	if quiet > c.defaultHeartbeatTimeout() && !c.receivesFromAllPeers() {
 		return true
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -11,18 +11,19 @@
 const (
 	// peerHeartbeatInterval is the longest time between two messages to the peers.
 	peerHeartbeatInterval = time.Second
-	// gossipInterval is how often the heartbeats received since are sent to the peers.
+	// gossipInterval is how often newly received heartbeats are sent to the peers.
 	gossipInterval = 200 * time.Millisecond
 	// heartbeatsPerMessage is the largest number of complete heartbeats in a message.
 	heartbeatsPerMessage = 100
 	// peerTimeout is how long a peer may send no message before it counts as lost.
 	peerTimeout = 3 * peerHeartbeatInterval
-	// ackTimeout is the largest age of the newest watermark of this controller that a peer
-	// has acknowledged before the connection counts as lost. The watermark and the peer's
-	// own watermark with the acknowledgement wait up to watermarkInterval each to be sent.
+	// ackTimeout is the age, of the newest watermark of this controller that a peer has
+	// acknowledged, above which the connection to the peer counts as lost. The watermark and
+	// the peer's own watermark with the acknowledgement wait up to watermarkInterval each to
+	// be sent.
 	ackTimeout = peerTimeout + watermarkInterval
 	// peerStoreTimeout is how long a peer counts as reaching the state store after a message
-	// in which it said so.
+	// that states so.
 	peerStoreTimeout = 2*peerHeartbeatInterval + peerHeartbeatInterval/2
 )
 
@@ -70,8 +71,8 @@
 // isHeard reports whether a message of the peer has arrived within peerTimeout.
 func (p *peerState) isHeard(now Time) bool { return now.Sub(p.lastHeardAt) <= peerTimeout }
 
-// isConnected reports whether messages arrive in both directions. Messages that arrive from the
-// peer do not show that messages to it arrive.
+// isConnected reports whether messages arrive in both directions. The arrival of messages from
+// the peer does not show that the peer receives messages from this controller.
 func (p *peerState) isConnected(now Time) bool { return now.Sub(p.ackedAt) <= ackTimeout }
 
 // countConnected returns the number of peers with which messages arrive in both directions.
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// ownHeadroom returns for how many tasks of a headroom demand this controller reserves room.
-// Each task belongs to a shard, as machines do, so the parts of all controllers add up to the
-// whole demand, however small it is.
+// ownHeadroom returns the number of tasks of a headroom demand for which this controller
+// reserves room. Each task belongs to a shard, as machines do, so the parts of all controllers
+// add up to the whole demand, however small it is.
 func (c *Controller) ownHeadroom(demand capacity.Demand) int {
 	own := 0
 	for i := range demand.Count {
--- a/internal/controller/heartbeat_response.go
+++ b/internal/controller/heartbeat_response.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// renewalWait is how long a heartbeat waits for its response if this controller does not
-	// know of recent enough cancellations to renew the lease at once.
+	// renewalWait is how long the response to a heartbeat is delayed if this controller's
+	// knowledge of cancellations is not recent enough to renew the lease at once.
 	renewalWait = 1500 * time.Millisecond
 	// peerQuorumLossDelay is how long the state store must have been unreachable before
 	// workers are redirected on the loss of the peer quorum.
@@ -112,8 +112,8 @@
 	return true
 }
 
-// leaseOutlastsTryingPeers reports whether a worker's lease lasts until the worker has tried every
-// other controller in vain and come back.
+// leaseOutlastsTryingPeers reports whether a worker's lease lasts until the worker has tried
+// every other controller in vain and come back.
 func (c *Controller) leaseOutlastsTryingPeers() bool {
 	tryingPeers := time.Duration(len(c.settings.Siblings)) * (workerTimeout + workerRetryDelay)
 	return tryingPeers+c.maxHeartbeatInterval()+workerTimeout <= config.Seconds(c.settings.Cluster.Workers.LeaseS)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -51,7 +51,8 @@
 		return
 	}
 	before, first := machine.tasks, machine.latestHeartbeat == nil
-	// A heartbeat without changes needs no scheduling pass if the previous one was on time.
+	// A heartbeat without changes needs no scheduling pass unless it was overdue, in which case
+	// the machine accepts tasks again.
 	c.scheduler.dirty = c.scheduler.dirty || first || !sameStatus(machine.latestHeartbeat, heartbeat) || !c.heartbeatsOnTime(machine)
 	machine.liveness.resetUnansweredAfterSilence(c.now, c.maxHeartbeatInterval())
 	machine.setLatestHeartbeat(heartbeat, c.now)
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -19,9 +19,9 @@
 	avoided  [2]Time // time until which each job avoids the machine
 }
 
-// TestHeartbeatEffectsAreDeterministic checks that applying a heartbeat with many exited tasks, as a
-// controller that has just started receives it, has the same effects on its machine and jobs
-// every time, in whatever order the heartbeat lists the tasks. Otherwise a replay of a
+// TestHeartbeatEffectsAreDeterministic checks that applying a heartbeat with many exited tasks,
+// as a controller that has just started receives it, has the same effects on its machine and
+// jobs every time, in whatever order the heartbeat lists the tasks. Otherwise a replay of a
 // controller's inputs could differ from the recorded run.
 func TestHeartbeatEffectsAreDeterministic(t *testing.T) {
 	first := effectsOfExits(false)
--- a/internal/controller/hosts.go
+++ b/internal/controller/hosts.go
@@ -41,8 +41,8 @@
 	return builder.fleet
 }
 
-// addMachines adds the machines that have joined, are not terminated and are not left out as
-// outside this controller's shards.
+// addMachines adds the machines that have joined and are not terminated, except those that
+// outsideOwnShards leaves out.
 func (b *hostBuilder) addMachines() {
 	c := b.controller
 	hosts := make([]placement.Host, len(c.fleet.machines))
@@ -109,7 +109,7 @@
 	return machine.host
 }
 
-// schedulesJob reports whether this controller schedulesJob a job.
+// schedulesJob reports whether this controller schedules a job.
 func (b *hostBuilder) schedulesJob(id wire.JobID) bool {
 	job := b.controller.cache.jobs[id]
 	return job != nil && b.controller.schedulesJob(job)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -71,7 +71,7 @@
 	resend         bool // new commands came up during a call
 	nextSend       Time // no commands before this time
 
-	reconciledHeartbeat *wire.Heartbeat // the latest heartbeat if no command follows from it
+	reconciledHeartbeat *wire.Heartbeat // the last heartbeat from which no commands followed; nil if allocations changed since
 
 	pendingCleanup map[attemptKey]wire.Revision // exited tasks without an allocation, and the revision that is known to lack the allocation
 	missingSince   map[attemptKey]Time          // tasks of allocations that the heartbeats do not list, and since when
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -20,7 +20,7 @@
 // incarnation. The process becomes ready once its cache holds the raise of the token that
 // established its incarnation, and everything that was written before that.
 type membership struct {
-	nextAttempt Time // when the cache may be loaded, or joining attempted, next
+	nextAttempt Time // earliest time of the next attempt to load the cache or to join
 
 	incarnation wire.FencingToken // the token that this process raised when it started; 0 until then
 	joining     bool
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -21,15 +21,15 @@
 	// minSilentMachines is the number of silent machines up to which neither a zone counts
 	// as partitioned nor this controller as possibly isolated.
 	minSilentMachines = 2
-	// partitionSilentRatio is the ratio of silent machines to heard ones above which a zone
-	// may count as partitioned.
+	// partitionSilentRatio is the ratio of silent machines to responsive ones above which a
+	// zone may count as partitioned.
 	partitionSilentRatio = 3
 	// partitionLifetime is how long a zone counts as partitioned without new evidence.
 	partitionLifetime = 40 * time.Second
 )
 
 // update applies a review of the fleet. A zone counts as partitioned when nearly all of its
-// machines are silent while most of the fleet is heard. This is detected before the first of
+// machines are silent while most of the fleet is not. This is detected before the first of
 // its machines would be terminated as silent. The zone no longer counts as partitioned once a
 // heartbeat of one of its machines arrives more than silence after the last detection, or when
 // partitionLifetime has passed since then.
@@ -58,8 +58,8 @@
 
 // terminationLimiter bounds how many silent machines are terminated within
 // silentTerminationWindow, in proportion to the fleet. A part of the bound is reserved for
-// machines with critical tasks. Without it, when a hundred machines hang, those without
-// critical tasks that became silent first would use up the bound for seconds.
+// machines with critical tasks. If a hundred machines hang, those without critical tasks that
+// became silent first would otherwise use up the bound for seconds.
 type terminationLimiter struct {
 	times []Time // when the terminations in the window were admitted
 }
--- a/internal/controller/price_limit.go
+++ b/internal/controller/price_limit.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// capacityMargin is the ratio of the work that the machines within the price limit must
-	// be able to do to the work that is known.
+	// capacityMargin times the known work is the work that the machines within the price
+	// limit must be able to do.
 	capacityMargin = 1.25
 	// priceTolerance is the relative tolerance for rounding errors in prices.
 	priceTolerance = 1e-9
 )
 
-// updatePriceLimit determines the price of a core up to which machines are needed for the
-// jobs that tolerate a wait to be expected to start in time. These jobs avoid more expensive
-// machines, except those with critical tasks. The avoided machines then become idle and are
-// terminated, while the jobs wait a little longer.
+// updatePriceLimit determines the price limit. It is the lowest price of a core at which the
+// machines up to that price suffice for the jobs that tolerate a wait to be expected to start
+// in time. These jobs avoid more expensive machines, except those with critical tasks. The
+// avoided machines then become idle and are terminated, while the jobs wait a little longer.
 func (c *Controller) updatePriceLimit(queue []pendingJob) {
 	c.provisioner.priceLimit = math.Inf(1)
 	cores, anyTolerant := c.coresNeeded(queue)
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -18,7 +18,7 @@
 
 	unmetDemands    []unmetDemand // from the last scheduling pass over the whole fleet
 	missingHeadroom int           // tasks of the headroom for which there is no room
-	priceLimit      float64       // price of a core per hour above which jobs that can wait avoid a machine; 0 if not known
+	priceLimit      float64       // price of a core per hour above which jobs that can wait avoid a machine; 0: not known, +Inf: no limit
 
 	// Leadership and the machine list.
 	writingLeadership bool
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -10,8 +10,8 @@
 
 const (
 	// expectedDelayFactor times the usual provisioning delay of its type, plus
-	// expectedDelaySlack, is how long a machine is expected to join. Machines are provisioned
-	// elsewhere, if possible, in place of one that takes longer.
+	// expectedDelaySlack, is the time within which a machine is expected to join. If a machine
+	// takes longer, another one is provisioned in its place, of another offer if possible.
 	expectedDelayFactor = 1.8
 	expectedDelaySlack  = 3 * time.Second
 	// abandonFactor times the usual provisioning delay, plus abandonSlack, is how long a
@@ -111,8 +111,8 @@
 	}
 }
 
-// overdueFractions returns, for each offer, which part of its machines that have been
-// provisioned and have not joined yet is overdue. Offers with a smaller part are preferred.
+// overdueFractions returns, for each offer with overdue machines, the fraction of its booting
+// machines that are overdue to join. Offers with a smaller fraction are preferred.
 func (c *Controller) overdueFractions() map[capacity.OfferKey]float64 {
 	provisioning, overdue := map[capacity.OfferKey]float64{}, map[capacity.OfferKey]float64{}
 	for _, machine := range c.fleet.machines {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -13,8 +13,8 @@
 
 // capacityShortage is the state of an offer for which the cloud had no machines.
 type capacityShortage struct {
-	until   Time          // the offer is not requested before
-	backoff time.Duration // the last pause
+	until   Time          // the offer is not requested before this time
+	backoff time.Duration // the current or last pause
 }
 
 // capacityShortages holds the capacity shortages by offer. An offer is not requested again
@@ -27,8 +27,8 @@
 	maxCapacityBackoff = 40 * time.Second
 )
 
-// note records a shortage of an offer, and doubles the pause until the offer is requested
-// again.
+// note records a shortage of an offer. The pause until the offer is requested again is twice
+// as long as the last one, up to maxCapacityBackoff.
 func (s capacityShortages) note(key capacity.OfferKey, now Time) {
 	shortage := s[key]
 	shortage.backoff = min(max(2*shortage.backoff, capacityBackoff), maxCapacityBackoff)
@@ -62,16 +62,16 @@
 			demands = append(demands, demand)
 		}
 	}
-	for i, launch := range capacity.Plan(demands, expected, c.offers(), maxTasksPerMachine) {
+	for i, entry := range capacity.Plan(demands, expected, c.offers(), maxTasksPerMachine) {
 		if i == maxProvisionCalls {
 			break
 		}
 		c.requestMachines(wire.ProvisionRequest{
 			Name:  fmt.Sprintf("%s-%d", c.settings.Label, c.membership.nextSerial()),
-			Type:  launch.Offer.Type.Name,
-			Zone:  launch.Offer.Zone,
-			Spot:  launch.Offer.Spot,
-			Count: launch.Count,
+			Type:  entry.Offer.Type.Name,
+			Zone:  entry.Offer.Zone,
+			Spot:  entry.Offer.Spot,
+			Count: entry.Count,
 		}, maxProvisionTries)
 	}
 }
@@ -146,9 +146,9 @@
 }
 
 // isUrgentDemand reports whether machines are provisioned at once for an unmet demand: it is
-// guaranteed, tolerates no wait, or has waited for too long. A job that has waited for too
-// long may be unable to use the existing machines, all of which scaleOutDemands counts for
-// other demand.
+// guaranteed, tolerates no wait, or has waited for too long. For other demand,
+// scaleOutDemands assumes that the job can use all existing machines. A job that has waited
+// for too long may be unable to use them.
 func (c *Controller) isUrgentDemand(unmet unmetDemand) bool {
 	tolerance, waited := c.waitTolerance(unmet.job), c.pendingFor(unmet.job)
 	return unmet.guaranteed || tolerance == 0 || waited > overdueToleranceFactor*tolerance ||
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -127,7 +127,7 @@
 }
 
 // isFencedOff reports whether no launch of an allocation that is to be stopped can reach its
-// worker any more. Tasks that the worker does not list then will never run.
+// worker any more. Those of its tasks that the worker does not list will then never run.
 func (c *Controller) isFencedOff(allocation *Allocation, heartbeat *wire.Heartbeat) bool {
 	return allocation.Eviction != record.EvictionNone && allocation.Fence > 0 && heartbeat.Token >= allocation.Fence
 }
@@ -187,8 +187,8 @@
 	return txn.hasCapacityFor(completionOperations + len(c.settings.Cluster.Zones))
 }
 
-// launchTimedOut reports whether a worker that sends heartbeats to this controller has lacked
-// the tasks of an allocation for so long that the launcher does not seem to reach the worker.
+// launchTimedOut reports whether the direct heartbeats of a worker have not listed the tasks
+// of an allocation for so long that the launcher does not seem to reach the worker.
 func (c *Controller) launchTimedOut(machine *machine, allocation *Allocation) bool {
 	first := allocation.key(allocation.Tasks.First())
 	since, ok := machine.reconciliation.missingSince[first]
--- a/internal/controller/zone_capacity.go
+++ b/internal/controller/zone_capacity.go
@@ -4,8 +4,9 @@
 	"lilacrill/internal/placement"
 )
 
-// hostCapacity is how many tasks of a job a host has room for: in what is free or being
-// freed, and if less urgent tasks are evicted as well.
+// hostCapacity is the number of tasks of a job for which a host has room. available counts
+// only resources that are free or being freed, withPreemption also those of less urgent tasks
+// that may be evicted.
 type hostCapacity struct {
 	host                      *placement.Host
 	available, withPreemption int
