--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -51,7 +51,7 @@
 	// The fractions of the time for a cancellation (cancel_s) after which a machine is
 	// terminated although the termination cannot be recorded. The first applies while the
 	// state store is reachable, the second to a controller that does not reach it, and the
-	// third to the provisioner if it does not reach the state store and does not suspect to be
+	// third to the provisioner if it does not reach the state store but does not seem to be
 	// isolated.
 	unrecordedTerminationFraction            = 0.7
 	unrecordedTerminationFractionIsolated    = 0.55
