--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -119,9 +119,9 @@
 }
 
 // BenchmarkLargestFleet measures a minute of three controllers with some 1,900 machines, 240
-// services, gangs of up to 16 and arrays of up to 988 tasks, half as large again as the largest
-// known installation. Meanwhile a zone is partitioned, 150 machines hang, and a controller
-// stalls.
+// services, gangs of up to 16 and arrays of up to 988 tasks. This is half as large again as the
+// largest known installation. Meanwhile a zone is partitioned, 150 machines hang, and a
+// controller stalls.
 func BenchmarkLargestFleet(b *testing.B) { benchmarkCluster(b, time.Minute, largestFleetCluster) }
 
 func largestFleetCluster() *Cluster {
--- a/internal/simulation/failing_jobs_test.go
+++ b/internal/simulation/failing_jobs_test.go
@@ -68,8 +68,8 @@
 }
 
 // TestFaultyMachineIsQuarantined checks that a machine is quarantined if tasks fail on it while
-// other machines run the same jobs without failures, and that a job that fails on all machines
-// quarantines no other machine.
+// other machines run the same jobs without failures, and that no other machine is quarantined
+// because of a job that fails on all machines.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	cluster := newCluster(5, 2)
 	cluster.Capacity = 0
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -51,7 +51,7 @@
 	kind     faultKind
 	at       time.Duration // when the schedule injects it
 	duration time.Duration // some kinds last twice as long, others ignore it
-	target   int           // selects the controller, machine or zone, modulo their number
+	target   int           // selects the controller, machine, zone or provisioning delay, modulo their number
 }
 
 // inject injects the fault immediately. It ignores the field at.
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -17,8 +17,8 @@
 	name string
 	// configure changes the settings of the cluster, if it is set.
 	configure func(*config.Settings)
-	// inject submits jobs and injects the faults within 100 seconds, on a cluster of nine to
-	// thirteen machines.
+	// inject submits jobs and injects the faults within 100 seconds, on a cluster that starts
+	// with thirteen machines.
 	inject func(cluster *Cluster)
 	// minObserved holds the minimum counts, summed over the seeds, that show that the faults
 	// have coincided.
--- a/internal/simulation/heartbeat_test.go
+++ b/internal/simulation/heartbeat_test.go
@@ -74,9 +74,9 @@
 }
 
 // TestDeadMachineDetectedWithLongHeartbeatInterval guards against counting machines as
-// unresponsive that are only not due to send a heartbeat yet. With a long heartbeat interval most
-// machines are in that state at any time. Counting them while one peer is partitioned would
-// prevent the termination of any machine.
+// unresponsive although their next heartbeat is not due yet. With a long heartbeat interval this
+// applies to most machines at any time. If they were counted while one peer is partitioned, no
+// machine would be terminated.
 func TestDeadMachineDetectedWithLongHeartbeatInterval(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := testSettings()
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -63,8 +63,8 @@
 	require.Empty(t, valid.Check([]config.Team{{Name: "blue", CPUsMax: 2}}, time.Minute))
 }
 
-// TestHistoryDetectsRepeatedTasks checks that History.CheckExactlyOnce reports each way in which a task
-// can run other than exactly once, and nothing for valid histories.
+// TestHistoryDetectsRepeatedTasks checks that History.CheckExactlyOnce reports each way in which
+// a task can run other than exactly once, and nothing for valid histories.
 func TestHistoryDetectsRepeatedTasks(t *testing.T) {
 	event := func(kind HistoryKind, index int, attempt wire.Attempt, machine wire.MachineID) HistoryEvent {
 		return HistoryEvent{Kind: kind, Job: "wk-1", Machine: machine, Task: wire.TaskID{Job: "wk-1", Index: index}, Attempt: attempt}
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -41,7 +41,7 @@
 		} else {
 			cluster.At(at, func() { cluster.Submit(spec, run) })
 		}
-		// Some services keep running to the end, so that users always have a job to poll.
+		// Some services keep running to the end, so that users have jobs to poll.
 		cancelled := rapid.IntRange(0, 5).Draw(t, "cancelled")
 		if spec.Shape == wire.ShapeService && cancelled < 4 || cancelled == 0 {
 			cluster.At(at+time.Duration(rapid.IntRange(0, 90).Draw(t, "cancelled after"))*time.Second, func() { cluster.CancelJob(spec.ID) })
@@ -72,8 +72,7 @@
 	})
 }
 
-// TestInvariantsHoldWithShards is like TestInvariantsHold, with shards in use from an early point
-// on.
+// TestInvariantsHoldWithShards is like TestInvariantsHold, with shards in use soon after the start.
 func TestInvariantsHoldWithShards(t *testing.T) {
 	t.Parallel()
 	placed := 0
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -10,12 +10,12 @@
 	"lilacrill/wire"
 )
 
-// largeFleetSize is a number of machines larger than that of any installation.
+// largeFleetSize is the number of machines of the large fleet, more than any installation runs.
 const largeFleetSize = 4200
 
 // TestLargeFleet guards against bounds that a fleet of 4,200 machines exceeds. It checks that the
-// fleet is provisioned and runs its tasks, that a restart of all controllers leaves tasks and
-// machines running, and that the machines are terminated in the end.
+// fleet is provisioned, sends its heartbeats and runs its tasks, that a restart of all controllers
+// leaves tasks and machines running, and that the machines are terminated in the end.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	runLargeFleet(t, (*Cluster).Start)
--- a/internal/simulation/load_test.go
+++ b/internal/simulation/load_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// submitLongJobs schedules the submission of jobs with long tasks that use up the quota limits of
-// their teams. Every other job is cancelled from the given time on, 100 ms apart.
+// submitLongJobs schedules the submission of jobs with long tasks that use most or all of the
+// quota limits of their teams. Every other job is cancelled from the given time on, 100 ms apart.
 func submitLongJobs(cluster *Cluster, jobs int, cancelAt time.Duration) {
 	for n := range jobs {
 		spec, _ := testJob(n, 0)
--- a/internal/simulation/overhead_test.go
+++ b/internal/simulation/overhead_test.go
@@ -29,8 +29,9 @@
 	return sum
 }
 
-// TestIdleClusterDoesLittleWork guards against more work in an idle cluster, which small core
-// shares cannot afford. It counts the work of 30 s in which only unchanged heartbeats arrive.
+// TestIdleClusterDoesLittleWork guards against an increase of the work in an idle cluster, which
+// controllers with a small core share cannot afford. It counts the work of 30 s in which only
+// unchanged heartbeats arrive.
 func TestIdleClusterDoesLittleWork(t *testing.T) {
 	for _, share := range []float64{0.05, 1} {
 		settings := testSettings()
@@ -47,8 +48,8 @@
 		work := func(name string) int { return int(after[name] - before[name]) }
 		require.Less(t, work("records_searched_for_proofs"), 5, "unchanged heartbeats must not trigger a search of the records, share %v", share)
 		// The provisioner checks unmet demand periodically, less often with a small core share.
-		require.Less(t, work("planning_passes"), map[float64]int{0.05: 35, 1: 65}[share], "share %v", share)
-		require.Less(t, work("commits"), 30, "share %v", share)
+		require.Less(t, work("planning_passes"), map[float64]int{0.05: 35, 1: 65}[share], "too many scheduling passes, share %v", share)
+		require.Less(t, work("commits"), 30, "too many commits, share %v", share)
 		require.Empty(t, cluster.Violations)
 	}
 }
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -43,7 +43,7 @@
 				running++
 			}
 		})
-		require.Equal(t, 4, running, "replicas on other machines")
+		require.Equal(t, 4, running, "running replicas on other machines")
 		require.True(t, partitioned.terminated, "the machine was not terminated")
 		cluster.Run(60 * time.Second)
 		require.Empty(t, cluster.Violations)
@@ -141,10 +141,10 @@
 		cluster.Run(12 * time.Second)
 		running := 0
 		cluster.eachActiveTask(func(_ *fakeMachine, _ *fakeTask) { running++ })
-		require.GreaterOrEqual(t, running, 36, "all workers send heartbeats to rig-%d", receiver)
+		require.GreaterOrEqual(t, running, 36, "too few tasks run while all workers send heartbeats to rig-%d", receiver)
 		cluster.PeersPartitioned = map[int]bool{}
 		cluster.Run(120 * time.Second)
-		require.Empty(t, cluster.Unfinished(), "all workers send heartbeats to rig-%d", receiver)
+		require.Empty(t, cluster.Unfinished(), "jobs did not end, all workers send heartbeats to rig-%d", receiver)
 		require.Empty(t, cluster.Violations)
 	}
 }
@@ -215,7 +215,7 @@
 				running++
 			}
 		})
-		require.Equal(t, 12, running, "seed %d", seed)
+		require.Equal(t, 12, running, "running replicas, seed %d", seed)
 		delete(cluster.WorkersPartitioned, isolated)
 		cluster.Run(100 * time.Second)
 		require.Empty(t, cluster.Violations)
--- a/internal/simulation/provisioning_test.go
+++ b/internal/simulation/provisioning_test.go
@@ -40,7 +40,7 @@
 			}
 			return time.Second / 2 // up before the cloud lists it
 		}
-		cluster.Settings.Cluster.Objectives[0].Class = "batch" // the class of the submitted jobs
+		cluster.Settings.Cluster.Objectives[0].Class = "batch" // so that the submitted jobs have an objective
 		cluster.Start(0)
 		cluster.Start(1)
 		for n := range 12 {
@@ -62,7 +62,7 @@
 func TestCapacityShortageDoesNotHideOtherOffers(t *testing.T) {
 	cluster := newCluster(1, 1)
 	cluster.Settings.Cluster.Teams[1].CPUsMax = 400
-	cluster.Settings.Cluster.Objectives[0].Class = "batch" // the class of the submitted jobs
+	cluster.Settings.Cluster.Objectives[0].Class = "batch" // so that the submitted jobs have an objective
 	for n := range 30 {
 		spec, _ := testJob(2*n+1, 0)
 		spec.Spot, spec.Tasks, spec.RuntimeS = true, 5, 60
@@ -77,7 +77,7 @@
 }
 
 // TestExpensiveMachinesAreTerminated guards against paying for expensive machines that work
-// without urgency doesn't need. As long as all of it can start in time on the cheap machines,
+// without urgency does not need. As long as all of it can start in time on the cheap machines,
 // even if they cannot quite keep up, expensive machines must stay unused and be terminated.
 func TestExpensiveMachinesAreTerminated(t *testing.T) {
 	cluster := newCluster(7, 2)
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -60,7 +60,7 @@
 		})
 		cluster.Run(60 * time.Second)
 		for _, machine := range cluster.machines[:60] {
-			require.False(t, machine.terminated && len(machine.tasks) > 0, "seed %d: %s was terminated", seed, machine.id)
+			require.False(t, machine.terminated && len(machine.tasks) > 0, "seed %d: %s was terminated with tasks on it", seed, machine.id)
 		}
 		require.Empty(t, cluster.Violations)
 	}
--- a/internal/simulation/rollout_schedule_test.go
+++ b/internal/simulation/rollout_schedule_test.go
@@ -15,7 +15,7 @@
 var rolloutSteps = []string{"upgrade", "upgrade", "roll back", "restart", "stall", "store partition", "store outage", "stop", "activate", "activate", "exclude"}
 
 // applyRolloutStep applies one of the rolloutSteps to the controller that the target selects. The
-// duration is that of a stall, partition, outage or restart.
+// duration determines how long a stall, partition, outage or restart lasts.
 func (c *Cluster) applyRolloutStep(kind string, target int, duration time.Duration) {
 	i := target % len(c.controllers)
 	switch kind {
--- a/internal/simulation/shard_schedule_test.go
+++ b/internal/simulation/shard_schedule_test.go
@@ -17,7 +17,8 @@
 	"store outage", faultWorkerPartition, faultIsolation, faultMachineHangs, faultMachineDies, faultPreemption, "provision"}
 
 // applyShardStep applies one of the shardSteps to the controllers, shard or machine that the
-// number n selects. The duration is that of a drain, stop, stall, outage or other temporary step.
+// number n selects. The duration determines how long a drain, stop, stall, outage or other
+// temporary step lasts.
 func (c *Cluster) applyShardStep(kind faultKind, n int, duration time.Duration) {
 	i := n % len(c.controllers)
 	switch kind {
--- a/internal/simulation/shards_test.go
+++ b/internal/simulation/shards_test.go
@@ -57,8 +57,8 @@
 	return owned
 }
 
-// changeShards requests a change from a controller. The returned reply is filled in when it
-// arrives.
+// changeShards requests a change from a controller. The returned reply is filled in when the
+// controller answers.
 func (c *Cluster) changeShards(i int, change wire.AdminShardChange) *controller.Reply {
 	reply := &controller.Reply{}
 	c.sendToController(c.controllers[i], func(id controller.RequestID) controller.Input {
@@ -190,8 +190,8 @@
 	requireShardsSettled(t, cluster)
 }
 
-// TestGangSpansShards checks that a gang starts although it needs more machines than are in the
-// shards of any one controller and none can be provisioned. Shards of other controllers must be
+// TestGangSpansShards checks that a gang starts although it needs more machines than the shards
+// of any one controller contain, and none can be provisioned. Shards of other controllers must be
 // moved for it. The test also checks that an array uses the machines of all controllers at once.
 func TestGangSpansShards(t *testing.T) {
 	t.Parallel()
--- a/internal/simulation/zone_partition_test.go
+++ b/internal/simulation/zone_partition_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestNoProvisioningInPartitionedZone guards against provisioning machines in a partitioned zone.
-// They come up unresponsive, are terminated for it and are provisioned again, which can waste
-// some 500 machines in one partition.
+// They come up unresponsive, are terminated for it and are provisioned again. Incident inc-449b:
+// some 500 machines were provisioned and terminated in this way.
 func TestNoProvisioningInPartitionedZone(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster := newCluster(seed, 3)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestPartitionedAcceleratorMachinesAreKept guards against terminating the accelerator machines,
-// which are the scarcest, of a partitioned zone as unreachable because they leave calls
-// unanswered. They must be available after the partition, with their cached images.
+// TestPartitionedAcceleratorMachinesAreKept guards against terminating the accelerator machines of
+// a partitioned zone as unreachable because they leave calls unanswered. Accelerator machines are
+// the scarcest. They must be available after the partition, with their cached images.
 func TestPartitionedAcceleratorMachinesAreKept(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
