--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -285,14 +285,14 @@
 	require.ErrorContains(t, err, "409: shares are dormant")
 	_, err = c.runAdminCommand("rollout", "activate", "3")
 	require.NoError(t, err)
-	shares := func() (v wire.AdminShards) {
+	readShards := func() (v wire.AdminShards) {
 		out, err := c.runAdminCommand("shares")
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal([]byte(out), &v))
 		return v
 	}
 	require.Eventually(t, func() bool {
-		v := shares()
+		v := readShards()
 		return v.Owned["rig-0"] > 0 && v.Owned["rig-1"] > 0 && v.Owned["rig-0"]+v.Owned["rig-1"] == 32
 	}, testTimeout, 50*time.Millisecond)
 
@@ -306,24 +306,24 @@
 	require.Contains(t, c.callUntil(t, 0, "PATCH", path, `{"move":3,"to":"rig-1","epoch":99}`, 409, auth...), "stale epoch")
 	require.Contains(t, c.callUntil(t, 0, "PATCH", path, `{"end_drain":"rig-1"}`, 409, auth...), "not drained")
 
-	before := shares().Shards[3]
+	before := readShards().Shards[3]
 	to := map[string]string{"rig-0": "rig-1", "rig-1": "rig-0"}[before.Owner]
 	_, err = c.runAdminCommand("shares", "move", "3", to)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { now := shares().Shards[3]; return now.Owner == to && now.Epoch == before.Epoch+1 }, testTimeout, 50*time.Millisecond)
+	require.Eventually(t, func() bool { now := readShards().Shards[3]; return now.Owner == to && now.Epoch == before.Epoch+1 }, testTimeout, 50*time.Millisecond)
 	_, err = c.runAdminCommand("shares", "move", "3", before.Owner, "--epoch", fmt.Sprint(before.Epoch))
 	require.ErrorContains(t, err, "stale epoch")
 
 	_, err = c.runAdminCommand("shares", "drain", "rig-1", "--reason", "new disks")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return shares().Owned["rig-0"] == 32 }, testTimeout, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return readShards().Owned["rig-0"] == 32 }, testTimeout, 50*time.Millisecond)
 	_, err = c.runAdminCommand("shares", "move", "3", "rig-1")
 	require.ErrorContains(t, err, "rig-1 is drained: new disks")
 	_, err = c.runAdminCommand("shares", "drain", "rig-0", "--reason", "x")
 	require.ErrorContains(t, err, "nobody else")
 	_, err = c.runAdminCommand("shares", "end-drain", "rig-1")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return shares().Owned["rig-1"] > 10 }, testTimeout, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return readShards().Owned["rig-1"] > 10 }, testTimeout, 50*time.Millisecond)
 	c.state.Unavailable.Store(true)
 	c.callUntil(t, 0, "PATCH", path, `{"move":3,"to":"rig-1","epoch":1}`, 503, auth...)
 	status, _, retryAfter := c.call(t, 0, "GET", path, "", auth...)
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -140,19 +140,19 @@
 }
 
 // each calls f for each histogram.
-func (n userLatency) each(f func(name string, h *hdrhistogram.Histogram)) {
-	f("submissions", n.submissions)
-	f("polls", n.polls)
-	f("starts", n.starts)
+func (u userLatency) each(f func(name string, h *hdrhistogram.Histogram)) {
+	f("submissions", u.submissions)
+	f("polls", u.polls)
+	f("starts", u.starts)
 }
 
-func (n userLatency) print(phase string) {
-	n.each(func(name string, h *hdrhistogram.Histogram) {
+func (u userLatency) print(phase string) {
+	u.each(func(name string, h *hdrhistogram.Histogram) {
 		ms := func(percentile float64) float64 { return float64(h.ValueAtQuantile(percentile)) / 1000 }
 		fmt.Printf("%-8s %-12s %6d; ms at 50, 90, 99, 99.9 %%: %.1f, %.1f, %.1f, %.1f; most %.1f\n", phase, name, h.TotalCount(),
 			ms(50), ms(90), ms(99), ms(99.9), float64(h.Max())/1000)
 	})
-	fmt.Printf("%-8s polls without an answer %d, submissions repeated %d\n", phase, n.pollsUnanswered, n.submissionsRefused)
+	fmt.Printf("%-8s polls without an answer %d, submissions repeated %d\n", phase, u.pollsUnanswered, u.submissionsRefused)
 }
 
 // plotUserLatency plots the latencies of both phases by percentile, in milliseconds on a logarithmic
--- a/internal/simulation/history_check_once.go
+++ b/internal/simulation/history_check_once.go
@@ -22,7 +22,7 @@
 	c := exactlyOnceCheck{
 		historyCheck: newHistoryCheck(h.specs, nil, 0),
 		terminated:   map[wire.MachineID]bool{},
-		lost:         map[wire.TaskID]bool{},
+		rerunAllowed: map[wire.TaskID]bool{},
 		placed:       map[machineAttempt]bool{},
 		counts:       map[HistoryKind]map[wire.TaskID]int{},
 	}
@@ -46,10 +46,10 @@
 // exactlyOnceCheck counts the events of each task of a history.
 type exactlyOnceCheck struct {
 	*historyCheck
-	terminated map[wire.MachineID]bool // at any time
-	lost       map[wire.TaskID]bool    // placed on a machine that was terminated
-	placed     map[machineAttempt]bool
-	counts     map[HistoryKind]map[wire.TaskID]int
+	terminated   map[wire.MachineID]bool // at any time
+	rerunAllowed map[wire.TaskID]bool    // placed on a machine that was terminated
+	placed       map[machineAttempt]bool
+	counts       map[HistoryKind]map[wire.TaskID]int
 }
 
 // expectedCounts lists how often each kind of event must have occurred for a task.
@@ -79,7 +79,7 @@
 	attempt := machineAttempt{event.Task, event.Attempt, event.Machine}
 	if event.Kind == TaskPlaced {
 		c.placed[attempt] = true
-		c.lost[event.Task] = c.lost[event.Task] || c.terminated[event.Machine]
+		c.rerunAllowed[event.Task] = c.rerunAllowed[event.Task] || c.terminated[event.Machine]
 	}
 	if event.Kind == TaskStarted && !c.placed[attempt] {
 		c.reportViolation("%v started on %s without a placement there", event.Task, event.Machine)
@@ -91,7 +91,7 @@
 }
 
 func (c *exactlyOnceCheck) checkCounts(task wire.TaskID) {
-	if c.lost[task] {
+	if c.rerunAllowed[task] {
 		if c.counts[TaskCompleted][task] == 0 {
 			c.reportViolation("%v never completed after one of its machines was terminated", task)
 		}
--- a/internal/simulation/loopback_workers.go
+++ b/internal/simulation/loopback_workers.go
@@ -224,7 +224,7 @@
 	interval := float64(w.fleet.settings.HeartbeatInterval)
 	timer := time.NewTimer(time.Duration(rand.Float64() * interval))
 	defer timer.Stop()
-	client := w.client()
+	client := w.newClient()
 	for {
 		select {
 		case <-ctx.Done():
@@ -237,7 +237,7 @@
 		if !w.isPartitioned() && !w.sendHeartbeat(client) {
 			client.Close()
 			w.controller = (w.controller + 1) % len(w.fleet.settings.Controllers)
-			client = w.client()
+			client = w.newClient()
 			pause = failoverPause
 		}
 		timer.Reset(pause)
@@ -245,7 +245,7 @@
 	}
 }
 
-func (w *loopbackWorker) client() *httpcall.Client {
+func (w *loopbackWorker) newClient() *httpcall.Client {
 	return httpcall.New(w.fleet.settings.Controllers[w.controller], 1, time.Minute)
 }
 
