--- a/cmd/lilacrill/admin_rollout.go
+++ b/cmd/lilacrill/admin_rollout.go
@@ -20,7 +20,7 @@
 func activateCommand(target *adminTarget) *cobra.Command {
 	return rolloutCommand(target, &cobra.Command{
 		Use:   "activate FORMAT",
-		Short: "Bring a format that all controllers read into force; this cannot be undone",
+		Short: "Bring a format into force that all controllers read; this cannot be undone",
 	}, func(arg string) (wire.AdminRolloutChange, error) {
 		number, err := strconv.Atoi(arg)
 		if err != nil {
@@ -55,8 +55,8 @@
 	})
 }
 
-// rolloutCommand completes a command that takes one argument and changes the rollout. The change
-// is what makeChange returns for the argument, with the version from --version.
+// rolloutCommand completes a command that takes one argument and changes the rollout. The command
+// sends the change that makeChange returns for the argument, with the version from --version.
 func rolloutCommand(target *adminTarget, cmd *cobra.Command, makeChange func(arg string) (wire.AdminRolloutChange, error)) *cobra.Command {
 	var version versionFlag
 	cmd.Args = cobra.ExactArgs(1)
--- a/cmd/lilacrill/admin_shards.go
+++ b/cmd/lilacrill/admin_shards.go
@@ -23,8 +23,8 @@
 	cmd := &cobra.Command{
 		Use:   "move SHARD CONTROLLER",
 		Short: "Have a shard's owner hand it over to another controller",
-		Long: `Proposes a move. The owner releases the shard once none of its placements is under
-way there, and the named controller then adopts the shard. Running tasks are not
+		Long: `Proposes a move. The owner releases the shard once it has no placement under way
+there, and the named controller then adopts the shard. Running tasks are not
 affected. Without --epoch, the current epoch is read first. With --epoch, the move is
 refused if the shard has changed owners since that epoch.`,
 		Args: cobra.ExactArgs(2),
--- a/cmd/lilacrill/latency_test.go
+++ b/cmd/lilacrill/latency_test.go
@@ -10,9 +10,10 @@
 // latencyHistogram is a histogram of latencies that is safe for concurrent use.
 type latencyHistogram struct {
 	mu    sync.Mutex
-	times *hdrhistogram.Histogram
+	times *hdrhistogram.Histogram // in microseconds
 }
 
+// maxLatency is the upper bound of a histogram. A longer latency is recorded as maxLatency.
 const maxLatency = 5 * time.Minute
 
 func (l *latencyHistogram) record(d time.Duration) {
--- a/cmd/lilacrill/load_bench_test.go
+++ b/cmd/lilacrill/load_bench_test.go
@@ -289,7 +289,7 @@
 }
 
 // startNextPhase makes the controllers start the profiles of the next phase, and returns their
-// statistics at the end of the last one.
+// memory statistics at the end of the previous phase.
 func (l *loadCluster) startNextPhase() []memoryStats {
 	stats := make([]memoryStats, len(l.processes))
 	for i, process := range l.processes {
--- a/cmd/lilacrill/load_users_test.go
+++ b/cmd/lilacrill/load_users_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// cancelUntilConfirmed acts as a user that cancels a job until the request is answered, which
-// confirms the cancellation or reports that the job is done.
+// cancelUntilConfirmed acts as a user that requests the cancellation of a job. It repeats the request
+// until a response confirms the cancellation or reports that the job is done.
 func (l *loadCluster) cancelUntilConfirmed(id wire.JobID) {
 	l.history.Record(simulation.HistoryEvent{Kind: simulation.CancelRequested, Job: id})
 	for l.ctx.Err() == nil {
--- a/cmd/lilacrill/main_test.go
+++ b/cmd/lilacrill/main_test.go
@@ -131,9 +131,9 @@
 "accelerators":0,"mem_gb":1,"kit":"i","size_gb":1,"together":false,"apart":false,"loaners":false,"runtime_s":5,"savepoint_s":0,"stash_s":0}`, id, cores)
 }
 
-// TestUsersAndWorkers runs a job through both controllers. The job is accepted, its tasks are
-// launched by commands in heartbeat responses, and once it is done, both controllers keep reporting
-// that.
+// TestUsersAndWorkers runs a job through both controllers. The job is accepted, and its tasks are
+// launched by commands in heartbeat responses. Once the job is done, both controllers report it as
+// done.
 func TestUsersAndWorkers(t *testing.T) {
 	c := startCluster(t, "")
 	for body, want := range map[string]int{"nonsense": 400, "[]": 400, `{"id":"wk-1"}`: 400, submission("wk-1", 5): 422,
--- a/cmd/lilacrill/process.go
+++ b/cmd/lilacrill/process.go
@@ -245,8 +245,8 @@
 	}
 }
 
-// execute executes one output. It does not wait for the results of calls. The client that makes a
-// call returns its result through a callback.
+// execute executes one output. It does not wait for the result of a call. The client that makes the
+// call passes the result to a callback.
 func (p *process) execute(output controller.Output) {
 	switch output := output.(type) {
 	case controller.Reply:
--- a/cmd/lilacrill/shards_bench_test.go
+++ b/cmd/lilacrill/shards_bench_test.go
@@ -16,8 +16,8 @@
 )
 
 // BenchmarkShardsSmall measures a load without sharding, with sharding, and with shards that move
-// continuously, and then moves and a failover. The controllers' profiles stay in the directory that
-// LILACRILL_LOAD_OUT names. Run it with -benchtime=1x.
+// continuously. Then it measures the time of single moves and of a failover. The controllers'
+// profiles stay in the directory that LILACRILL_LOAD_OUT names. Run it with -benchtime=1x.
 func BenchmarkShardsSmall(b *testing.B) { benchmarkSharding(b, smallLoad) }
 
 // BenchmarkShardsLarge runs the measurements of BenchmarkShardsSmall on a larger cluster.
--- a/cmd/lilacrill/upgrade_mixed_bench_test.go
+++ b/cmd/lilacrill/upgrade_mixed_bench_test.go
@@ -13,9 +13,9 @@
 
 // BenchmarkMixedWithPrevious runs this build beside an earlier release that reads the same formats.
 // Controllers are upgraded, rolled back, killed and frozen at random and under load, before and
-// after the compressed format comes into force. Then all are upgraded, and finally all are rolled back, so
-// that the earlier release has to read everything that this build stored. Run it with -benchtime=1x
-// and the path of the earlier program in LILACRILL_PREVIOUS.
+// after the compressed format comes into force. Then all controllers are upgraded, and finally all
+// are rolled back, so that the earlier release has to read everything that this build stored. Run it
+// with -benchtime=1x and the path of the earlier program in LILACRILL_PREVIOUS.
 func BenchmarkMixedWithPrevious(b *testing.B) {
 	previous := os.Getenv(previousProgramVariable)
 	require.NotEmpty(b, previous, previousProgramVariable)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -14,11 +14,11 @@
 
 	// StoreUnavailable and CloudUnavailable are outages of the state store and the cloud.
 	StoreUnavailable, CloudUnavailable bool
-	// StorePartitioned has the controllers whose calls the state store rejects.
+	// StorePartitioned holds the controllers whose calls the state store rejects.
 	StorePartitioned map[int]bool
-	// WorkersPartitioned has the controllers that cannot exchange messages with workers.
+	// WorkersPartitioned holds the controllers that cannot exchange messages with workers.
 	WorkersPartitioned map[int]bool
-	// PeersPartitioned has the controllers that cannot exchange messages with their peers.
+	// PeersPartitioned holds the controllers that cannot exchange messages with their peers.
 	PeersPartitioned map[int]bool
 	// PartitionedZone is a zone whose machines are partitioned from all controllers except
 	// ControllerInZone, the one in the zone, which is partitioned from all other machines.
@@ -28,9 +28,10 @@
 	// DelayedCommits is the rate of the transactions that get no answer and are committed
 	// 2 to 12 s later, after newer ones.
 	DelayedCommits float64
-	// DelayCommitsOf has the controllers of which all transactions are delayed in this way.
+	// DelayCommitsOf holds the controllers whose transactions are all delayed like
+	// DelayedCommits.
 	DelayCommitsOf map[int]bool
-	// DelayPlacements delays all transactions that add placements in this way.
+	// DelayPlacements delays all transactions that add placements like DelayedCommits.
 	DelayPlacements bool
 	// LoseAnswersOnly makes the state store commit the transactions that would be delayed
 	// at once, so that only their answers are lost.
@@ -61,7 +62,8 @@
 	// HangOnCancel is the time for which a machine of a job hangs when the job is cancelled.
 	HangOnCancel time.Duration
 	// RequestBursts makes users poll a job at all controllers within milliseconds and repeat
-	// its submission, when the job has been accepted or a terminal status was reported.
+	// its submission. Such a burst is sent when the job has been accepted, when a terminal
+	// status was reported, and with the cancellations of CancelOnCompletion.
 	RequestBursts bool
 
 	// ImagePullTime, if not 0, is the time that a machine takes to pull an image that it has
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -93,9 +93,10 @@
 	return n
 }
 
-// StartDelays returns, for the jobs that were accepted at or after from and before to, the
-// times from the acceptance until the start of the first task. Jobs without a start are
-// left out.
+// StartDelays returns, for the jobs of which a status was reported at or after from and
+// before to while no task had started, the times from the first such report until the start
+// of the first task. If a job was accepted in this period, that report is its acceptance.
+// Jobs of which no task has started are left out.
 func (h *History) StartDelays(from, to time.Time) []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulation/history_check.go
+++ b/internal/simulation/history_check.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// checkCancelled checks that a task that is on a machine at a time does not run for longer
-// than cancelTimeout after its job was reported cancelled.
+// checkCancelled checks that a task has not run on a machine for longer than cancelTimeout
+// after its job was reported cancelled. The argument at is a time at which the task runs.
 func (c *historyCheck) checkCancelled(task wire.TaskID, machine wire.MachineID, reported HistoryEvent, at time.Time) {
 	if since := at.Sub(reported.At); reported.Status == wire.StatusCancelled && since > c.cancelTimeout {
 		c.reportViolation("%v is on %s %v after its user was notified of the cancellation", task, machine, since)
--- a/internal/simulation/history_check_once.go
+++ b/internal/simulation/history_check_once.go
@@ -47,7 +47,7 @@
 type exactlyOnceCheck struct {
 	*historyCheck
 	terminated   map[wire.MachineID]bool // at any time
-	rerunAllowed map[wire.TaskID]bool    // placed on a machine that was terminated
+	rerunAllowed map[wire.TaskID]bool    // tasks that were placed on a machine that was terminated
 	placed       map[machineAttempt]bool
 	counts       map[HistoryKind]map[wire.TaskID]int
 }
--- a/internal/simulation/loopback_workers.go
+++ b/internal/simulation/loopback_workers.go
@@ -205,8 +205,8 @@
 	return heartbeat
 }
 
-// handleCommands executes the commands of a direct call and returns true. It rejects the
-// call if the worker is terminated or the fencing token is too low.
+// handleCommands executes the commands of a direct call and reports whether it did. It
+// rejects the call if the worker is terminated or the fencing token is too low.
 func (w *loopbackWorker) handleCommands(body wire.CommandRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -299,8 +299,8 @@
 	}
 }
 
-// transition moves a task from one state to another, unless it is in a different state, and
-// makes a heartbeat due at once.
+// transition moves a task from one state to another and makes a heartbeat due at once. It
+// does nothing if the task is not in the first state.
 func (w *loopbackWorker) transition(key taskKey, from, to wire.TaskState, cause wire.Cause) {
 	w.mu.Lock()
 	status := w.tasks[key]
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -163,8 +163,8 @@
 	m.callController(sent)
 }
 
-// callController sends the heartbeat with the given number. Its response and its timeout
-// are alternatives: only the first of them is handled.
+// callController sends the heartbeat with the given number. Of its response and its
+// timeout, only the one that comes first is handled.
 func (m *fakeMachine) callController(sent int) {
 	c, sentAt, agentEpoch := m.cluster, m.cluster.now, m.agentEpoch
 	process := c.controllers[m.controller]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// callWorker executes a direct call at a worker, or once the worker resumes if it hangs. The
-// caller gives up after the timeout, and later executions are not answered.
+// callWorker executes a direct call at a worker. A worker that hangs executes the call once
+// it resumes. The caller gives up after the timeout, and later executions are not answered.
 func (c *Cluster) callWorker(process *controllerProcess, id controller.CallID, addr string, timeout time.Duration, execute func(*fakeMachine) controller.WorkerResponse) {
 	call := newCall(process, id)
 	open := true
--- a/internal/simulation/observations.go
+++ b/internal/simulation/observations.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Observation is a kind of event that the cluster counts. With the counts a test shows that
-// the events that it covers took place.
+// Observation is a kind of event that the cluster counts. A test uses the counts to show
+// that the events that it depends on took place.
 type Observation string
 
 // Observations of transactions and records.
 const (
 	// unansweredCommit counts transactions that were committed and whose answer was lost.
 	unansweredCommit Observation = "commit without an answer"
-	// conflictingCommit counts transactions of which a condition did not hold.
+	// conflictingCommit counts transactions with a condition that did not hold.
 	conflictingCommit Observation = "commit conflicted"
 	valuesWritten     Observation = "values written"
 	bytesWritten      Observation = "bytes written"
--- a/internal/simulation/placement_log.go
+++ b/internal/simulation/placement_log.go
@@ -81,8 +81,8 @@
 }
 
 // epochOf returns the epoch in which a process last owned a shard. The current epoch may
-// belong to another owner, of which the process need not know yet. If the process never
-// owned the shard, epochOf returns the current epoch.
+// belong to another owner that the process does not know of yet. If the process never owned
+// the shard, epochOf returns the current epoch.
 func (l *placementLog) epochOf(s *Store, id wire.ShardID, launcher wire.FencingToken) wire.ShardEpoch {
 	if epoch, owned := l.epochs[id][launcher]; owned {
 		return epoch
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -24,8 +24,8 @@
 
 // checkTransaction checks a transaction against the limits of the state store, and its
 // records against the format in force. It also checks that records are written on the
-// condition that they have not changed since they were read. Without that condition, the
-// completions of one job that two controllers record overwrite one another.
+// condition that they have not changed since they were read. Without that condition, two
+// controllers that record completions of the same job overwrite each other's record.
 func (c *Cluster) checkTransaction(txn wire.Transaction) {
 	limits := c.Settings.Cluster.State
 	if len(txn.Then) > limits.TxnOps || len(txn.If) > maxConditionsPerChange*limits.TxnOps {
--- a/internal/simulation/shard_checks.go
+++ b/internal/simulation/shard_checks.go
@@ -80,7 +80,7 @@
 }
 
 // checkShardChanges checks the changes of a committed transaction to the records of shards,
-// given these records before the transaction. The format in force must have sharding. A
+// given these records before the transaction. The format in force must support sharding. A
 // shard may only go to another owner in the next epoch, and only if the previous owner has
 // released the shard to the new one or is no longer live.
 func (c *Cluster) checkShardChanges(txn wire.Transaction, before map[string]record.Shard) {
@@ -127,9 +127,9 @@
 	}
 }
 
-// countConflictingPlacement counts a transaction that would have added placements if it
-// conflicted on the record of a shard, and possibly on other records, or on the list of
-// terminations only.
+// countConflictingPlacement counts a conflicting transaction that would have added
+// placements. It counts conflicts on the record of a shard, with or without other records,
+// and conflicts on the list of terminations only.
 func (c *Cluster) countConflictingPlacement(txn wire.Transaction, before map[placedAttemptKey]bool, failed []string) {
 	if len(newlyPlacedMachines(txn, before)) == 0 {
 		return
--- a/internal/simulation/task_checks.go
+++ b/internal/simulation/task_checks.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxUnanswered is the longest time without an answer to any of the users' requests
-	// about a job, once all faults are over.
+	// maxUnanswered is the longest time that users' requests about a job may go unanswered
+	// once all faults are over.
 	maxUnanswered = 75 * time.Second
-	// maxStarvation is the longest time that a job may wait although a machine has room for
-	// it, once all faults are over.
+	// maxStarvation is the longest time that a job may wait once all faults are over,
+	// although a machine has room for it.
 	maxStarvation = 90 * time.Second
 	// quotaTolerance allows for rounding errors in sums of cores or accelerators.
 	quotaTolerance = 1e-6
@@ -162,8 +162,9 @@
 	}
 }
 
-// usedAndFreeResources returns the resources that each team uses on machines without a
-// fault, and the free resources of these machines.
+// usedAndFreeResources returns the resources that each team uses on usable machines, and the
+// free resources of these machines. A usable machine is up and not terminated, does not hang,
+// is not faulty and has no preemption notice.
 func (c *Cluster) usedAndFreeResources() (used map[string]resources, free map[*fakeMachine]resources) {
 	used, free = map[string]resources{}, map[*fakeMachine]resources{}
 	for _, machine := range c.machines {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -46,7 +46,7 @@
 	return job
 }
 
-// submit submits a job, again and again until it is accepted or permanently rejected.
+// submit submits a job repeatedly until it is accepted or permanently rejected.
 func (c *Cluster) submit(job *submittedJob) {
 	job.submitted = true
 	sentAt := c.now
@@ -82,7 +82,7 @@
 }
 
 // repeatRequests makes users cancel jobs that are done, and repeat the submissions of
-// accepted jobs that are not over.
+// accepted jobs for which no terminal status has been reported.
 func (c *Cluster) repeatRequests() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		job := c.jobs[id]
