--- a/cmd/lilacrill/admin.go
+++ b/cmd/lilacrill/admin.go
@@ -117,7 +117,7 @@
 		return decoded, err
 	}
 	if err := json.Unmarshal(answer, &decoded); err != nil {
-		return decoded, fmt.Errorf("answer not understood: %w", err)
+		return decoded, fmt.Errorf("cannot decode the controller's response: %w", err)
 	}
 	return decoded, nil
 }
@@ -151,7 +151,7 @@
 func printIndented(w io.Writer, answer json.RawMessage) error {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, answer, "", "  "); err != nil {
-		return fmt.Errorf("answer not understood: %w", err)
+		return fmt.Errorf("the controller's response is not valid JSON: %w", err)
 	}
 	_, err := fmt.Fprintln(w, indented.String())
 	return err
--- a/cmd/lilacrill/main.go
+++ b/cmd/lilacrill/main.go
@@ -149,7 +149,7 @@
 	defer stop()
 	log.Info("starting", "label", settings.Label, "zone", settings.Zone, "version", release.Version)
 	for _, warning := range settings.Warnings() {
-		log.Warn("questionable setting", "warning", warning)
+		log.Warn("setting is valid but may degrade service", "warning", warning)
 	}
 	tracer, err := openTracer(settings)
 	if err != nil {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, fmt.Errorf("the controller answered %d: %s", status, failure.Error)
+		return nil, fmt.Errorf("the controller responded with status %d: %s", status, failure.Error)
 	}
 	return response, nil
 }
--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -166,7 +166,7 @@
 	if id, ok := strings.CutPrefix(key, record.CompletionPrefix); ok {
 		// An archived completion never changes, so its version is not kept.
 		if err := c.applyArchivedJob(wire.JobID(id), value); err != nil {
-			c.log.Error("archived completion unreadable", "key", key, "err", err)
+			c.log.Error("invalid archived completion ignored", "key", key, "err", err)
 		}
 		return
 	}
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -177,10 +177,10 @@
 	}
 	c.cancellations.renewsLeases = ok
 	if ok {
-		c.log.Info("lease renewals resumed")
+		c.log.Info("renewal of worker leases resumed")
 	} else {
 		c.metrics.count(countRenewalsSuspended, 1)
-		c.log.Info("lease renewals suspended", "reason", "cancellations may be unknown here",
+		c.log.Info("renewal of worker leases suspended", "reason", "this controller may not know all cancellations",
 			"cancellations_age", staleness, "cache_age", c.now.Sub(c.cancellations.cacheCurrentAt))
 	}
 	return ok
--- a/internal/controller/completed_tasks.go
+++ b/internal/controller/completed_tasks.go
@@ -193,7 +193,7 @@
 // more with a record.
 func (c *Controller) terminateUnrecorded(machines []wire.MachineID) {
 	for _, id := range machines {
-		c.log.Info("machine terminated without a record", "reason", "holds completed tasks and does not respond",
+		c.log.Info("terminating machine without recording the termination", "reason", "holds completed tasks and does not respond",
 			"machine_id", id, "completed_for", c.now.Sub(c.completedTasks.since[id]))
 	}
 	c.callTerminate(machines, func(*machine) { c.metrics.count(countMachinesTerminatedUnrecorded, 1) })
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -57,10 +57,10 @@
 	switch c.scheduler.lag.tick(c.now) {
 	case lagStarted:
 		c.metrics.count(countLagPeriods, 1)
-		c.log.Info("ticks late, deferrable work slowed down", "hint", "cluster.quota.core_share may be too small",
+		c.log.Info("event loop is lagging, slowing down deferrable work", "hint", "cluster.quota.core_share may be too small",
 			"tick_delay", c.scheduler.lag.delay().Round(time.Millisecond), "core_share", c.settings.Cluster.Quota.CoreShare)
 	case lagEnded:
-		c.log.Info("ticks on time again")
+		c.log.Info("event loop is no longer lagging")
 	case lagUnchanged:
 	}
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -35,7 +35,7 @@
 		}
 	case NotFound:
 		c.noteStoreResponse()
-		c.log.Warn("lease expired", "lease_id", c.membership.leaseID)
+		c.log.Warn("lease of this controller expired", "lease_id", c.membership.leaseID)
 		c.membership.dropLease(c.now)
 	default:
 		c.membership.nextRenewal = c.now.Add(storeRetryDelay)
--- a/internal/controller/placement_commit.go
+++ b/internal/controller/placement_commit.go
@@ -181,7 +181,7 @@
 		moved := staged.allocations[last]
 		staged.allocations = staged.allocations[:last]
 		if last == 0 || !txn.stageAllocationExcept(staged.zone, moved, key) {
-			c.log.Warn("placement page full", "key", key)
+			c.log.Warn("placement page full, changes to it postponed", "key", key)
 			txn.pages[key] = txn.copyPage(txn.team.pages[key])
 			return
 		}
@@ -230,7 +230,7 @@
 	team.schedule.resetPlacementConflicts()
 	team.schedule.nextPlacement = c.now.Add(config.Seconds(c.operator.values.PlacementRetryS))
 	c.metrics.count(countPlacementBackoffs, 1)
-	c.log.Debug("placement backed off", "team", team.name)
+	c.log.Debug("placements paused after conflicts", "team", team.name)
 }
 
 // notePlacementConflict counts a conflict of a transaction that was sent at the given time, and adds
--- a/internal/controller/provisioner.go
+++ b/internal/controller/provisioner.go
@@ -184,7 +184,7 @@
 		return
 	}
 	c.provisioner.writingLeadership = true
-	c.log.Info("resigning as leader for scaling", "reason", "isolated")
+	c.log.Info("resigning as leader for scaling", "reason", "no direct heartbeats from workers")
 	c.commitLeadership(wire.Change{Delete: record.ProvisionerKey}, func(CommitResult) {
 		c.refreshCache()
 	})
--- a/internal/controller/provisioning_delay.go
+++ b/internal/controller/provisioning_delay.go
@@ -107,7 +107,7 @@
 	took := c.now.Sub(machine.scaling.launchedAt)
 	late := took > config.Seconds(lateFactor*machineType.StartupS)
 	if c.provisioner.delays.noteJoined(machine.machineType, machine.scaling.launchedAt, late, c.now) {
-		c.log.Info("machines join late", "type", machine.machineType, "zone", machine.zone, "took", took)
+		c.log.Info("provisioned machine joined late", "type", machine.machineType, "zone", machine.zone, "took", took)
 	}
 }
 
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -40,11 +40,11 @@
 	c.rollout.tracker.ApplyState(value, version)
 	c.shards.table.ApplyFormat(c.rollout.tracker.Format())
 	if c.rollout.shutdownCause = c.rollout.tracker.CheckReadable(); c.rollout.shutdownCause != nil {
-		c.log.Error("format in force not readable, shutting down", "err", c.rollout.shutdownCause)
+		c.log.Error("record format in force is unsupported or unknown, shutting down", "err", c.rollout.shutdownCause)
 		return
 	}
 	if format := c.rollout.tracker.Format(); format != before {
-		c.log.Info("format in force", "format", format, "previous_format", before, "revision", version)
+		c.log.Info("record format now in force", "format", format, "previous_format", before, "revision", version)
 		c.emitRolloutEvent(RolloutInForce)
 	}
 }
@@ -107,7 +107,7 @@
 		c.readBarrier(func(bool) { c.rollout.activating = false })
 		if result.Outcome == Succeeded {
 			c.emitRolloutEvent(RolloutActivated)
-			c.log.Info("format activated", "format", next)
+			c.log.Info("record format activated", "format", next)
 		}
 	})
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -165,7 +165,7 @@
 	before := c.sharded()
 	err := c.shards.table.ApplyPolicy(value, version)
 	if now := c.sharded(); now != before {
-		c.log.Info("sharding switched", "enabled", now, "revision", version)
+		c.log.Info("sharding switched on or off", "enabled", now, "revision", version)
 	}
 	return err
 }
--- a/internal/controller/unreadable.go
+++ b/internal/controller/unreadable.go
@@ -13,6 +13,6 @@
 		delete(c.cache.unreadable, key)
 		return
 	}
-	c.log.Error("record not understood", "key", key, "err", err)
+	c.log.Error("failed to decode record", "key", key, "err", err)
 	c.cache.unreadable[key] = err
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -136,7 +136,7 @@
 	case Succeeded:
 	case Compacted:
 		if c.cache.loadState == cacheLoaded {
-			c.log.Info("watch compacted, reloading all keys", "revision", c.cache.revision)
+			c.log.Info("watch revision compacted, reloading all keys", "revision", c.cache.revision)
 			c.cache.loadState = cacheNotLoaded
 		}
 		return false
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -94,7 +94,7 @@
 func (m *Mesh) Broadcast(message *wire.PeerMessage) {
 	line, err := record.EncodePeerMessage(message)
 	if err != nil {
-		m.log.Error("peer message not encoded", "err", err)
+		m.log.Error("failed to encode peer message", "err", err)
 		return
 	}
 	line = append(line, '\n')
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -80,7 +80,7 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.log.Warn("accept failed", "err", err)
+		l.log.Warn("failed to accept connection, retrying", "err", err)
 		time.Sleep(acceptRetryDelay)
 	}
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -246,7 +246,7 @@
 		c.log.Debug("state store refused a call", "call", call, "status", status)
 		return controller.NotExecuted
 	case http.StatusBadRequest:
-		c.log.Error("state store found a call malformed", "call", call)
+		c.log.Error("state store rejected a call as malformed", "call", call)
 		return controller.NotExecuted
 	}
 	c.log.Warn("state store returned an unexpected status", "call", call, "status", status)
