--- a/cmd/lilacrill/admin_settings.go
+++ b/cmd/lilacrill/admin_settings.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return client.Change(wire.AdminSettings{Version: from, Settings: settings})
+				return client.ChangeSettings(wire.AdminSettings{Version: from, Settings: settings})
 			})
 		},
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -37,42 +37,42 @@
 // Register adds the API's routes. Without a token the API is off.
 func Register(app *fiber.App, token string, dispatch Dispatch) {
 	a := &api{token: token, slots: make(chan struct{}, maxRequests), dispatch: dispatch}
-	group := app.Group(Prefix, a.authorize, a.limit)
+	group := app.Group(Prefix, a.authorize, a.limitRequests)
 	group.Patch("/"+string(wire.ViewSettings), a.changeSettings)
 	group.Patch("/"+string(wire.ViewRollout), a.changeRollout)
 	group.Patch("/"+string(wire.ViewShards), a.changeShards)
-	group.Get("/:view", a.view)
+	group.Get("/:view", a.readView)
 }
 
 // authorize lets only requests with the token through.
 func (a *api) authorize(c fiber.Ctx) error {
 	if a.token == "" {
-		return refuse(c, http.StatusForbidden, "the administration API is off: "+TokenVariable+" is not set for this controller")
+		return sendError(c, http.StatusForbidden, "the administration API is off: "+TokenVariable+" is not set for this controller")
 	}
 	given, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !ok || !equalTokens(given, a.token) {
 		c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
-		return refuse(c, http.StatusUnauthorized, "no bearer token, or a wrong one")
+		return sendError(c, http.StatusUnauthorized, "no bearer token, or a wrong one")
 	}
 	return c.Next()
 }
 
-// limit refuses a request while as many as may be are in progress.
-func (a *api) limit(c fiber.Ctx) error {
+// limitRequests refuses a request while as many as may be are in progress.
+func (a *api) limitRequests(c fiber.Ctx) error {
 	select {
 	case a.slots <- struct{}{}:
 		defer func() { <-a.slots }()
 		return c.Next()
 	default:
 		c.Set(fiber.HeaderRetryAfter, "1")
-		return refuse(c, http.StatusServiceUnavailable, "too many administration requests at once")
+		return sendError(c, http.StatusServiceUnavailable, "too many administration requests at once")
 	}
 }
 
 func (a *api) changeSettings(c fiber.Ctx) error {
 	var change wire.AdminSettings
 	if err := json.Unmarshal(c.Body(), &change); err != nil {
-		return refuse(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
+		return sendError(c, http.StatusBadRequest, `body: want {"version": NUMBER, "settings": {...}}`)
 	}
 	return a.dispatch(c, func(id controller.RequestID) controller.Input {
 		return controller.SettingsChangeRequested{Request: id, Change: change}
@@ -82,7 +82,7 @@
 func (a *api) changeRollout(c fiber.Ctx) error {
 	change, err := wire.ParseAdminRolloutChange(c.Body())
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, err.Error())
+		return sendError(c, http.StatusBadRequest, err.Error())
 	}
 	return a.dispatch(c, func(id controller.RequestID) controller.Input {
 		return controller.RolloutChangeRequested{Request: id, Change: change}
@@ -92,15 +92,15 @@
 func (a *api) changeShards(c fiber.Ctx) error {
 	change, err := wire.ParseAdminShardChange(c.Body())
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, err.Error())
+		return sendError(c, http.StatusBadRequest, err.Error())
 	}
 	return a.dispatch(c, func(id controller.RequestID) controller.Input {
 		return controller.ShardChangeRequested{Request: id, Change: change}
 	})
 }
 
-// view reads a view. The controller refuses those that it does not know.
-func (a *api) view(c fiber.Ctx) error {
+// readView reads a view. The controller refuses those that it does not know.
+func (a *api) readView(c fiber.Ctx) error {
 	// Copied, since the parameter's memory is reused after the request.
 	view := wire.AdminView([]byte(c.Params("view")))
 	return a.dispatch(c, func(id controller.RequestID) controller.Input {
@@ -114,6 +114,6 @@
 	return subtle.ConstantTimeCompare(digestA[:], digestB[:]) == 1
 }
 
-func refuse(c fiber.Ctx, status int, reason string) error {
+func sendError(c fiber.Ctx, status int, reason string) error {
 	return c.Status(status).JSON(wire.ErrorResponse{Error: reason})
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -22,9 +22,9 @@
 
 // Client carries out the controller's calls to the cloud, within its limit of the rate.
 type Client struct {
-	log    *slog.Logger
-	calls  *httpcall.Client
-	tokens *rate.Limiter
+	log     *slog.Logger
+	calls   *httpcall.Client
+	limiter *rate.Limiter
 }
 
 const (
@@ -39,25 +39,25 @@
 )
 
 // New makes a client.
-func New(set *config.Settings, log *slog.Logger) *Client {
-	limit := set.Cluster.Cloud.RPS * rateLimitFraction
+func New(settings *config.Settings, log *slog.Logger) *Client {
+	limit := settings.Cluster.Cloud.RPS * rateLimitFraction
 	return &Client{
-		log:    log,
-		calls:  httpcall.New(set.Services.Cloud, sockets.NewBudget(set).Cloud, idleTimeout),
-		tokens: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
+		log:     log,
+		calls:   httpcall.New(settings.Services.Cloud, sockets.NewBudget(settings).Cloud, idleTimeout),
+		limiter: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
 	}
 }
 
 // call makes one call once the rate limit allows it, and decodes the response by its status into
 // the given values. The outcome says whether the call was carried out; an unexpected status
 // leaves that unknown.
-func (c *Client) call(method, path string, body any, into map[int]any) (int, controller.Outcome) {
+func (c *Client) call(method, path string, body any, destinations map[int]any) (int, controller.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenTimeout)
 	defer cancel()
-	if err := c.tokens.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, controller.NotExecuted
 	}
-	status, err := c.calls.Call(method, path, body, callTimeout, into)
+	status, err := c.calls.Call(method, path, body, callTimeout, destinations)
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
 		return status, controller.NotExecuted
@@ -85,11 +85,11 @@
 
 // ListMachines reads the whole list of machines, page by page.
 func (c *Client) ListMachines(then func(controller.MachinesResult)) {
-	go func() { then(c.listAll()) }()
+	go func() { then(c.listAllMachines()) }()
 }
 
-// listAll reads all pages of the list. If one cannot be read, the outcome is that of its call.
-func (c *Client) listAll() controller.MachinesResult {
+// listAllMachines reads all pages of the list. If one cannot be read, the outcome is that of its call.
+func (c *Client) listAllMachines() controller.MachinesResult {
 	var result controller.MachinesResult
 	query := url.Values{"page": {strconv.Itoa(wire.MaxMachinesPerPage)}}
 	for {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	redialDelay   = 500 * time.Millisecond
-	writeTimeout  = time.Second
-	readTimeout   = 20 * time.Second
-	maxQueued     = 512     // messages that may wait for one sibling
-	maxLineBytes  = 4 << 20 // of a message received
-	readBuffer    = 4096    // bytes at first
-	memoryDivisor = 64      // the messages that wait for one sibling may take one part in so many of the memory
-	megabyte      = 1 << 20
+	dialTimeout            = time.Second
+	redialDelay            = 500 * time.Millisecond
+	writeTimeout           = time.Second
+	readTimeout            = 20 * time.Second
+	maxQueuedMessages      = 512     // messages that may wait for one sibling
+	maxLineBytes           = 4 << 20 // of a message received
+	initialReadBufferBytes = 4096    // bytes at first
+	queueMemoryDivisor     = 64      // the messages that wait for one sibling may take one part in so many of the memory
+	megabyte               = 1 << 20
 )
 
 // Mesh is the connections to and from the siblings.
@@ -44,8 +44,8 @@
 	queuedBytes atomic.Int64
 }
 
-// next waits for the next message; ok is false once ctx ends.
-func (l *link) next(ctx context.Context) (line []byte, ok bool) {
+// dequeue waits for the next message; ok is false once ctx ends.
+func (l *link) dequeue(ctx context.Context) (line []byte, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, false
@@ -82,10 +82,10 @@
 
 // New makes a mesh. Send must run for messages to leave, Serve for them to arrive.
 func New(settings *config.Settings, log *slog.Logger) *Mesh {
-	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / memoryDivisor),
+	m := &Mesh{log: log, maxQueuedBytes: int64(settings.Cluster.Quota.MemMB * megabyte / queueMemoryDivisor),
 		inbound: make(chan struct{}, max(1, sockets.NewBudget(settings).Peers))}
 	for _, sibling := range settings.Siblings {
-		m.links = append(m.links, &link{addr: sibling.Endpoint, queue: make(chan []byte, maxQueued)})
+		m.links = append(m.links, &link{addr: sibling.Endpoint, queue: make(chan []byte, maxQueuedMessages)})
 	}
 	return m
 }
@@ -106,16 +106,16 @@
 // Send keeps the connections to the siblings until ctx ends.
 func (m *Mesh) Send(ctx context.Context) {
 	for _, link := range m.links {
-		go link.run(ctx)
+		go link.maintainConnection(ctx)
 	}
 	<-ctx.Done()
 }
 
-func (l *link) run(ctx context.Context) {
+func (l *link) maintainConnection(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", l.addr, dialTimeout)
 		if err == nil {
-			l.write(ctx, conn)
+			l.sendMessages(ctx, conn)
 			_ = conn.Close()
 		}
 		select {
@@ -126,11 +126,11 @@
 	}
 }
 
-// write sends messages until ctx ends or the connection fails.
-func (l *link) write(ctx context.Context, conn net.Conn) {
+// sendMessages sends messages until ctx ends or the connection fails.
+func (l *link) sendMessages(ctx context.Context, conn net.Conn) {
 	writer := bufio.NewWriter(conn)
 	for {
-		line, ok := l.next(ctx)
+		line, ok := l.dequeue(ctx)
 		if !ok || conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 			return
 		}
@@ -154,7 +154,7 @@
 		select {
 		case m.inbound <- struct{}{}:
 			go func() {
-				m.read(conn, receive)
+				m.receiveMessages(conn, receive)
 				<-m.inbound
 			}()
 		default:
@@ -163,11 +163,11 @@
 	}
 }
 
-// read receives messages until the connection fails or falls silent.
-func (m *Mesh) read(conn net.Conn, receive func(*wire.PeerMessage)) {
+// receiveMessages receives messages until the connection fails or falls silent.
+func (m *Mesh) receiveMessages(conn net.Conn, receive func(*wire.PeerMessage)) {
 	defer func() { _ = conn.Close() }()
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, readBuffer), maxLineBytes)
+	lines.Buffer(make([]byte, 0, initialReadBufferBytes), maxLineBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(readTimeout)) != nil || !lines.Scan() {
 			return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -74,7 +74,7 @@
 		ErrorHandler:            s.handleError,
 		DisableHeadAutoRegister: true,
 	})
-	s.app.Use("/work", s.limitUsers)
+	s.app.Use("/work", s.limitUserRequests)
 	s.app.Post("/work", s.submitJob)
 	s.app.Get("/work/:id", s.pollJob)
 	s.app.Post("/work/:id/cancel", s.cancelJob)
@@ -106,17 +106,17 @@
 
 // sendUnavailable refuses a request that may be repeated.
 func sendUnavailable(c fiber.Ctx, reason string) error {
-	c.Set(fiber.HeaderRetryAfter, headerSeconds(retryAfter))
+	c.Set(fiber.HeaderRetryAfter, formatRetryAfter(retryAfter))
 	return sendError(c, http.StatusServiceUnavailable, reason)
 }
 
-// headerSeconds formats a duration for Retry-After, in whole seconds, rounded up.
-func headerSeconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
+// formatRetryAfter formats a duration for Retry-After, in whole seconds, rounded up.
+func formatRetryAfter(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
 
-// limitUsers keeps users from crowding out workers and health checks. Once there are
+// limitUserRequests keeps users from crowding out workers and health checks. Once there are
 // many connections, a user's is closed after the answer; one that comes again
 // opens another, perhaps to a controller that has more room.
-func (s *Server) limitUsers(c fiber.Ctx) error {
+func (s *Server) limitUserRequests(c fiber.Ctx) error {
 	connections := int(s.app.Server().GetOpenConnectionsCount())
 	if connections > s.budget.CloseAfterReply {
 		c.RequestCtx().SetConnectionClose()
@@ -147,7 +147,7 @@
 
 func sendReply(c fiber.Ctx, reply controller.Reply) error {
 	if reply.RetryAfter > 0 {
-		c.Set(fiber.HeaderRetryAfter, headerSeconds(reply.RetryAfter))
+		c.Set(fiber.HeaderRetryAfter, formatRetryAfter(reply.RetryAfter))
 	}
 	body, err := json.Marshal(reply.Body)
 	if err != nil {
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -32,9 +32,9 @@
 
 	// listPageSize is how many keys one request of a load reads.
 	listPageSize = 500
-	// leaseUnknown is the error by which the state store refuses a transaction that attaches a key
+	// noSuchLease is the error by which the state store refuses a transaction that attaches a key
 	// to a lease which does not exist.
-	leaseUnknown = "no such lease"
+	noSuchLease = "no such lease"
 )
 
 // The paths of the state store's API.
@@ -110,7 +110,7 @@
 		status, err := c.calls.Call(http.MethodPost, transactionPath, commit.Txn, timeout, httpcall.Destinations{
 			http.StatusOK: &response, http.StatusConflict: &response, http.StatusBadRequest: &refusal})
 		result := controller.CommitResult{Revision: response.Revision, Failed: response.Failed}
-		if status == http.StatusBadRequest && err == nil && refusal.Error == leaseUnknown {
+		if status == http.StatusBadRequest && err == nil && refusal.Error == noSuchLease {
 			result.Outcome = controller.NotFound
 		} else {
 			result.Outcome = c.outcome("transaction", status, err)
@@ -133,24 +133,24 @@
 	body := struct {
 		TTL int64 `json:"ttl_ms"`
 	}{grant.TTL.Milliseconds()}
-	c.callLease(leasesPath, body, 0, then)
+	c.queueLeaseCall(leasesPath, body, 0, then)
 }
 
 // RenewLease renews a lease.
 func (c *Client) RenewLease(renewal controller.RenewLease, then func(controller.LeaseResult)) {
 	path := leasesPath + "/" + strconv.FormatUint(uint64(renewal.LeaseID), 10) + "/extend"
-	c.callLease(path, struct{}{}, renewal.LeaseID, then)
+	c.queueLeaseCall(path, struct{}{}, renewal.LeaseID, then)
 }
 
-// callLease makes a call about a lease; known is the lease's ID, 0 if the response gives it.
-func (c *Client) callLease(path string, body any, known wire.LeaseID, then func(controller.LeaseResult)) {
+// queueLeaseCall makes a call about a lease; knownID is the lease's ID, 0 if the response gives it.
+func (c *Client) queueLeaseCall(path string, body any, knownID wire.LeaseID, then func(controller.LeaseResult)) {
 	c.queue.add(controller.PriorityLease, newCall(0, func() controller.LeaseResult {
 		var response struct {
 			LeaseID wire.LeaseID `json:"permit"`
 		}
 		status, err := c.calls.Call(http.MethodPost, path, body, leaseTimeout, httpcall.Destinations{http.StatusOK: &response})
 		if response.LeaseID == 0 {
-			response.LeaseID = known
+			response.LeaseID = knownID
 		}
 		return controller.LeaseResult{Outcome: c.outcome("lease", status, err), LeaseID: response.LeaseID}
 	}, controller.LeaseResult{Outcome: controller.NotExecuted}, then))
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -31,12 +31,12 @@
 
 	mu       sync.Mutex
 	workers  map[string]*list.Element // by address, of *connection
-	recent   list.List                // the same; the one used last first
+	lru      list.List                // the same; the one used last first
 	inFlight int                      // calls under way
 }
 
-// connection is the HTTP client of one worker.
-type connection struct {
+// workerClient is the HTTP client of one worker.
+type workerClient struct {
 	addr     string
 	client   *httpcall.Client
 	inFlight int // calls under way
@@ -50,41 +50,41 @@
 }
 
 // acquire is the connection to a worker for one call; release ends that.
-func (c *Client) acquire(addr string) *connection {
+func (c *Client) acquire(addr string) *workerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	element := c.workers[addr]
 	if element == nil {
-		element = c.recent.PushFront(&connection{addr: addr, client: httpcall.New(addr, maxConnectionsPerWorker, idleTimeout)})
+		element = c.lru.PushFront(&workerClient{addr: addr, client: httpcall.New(addr, maxConnectionsPerWorker, idleTimeout)})
 		c.workers[addr] = element
 	} else {
-		c.recent.MoveToFront(element)
+		c.lru.MoveToFront(element)
 	}
-	conn := element.Value.(*connection)
-	conn.inFlight++
+	worker := element.Value.(*workerClient)
+	worker.inFlight++
 	c.inFlight++
-	c.closeLeastRecent()
-	return conn
+	c.closeLeastRecentlyUsed()
+	return worker
 }
 
-// closeLeastRecent closes idle connections, those used longest ago first, until there is room
+// closeLeastRecentlyUsed closes idle connections, those used longest ago first, until there is room
 // for the calls under way: each worker that was called lately may hold a connection.
-func (c *Client) closeLeastRecent() {
-	for element := c.recent.Back(); element != nil && len(c.workers) > c.maxConnections-c.inFlight; {
-		conn, next := element.Value.(*connection), element.Prev()
-		if conn.inFlight == 0 {
-			conn.client.Close()
-			c.recent.Remove(element)
-			delete(c.workers, conn.addr)
+func (c *Client) closeLeastRecentlyUsed() {
+	for element := c.lru.Back(); element != nil && len(c.workers) > c.maxConnections-c.inFlight; {
+		worker, next := element.Value.(*workerClient), element.Prev()
+		if worker.inFlight == 0 {
+			worker.client.Close()
+			c.lru.Remove(element)
+			delete(c.workers, worker.addr)
 		}
 		element = next
 	}
 }
 
-func (c *Client) release(conn *connection) {
+func (c *Client) release(worker *workerClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.inFlight--
+	worker.inFlight--
 	c.inFlight--
 }
 
@@ -103,10 +103,10 @@
 // call makes one call. A worker answers with a heartbeat, whether it obeyed (200) or refused
 // since it knows a higher token or has another agent epoch (409).
 func (c *Client) call(addr, method, path string, body any, timeout time.Duration) controller.WorkerResponse {
-	conn := c.acquire(addr)
-	defer c.release(conn)
+	worker := c.acquire(addr)
+	defer c.release(worker)
 	var heartbeat wire.Heartbeat
-	status, err := conn.client.Call(method, path, body, timeout, httpcall.Destinations{http.StatusOK: &heartbeat, http.StatusConflict: &heartbeat})
+	status, err := worker.client.Call(method, path, body, timeout, httpcall.Destinations{http.StatusOK: &heartbeat, http.StatusConflict: &heartbeat})
 	if err != nil {
 		c.log.Debug("worker call failed", "addr", addr, "path", path, "err", err)
 		return controller.WorkerResponse{Outcome: controller.Unknown}
