--- a/cmd/lilacrill/golden_test.go
+++ b/cmd/lilacrill/golden_test.go
@@ -16,7 +16,7 @@
 	"lilacrill/wire"
 )
 
-// adminAnswers has something to answer for each view, with all fields set.
+// adminAnswers returns an answer for each view, with all fields set.
 func adminAnswers() map[wire.AdminView]any {
 	answers := map[wire.AdminView]any{
 		wire.ViewControllers: new([]wire.AdminController),
@@ -35,8 +35,8 @@
 	return answers
 }
 
-// encodeAnswers has the views, and the changes that are answered like them, by method
-// and path.
+// encodeAnswers returns the encoded answers by method and path. A change (PATCH) is answered like
+// the view at its path.
 func encodeAnswers(t *testing.T, answers map[wire.AdminView]any) map[string]string {
 	bodies := map[string]string{}
 	for view, answer := range answers {
@@ -49,7 +49,8 @@
 	return bodies
 }
 
-// TestGoldenAdminCommands runs every admin command and compares its requests and its output.
+// TestGoldenAdminCommands runs every admin command and compares its requests and its output with a
+// golden file.
 func TestGoldenAdminCommands(t *testing.T) {
 	t.Setenv(admin.TokenVariable, "secret")
 	answers := adminAnswers()
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestShardsAlias: "shards" and its alias "shares", which operators' scripts use, are the
-// same command.
+// TestShardsAlias checks that "shards" is the same command as its alias "shares", which operators'
+// scripts use.
 func TestShardsAlias(t *testing.T) {
 	t.Setenv(admin.TokenVariable, "secret")
 	api := &golden.Recorder{Responses: encodeAnswers(t, adminAnswers())}
@@ -93,18 +94,19 @@
 	golden.Compare(t, "admin-shares.txt", []byte(string(api.Requests())+"\n"+out))
 }
 
-// firstShardNumber is the number of a shard that the view of shards has.
+// firstShardNumber returns the number of the first shard in the view of the shards.
 func firstShardNumber(answers map[wire.AdminView]any) string {
 	return fmt.Sprint(answers[wire.ViewShards].(*wire.AdminShards).Shards[0].Shard)
 }
 
-// TestGoldenCheck holds what the check of a settings file prints, warnings included.
+// TestGoldenCheck compares the output of the check command, including warnings, with a golden file.
 func TestGoldenCheck(t *testing.T) {
 	out := runRoot(t, "check", golden.Path("settings.toml"), "--features", golden.Path("features.toml"))
 	golden.Compare(t, "check.txt", []byte(out))
 }
 
-// TestGoldenNames holds the names that the administration API is called by.
+// TestGoldenNames compares the path prefix of the administration API and the environment variable of
+// its token with a golden file.
 func TestGoldenNames(t *testing.T) {
 	golden.Compare(t, "admin-names.txt", []byte(admin.Prefix+"\n"+admin.TokenVariable))
 }
--- a/cmd/lilacrill/upgrade_bench_test.go
+++ b/cmd/lilacrill/upgrade_bench_test.go
@@ -20,13 +20,14 @@
 	"lilacrill/internal/simulation"
 )
 
-// previousProgramVariable names a program that was built of an earlier release.
+// previousProgramVariable is the environment variable with the path of a program that was built from
+// an earlier release.
 const previousProgramVariable = "LILACRILL_PREVIOUS"
 
-// BenchmarkUpgradeFromPrevious upgrades controllers of an earlier release, rolls them
-// back and upgrades them again, at random and under load. The later format must not come
-// into force before the last of them is gone, although they cannot know of it. Run it with
-// -benchtime=1x and the earlier program's path in LILACRILL_PREVIOUS.
+// BenchmarkUpgradeFromPrevious upgrades controllers of an earlier release, rolls them back and
+// upgrades them again, at random and under load. The later format must not come into force while a
+// controller of the earlier release runs, although that release does not know the format. Run it
+// with -benchtime=1x and the path of the earlier program in LILACRILL_PREVIOUS.
 func BenchmarkUpgradeFromPrevious(b *testing.B) {
 	previous := os.Getenv(previousProgramVariable)
 	require.NotEmpty(b, previous, previousProgramVariable)
@@ -55,7 +56,7 @@
 	}
 }
 
-// upgradeRest replaces the controllers that are still older.
+// upgradeRest upgrades the controllers that still run the older build.
 func (u *upgradedCluster) upgradeRest() {
 	for i := range u.size.controllers {
 		if !u.upgraded[i] {
@@ -64,13 +65,14 @@
 	}
 }
 
-// largeUpgradeLoad is five controllers with 4,000 workers.
+// largeUpgradeLoad is the size of a cluster of five controllers with 4,000 workers.
 var largeUpgradeLoad = loadSize{controllers: 5, workers: 4000, services: 300, zones: []string{"a", "b", "c", "d"}, reportS: 5, leaseS: 45, cancelS: 65,
 	quota: config.Quota{CoreShare: 0.5, MemMB: 400, Sockets: 8000}, writeRPS: 100, arrayInterval: time.Second, arrayTasks: 80}
 
-// BenchmarkRollingUpgrade measures what users notice of a rolling upgrade of five
-// controllers at 4,000 workers, against the same time without one. It writes a plot to
-// the folder that LILACRILL_LOAD_OUT names. Run it with -benchtime=1x.
+// BenchmarkRollingUpgrade measures the latencies that users see during a rolling upgrade of five
+// controllers with 4,000 workers, and compares them with a period of the same length without an
+// upgrade. It writes a plot to the directory that LILACRILL_LOAD_OUT names. Run it with
+// -benchtime=1x.
 func BenchmarkRollingUpgrade(b *testing.B) {
 	for b.Loop() {
 		u := startUpgradedCluster(b, largeUpgradeLoad, build{features: olderFeaturesFile(b)}, 1)
@@ -107,7 +109,7 @@
 	}
 }
 
-// awaitHealthy waits until a controller accepts requests.
+// awaitHealthy waits until the health check of a controller succeeds.
 func (u *upgradedCluster) awaitHealthy(i int) {
 	require.Eventually(u.tb, func() bool {
 		resp, err := http.Get("http://" + u.addrs[i] + "/up")
@@ -119,13 +121,15 @@
 	}, testTimeout, 20*time.Millisecond)
 }
 
-// userLatency is the latency that users saw in a period, and what failed in it.
+// userLatency holds the latencies that users saw in a period, and the number of requests that failed
+// in it.
 type userLatency struct {
 	submissions, polls, starts          *hdrhistogram.Histogram
 	pollsUnanswered, submissionsRefused int64
 }
 
-// takeUserLatency returns what users saw since a moment, and starts a new period.
+// takeUserLatency returns the latencies of the period that began at the time from, and starts a new
+// period.
 func (u *upgradedCluster) takeUserLatency(from time.Time) userLatency {
 	starts := &latencyHistogram{}
 	for _, d := range u.history.StartTimes(from, time.Now()) {
@@ -135,6 +139,7 @@
 		pollsUnanswered: u.pollsUnanswered.Swap(0), submissionsRefused: u.submissionsRefused.Swap(0)}
 }
 
+// each calls f for each histogram.
 func (n userLatency) each(f func(name string, h *hdrhistogram.Histogram)) {
 	f("submissions", n.submissions)
 	f("polls", n.polls)
@@ -150,7 +155,8 @@
 	fmt.Printf("%-8s polls without an answer %d, submissions repeated %d\n", phase, n.pollsUnanswered, n.submissionsRefused)
 }
 
-// plotUserLatency draws both phases by percentile, on a logarithmic scale of milliseconds.
+// plotUserLatency plots the latencies of both phases by percentile, in milliseconds on a logarithmic
+// scale.
 func plotUserLatency(b testing.TB, path string, quiet, upgraded userLatency) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Rolling upgrade of %d controllers, %d workers", largeUpgradeLoad.controllers, largeUpgradeLoad.workers)
